--- a/src/core/fleet_eta.c
+++ b/src/core/fleet_eta.c
@@ -1,38 +1,41 @@
-/* When a model can be called, as a pass of placing leaves it. */
+/* Estimates when each model can be called, after a planning pass. */
 #include "fleet_int.h"
 
-struct pinned fleet_count_pinned(const struct pass *s,
-				 const struct fleet_pin *pin)
+struct pin_tally fleet_count_pinned(const struct pass *s,
+				    const struct fleet_pin *pin)
 {
-	struct pinned t = { .left_ms = INT64_MAX };
+	struct pin_tally t = { .ready_ms = INT64_MAX };
 
 	for (size_t i = 0; i < s->v->n_nodes; i++) {
 		const struct fleet_node *n = &s->v->nodes[i];
 
-		if (!n->usable || !fleet_is_of(n, pin->version))
+		if (!n->usable || !fleet_has_version(n, pin->version))
 			continue;
 		if (n->loading == (int)pin->model) {
 			t.loading++;
-			/* This pass's own has none of its own yet. */
-			t.left_ms = MIN(t.left_ms,
-					n->loading_left_ms ?
-						n->loading_left_ms :
-						s->tally[pin->model].left_ms);
+			/* The node of a load that this pass issued has no
+			 * remaining time yet. */
+			t.ready_ms = MIN(t.ready_ms,
+					 n->loading_left_ms ?
+						 n->loading_left_ms :
+						 s->tally[pin->model].ready_ms);
 		}
 		for (guint k = 0; k < n->places->len; k++) {
-			const struct fleet_place *p = fleet_place_at(n, k);
+			const struct fleet_place *p = fleet_replica_at(n, k);
 
 			if (p->model != pin->model || p->closing)
 				continue;
-			t.open++;
+			t.serving++;
 			t.calls += p->calls;
 		}
 	}
 	return t;
 }
 
-/* When each of the store's loads under way is over, the first first. */
-static GArray *store_ends(const struct pass *s, int64_t load_ms)
+/* Remaining time of each running load from the store, in no order; padded with
+ * zeros up to the store's parallel loads. An order of another leader counts as
+ * a load that has just begun. */
+static GArray *store_load_ends(const struct pass *s, int64_t load_ms)
 {
 	GArray *ends = g_array_new(FALSE, TRUE, sizeof(int64_t));
 
@@ -49,7 +52,7 @@
 	return ends;
 }
 
-static guint first_end(const GArray *ends)
+static guint earliest_end(const GArray *ends)
 {
 	guint best = 0;
 
@@ -61,27 +64,29 @@
 }
 
 /*
- * Models that callers ask for and no engine has a copy of: the store brings
- * them one after the other, and that is known now. A caller who can't wait so
- * long is told when to come back, instead of being held for seconds first.
+ * Sets the estimates of requested models of which no engine has a copy. The
+ * store loads them one after the other, so their times are known in advance. A
+ * caller who can't wait that long gets a retry time at once, instead of being
+ * held for seconds first.
  */
 static void set_store_etas(struct pass *s)
 {
 	GArray *ends = NULL;
 
 	for (guint i = 0; i < s->needs->len; i++) {
-		const struct need *n = &g_array_index(s->needs, struct need, i);
+		const struct replica_need *n =
+			&g_array_index(s->needs, struct replica_need, i);
 		uint32_t m = n->model;
 		const struct tally *t = &s->tally[m];
 		int64_t load = s->v->models[m].spec->store_ms;
 		int64_t *end;
 
-		if (n->version || t->open || t->loading || t->copies ||
-		    t->paused)
+		if (n->version || t->serving || t->loading || t->copies ||
+		    t->suspended)
 			continue;
 		if (!ends)
-			ends = store_ends(s, load);
-		end = &g_array_index(ends, int64_t, first_end(ends));
+			ends = store_load_ends(s, load);
+		end = &g_array_index(ends, int64_t, earliest_end(ends));
 		*end += load;
 		s->v->models[m].eta_ms = *end;
 	}
@@ -94,15 +99,15 @@
 	for (size_t m = 0; m < s->v->n_models; m++) {
 		const struct tally *t = &s->tally[m];
 
-		s->v->models[m].eta_ms = t->open    ? 0 :
-					 t->loading ? t->left_ms :
+		s->v->models[m].eta_ms = t->serving ? 0 :
+					 t->loading ? t->ready_ms :
 						      -1;
 	}
 	for (size_t i = 0; i < s->v->n_pins; i++) {
 		struct fleet_pin *pin = &s->v->pins[i];
-		struct pinned t = fleet_count_pinned(s, pin);
+		struct pin_tally t = fleet_count_pinned(s, pin);
 
-		pin->eta_ms = t.open ? 0 : t.loading ? t.left_ms : -1;
+		pin->eta_ms = t.serving ? 0 : t.loading ? t.ready_ms : -1;
 	}
 	if (s->v->all_known)
 		set_store_etas(s);
--- a/src/core/fleet_measure.c
+++ b/src/core/fleet_measure.c
@@ -1,59 +1,62 @@
-/* What a fleet's leader measures: the store's speed, rates of calls, and the
- * pause that its own work leaves. */
+/* Measurements of a fleet's leader: the store's parallelism, call rates, and
+ * the pauses between passes of its own work. */
 #include "fleet.h"
 
 #include <math.h>
 
-/* Loads from the store at once before it has shown how many it serves at full
- * speed; doubled each time that so many were as fast as one alone. */
-#define STORE_FIRST 2
-/* A load that takes this multiple of its time alone was slowed down by
- * others: above what orders and reports add, below what one load more does. */
-#define STORE_SLOW 1.25
-/* Memory of a rate, in ms: long enough to tell an idle model from one that
- * is asked for every few seconds. */
-#define RATE_MS 8000.0
+/* Initial number of parallel loads from the store. The bound doubles each time
+ * that as many loads were as fast as a single one. */
+#define STORE_INITIAL_LOADS 2
+/* A load that takes this multiple of its time alone was slowed down by others.
+ * The factor is above the delay that orders and reports add, and below the
+ * effect of one additional load. */
+#define STORE_SLOW_FACTOR 1.25
+/* Time constant of a rate: long enough to distinguish an idle model from one
+ * that is called every few seconds. */
+#define RATE_DECAY_MS 8000.0
 
 size_t fleet_store_most(const struct fleet_store *s, size_t limit)
 {
-	return CLAMP(s->most ? s->most : STORE_FIRST, 1, MAX(limit, 1));
+	return CLAMP(s->most ? s->most : STORE_INITIAL_LOADS, 1, MAX(limit, 1));
 }
 
-int64_t fleet_pause_ms(int64_t took_ms, int64_t part, int64_t least_ms,
-		       int64_t most_ms)
+int64_t fleet_pause_ms(int64_t took_ms, int64_t ratio, int64_t min_ms,
+		       int64_t max_ms)
 {
-	return CLAMP(took_ms * part, least_ms, most_ms);
+	return CLAMP(took_ms * ratio, min_ms, max_ms);
 }
 
 int64_t fleet_store_slow_ms(int64_t alone_ms)
 {
-	return (int64_t)((double)alone_ms * STORE_SLOW);
+	return (int64_t)((double)alone_ms * STORE_SLOW_FACTOR);
 }
 
 void fleet_store_seen(struct fleet_store *s, size_t n, int64_t took_ms,
 		      int64_t alone_ms, bool done)
 {
-	size_t most = s->most ? s->most : STORE_FIRST;
+	size_t max = s->most ? s->most : STORE_INITIAL_LOADS;
 
 	if (took_ms > fleet_store_slow_ms(alone_ms)) {
-		double at_once =
+		double parallel =
 			done ? (double)n * (double)alone_ms / (double)took_ms :
 			       (double)n - 1;
 
-		s->most = MAX(MIN(most, (size_t)(at_once + 0.5)), 1);
-	} else if (done && n >= most) {
-		s->most = most * 2;
+		s->most = MAX(MIN(max, (size_t)(parallel + 0.5)), 1);
+	} else if (done && n >= max) {
+		s->most = max * 2;
 	}
 }
 
 double fleet_rate_at(const struct fleet_rate *r, int64_t now)
 {
-	return r->at_ms ? r->per_s * exp(-(double)(now - r->at_ms) / RATE_MS) :
+	return r->at_ms ? r->per_s * exp(-(double)(now - r->at_ms) /
+					 RATE_DECAY_MS) :
 			  0;
 }
 
 void fleet_rate_add(struct fleet_rate *r, uint64_t arrivals, int64_t now)
 {
-	r->per_s = fleet_rate_at(r, now) + (double)arrivals * 1000.0 / RATE_MS;
+	r->per_s = fleet_rate_at(r, now) +
+		   (double)arrivals * 1000.0 / RATE_DECAY_MS;
 	r->at_ms = MAX(now, 1);
 }
