--- a/src/core/fleet_types.c
+++ b/src/core/fleet_types.c
@@ -1,9 +1,9 @@
-/* Freeing and comparing what the fleet tells of itself. */
+/* Incarnations and reports of endpoints: comparing, updating and freeing. */
 #include "fleet_types.h"
 
-static bool is_told(const char *id)
+static bool is_set(const char *s)
 {
-	return id && *id;
+	return s && *s;
 }
 
 const char *fleet_version(const struct fleet_incarnation *i)
@@ -12,61 +12,62 @@
 }
 
 bool fleet_other_id(const struct fleet_incarnation *known,
-		    const struct fleet_incarnation *told)
+		    const struct fleet_incarnation *reported)
 {
-	return is_told(known->id) && is_told(told->id) &&
-	       strcmp(known->id, told->id) != 0;
+	return is_set(known->id) && is_set(reported->id) &&
+	       strcmp(known->id, reported->id) != 0;
 }
 
-static bool other_version(const struct fleet_incarnation *known,
-			  const struct fleet_incarnation *told)
+static bool version_differs(const struct fleet_incarnation *known,
+			    const struct fleet_incarnation *reported)
 {
-	return is_told(known->version) && is_told(told->version) &&
-	       strcmp(known->version, told->version) != 0;
+	return is_set(known->version) && is_set(reported->version) &&
+	       strcmp(known->version, reported->version) != 0;
 }
 
-enum fleet_told fleet_incarnation_judge(const struct fleet_incarnation *known,
-					const struct fleet_incarnation *told)
+enum fleet_told
+fleet_incarnation_judge(const struct fleet_incarnation *known,
+			const struct fleet_incarnation *reported)
 {
-	if (fleet_other_id(known, told))
+	if (fleet_other_id(known, reported))
 		return FLEET_RESTARTED;
-	if (known->started_ms && known->started_ms == told->started_ms)
+	if (known->started_ms && known->started_ms == reported->started_ms)
 		return FLEET_SAME;
-	if (!known->started_ms || !told->started_ms)
-		return other_version(known, told) ? FLEET_RESTARTED :
-						    FLEET_SAME;
-	return told->started_ms > known->started_ms ? FLEET_RESTARTED :
-						      FLEET_LATE;
+	if (!known->started_ms || !reported->started_ms)
+		return version_differs(known, reported) ? FLEET_RESTARTED :
+							  FLEET_SAME;
+	return reported->started_ms > known->started_ms ? FLEET_RESTARTED :
+							  FLEET_LATE;
 }
 
 void fleet_incarnation_learn(struct fleet_incarnation *known,
-			     const struct fleet_incarnation *told)
-{
-	bool other = fleet_other_id(known, told);
-
-	bool later = known->started_ms && told->started_ms > known->started_ms;
-	bool late = !other && told->started_ms < known->started_ms &&
-		    told->started_ms;
-
-	bool same = !other && known->started_ms &&
-		    known->started_ms == told->started_ms;
-
-	/* The version is told by the list alone, and comes after the rest. One
-	 * start has one version: another one of it is somebody's slip. */
-	if (other || later ||
-	    (!late && is_told(told->version) &&
-	     !(same && is_told(known->version)))) {
-		char *version = g_strdup(told->version);
+			     const struct fleet_incarnation *reported)
+{
+	bool other_id = fleet_other_id(known, reported);
+	bool later = known->started_ms &&
+		     reported->started_ms > known->started_ms;
+	bool stale = !other_id && reported->started_ms < known->started_ms &&
+		     reported->started_ms;
+	bool same_start = !other_id && known->started_ms &&
+			  known->started_ms == reported->started_ms;
+
+	/* Only the list reports the version, after the other parts are known.
+	 * A version stays the same within one start: a different one for a
+	 * known start is an error of the list and is ignored. */
+	if (other_id || later ||
+	    (!stale && is_set(reported->version) &&
+	     !(same_start && is_set(known->version)))) {
+		char *version = g_strdup(reported->version);
 
 		g_free(known->version);
 		known->version = version;
 	}
-	if (other || told->started_ms > known->started_ms)
-		known->started_ms = told->started_ms;
-	if (!is_told(told->id) || (is_told(known->id) && !other))
+	if (other_id || reported->started_ms > known->started_ms)
+		known->started_ms = reported->started_ms;
+	if (!is_set(reported->id) || (is_set(known->id) && !other_id))
 		return;
 	g_free(known->id);
-	known->id = g_strdup(told->id);
+	known->id = g_strdup(reported->id);
 }
 
 void fleet_incarnation_clear(struct fleet_incarnation *i)
@@ -76,7 +77,7 @@
 	i->started_ms = 0;
 }
 
-static void strs_free(GPtrArray *a)
+static void names_unref(GPtrArray *a)
 {
 	if (a)
 		g_ptr_array_unref(a);
@@ -91,7 +92,7 @@
 	g_free(i->service);
 	g_free(i->addr);
 	g_free(i->domain);
-	strs_free(i->models);
+	names_unref(i->models);
 }
 
 struct fleet_incarnation *
@@ -116,29 +117,29 @@
 
 GHashTable *fleet_instances_by_addr(const GArray *instances)
 {
-	GHashTable *out = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *by_addr = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (guint i = 0; i < instances->len; i++) {
 		struct fleet_instance *x =
 			&g_array_index(instances, struct fleet_instance, i);
 		const struct fleet_instance *other =
-			g_hash_table_lookup(out, x->addr);
+			g_hash_table_lookup(by_addr, x->addr);
 
 		if (other && x->started_ms && x->started_ms < other->started_ms)
 			continue;
-		g_hash_table_replace(out, x->addr, x);
+		g_hash_table_replace(by_addr, x->addr, x);
 	}
-	return out;
+	return by_addr;
 }
 
 enum fleet_told fleet_report_judge(const struct fleet_incarnation *known,
 				   uint64_t orders,
 				   const struct fleet_report *r)
 {
-	enum fleet_told told = fleet_incarnation_judge(known, &r->self);
+	enum fleet_told relation = fleet_incarnation_judge(known, &r->self);
 
-	if (told != FLEET_SAME || r->orders >= orders)
-		return told;
+	if (relation != FLEET_SAME || r->orders >= orders)
+		return relation;
 	return known->started_ms && r->self.started_ms ? FLEET_LATE :
 							 FLEET_RESTARTED;
 }
@@ -151,13 +152,13 @@
 			&g_array_index(r->held, struct fleet_held, i);
 
 		g_free(h->model);
-		strs_free(h->adapters);
+		names_unref(h->adapters);
 	}
 	if (r->held)
 		g_array_unref(r->held);
-	strs_free(r->loading_adapters);
-	strs_free(r->in_memory);
-	strs_free(r->on_disk);
+	names_unref(r->loading_adapters);
+	names_unref(r->in_memory);
+	names_unref(r->on_disk);
 	memset(r, 0, sizeof(*r));
 }
 
--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -1,57 +1,62 @@
-/* What the fleet of endpoints tells of itself, and what it is ordered. */
+/* What endpoints of a fleet report about themselves, and the orders that
+ * engines get. */
 #ifndef SS_FLEET_TYPES_H
 #define SS_FLEET_TYPES_H
 
 #include <sapphireshift/base.h>
 
 /*
- * One start of an endpoint. A restarted endpoint may keep its id, so the id
- * alone doesn't tell what it still holds, nor which orders it counts.
+ * One run of an endpoint, from its start to its end. A restarted endpoint may
+ * keep its id, so the id alone doesn't show whether it still holds its models,
+ * nor which orders its counter includes.
  */
 struct fleet_incarnation {
-	char *id;	    /* NULL or empty: not told */
-	int64_t started_ms; /* Unix, by the endpoint's own clock; 0: not told */
-	char *version;	    /* of its software; NULL or empty: not told */
+	char *id; /* NULL or empty: not reported */
+	/* Unix time by the endpoint's own clock; 0: not reported. */
+	int64_t started_ms;
+	char *version; /* of its software; NULL or empty: not reported */
 };
 
-/* What is told of an endpoint, against the incarnation believed there. */
+/* Relation of a reported incarnation to the one known at that address. */
 enum fleet_told {
-	FLEET_SAME,	 /* of the incarnation believed */
-	FLEET_RESTARTED, /* of a later one: nothing known before holds */
-	FLEET_LATE,	 /* of an earlier one: it changes nothing */
+	FLEET_SAME,	 /* the known incarnation */
+	FLEET_RESTARTED, /* a later one: invalidates all that is known */
+	FLEET_LATE,	 /* an earlier one: changes nothing that is known */
 };
 
 /*
- * The rule. Another id is another incarnation, whatever the starts say: they
- * may be of two VMs, whose clocks differ. Under one id, or where one id isn't
- * told, the later start is the later incarnation, and where a start isn't told,
- * another version is. A part that isn't told proves nothing, so a message
- * without a start is taken as before starts were told, and doesn't undo the
- * start that is known.
+ * Compares a reported incarnation with the known one. A different id is another
+ * incarnation, whatever the start times: they may come from two VMs, whose
+ * clocks differ. With the same id, or if an id isn't reported, the later start
+ * is the later incarnation; if a start isn't reported, a different version is.
+ * A part that isn't reported proves nothing: a message without a start is
+ * compared by its other parts, and leaves the known start as it is.
  */
-enum fleet_told fleet_incarnation_judge(const struct fleet_incarnation *known,
-					const struct fleet_incarnation *told);
-/* Its version; empty where that isn't told. */
+enum fleet_told
+fleet_incarnation_judge(const struct fleet_incarnation *known,
+			const struct fleet_incarnation *reported);
+/* Returns the version; an empty string if it isn't known. */
 const char *fleet_version(const struct fleet_incarnation *i);
-/* Both ids are told, and they differ. */
+/* Whether both ids are known and differ. */
 bool fleet_other_id(const struct fleet_incarnation *known,
-		    const struct fleet_incarnation *told);
+		    const struct fleet_incarnation *reported);
 /*
- * Take over what is told. An id that isn't known yet is taken from anyone; a
- * start only grows, but for another id's.
+ * Updates the known incarnation with the reported one. An id that isn't known
+ * yet is accepted from any report, also a stale one; the start only grows,
+ * unless the id differs.
  */
 void fleet_incarnation_learn(struct fleet_incarnation *known,
-			     const struct fleet_incarnation *told);
+			     const struct fleet_incarnation *reported);
 void fleet_incarnation_clear(struct fleet_incarnation *i);
 struct fleet_incarnation *
 fleet_incarnation_dup(const struct fleet_incarnation *i);
 void fleet_incarnation_free(void *incarnation);
 
-/* One endpoint as the VM list shows it; the list lags. */
+/* One endpoint as listed in the VM list, which lags behind. */
 struct fleet_instance {
 	char *id;
 	int64_t started_ms; /* as in struct fleet_incarnation */
-	char *version;	    /* the same */
+	char *version;	    /* as in struct fleet_incarnation */
 	char *service;
 	char *addr;
 	char *domain;
@@ -61,13 +66,13 @@
 };
 
 void fleet_instance_clear(void *instance);
-/* A view into it. */
+/* Returns the incarnation of an instance; its strings are borrowed. */
 struct fleet_incarnation fleet_instance_self(const struct fleet_instance *i);
 /*
- * One entry for each address: addr -> const struct fleet_instance, views into
- * the list. One that crashed stays listed for some seconds, beside the one
- * that has its address now: the later start counts, and where one isn't
- * told, the later entry.
+ * Returns one instance for each address: addr -> const struct fleet_instance,
+ * borrowed from the list. An endpoint that crashed stays listed for some
+ * seconds, beside the one that has its address now: the instance with the later
+ * start is used, or the last one in the list if a start isn't reported.
  */
 GHashTable *fleet_instances_by_addr(const GArray *instances);
 
@@ -78,16 +83,16 @@
 	GPtrArray *adapters; /* char * */
 };
 
-/* An engine's report of itself. */
+/* An engine's report about itself. */
 struct fleet_report {
-	/* The engine tells its start; its agent adds the id. */
+	/* The engine reports its start; its agent adds the id. */
 	struct fleet_incarnation self;
-	bool busy;	 /* an order is being carried out */
+	bool busy;	 /* runs an order */
 	uint64_t orders; /* accepted since its start */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	bool leaving;
-	int64_t remaining_ms;	     /* until it is taken away; -1: not told */
+	int64_t remaining_ms;	     /* until it is removed; -1: not reported */
 	GArray *held;		     /* struct fleet_held */
 	GPtrArray *loading_adapters; /* char *, "model/adapter" */
 	GPtrArray *in_memory;	     /* char *, copies of weights */
@@ -97,19 +102,20 @@
 void fleet_report_clear(struct fleet_report *r);
 
 /*
- * A report against the incarnation and the count of orders believed. The
- * count only grows within one incarnation: a lower one is an older report
- * where both tell the same start, and a restart where a start isn't told.
+ * Compares a report with the known incarnation and its count of orders. The
+ * count only grows within one incarnation: a lower one is an older report if
+ * both have the same start, and a restart if a start isn't reported.
  */
 enum fleet_told fleet_report_judge(const struct fleet_incarnation *known,
 				   uint64_t orders,
 				   const struct fleet_report *r);
 
-/* The same names (char *) in the same order; false where a list is NULL. */
+/* Whether two lists have the same names (char *) in the same order; false if a
+ * list is NULL. The two functions below compare lists likewise. */
 bool fleet_same_names(const GPtrArray *a, const GPtrArray *b);
-/* The same models and adapters (struct fleet_held) in the same order. */
+/* Compares models and adapters (struct fleet_held). */
 bool fleet_same_held(const GArray *a, const GArray *b);
-/* The same models, whatever their adapters. */
+/* Compares models without their adapters. */
 bool fleet_same_models(const GArray *a, const GArray *b);
 
 struct fleet_order {
@@ -117,18 +123,18 @@
 	const char *model;
 	const char *adapter; /* NULL: the model itself */
 	uint64_t expect;     /* orders accepted so far, as last reported */
-	const char *holder;  /* who orders: one VM for good */
+	const char *holder;  /* name of the ordering VM; constant for each VM */
 	uint64_t fence;	     /* only grows */
 };
 
 enum fleet_order_answer {
-	FLEET_ORDER_TAKEN,     /* being carried out */
-	FLEET_ORDER_HOLDS,     /* it is so already */
-	FLEET_ORDER_BUSY,      /* another is under way, or expect is old */
-	FLEET_ORDER_FENCED,    /* the fence is older than one seen */
-	FLEET_ORDER_MISPLACED, /* another incarnation answers there */
+	FLEET_ORDER_TAKEN,     /* accepted and being carried out */
+	FLEET_ORDER_HOLDS,     /* nothing to do: already in this state */
+	FLEET_ORDER_BUSY,      /* another order runs, or expect is outdated */
+	FLEET_ORDER_FENCED,    /* the engine has seen a higher fence */
+	FLEET_ORDER_MISPLACED, /* another incarnation answered */
 	FLEET_ORDER_INVALID,
-	FLEET_ORDER_UNKNOWN, /* no clear answer: it may still be taken */
+	FLEET_ORDER_UNKNOWN, /* no clear answer: it may still be accepted */
 };
 
 #endif
