--- a/src/core/fleet_list.c
+++ b/src/core/fleet_list.c
@@ -1,4 +1,4 @@
-/* What a reading of the list says of endpoints. */
+/* The list of endpoints: clean-up of entries, and presence of an endpoint. */
 #include "fleet_list.h"
 
 static void unreadable_clear(void *p)
@@ -38,15 +38,15 @@
 	g_array_append_val(l->unreadable, u);
 }
 
-static bool is_named(const struct routing *r, const char *service)
+static bool is_routed(const struct routing *r, const char *service)
 {
 	return !r || !r->version || routing_service(r, service);
 }
 
-bool fleet_service_spoiled(const struct routing *r, const char *was,
-			   const char *now)
+bool fleet_service_spoiled(const struct routing *r, const char *known,
+			   const char *listed)
 {
-	return !is_named(r, now) && is_named(r, was);
+	return !is_routed(r, listed) && is_routed(r, known);
 }
 
 static struct fleet_instance *instance_at(const struct fleet_list *l, guint i)
@@ -54,43 +54,45 @@
 	return &g_array_index(l->instances, struct fleet_instance, i);
 }
 
-/* Ids and addresses of the entries whose service is named. */
-static GHashTable *named_places(const struct fleet_list *l,
+/* Returns the ids and addresses of the entries whose service is in the
+ * routing. */
+static GHashTable *routed_names(const struct fleet_list *l,
 				const struct routing *r)
 {
-	GHashTable *places = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (guint i = 0; i < l->instances->len; i++) {
 		const struct fleet_instance *x = instance_at(l, i);
 
-		if (!is_named(r, x->service))
+		if (!is_routed(r, x->service))
 			continue;
-		g_hash_table_add(places, x->id);
-		g_hash_table_add(places, x->addr);
+		g_hash_table_add(names, x->id);
+		g_hash_table_add(names, x->addr);
 	}
-	return places;
+	return names;
 }
 
 void fleet_list_settle(struct fleet_list *l, const struct routing *r)
 {
-	GHashTable *places = named_places(l, r);
+	GHashTable *names = routed_names(l, r);
 
 	for (guint i = l->instances->len; i-- > 0;) {
 		const struct fleet_instance *x = instance_at(l, i);
 
-		if (!is_named(r, x->service) &&
-		    (g_hash_table_contains(places, x->id) ||
-		     g_hash_table_contains(places, x->addr)))
+		if (!is_routed(r, x->service) &&
+		    (g_hash_table_contains(names, x->id) ||
+		     g_hash_table_contains(names, x->addr)))
 			g_array_remove_index(l->instances, i);
 	}
-	g_hash_table_unref(places);
+	g_hash_table_unref(names);
 }
 
 enum fleet_presence fleet_list_presence(const struct fleet_list *l,
 					const char *id, const char *addr,
 					int64_t unread_ms)
 {
-	bool anyone = l->torn;
+	/* Whether an entry was lost that may be this endpoint's. */
+	bool unattributed = l->torn;
 
 	for (guint i = 0; i < l->unreadable->len; i++) {
 		const struct fleet_unreadable *u = &g_array_index(
@@ -98,10 +100,11 @@
 
 		if (!g_strcmp0(u->id, id) || !g_strcmp0(u->addr, addr))
 			return FLEET_UNREADABLE;
-		anyone |= !u->id && !u->addr;
+		unattributed |= !u->id && !u->addr;
 	}
 	if (!l->whole)
 		return FLEET_UNTOLD;
-	return anyone && unread_ms < FLEET_UNREADABLE_MS ? FLEET_UNREADABLE :
-							   FLEET_GONE;
+	return unattributed && unread_ms < FLEET_UNREADABLE_MS ?
+		       FLEET_UNREADABLE :
+		       FLEET_GONE;
 }
--- a/src/core/fleet_list.h
+++ b/src/core/fleet_list.h
@@ -1,4 +1,4 @@
-/* One reading of the list of endpoints, and what it says of those known. */
+/* The list of endpoints, as read once from the platform. */
 #ifndef SS_FLEET_LIST_H
 #define SS_FLEET_LIST_H
 
@@ -6,56 +6,58 @@
 #include "routing.h"
 
 /*
- * How long an endpoint is kept that a reading doesn't name while some entry
- * can't be attributed to anyone: three times what a load from the store takes
- * alone (6 s), so that no engine is given up in the middle of one.
+ * How long an endpoint that isn't in the list is kept while some entry of the
+ * list can't be attributed to any endpoint: three times the duration of a load
+ * from the store that runs alone (6 s), so that no engine is given up during a
+ * load.
  */
 #define FLEET_UNREADABLE_MS 18000
 
-/* An entry that names no endpoint to use. */
+/* An entry that can't be read, so that its endpoint can't be used. */
 struct fleet_unreadable {
-	char *id, *addr; /* NULL: not readable either */
+	char *id, *addr; /* NULL: unreadable too */
 	char *why;	 /* printable, without quotes */
 };
 
 struct fleet_list {
 	GArray *instances;  /* struct fleet_instance */
 	GArray *unreadable; /* struct fleet_unreadable */
-	/* False where pages are missing: who isn't in it may yet be there. */
+	/* False if pages are missing: they may list further endpoints. */
 	bool whole;
-	/* A piece was lost that may be anyone's entry, and more than one. */
+	/* A fragment couldn't be read that may hold any number of entries. */
 	bool torn;
 };
 
-/* An empty list, whole until a page is found to be missing. */
+/* Initializes an empty list, complete until a page is found to be missing. */
 void fleet_list_init(struct fleet_list *l);
 void fleet_list_clear(struct fleet_list *l);
-/* Takes over the strings. */
+/* Takes ownership of the strings. */
 void fleet_list_add_unreadable(struct fleet_list *l, char *id, char *addr,
 			       char *why);
 
 /*
- * Drop entries of a service that the routing doesn't name where another entry
- * has the same id or address and a service that is named: that one holds.
+ * Drops entries whose service isn't in the routing if another entry has the
+ * same id or address and a service of the routing: that entry is the valid one.
  * Without a routing nothing is dropped.
  */
 void fleet_list_settle(struct fleet_list *l, const struct routing *r);
 
-/* An entry moves an endpoint from a service that the routing names to one
- * that it doesn't: it says nothing of that endpoint. */
-bool fleet_service_spoiled(const struct routing *r, const char *was,
-			   const char *now);
+/* Whether the list moves an endpoint from a service of the routing to one that
+ * isn't in the routing. Such an entry counts as corrupt and proves nothing
+ * about the endpoint. */
+bool fleet_service_spoiled(const struct routing *r, const char *known,
+			   const char *listed);
 
 enum fleet_presence {
-	FLEET_UNTOLD,	  /* nothing: it stays as it was */
-	FLEET_UNREADABLE, /* there, but its entry names nobody to use */
+	FLEET_UNTOLD,	  /* the list is incomplete: nothing changes */
+	FLEET_UNREADABLE, /* present, but its entry can't be read */
 	FLEET_GONE,
 };
 
 /*
- * What the list says of an endpoint that none of its instances names.
- * unread_ms: for how long its entry hasn't been read, while there was no
- * other sign of life.
+ * Returns the presence of an endpoint that isn't among the instances of the
+ * list. unread_ms is the time for which its entry has been unreadable without
+ * any other sign that the endpoint is alive.
  */
 enum fleet_presence fleet_list_presence(const struct fleet_list *l,
 					const char *id, const char *addr,
--- a/src/core/fleet_wire.c
+++ b/src/core/fleet_wire.c
@@ -1,4 +1,4 @@
-/* An endpoint's report to and from the messages that carry it. */
+/* Conversion of an endpoint's report to and from wire messages. */
 #include "fleet_wire.h"
 
 GArray *fleet_wire_names(const GPtrArray *names)
