--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -1,4 +1,4 @@
-/* Who orders an engine. */
+/* Ownership of an engine: which agent gives its orders. */
 #include "owner.h"
 
 #include <xxhash.h>
@@ -6,8 +6,9 @@
 void owner_init(struct owner *o, int64_t engine_ms, int64_t now)
 {
 	memset(o, 0, sizeof(*o));
-	o->lease_ms = MAX(engine_ms + OWNER_MARGIN_MS, OWNER_LEAST_MS);
-	o->since_ms = now;
+	o->lease_ms =
+		MAX(engine_ms + OWNER_LEASE_MARGIN_MS, OWNER_LEASE_MIN_MS);
+	o->known_ms = now;
 }
 
 void owner_clear(struct owner *o)
@@ -22,7 +23,7 @@
 
 bool owner_is_leased(const struct owner *o, int64_t now)
 {
-	return o->name && now - o->heard_ms < o->lease_ms;
+	return o->name && now - o->renewed_ms < o->lease_ms;
 }
 
 enum owner_claim owner_hear(struct owner *o, const char *name, bool remote,
@@ -30,11 +31,11 @@
 {
 	if (is_owner(o, name, remote)) {
 		if (!o->recalled)
-			o->heard_ms = now;
+			o->renewed_ms = now;
 		return OWNER_SAME;
 	}
-	/* The one beside is the better one: what runs in its place is told to
-	 * end, and until then the place isn't free. */
+	/* The agent on the engine's VM has precedence: a remote one is
+	 * recalled, and keeps the ownership until its lease ends. */
 	o->recalled |= !remote && o->remote;
 	if (owner_is_leased(o, now))
 		return OWNER_WAITS;
@@ -43,32 +44,32 @@
 	o->name = g_strdup(name);
 	o->remote = remote;
 	o->recalled = false;
-	o->heard_ms = now;
+	o->renewed_ms = now;
 	return OWNER_TAKES;
 }
 
 bool owner_is_missing(const struct owner *o, int64_t now)
 {
-	int64_t last = o->name ? o->heard_ms : o->since_ms;
+	int64_t last_ms = o->name ? o->renewed_ms : o->known_ms;
 
 	if (o->recalled)
 		return false;
-	return (o->name && o->remote) || now - last >= o->lease_ms;
+	return (o->name && o->remote) || now - last_ms >= o->lease_ms;
 }
 
 int owner_choose(const char *endpoint, const uint64_t *ids, size_t n)
 {
 	uint64_t best = 0;
-	int at = -1;
+	int best_index = -1;
 
 	for (size_t i = 0; i < n; i++) {
-		uint64_t rank = XXH3_64bits_withSeed(endpoint, strlen(endpoint),
-						     ids[i]);
+		uint64_t weight = XXH3_64bits_withSeed(
+			endpoint, strlen(endpoint), ids[i]);
 
-		if (at < 0 || rank > best) {
-			best = rank;
-			at = (int)i;
+		if (best_index < 0 || weight > best) {
+			best = weight;
+			best_index = (int)i;
 		}
 	}
-	return at;
+	return best_index;
 }
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -1,12 +1,14 @@
 /*
- * Who orders an engine: the agent beside it or, where none has spoken for it
- * for a while, one that a control VM runs in its place.
+ * Ownership of an engine: which agent gives its orders. The owner is the agent
+ * on the engine's VM or, if that has sent no reports for a lease, a remote
+ * agent that a control VM runs instead.
  *
- * Two that order one engine would undo each other's loads. So each gets a fence
- * of its own, higher than the one before, and a next owner begins only once the
- * last has been silent for as long as an order of it may still be on its way.
- * An agent that is cut off from the leader may go on ordering adapters with its
- * lower fence; the engine refuses those.
+ * Two agents that order one engine would undo each other's loads. Each owner
+ * therefore gets a higher fence than the previous one, and a new owner is
+ * accepted only after the previous one has been silent for as long as one of
+ * its orders may still be in transit. An agent that is disconnected from the
+ * leader may continue to order adapters with its lower fence; the engine
+ * refuses these orders.
  */
 #ifndef SS_OWNER_H
 #define SS_OWNER_H
@@ -14,45 +16,49 @@
 #include <sapphireshift/base.h>
 
 /*
- * An owner that hasn't been heard for a lease gives its place to another. The
- * settings say for how long engines take orders as those of one owner; this is
- * beside it, in ms, for the last order's way. A lease is never shorter than
- * OWNER_LEAST_MS: so long an agent may take to find a new leader, and a control
- * VM to end agents that nobody names any more.
+ * An owner that sends no reports for a lease loses the ownership. The settings
+ * state for how long an engine holds to one owner; the lease adds a margin for
+ * the last order in transit. A lease is never shorter than OWNER_LEASE_MIN_MS:
+ * an agent may take that long to find a new leader, and a control VM to stop
+ * agents that the leader no longer assigns to it.
  */
-#define OWNER_MARGIN_MS 500
-#define OWNER_LEAST_MS 3500
+#define OWNER_LEASE_MARGIN_MS 500
+#define OWNER_LEASE_MIN_MS 3500
 
 struct owner {
-	char *name; /* of its VM; NULL: nobody yet */
-	bool remote;
-	bool recalled;	  /* the agent beside is back: its words don't count */
-	int64_t heard_ms; /* its last word that counted */
-	int64_t since_ms; /* when the engine was first known here */
+	char *name;  /* of its VM; NULL: no owner yet */
+	bool remote; /* run by a control VM */
+	/* The agent on the engine's VM is back: a remote owner can't renew. */
+	bool recalled;
+	int64_t renewed_ms; /* last renewal of the lease */
+	int64_t known_ms;   /* when this leader first knew the engine */
 	int64_t lease_ms;
-	uint64_t turn; /* how many were owners before, of this leader */
+	uint64_t turn; /* number of previous owners under this leader */
 };
 
 enum owner_claim {
-	OWNER_SAME,  /* it is the owner already */
-	OWNER_TAKES, /* it is now, with a fence of its own */
-	OWNER_WAITS, /* another was heard too lately */
+	OWNER_SAME,  /* the agent is the owner already */
+	OWNER_TAKES, /* the agent is the new owner, with a new fence */
+	OWNER_WAITS, /* the lease of another owner hasn't ended */
 };
 
-/* engine_ms: for how long an engine takes orders as those of one owner. */
+/* engine_ms: how long the engine holds to one owner. */
 void owner_init(struct owner *o, int64_t engine_ms, int64_t now);
 void owner_clear(struct owner *o);
 
-/* One speaks for the engine. */
+/* Claims the ownership, or renews the lease, for an agent that reports on the
+ * engine. */
 enum owner_claim owner_hear(struct owner *o, const char *name, bool remote,
 			    int64_t now);
-/* Whoever owned it may still have orders on their way. */
+/* Whether orders of the owner may still be in transit. */
 bool owner_is_leased(const struct owner *o, int64_t now);
-/* Nobody has spoken for so long that a control VM is to. */
+/* Whether a control VM has to run the agent, as the one on the engine's VM has
+ * sent no reports for a lease. */
 bool owner_is_missing(const struct owner *o, int64_t now);
 
-/* The control VM that runs a missing agent: its place in ids, by names alone,
- * so that few move when one goes. -1: there is none. */
+/* Chooses the control VM that runs a missing agent, by rendezvous hashing, so
+ * that few engines move when a VM is removed. Returns an index into ids; -1 if
+ * there are none. */
 int owner_choose(const char *endpoint, const uint64_t *ids, size_t n);
 
 #endif
