--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -1,46 +1,47 @@
-/* Placing models on a fleet: what is loaded where, and what gives way. */
+/* Model placement: which model is loaded on which engine, and what is unloaded
+ * for it. */
 #include "unit.h"
 
 #include "../src/core/fleet.h"
 
 #define MODELS 6
 
-/* Two busy ones, three rare ones, one large. */
+/* Two busy models, three rarely used ones, one large one. */
 static struct routing_model specs[MODELS];
 
-struct holding {
+struct held_row {
 	int model, calls;
 	bool closing;
 };
 
 struct node_row {
 	const char *domain;
-	struct holding held[4];
+	struct held_row held[4];
 	int n_held;
 	const char *tiers; /* by model: s(tore), d(isk), m(emory) */
-	int unusable;	   /* 1: leaving, or down; 2: suspended */
-	int engaged;	   /* 1: by this leader's order; 2: by another's */
+	int unusable;	   /* 1: draining or down; 2: suspended */
+	int engaged;	   /* runs an order of 1: this leader; 2: another */
 	int running;
 };
 
-struct want_row {
+struct demand_row {
 	double rate;
 	int waiting;
-	int slack_ms; /* until the first of those is late */
+	int slack_ms; /* until the first waiting caller is late */
 };
 
 struct plan_case {
 	const char *label;
 	struct node_row nodes[4];
 	size_t n_nodes;
-	struct want_row wants[MODELS];
+	struct demand_row demand[MODELS];
 	bool ahead;
 	double tokens;
 	const char *steps; /* "node:load<tier>-victim..." */
 };
 
 static const struct plan_case plan_cases[] = {
-	{ "a model that is waited for goes where its copy is nearest",
+	{ "a requested model is loaded from the nearest copy",
 	  { { "a", { { 0 } }, 0, "ssssss", false, false, 0 },
 	    { "b", { { 0 } }, 0, "ssdsss", false, false, 0 } },
 	  2,
@@ -48,7 +49,7 @@
 	  false,
 	  4,
 	  "1:2d " },
-	{ "a surplus replica gives way before a rare model does",
+	{ "a surplus replica is unloaded before a rarely used model",
 	  { { "a",
 	      { { 0, 0, false }, { 3, 0, false } },
 	      2,
@@ -62,7 +63,7 @@
 	  false,
 	  4,
 	  "0:2d-0 " },
-	{ "of two rare models the one asked for less leaves",
+	{ "of two rarely used models the one with fewer calls is unloaded",
 	  { { "a",
 	      { { 3, 0, false }, { 4, 0, false } },
 	      2,
@@ -75,7 +76,7 @@
 	  false,
 	  4,
 	  "0:2d-4 " },
-	{ "a model with calls under way and no other replica stays",
+	{ "the only replica of a model isn't unloaded while calls run on it",
 	  { { "a",
 	      { { 3, 1, false }, { 4, 2, false } },
 	      2,
@@ -88,7 +89,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "a model that is waited for itself isn't unloaded",
+	{ "a model that callers wait for isn't unloaded",
 	  { { "a",
 	      { { 3, 0, false }, { 4, 0, false } },
 	      2,
@@ -101,7 +102,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "one that is on its way isn't loaded twice",
+	{ "a model that an engine holds isn't loaded on another",
 	  { { "a", { { 0 } }, 0, "dddddd", false, false, 0 },
 	    { "b", { { 2, 0, false } }, 1, "dddddd", false, false, 0 } },
 	  2,
@@ -109,7 +110,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "a leaving engine takes no load and counts for none",
+	{ "a draining engine gets no load, and its replica isn't counted",
 	  { { "a", { { 2, 0, false } }, 1, "dddddd", true, false, 0 },
 	    { "b", { { 0 } }, 0, "sdsddd", false, false, 0 } },
 	  2,
@@ -117,7 +118,7 @@
 	  false,
 	  4,
 	  "1:2s " },
-	{ "a replica on an engine that is gone is replaced at once",
+	{ "a replica on an engine that is down is replaced at once",
 	  { { "a", { { 0, 1, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0, 1, false } }, 1, "dddddd", true, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
@@ -126,7 +127,7 @@
 	  false,
 	  4,
 	  "2:0d " },
-	{ "one on a suspended engine isn't while nobody waits",
+	{ "a replica on a suspended engine isn't replaced while nobody waits",
 	  { { "a", { { 0, 1, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0, 1, false } }, 1, "dddddd", 2, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
@@ -135,7 +136,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "but callers who wait for it get one that can be called",
+	{ "callers who wait for a suspended replica get another one",
 	  { { "a", { { 2, 1, false } }, 1, "dddddd", 2, false, 0 },
 	    { "b", { { 0 } }, 0, "ssdsss", false, false, 0 } },
 	  2,
@@ -143,7 +144,7 @@
 	  false,
 	  4,
 	  "1:2d " },
-	{ "a suspended engine takes no load, and its copy is still counted",
+	{ "a suspended engine gets no load, and its copies are counted",
 	  { { "a", { { 0 } }, 0, "dddddd", 2, false, 0 },
 	    { "b", { { 0 } }, 0, "ssssss", false, true, 0 } },
 	  2,
@@ -151,7 +152,7 @@
 	  true,
 	  4,
 	  "" },
-	{ "full replicas get another, in another failure domain",
+	{ "a model with full replicas gets one in another failure domain",
 	  { { "a", { { 0, 10, false } }, 1, "dddddd", false, false, 0 },
 	    { "a", { { 0 } }, 0, "dddddd", false, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
@@ -160,7 +161,7 @@
 	  false,
 	  4,
 	  "2:0d " },
-	{ "one whose slots are half taken gets another",
+	{ "a model whose replica uses half of its slots gets another",
 	  { { "a", { { 0, 5, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
 	  2,
@@ -168,7 +169,7 @@
 	  false,
 	  4,
 	  "1:0d " },
-	{ "one that calls leave room on doesn't",
+	{ "a model whose replica uses fewer slots gets no other",
 	  { { "a", { { 0, 4, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
 	  2,
@@ -176,21 +177,21 @@
 	  false,
 	  4,
 	  "" },
-	{ "one without a copy is loaded for callers who were told to come back",
+	{ "a model without a copy is loaded for callers who will retry",
 	  { { "a", { { 0 } }, 0, "ddsddd", false, false, 0 } },
 	  1,
 	  { [2] = { 0.3, 0, 0 } },
 	  false,
 	  4,
 	  "0:2s " },
-	{ "one that has a copy isn't, as it takes a moment when they do",
+	{ "a model with a copy isn't loaded before its callers retry",
 	  { { "a", { { 0 } }, 0, "dddddd", false, false, 0 } },
 	  1,
 	  { [2] = { 0.3, 0, 0 } },
 	  false,
 	  4,
 	  "" },
-	{ "a model that many ask for is kept twice",
+	{ "a model with many calls has two replicas",
 	  { { "a", { { 1, 0, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
 	  2,
@@ -198,7 +199,7 @@
 	  false,
 	  4,
 	  "1:1d " },
-	{ "the store isn't asked beyond its window",
+	{ "there is no load from the store above its rate limit",
 	  { { "a", { { 0 } }, 0, "ssssss", false, false, 0 } },
 	  1,
 	  { [2] = { 0, 1, 0 } },
@@ -206,12 +207,12 @@
 	  0.5,
 	  "" },
 	/*
-	 * Symptom: engines are taken up for seconds by loads from the store,
-	 * of models that have copies elsewhere. Sequence: a rare model's
-	 * copy stands where calls run; its caller gets late by a moment.
-	 * Cause: late callers counted as a reason not to wait for the copy.
+	 * Guards against loading a model from the store, which occupies an
+	 * engine for seconds, while the engine that has a copy only waits for
+	 * running calls to end. This happens if a caller who is slightly late
+	 * is a reason not to wait for the copy.
 	 */
-	{ "a copy that is out of reach is waited for, also by late callers",
+	{ "also late callers wait for a copy on an engine that is in use",
 	  { { "a",
 	      { { 0, 2, false }, { 1, 2, false } },
 	      2,
@@ -225,7 +226,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "but no longer than the store would have taken",
+	{ "callers wait for a copy no longer than a load from the store takes",
 	  { { "a",
 	      { { 0, 2, false }, { 1, 2, false } },
 	      2,
@@ -240,12 +241,12 @@
 	  4,
 	  "1:2s " },
 	/*
-	 * Symptom: a busy model stays on one engine, dozens of callers
-	 * before it. Sequence: only that engine has a copy; its replica
-	 * fills up. Cause: that engine, which can't load it again, was taken
-	 * for a place where the copy would soon be free.
+	 * Guards against a busy model that stays on one engine with dozens of
+	 * callers waiting. This happens if only the engine of the full replica
+	 * has a copy: that engine can't load the model again, so it must not
+	 * count as one where a copy will be available soon.
 	 */
-	{ "a replica's own copy is no reason not to ask the store",
+	{ "the copy of a full replica doesn't prevent a load from the store",
 	  { { "a", { { 0, 10, false } }, 1, "dsssss", false, 0, 0 },
 	    { "b", { { 0 } }, 0, "ssssss", false, 0, 0 } },
 	  2,
@@ -254,12 +255,13 @@
 	  4,
 	  "1:0s " },
 	/*
-	 * Symptom: 40 callers a second wait before one full replica for ten
-	 * seconds. Sequence: the engines that have its copies come free one
-	 * at a time, and each takes a rare model with one caller first.
-	 * Cause: models that no engine has went before all full ones.
+	 * Guards against 40 callers a second waiting ten seconds for one full
+	 * replica. This happens if models without a replica have priority over
+	 * those with full ones: the engines with copies of the busy model
+	 * become available one at a time, and each first loads a rarely used
+	 * model for a single caller.
 	 */
-	{ "many callers before a full replica go before one without any",
+	{ "many callers of a full replica go before one without a replica",
 	  { { "a", { { 0 } }, 0, "dddddd", false, 0, 0 },
 	    { "b", { { 0, 10, false } }, 1, "dsssss", false, 0, 0 } },
 	  2,
@@ -267,21 +269,21 @@
 	  false,
 	  4,
 	  "0:0d " },
-	{ "of two with as many callers the one still in time goes first",
+	{ "with equal callers, the model that can still be in time goes first",
 	  { { "a", { { 0 } }, 0, "dddddd", false, 0, 0 } },
 	  1,
 	  { [2] = { 0, 1, -300 }, [3] = { 0, 1, 1500 } },
 	  false,
 	  4,
 	  "0:3d " },
-	{ "of two that are late the one that has waited longer",
+	{ "of two late models the one whose caller waited longer goes first",
 	  { { "a", { { 0 } }, 0, "dddddd", false, 0, 0 } },
 	  1,
 	  { [2] = { 0, 1, 100 }, [3] = { 0, 1, -900 } },
 	  false,
 	  4,
 	  "0:3d " },
-	{ "two replicas bear the loss of one at seven calls a second",
+	{ "two replicas are enough at seven calls a second",
 	  { { "a", { { 1, 0, false } }, 1, "dddddd", false, 0, 0 },
 	    { "b", { { 1, 0, false } }, 1, "dddddd", false, 0, 0 },
 	    { "c", { { 0 } }, 0, "dddddd", false, 0, 0 } },
@@ -290,7 +292,7 @@
 	  false,
 	  4,
 	  "" },
-	{ "at ten there are three",
+	{ "at ten calls a second there are three replicas",
 	  { { "a", { { 1, 0, false } }, 1, "dddddd", false, 0, 0 },
 	    { "b", { { 1, 0, false } }, 1, "dddddd", false, 0, 0 },
 	    { "c", { { 0 } }, 0, "dddddd", false, 0, 0 } },
@@ -299,8 +301,9 @@
 	  false,
 	  4,
 	  "2:1d " },
-	/* Hundreds of prompts read on three engines, beside idle ones. */
-	{ "at thirteen there are four, though few calls run",
+	/* Guards against hundreds of prompts being processed on three engines
+	 * while others are idle. */
+	{ "at thirteen there are four replicas, though few calls run",
 	  { { "a", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
 	    { "b", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
 	    { "c", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
@@ -310,7 +313,7 @@
 	  false,
 	  4,
 	  "3:1d " },
-	{ "where all engines begin more, their part and a quarter is enough",
+	{ "where all engines start more calls, 1.25 times the mean is enough",
 	  { { "a", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
 	    { "b", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
 	    { "c", { { 1, 1, false } }, 1, "dddddd", false, 0, 0 },
@@ -320,7 +323,7 @@
 	  false,
 	  4,
 	  "1:2d " },
-	{ "a replica with calls stays, though the model has another",
+	{ "a replica with calls isn't unloaded, though the model has another",
 	  { { "a",
 	      { { 0, 2, false }, { 3, 0, false } },
 	      2,
@@ -335,12 +338,11 @@
 	  4,
 	  "0:2d-3 " },
 	/*
-	 * Symptom: a busy model loses a replica for a rare one and gets it
-	 * back a second later. Sequence: no call runs there for a moment.
-	 * Cause: a replica that the calls of the moment don't need passed
-	 * for one that costs nothing.
+	 * Guards against a busy model losing a replica to a rarely used model
+	 * and getting it back a second later. This happens if unloading a
+	 * replica without running calls is considered free of cost.
 	 */
-	{ "a busy model's replica stays while it has no call for a moment",
+	{ "a busy model's replica isn't unloaded while it is briefly idle",
 	  { { "a",
 	      { { 0, 0, false }, { 3, 0, false } },
 	      2,
@@ -354,7 +356,7 @@
 	  false,
 	  4,
 	  "0:2d-3 " },
-	{ "its calls are shared by its replicas",
+	{ "the cost of unloading is divided by the number of replicas",
 	  { { "a",
 	      { { 0, 0, false }, { 3, 0, false } },
 	      2,
@@ -369,12 +371,12 @@
 	  4,
 	  "0:2d-0 " },
 	/*
-	 * Symptom: a model is unloaded and loaded elsewhere in one pass, and
-	 * the log gives no reason. Sequence: it wants a second replica; the
-	 * engine of its first one is taken for a model that more callers wait
-	 * for. Cause: what it wanted at the start of the pass still counted.
+	 * Guards against a model being unloaded and loaded elsewhere in one
+	 * pass, without a reason in the log. This happens if its need of a
+	 * second replica is determined at the start of the pass only, and its
+	 * first one is unloaded for a model with more waiting callers.
 	 */
-	{ "a model whose only replica leaves in this pass isn't loaded in it",
+	{ "a model that was unloaded in a pass isn't loaded in the same pass",
 	  { { "a",
 	      { { 1, 0, false }, { 4, 2, false } },
 	      2,
@@ -388,14 +390,14 @@
 	  false,
 	  4,
 	  "0:2d-1 " },
-	{ "models without any copy are brought ahead",
+	{ "models without any copy are preloaded",
 	  { { "a", { { 0, 0, false } }, 1, "ddddds", false, false, 0 } },
 	  1,
 	  { [0] = { 0, 0, 0 } },
 	  true,
 	  4,
 	  "0:5s-0 " },
-	{ "loads that another leader began take up the store too",
+	{ "loads that another leader began use store capacity too",
 	  { { "a", { { 0 } }, 0, "ddssss", false, 2, 0 },
 	    { "b", { { 0 } }, 0, "ddssss", false, 2, 0 },
 	    { "c", { { 0, 2, false } }, 1, "ddssss", false, 0, 0 } },
@@ -404,7 +406,7 @@
 	  true,
 	  4,
 	  "" },
-	{ "loads ahead leave the store room while calls run",
+	{ "preloads leave store capacity free while calls run",
 	  { { "a", { { 0, 2, false } }, 1, "dddsss", false, false, 0 },
 	    { "b", { { 1, 0, false } }, 1, "dddsss", false, false, 0 },
 	    { "c", { { 2, 0, false } }, 1, "dddsss", false, false, 0 } },
@@ -413,7 +415,7 @@
 	  true,
 	  4,
 	  "0:3s 1:4s " },
-	{ "nothing is brought ahead where the preset forbids it",
+	{ "nothing is preloaded if the preset forbids it",
 	  { { "a", { { 0, 0, false } }, 1, "ddddds", false, false, 0 } },
 	  1,
 	  { [0] = { 0, 0, 0 } },
@@ -444,7 +446,7 @@
 }
 
 static const struct fleet_plan_ops ops = { .step = on_step };
-static const struct fleet_plan_ops telling = { on_step, on_blocked };
+static const struct fleet_plan_ops blocked_ops = { on_step, on_blocked };
 
 static void make_specs(void)
 {
@@ -510,9 +512,9 @@
 		for (int m = 0; m < MODELS; m++)
 			models[m] = (struct fleet_model){
 				.spec = &specs[m],
-				.rate = pc->wants[m].rate,
-				.waiting = (uint32_t)pc->wants[m].waiting,
-				.slack_ms = pc->wants[m].slack_ms
+				.rate = pc->demand[m].rate,
+				.waiting = (uint32_t)pc->demand[m].waiting,
+				.slack_ms = pc->demand[m].slack_ms
 			};
 		for (size_t i = 0; i < pc->n_nodes; i++)
 			fill_node(&pc->nodes[i], &nodes[i], models, tiers[i]);
@@ -527,10 +529,10 @@
 }
 
 /*
- * The times to come back that callers get: at once where a replica takes
- * calls, the rest of a load where one is on its way, none where nothing is.
+ * The estimate that callers get: zero if a replica accepts calls, the remaining
+ * time if the model is being loaded, none otherwise.
  */
-static void wake_times_are_told(void **state)
+static void eta_of_each_model_is_set(void **state)
 {
 	struct fleet_model models[MODELS];
 	uint8_t tiers[MODELS] = { TIER_DISK, TIER_DISK, TIER_DISK };
@@ -565,12 +567,12 @@
 }
 
 /*
- * Symptom: callers of a model that no engine has a copy of are held for six
- * seconds and then refused. Sequence: the store brings two models at a time,
- * each in 6 s, and five are asked for. Cause: nothing was told of those that
- * stand behind the others, though it follows from the store's queue.
+ * Guards against callers of a model without a copy being held for six seconds
+ * and then refused. This happens if the store loads two models at a time, in
+ * 6 s each, five are requested, and those queued behind the others get no
+ * estimate, though it follows from the store's queue.
  */
-static void store_queue_is_told(void **state)
+static void eta_follows_the_store_queue(void **state)
 {
 	struct fleet_model models[MODELS];
 	uint8_t tiers[MODELS] = { [5] = TIER_DISK };
@@ -604,7 +606,7 @@
 			models[m] = (struct fleet_model){ .spec = &specs[m] };
 		models[2].waiting = 3;
 		models[3].waiting = 2;
-		models[4].rate = 1; /* its callers were told to come back */
+		models[4].rate = 1; /* its callers are to retry later */
 		models[5].waiting = 1;
 		v.all_known = known;
 		for (int i = 0; i < 2; i++)
@@ -615,7 +617,7 @@
 		assert_int_equal(models[2].eta_ms, known ? 7000 : -1);
 		assert_int_equal(models[3].eta_ms, known ? 10000 : -1);
 		assert_int_equal(models[4].eta_ms, known ? 13000 : -1);
-		/* An engine has a copy, and nobody knows when it is free. */
+		/* An engine has a copy, but when it is free is unknown. */
 		assert_int_equal(models[5].eta_ms, -1);
 		for (int i = 0; i < 2; i++)
 			g_array_unref(nodes[i].places);
@@ -623,21 +625,22 @@
 	g_string_free(out, TRUE);
 }
 
-static void rates_fade(void **state)
+static void rates_decay(void **state)
 {
 	struct fleet_rate r = { 0 };
 
 	(void)state;
 	for (int i = 1; i <= 400; i++)
 		fleet_rate_add(&r, 1, i * 100);
-	/* Ten a second, to the memory's precision. */
+	/* Ten a second, within the precision of the decaying average. */
 	assert_true(fleet_rate_at(&r, 40000) > 9 &&
 		    fleet_rate_at(&r, 40000) < 11);
 	assert_true(fleet_rate_at(&r, 100000) < 0.1);
 }
 
-/* An operator sees why callers wait: what stands in the way, and where. */
-static void what_blocks_a_model_is_told(void **state)
+/* The log shows an operator why callers wait: how many engines can't load the
+ * model, by cause. */
+static void blocked_model_is_reported(void **state)
 {
 	static const struct node_row rows[3] = {
 		{ "a",
@@ -668,7 +671,7 @@
 						  .waiting = m == 2 };
 	for (int i = 0; i < 3; i++)
 		fill_node(&rows[i], &nodes[i], models, tiers[i]);
-	fleet_plan(&v, &telling, out);
+	fleet_plan(&v, &blocked_ops, out);
 	assert_string_equal(out->str, "blocked:2 copies 2 busy 1 full 1 "
 				      "others 1 store");
 	for (int i = 0; i < 3; i++)
@@ -678,9 +681,9 @@
 
 struct store_row {
 	size_t n;
-	int64_t took_ms; /* 1,000 alone */
+	int64_t took_ms; /* 1000 ms for a single load */
 	bool done;
-	size_t most; /* then */
+	size_t most; /* expected bound afterwards */
 };
 
 struct store_case {
@@ -690,25 +693,25 @@
 };
 
 static const struct store_case store_cases[] = {
-	{ "one at once: two take twice as long",
+	{ "one at full speed: two parallel loads take twice as long",
 	  4,
 	  { { 1, 1010, true, 2 },
 	    { 2, 1300, false, 1 },
 	    { 2, 2000, true, 1 } } },
-	{ "four at once: each proof doubles it, up to the limit",
+	{ "four at full speed: each success doubles the bound, up to the limit",
 	  4,
 	  { { 2, 1010, true, 4 },
 	    { 4, 1050, true, 4 },
 	    { 4, 1000, true, 4 } } },
-	{ "three at once of four that ran",
+	{ "three at full speed, when four ran",
 	  8,
 	  { { 2, 1000, true, 4 },
 	    { 4, 1340, true, 3 },
 	    { 3, 1000, true, 6 } } },
-	{ "a load alone proves nothing of two",
+	{ "a single load doesn't change the bound",
 	  8,
 	  { { 1, 1000, true, 2 }, { 1, 1000, true, 2 } } },
-	{ "a store that is slow for one isn't asked for less than one",
+	{ "a store that is slow for a single load has a bound of one or more",
 	  8,
 	  { { 1, 9000, false, 1 },
 	    { 1, 9000, true, 1 },
@@ -741,8 +744,8 @@
 	{ 9, 50, 50, 500, 450 },
 };
 
-/* Passes over all of a large fleet that leave time for nothing else. */
-static void passes_take_a_part_of_the_time(void **state)
+/* Guards against passes over a large fleet taking all of the leader's time. */
+static void pause_is_proportional_to_duration(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(pauses); i++)
@@ -757,13 +760,13 @@
 	struct node_row nodes[3];
 	const char *versions[3];
 	size_t n_nodes;
-	int waiting; /* callers whose stream v1 began, for model 2 */
+	int waiting; /* callers of model 2 whose streams version v1 began */
 	const char *steps;
 	int64_t eta_ms;
 };
 
 static const struct pin_case pin_cases[] = {
-	{ "another version has the model",
+	{ "an engine of another version holds the model",
 	  { { "a", { { 2, 0, false } }, 1, "dddddd", 0, 0, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", 0, 0, 0 } },
 	  { "v2", "v1" },
@@ -771,7 +774,7 @@
 	  1,
 	  "1:2d ",
 	  500 },
-	{ "another version has the nearer copy",
+	{ "an engine of another version has the nearer copy",
 	  { { "a", { { 0 } }, 0, "ssmsss", 0, 0, 0 },
 	    { "b", { { 0 } }, 0, "ssssss", 0, 0, 0 } },
 	  { "v2", "v1" },
@@ -779,7 +782,7 @@
 	  1,
 	  "1:2s ",
 	  6000 },
-	{ "their version has it",
+	{ "an engine of the required version holds the model",
 	  { { "a", { { 2, 1, false } }, 1, "dddddd", 0, 0, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", 0, 0, 0 } },
 	  { "v1", "v1" },
@@ -787,7 +790,7 @@
 	  1,
 	  "",
 	  0 },
-	{ "their version's is full",
+	{ "the replica of the required version is full",
 	  { { "a", { { 2, 5, false } }, 1, "dddddd", 0, 0, 0 },
 	    { "b", { { 0 } }, 0, "ddmddd", 0, 0, 0 },
 	    { "c", { { 0 } }, 0, "dddddd", 0, 0, 0 } },
@@ -796,7 +799,7 @@
 	  2,
 	  "2:2d ",
 	  0 },
-	{ "what they wait for isn't unloaded for others",
+	{ "a replica that pinned callers wait for isn't unloaded",
 	  { { "a", { { 2, 0, false }, { 3, 0, false } }, 2, "dddddd", 0, 0, 0 },
 	    { "b", { { 2, 0, false } }, 1, "ssssss", 0, 2, 0 } },
 	  { "v1", "v2" },
@@ -804,7 +807,7 @@
 	  1,
 	  "",
 	  0 },
-	{ "no engine is of it",
+	{ "no engine has the required version",
 	  { { "a", { { 0 } }, 0, "dddddd", 0, 0, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", 0, 0, 0 } },
 	  { "v2", NULL },
@@ -814,8 +817,8 @@
 	  -1 },
 };
 
-/* Symptom: streams that callers take up wait in vain, as only engines of
- * another version are given their model. */
+/* Guards against resumed streams waiting in vain, because only engines of
+ * another version load their model. */
 static void pinned_callers_get_their_version(void **state)
 {
 	(void)state;
@@ -861,13 +864,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(steps_are_chosen),
-		cmocka_unit_test(wake_times_are_told),
+		cmocka_unit_test(eta_of_each_model_is_set),
 		cmocka_unit_test(pinned_callers_get_their_version),
-		cmocka_unit_test(store_queue_is_told),
-		cmocka_unit_test(rates_fade),
-		cmocka_unit_test(what_blocks_a_model_is_told),
+		cmocka_unit_test(eta_follows_the_store_queue),
+		cmocka_unit_test(rates_decay),
+		cmocka_unit_test(blocked_model_is_reported),
 		cmocka_unit_test(store_speed_is_learned),
-		cmocka_unit_test(passes_take_a_part_of_the_time),
+		cmocka_unit_test(pause_is_proportional_to_duration),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
