--- a/test/test_fleet_report.c
+++ b/test/test_fleet_report.c
@@ -1,24 +1,25 @@
-/* What an engine holds: compared, and carried to the leader and back. */
+/* Reports of engines: comparison, incarnations, and conversion to wire messages
+ * and back. */
 #include "unit.h"
 
 #include "../src/core/fleet_wire.h"
 
-static GPtrArray *names(const char *list)
+static GPtrArray *split_names(const char *list)
 {
-	GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
-	char **all = g_strsplit(list, " ", -1);
+	GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+	char **parts = g_strsplit(list, " ", -1);
 
-	for (char **n = all; *n; n++)
+	for (char **n = parts; *n; n++)
 		if (**n)
-			g_ptr_array_add(out, g_strdup(*n));
-	g_strfreev(all);
-	return out;
+			g_ptr_array_add(names, g_strdup(*n));
+	g_strfreev(parts);
+	return names;
 }
 
-static void hold(GArray *held, const char *model, const char *adapters)
+static void add_held(GArray *held, const char *model, const char *adapters)
 {
 	struct fleet_held h = { .model = g_strdup(model),
-				.adapters = names(adapters) };
+				.adapters = split_names(adapters) };
 
 	g_array_append_val(held, h);
 }
@@ -30,16 +31,19 @@
 };
 
 static const struct same_case same_cases[] = {
-	{ "alike", { "m", "m" }, { "a b", "a b" }, true },
-	{ "nothing", { NULL, NULL }, { "", "" }, true },
-	{ "one more", { "m", NULL }, { "", "" }, false },
-	{ "another model", { "m", "n" }, { "", "" }, false },
-	{ "another adapter", { "m", "m" }, { "a", "b" }, false },
-	{ "an adapter more", { "m", "m" }, { "a", "a b" }, false },
-	{ "another order", { "m", "m" }, { "b a", "a b" }, false },
+	{ "equal", { "m", "m" }, { "a b", "a b" }, true },
+	{ "no models", { NULL, NULL }, { "", "" }, true },
+	{ "an additional model", { "m", NULL }, { "", "" }, false },
+	{ "a different model", { "m", "n" }, { "", "" }, false },
+	{ "a different adapter", { "m", "m" }, { "a", "b" }, false },
+	{ "an additional adapter", { "m", "m" }, { "a", "a b" }, false },
+	{ "a different order of adapters",
+	  { "m", "m" },
+	  { "b a", "a b" },
+	  false },
 };
 
-static void holdings_are_compared(void **state)
+static void held_models_are_compared(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(same_cases); i++) {
@@ -50,7 +54,8 @@
 			r[k].held = g_array_new(FALSE, FALSE,
 						sizeof(struct fleet_held));
 			if (c->model[k])
-				hold(r[k].held, c->model[k], c->adapters[k]);
+				add_held(r[k].held, c->model[k],
+					 c->adapters[k]);
 		}
 		if (fleet_same_held(r[0].held, r[1].held) != c->same)
 			fail_msg("%s", c->label);
@@ -61,13 +66,13 @@
 	assert_false(fleet_same_names(NULL, NULL));
 }
 
-/* What the leader plans on is what the agent has read. */
-static void report_comes_over_whole(void **state)
+/* The leader plans with exactly what the agent has read from the engine. */
+static void report_is_encoded_unchanged(void **state)
 {
 	struct fleet_report r = {
 		.held = g_array_new(FALSE, FALSE, sizeof(struct fleet_held)),
-		.in_memory = names("x y"),
-		.on_disk = names("z")
+		.in_memory = split_names("x y"),
+		.on_disk = split_names("z")
 	};
 	GArray *held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
 	GPtrArray *lists =
@@ -87,8 +92,8 @@
 	struct fleet_report got;
 
 	(void)state;
-	hold(r.held, "m", "a b");
-	hold(r.held, "n", "");
+	add_held(r.held, "m", "a b");
+	add_held(r.held, "n", "");
 	for (guint i = 0; i < r.held->len; i++)
 		fleet_wire_held(held, lists,
 				&g_array_index(r.held, struct fleet_held, i));
@@ -111,20 +116,21 @@
 	fleet_report_clear(&got);
 }
 
-struct judge_case {
+struct incarnation_case {
 	const char *label;
-	struct fleet_incarnation known, told;
-	enum fleet_told want;
-	struct fleet_incarnation then; /* known, with what is told learned */
+	struct fleet_incarnation known, reported;
+	enum fleet_told expected;
+	struct fleet_incarnation updated; /* known, after the update */
 };
 
 /*
- * Symptom: orders, calls and beliefs meet a server that knows nothing of
- * them. Sequence: it restarts under the id that it had; words of its former
- * life are still on their way. Cause: the id taken for the incarnation.
+ * Guards against orders, calls and state that refer to an earlier incarnation
+ * of an engine. This happens if the id alone identifies the incarnation: an
+ * engine restarts with the same id while messages about its earlier incarnation
+ * are still in transit.
  */
-static const struct judge_case judge_cases[] = {
-	{ "alike",
+static const struct incarnation_case incarnation_cases[] = {
+	{ "equal",
 	  { "a", 5, NULL },
 	  { "a", 5, NULL },
 	  FLEET_SAME,
@@ -134,27 +140,27 @@
 	  { "a", 6, NULL },
 	  FLEET_RESTARTED,
 	  { "a", 6, NULL } },
-	{ "late",
+	{ "stale",
 	  { "a", 6, NULL },
 	  { "a", 5, NULL },
 	  FLEET_LATE,
 	  { "a", 6, NULL } },
-	{ "another id",
+	{ "a different id",
 	  { "a", 5, NULL },
 	  { "b", 6, NULL },
 	  FLEET_RESTARTED,
 	  { "b", 6, NULL } },
-	{ "of a VM whose clock is behind",
+	{ "a different id, on a VM whose clock is behind",
 	  { "a", 6, NULL },
 	  { "b", 5, NULL },
 	  FLEET_RESTARTED,
 	  { "b", 5, NULL } },
-	{ "another id without a start",
+	{ "a different id without a start",
 	  { "a", 5, NULL },
 	  { "b", 0, NULL },
 	  FLEET_RESTARTED,
 	  { "b", 0, NULL } },
-	{ "no start told",
+	{ "no start reported",
 	  { "a", 5, NULL },
 	  { "a", 0, NULL },
 	  FLEET_SAME,
@@ -164,17 +170,17 @@
 	  { "a", 5, NULL },
 	  FLEET_SAME,
 	  { "a", 5, NULL } },
-	{ "no id told",
+	{ "no id reported",
 	  { "a", 5, NULL },
 	  { NULL, 6, NULL },
 	  FLEET_RESTARTED,
 	  { "a", 6, NULL } },
-	{ "late without an id",
+	{ "stale without an id",
 	  { "a", 6, NULL },
 	  { NULL, 5, NULL },
 	  FLEET_LATE,
 	  { "a", 6, NULL } },
-	{ "late, and its id is all we have",
+	{ "stale, with an id that wasn't known",
 	  { "", 6, NULL },
 	  { "a", 5, NULL },
 	  FLEET_LATE,
@@ -184,104 +190,107 @@
 	  { "a", 5, NULL },
 	  FLEET_SAME,
 	  { "a", 5, NULL } },
-	{ "nothing told",
+	{ "nothing reported",
 	  { "a", 5, NULL },
 	  { "", 0, NULL },
 	  FLEET_SAME,
 	  { "a", 5, NULL } },
-	{ "its version",
+	{ "the version is reported",
 	  { "a", 5, NULL },
 	  { "a", 5, "1" },
 	  FLEET_SAME,
 	  { "a", 5, "1" } },
-	{ "no version told",
+	{ "no version reported",
 	  { "a", 5, "1" },
 	  { "a", 5, NULL },
 	  FLEET_SAME,
 	  { "a", 5, "1" } },
-	{ "restarted, its version not told yet",
+	{ "restarted, version not reported yet",
 	  { "a", 5, "1" },
 	  { "a", 6, NULL },
 	  FLEET_RESTARTED,
 	  { "a", 6, NULL } },
-	{ "another version of one start",
+	{ "a different version with the same start",
 	  { "a", 5, "1" },
 	  { "a", 5, "2" },
 	  FLEET_SAME,
 	  { "a", 5, "1" } },
-	{ "another version under its id",
+	{ "a different version with the same id, no start",
 	  { "a", 0, "1" },
 	  { "a", 0, "2" },
 	  FLEET_RESTARTED,
 	  { "a", 0, "2" } },
-	{ "the former version, late",
+	{ "the earlier version, stale",
 	  { "a", 6, "2" },
 	  { "a", 5, "1" },
 	  FLEET_LATE,
 	  { "a", 6, "2" } },
-	{ "the former version, late, and this one's not told",
+	{ "the earlier version, stale, and the current one isn't known",
 	  { "a", 6, NULL },
 	  { "a", 5, "1" },
 	  FLEET_LATE,
 	  { "a", 6, NULL } },
-	{ "another id, its version not told yet",
+	{ "a different id, version not reported yet",
 	  { "a", 5, "1" },
 	  { "b", 0, NULL },
 	  FLEET_RESTARTED,
 	  { "b", 0, NULL } },
 };
 
-static void incarnations_are_judged(void **state)
+static void incarnations_are_compared(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(judge_cases); i++) {
-		const struct judge_case *c = &judge_cases[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(incarnation_cases); i++) {
+		const struct incarnation_case *c = &incarnation_cases[i];
 		struct fleet_incarnation k = {
 			.id = g_strdup(c->known.id),
 			.started_ms = c->known.started_ms,
 			.version = g_strdup(c->known.version),
 		};
 
-		if (fleet_incarnation_judge(&k, &c->told) != c->want)
-			fail_msg("%s: judged wrongly", c->label);
-		fleet_incarnation_learn(&k, &c->told);
-		if (g_strcmp0(k.version, c->then.version))
-			fail_msg("%s: learned version %s", c->label, k.version);
-		if (g_strcmp0(k.id, c->then.id) ||
-		    k.started_ms != c->then.started_ms)
-			fail_msg("%s: learned %s %" PRId64, c->label, k.id,
+		if (fleet_incarnation_judge(&k, &c->reported) != c->expected)
+			fail_msg("%s: wrong relation", c->label);
+		fleet_incarnation_learn(&k, &c->reported);
+		if (g_strcmp0(k.version, c->updated.version))
+			fail_msg("%s: updated version %s", c->label, k.version);
+		if (g_strcmp0(k.id, c->updated.id) ||
+		    k.started_ms != c->updated.started_ms)
+			fail_msg("%s: updated to %s %" PRId64, c->label, k.id,
 				 k.started_ms);
 		fleet_incarnation_clear(&k);
 	}
 }
 
-struct count_case {
+struct order_count_case {
 	const char *label;
-	int64_t known_ms, told_ms;
-	uint64_t known, told;
-	enum fleet_told want;
+	int64_t known_ms, reported_ms;
+	uint64_t known, reported;
+	enum fleet_told expected;
 };
 
-static const struct count_case count_cases[] = {
-	{ "one order more", 5, 5, 2, 3, FLEET_SAME },
+static const struct order_count_case order_count_cases[] = {
+	{ "one additional order", 5, 5, 2, 3, FLEET_SAME },
 	{ "an older report", 5, 5, 3, 2, FLEET_LATE },
-	{ "counts anew, no start told", 0, 0, 3, 0, FLEET_RESTARTED },
-	{ "counts anew, start known", 5, 0, 3, 0, FLEET_RESTARTED },
-	{ "restarted, and counted further", 5, 6, 3, 4, FLEET_RESTARTED },
-	{ "of the former life, counted further", 6, 5, 0, 9, FLEET_LATE },
+	{ "the count restarts, no start reported", 0, 0, 3, 0,
+	  FLEET_RESTARTED },
+	{ "the count restarts, start known", 5, 0, 3, 0, FLEET_RESTARTED },
+	{ "restarted, with a higher count", 5, 6, 3, 4, FLEET_RESTARTED },
+	{ "the earlier incarnation, with a higher count", 6, 5, 0, 9,
+	  FLEET_LATE },
 };
 
-static void reports_are_judged(void **state)
+static void report_order_counts_are_compared(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(count_cases); i++) {
-		const struct count_case *c = &count_cases[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(order_count_cases); i++) {
+		const struct order_count_case *c = &order_count_cases[i];
 		struct fleet_incarnation k = { .id = "a",
 					       .started_ms = c->known_ms };
-		struct fleet_report r = { .self = { .started_ms = c->told_ms },
-					  .orders = c->told };
+		struct fleet_report r = { .self = { .started_ms =
+							    c->reported_ms },
+					  .orders = c->reported };
 
-		if (fleet_report_judge(&k, c->known, &r) != c->want)
+		if (fleet_report_judge(&k, c->known, &r) != c->expected)
 			fail_msg("%s", c->label);
 	}
 }
@@ -289,10 +298,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(holdings_are_compared),
-		cmocka_unit_test(report_comes_over_whole),
-		cmocka_unit_test(incarnations_are_judged),
-		cmocka_unit_test(reports_are_judged),
+		cmocka_unit_test(held_models_are_compared),
+		cmocka_unit_test(report_is_encoded_unchanged),
+		cmocka_unit_test(incarnations_are_compared),
+		cmocka_unit_test(report_order_counts_are_compared),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -1,63 +1,64 @@
-/* Who orders an engine: one at a time, each with a fence of its own. */
+/* Ownership of an engine: one owner at a time, each with its own fence. */
 #include "unit.h"
 
 #include "../src/core/owner.h"
 
 #define T0 100000
 #define ENGINE_MS 3000
-#define LEASE (ENGINE_MS + OWNER_MARGIN_MS)
+#define LEASE_MS (ENGINE_MS + OWNER_LEASE_MARGIN_MS)
 
-enum who { BESIDE, REMOTE, OTHER };
+enum agent { LOCAL, REMOTE, REMOTE_2 };
 
 static const struct {
 	const char *name;
 	bool remote;
 } agents[] = { { "side-1", false }, { "front-1", true }, { "front-2", true } };
 
-/* One speaks at a time after the engine was first known. */
-struct word {
-	enum who who;
+/* An agent reports at a time after the leader first knew the engine. */
+struct report_row {
+	enum agent agent;
 	int64_t at_ms;
 	enum owner_claim claim;
-	uint64_t turn;
-	bool missing; /* right after it */
+	uint64_t generation;
+	bool missing; /* right after the report */
 };
 
 struct owner_case {
 	const char *label;
-	struct word words[8]; /* the last one has at_ms 0 */
+	struct report_row reports[8]; /* the last one has at_ms 0 */
 };
 
 static const struct owner_case owner_cases[] = {
-	{ "the first that speaks owns it",
-	  { { BESIDE, 10, OWNER_TAKES, 0, false },
-	    { BESIDE, 20, OWNER_SAME, 0, false } } },
-	{ "one in its place, after a while",
-	  { { BESIDE, 10, OWNER_TAKES, 0, false },
-	    { REMOTE, 10 + LEASE - 1, OWNER_WAITS, 0, false },
-	    { REMOTE, 10 + LEASE, OWNER_TAKES, 1, true },
-	    { REMOTE, 11 + LEASE, OWNER_SAME, 1, true } } },
-	{ "the one beside is back, and waits until the other has ended",
+	{ "the first agent that reports becomes the owner",
+	  { { LOCAL, 10, OWNER_TAKES, 0, false },
+	    { LOCAL, 20, OWNER_SAME, 0, false } } },
+	{ "a remote agent takes over after a lease",
+	  { { LOCAL, 10, OWNER_TAKES, 0, false },
+	    { REMOTE, 10 + LEASE_MS - 1, OWNER_WAITS, 0, false },
+	    { REMOTE, 10 + LEASE_MS, OWNER_TAKES, 1, true },
+	    { REMOTE, 11 + LEASE_MS, OWNER_SAME, 1, true } } },
+	{ "the local agent is back and waits for the end of the lease",
 	  { { REMOTE, 10, OWNER_TAKES, 0, true },
-	    { BESIDE, 100, OWNER_WAITS, 0, false },
-	    /* It isn't heard any more, so its lease runs out. */
+	    { LOCAL, 100, OWNER_WAITS, 0, false },
+	    /* It can't renew the lease any more. */
 	    { REMOTE, 1000, OWNER_SAME, 0, false },
-	    { BESIDE, 9 + LEASE, OWNER_WAITS, 0, false },
-	    { BESIDE, 10 + LEASE, OWNER_TAKES, 1, false },
-	    { REMOTE, 20 + LEASE, OWNER_WAITS, 1, false } } },
-	{ "two control VMs take turns only with a pause",
+	    { LOCAL, 9 + LEASE_MS, OWNER_WAITS, 0, false },
+	    { LOCAL, 10 + LEASE_MS, OWNER_TAKES, 1, false },
+	    { REMOTE, 20 + LEASE_MS, OWNER_WAITS, 1, false } } },
+	{ "another control VM takes over only after a lease",
 	  { { REMOTE, 10, OWNER_TAKES, 0, true },
-	    { OTHER, 1000, OWNER_WAITS, 0, true },
-	    { OTHER, 10 + LEASE, OWNER_TAKES, 1, true },
-	    { REMOTE, 20 + LEASE, OWNER_WAITS, 1, true } } },
-	{ "an agent that starts again is the same",
-	  { { BESIDE, 10, OWNER_TAKES, 0, false },
-	    { BESIDE, 10 + 9 * LEASE, OWNER_SAME, 0, false } } },
+	    { REMOTE_2, 1000, OWNER_WAITS, 0, true },
+	    { REMOTE_2, 10 + LEASE_MS, OWNER_TAKES, 1, true },
+	    { REMOTE, 20 + LEASE_MS, OWNER_WAITS, 1, true } } },
+	{ "an agent that has restarted is still the owner",
+	  { { LOCAL, 10, OWNER_TAKES, 0, false },
+	    { LOCAL, 10 + 9 * LEASE_MS, OWNER_SAME, 0, false } } },
 };
 
 /*
- * Symptom: two VMs undo each other's loads, or order with one fence. Sequence:
- * an agent is cut off, a control VM takes its place, the agent is back.
+ * Guards against two VMs undoing each other's loads, or giving orders with the
+ * same fence, when an agent is disconnected, a control VM runs another one
+ * instead, and the first one is back.
  */
 static void one_owner_at_a_time(void **state)
 {
@@ -67,43 +68,45 @@
 		struct owner o;
 
 		owner_init(&o, ENGINE_MS, T0);
-		for (const struct word *w = c->words; w->at_ms; w++) {
-			int64_t now = T0 + w->at_ms;
+		for (const struct report_row *r = c->reports; r->at_ms; r++) {
+			int64_t now = T0 + r->at_ms;
 			enum owner_claim got =
-				owner_hear(&o, agents[w->who].name,
-					   agents[w->who].remote, now);
+				owner_hear(&o, agents[r->agent].name,
+					   agents[r->agent].remote, now);
 
-			if (got != w->claim || o.turn != w->turn ||
-			    owner_is_missing(&o, now) != w->missing)
+			if (got != r->claim || o.turn != r->generation ||
+			    owner_is_missing(&o, now) != r->missing)
 				fail_msg("%s, at %" PRId64
-					 ": claim %d turn %" PRIu64
+					 ": claim %d generation %" PRIu64
 					 " missing %d",
-					 c->label, w->at_ms, got, o.turn,
+					 c->label, r->at_ms, got, o.turn,
 					 owner_is_missing(&o, now));
 		}
 		owner_clear(&o);
 	}
 }
 
-/* A leader that has just begun knows of no agent, and waits before it names
- * any: those beside their engines are still looking for it. */
-static void fresh_leader_waits_for_agents(void **state)
+/* A new leader knows no agents yet. It waits before it assigns remote ones, as
+ * the agents on the engines' VMs are still searching for the leader. */
+static void new_leader_waits_for_agents(void **state)
 {
 	struct owner o;
 
 	(void)state;
 	owner_init(&o, ENGINE_MS, T0);
 	assert_false(owner_is_missing(&o, T0));
-	assert_false(owner_is_missing(&o, T0 + LEASE - 1));
-	assert_true(owner_is_missing(&o, T0 + LEASE));
+	assert_false(owner_is_missing(&o, T0 + LEASE_MS - 1));
+	assert_true(owner_is_missing(&o, T0 + LEASE_MS));
 }
 
-/* Engines say for how long they hold to one owner. */
-static void lease_follows_the_engines(void **state)
+/* The setting states how long engines hold to one owner. */
+static void lease_follows_the_setting(void **state)
 {
 	static const struct {
 		int64_t engine_ms, lease_ms;
-	} rows[] = { { 0, OWNER_LEAST_MS }, { 3000, 3500 }, { 10000, 10500 } };
+	} rows[] = { { 0, OWNER_LEASE_MIN_MS },
+		     { 3000, 3500 },
+		     { 10000, 10500 } };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -117,8 +120,8 @@
 	}
 }
 
-/* Spread over the members, and few move when one goes. */
-static void members_share_the_engines(void **state)
+/* Engines are spread evenly, and only those of a removed member move. */
+static void engines_are_spread_over_members(void **state)
 {
 	static const uint64_t all[] = { 11, 22, 33, 44, 55 };
 	int count[5] = { 0 }, moved = 0;
@@ -144,9 +147,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(one_owner_at_a_time),
-		cmocka_unit_test(fresh_leader_waits_for_agents),
-		cmocka_unit_test(lease_follows_the_engines),
-		cmocka_unit_test(members_share_the_engines),
+		cmocka_unit_test(new_leader_waits_for_agents),
+		cmocka_unit_test(lease_follows_the_setting),
+		cmocka_unit_test(engines_are_spread_over_members),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
