--- a/include/sapphireshift/limit.h
+++ b/include/sapphireshift/limit.h
@@ -1,4 +1,5 @@
-/* Limits on retries: a budget for all, and a breaker for each endpoint. */
+/* Limits on retries: a budget for all calls and a circuit breaker per
+ * endpoint. */
 #ifndef SAPPHIRESHIFT_LIMIT_H
 #define SAPPHIRESHIFT_LIMIT_H
 
@@ -9,43 +10,49 @@
 #endif
 
 /*
- * Retries as a share of fresh calls. When much fails at once, retries add
- * to the load that makes it fail; the budget bounds what they can add.
+ * Retry budget: allows retries as a share of fresh calls. When many calls fail
+ * at once, retries add to the load that makes them fail; the budget bounds what
+ * they add.
  */
 struct ss_budget {
-	int64_t percent; /* retries allowed for 100 fresh calls */
-	int64_t centi;	 /* tokens, in hundredths of a retry */
-	int64_t most;	 /* tokens that may be saved up, in retries */
+	int64_t percent; /* retries allowed per 100 fresh calls */
+	int64_t centi;	 /* balance, in hundredths of a retry */
+	int64_t most;	 /* maximum balance, in retries */
 };
 
 void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t most);
+/* Adds the share of one fresh call to the balance. */
 void ss_budget_fresh(struct ss_budget *b);
-/* Take one retry; false where none is left. */
+/* Takes one retry from the balance; false if there is none left. */
 bool ss_budget_retry(struct ss_budget *b);
 
 /*
- * Stops sending to an endpoint that fails again and again, and tries it
- * with one call after a pause that grows with each failed trial.
+ * Circuit breaker: stops sending to an endpoint after consecutive failures, and
+ * probes it with a single call after a pause that grows with each failed probe.
  */
 struct ss_breaker {
-	unsigned int failures; /* in a row */
-	int64_t until_ms;      /* open until then */
+	unsigned int failures; /* consecutive */
+	int64_t until_ms;      /* the breaker is open until then */
 	int64_t pause_ms;
-	bool trial; /* the one call is on its way */
+	bool trial; /* the probe is in flight */
 };
 
-/* Failures in a row that open a breaker: one is an accident, two may be one
- * cause seen twice. */
+/* Consecutive failures that open a breaker. A single failure may be an
+ * accident, and two may have the same cause. */
 #define SS_BREAKER_FAILURES 3
-/* The first pause, in ms: a few times what a restarted process takes to listen
- * again; doubled up to the longest, after which an endpoint is asked four times
- * a minute. Chosen, not measured. */
+/*
+ * First pause, in ms: a few times what a restarted process takes to listen
+ * again. The pause doubles up to the maximum, at which an endpoint is probed
+ * four times a minute.
+ */
 #define SS_BREAKER_PAUSE_MS 500
 #define SS_BREAKER_PAUSE_MAX_MS 15000
 
 bool ss_breaker_allows(const struct ss_breaker *b, int64_t now);
-/* A call is sent; while half open that is the trial. */
+/* Records that a call was sent; while the breaker is half open, that call is
+ * the probe. */
 void ss_breaker_sent(struct ss_breaker *b);
+/* Records the result of a call. */
 void ss_breaker_result(struct ss_breaker *b, bool ok, int64_t now);
 
 #ifdef __cplusplus
--- a/src/core/limit.c
+++ b/src/core/limit.c
@@ -1,8 +1,8 @@
-/* Retry budget and breaker. */
+/* Retry budget and circuit breaker. */
 #include <sapphireshift/limit.h>
 
-/* Budgets are counted in hundredths of a retry, so that shares are whole
- * numbers. */
+/* Balances are counted in hundredths of a retry, so that percentages of a retry
+ * are integers. */
 #define RETRY_CENTI 100
 
 void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t most)
