--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -1,32 +1,35 @@
-/* Admission: which waiting request of a service is tried next. */
+/* Admission: selects which waiting request of a service is dispatched next. */
 #include "admission.h"
 
-/* Turns of others before a guaranteed one. */
-#define OTHERS (ADMISSION_PART - 1)
-/* Weight of the newest time between turns: engines answer in bursts, and the
- * mean is to cover two guaranteed turns. */
-#define TURN_WEIGHT (1.0 / (2 * ADMISSION_PART))
-/* Virtual time that a turn costs a customer with a share of one. */
-#define SHARE_UNIT 1000000000
-/* Customers of a priority that are remembered; with more, those who have had
- * no more than their share are forgotten, or else all. */
-#define SHARES_MOST 256
+/* Dispatches between two guaranteed ones. */
+#define UNRESERVED_PER_ROUND (ADMISSION_ROUND - 1)
+/* Weight of the newest interval in the mean: engines answer in bursts, so the
+ * mean covers two rounds. */
+#define INTERVAL_WEIGHT (1.0 / (2 * ADMISSION_ROUND))
+/* Virtual time charged for a dispatch to a customer with a share of 1. */
+#define VIRTUAL_TIME_UNIT 1000000000
+/*
+ * Customers remembered for a priority. Beyond that, those at the least virtual
+ * time, who used no more than their share, are forgotten; all, if that isn't
+ * enough.
+ */
+#define CUSTOMERS_MAX 256
 
 void admission_init(struct admission *a)
 {
 	*a = (struct admission){ 0 };
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
-		a->served[p] = g_hash_table_new_full(g_str_hash, g_str_equal,
-						     g_free, g_free);
+		a->virtual_time[p] = g_hash_table_new_full(
+			g_str_hash, g_str_equal, g_free, g_free);
 }
 
 void admission_clear(struct admission *a)
 {
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
-		g_hash_table_unref(a->served[p]);
+		g_hash_table_unref(a->virtual_time[p]);
 }
 
-static bool several_wait(const struct admission *a)
+static bool several_priorities_wait(const struct admission *a)
 {
 	int n = 0;
 
@@ -38,64 +41,67 @@
 void admission_enter(struct admission *a, int priority, int64_t now)
 {
 	a->waiting[priority]++;
-	if (!a->last_ms && several_wait(a))
+	if (!a->last_ms && several_priorities_wait(a))
 		a->last_ms = now;
 }
 
 void admission_leave(struct admission *a, int priority)
 {
 	a->waiting[priority]--;
-	if (!several_wait(a))
+	if (!several_priorities_wait(a))
 		a->last_ms = 0;
 }
 
-/* Shares. */
+/* Customer shares. */
 
 uint64_t admission_share(const struct admission *a, int priority,
 			 const char *customer)
 {
-	const uint64_t *served =
-		g_hash_table_lookup(a->served[priority], customer);
+	const uint64_t *virtual_time =
+		g_hash_table_lookup(a->virtual_time[priority], customer);
 
-	/* Who was away gets no credit for the time. */
-	return served ? MAX(*served, a->base[priority]) : a->base[priority];
+	/* A customer gets no credit for the time in which it sent nothing. */
+	return virtual_time ? MAX(*virtual_time, a->virtual_now[priority]) :
+			      a->virtual_now[priority];
 }
 
-static gboolean is_at_base(gpointer customer, gpointer served, gpointer base)
+static gboolean is_at_virtual_now(gpointer customer, gpointer virtual_time,
+				  gpointer virtual_now)
 {
 	(void)customer;
-	return *(uint64_t *)served <= *(uint64_t *)base;
+	return *(uint64_t *)virtual_time <= *(uint64_t *)virtual_now;
 }
 
-static void bound_shares(GHashTable *all, uint64_t *base)
+static void limit_customers(GHashTable *all, uint64_t *virtual_now)
 {
-	if (g_hash_table_size(all) <= SHARES_MOST)
+	if (g_hash_table_size(all) <= CUSTOMERS_MAX)
 		return;
-	g_hash_table_foreach_remove(all, is_at_base, base);
-	if (g_hash_table_size(all) > SHARES_MOST)
+	g_hash_table_foreach_remove(all, is_at_virtual_now, virtual_now);
+	if (g_hash_table_size(all) > CUSTOMERS_MAX)
 		g_hash_table_remove_all(all);
 }
 
 static void charge(struct admission *a, const struct admission_head *h,
 		   const char *customer, unsigned int share)
 {
-	GHashTable *all = a->served[h->priority];
-	uint64_t *base = &a->base[h->priority];
-	uint64_t *served = g_hash_table_lookup(all, customer);
+	GHashTable *all = a->virtual_time[h->priority];
+	uint64_t *virtual_now = &a->virtual_now[h->priority];
+	uint64_t *virtual_time = g_hash_table_lookup(all, customer);
 
-	if (!served) {
-		served = g_new0(uint64_t, 1);
-		g_hash_table_insert(all, g_strdup(customer), served);
+	if (!virtual_time) {
+		virtual_time = g_new0(uint64_t, 1);
+		g_hash_table_insert(all, g_strdup(customer), virtual_time);
 	}
-	*base = MAX(*base, h->share);
-	*served = MAX(*served, *base) + SHARE_UNIT / MAX(share, 1);
-	bound_shares(all, base);
+	*virtual_now = MAX(*virtual_now, h->share);
+	*virtual_time = MAX(*virtual_time, *virtual_now) +
+			VIRTUAL_TIME_UNIT / MAX(share, 1);
+	limit_customers(all, virtual_now);
 }
 
-/* Order. */
+/* Selection. */
 
-static bool goes_before(const struct admission_head *x,
-			const struct admission_head *y)
+static bool precedes(const struct admission_head *x,
+		     const struct admission_head *y)
 {
 	if (x->begun != y->begun)
 		return x->begun;
@@ -106,20 +112,21 @@
 	return x->latest_ms < y->latest_ms;
 }
 
-static int first_of(const struct admission_head *heads, size_t n)
+static int first_in_order(const struct admission_head *heads, size_t n)
 {
 	int best = -1;
 
 	for (size_t i = 0; i < n; i++)
 		if (heads[i].by_order &&
-		    (best < 0 || goes_before(&heads[i], &heads[best])))
+		    (best < 0 || precedes(&heads[i], &heads[best])))
 			best = (int)i;
 	return best;
 }
 
-/* The one of those less urgent that must be started soonest, and still can. */
-static int soonest_below(const struct admission_head *heads, size_t n,
-			 int priority, int64_t now)
+/* The request of lower priority with the earliest latest start that can still
+ * be met. */
+static int earliest_below(const struct admission_head *heads, size_t n,
+			  int priority, int64_t now)
 {
 	int best = -1;
 
@@ -133,49 +140,51 @@
 	return best;
 }
 
-/* Until the guaranteed turn. While endpoints stall, the time since the last
- * turn says more than the mean. */
-static double wait_ms(const struct admission *a, int64_t now)
+/* Expected time until the guaranteed dispatch. While endpoints stall, the time
+ * since the last dispatch is a better estimate than the mean. */
+static double guaranteed_wait_ms(const struct admission *a, int64_t now)
 {
 	double since = a->last_ms ? (double)(now - a->last_ms) : 0;
 
-	return (OTHERS - a->credit) * MAX(a->turn_ms, since);
+	return (UNRESERVED_PER_ROUND - a->credit) * MAX(a->interval_ms, since);
 }
 
-/* It would come too late by the next guaranteed turn, and none was taken in
- * advance already. */
-static bool must_be_raised(const struct admission *a, int64_t latest_ms,
-			   int64_t now)
+/* The next guaranteed dispatch would be too late, and none was taken in advance
+ * yet. */
+static bool must_raise(const struct admission *a, int64_t latest_ms,
+		       int64_t now)
 {
-	return a->credit >= 0 && (double)(latest_ms - now) < wait_ms(a, now);
+	return a->credit >= 0 &&
+	       (double)(latest_ms - now) < guaranteed_wait_ms(a, now);
 }
 
 int admission_next(struct admission *a, const struct admission_head *heads,
 		   size_t n, int64_t now)
 {
-	int best = first_of(heads, n), soonest;
+	int best = first_in_order(heads, n), earliest;
 
 	a->contended = false;
 	a->turn = ADMISSION_NONE;
 	if (best < 0 || heads[best].begun)
 		return best;
 	a->turn = ADMISSION_ORDER;
-	soonest = soonest_below(heads, n, heads[best].priority, now);
-	if (soonest < 0)
+	earliest = earliest_below(heads, n, heads[best].priority, now);
+	if (earliest < 0)
 		return best;
 	a->contended = true;
-	if (a->credit >= OTHERS)
+	if (a->credit >= UNRESERVED_PER_ROUND)
 		a->turn = ADMISSION_GUARANTEED;
-	else if (must_be_raised(a, heads[soonest].latest_ms, now))
+	else if (must_raise(a, heads[earliest].latest_ms, now))
 		a->turn = ADMISSION_RAISED;
-	return a->turn == ADMISSION_ORDER ? best : soonest;
+	return a->turn == ADMISSION_ORDER ? best : earliest;
 }
 
-static void measure_turn(struct admission *a, int64_t now)
+static void measure_interval(struct admission *a, int64_t now)
 {
 	if (!a->last_ms)
 		return;
-	a->turn_ms += ((double)(now - a->last_ms) - a->turn_ms) * TURN_WEIGHT;
+	a->interval_ms +=
+		((double)(now - a->last_ms) - a->interval_ms) * INTERVAL_WEIGHT;
 	a->last_ms = now;
 }
 
@@ -184,18 +193,18 @@
 				    const char *customer, unsigned int share,
 				    int64_t now)
 {
-	/* Turns that go by time don't count for shares: who had many of them
-	 * would wait as long for those that go by shares. */
+	/* Guaranteed and raised dispatches aren't charged: a customer who had
+	 * many of them would wait as long for the ones by shares. */
 	if (a->turn == ADMISSION_ORDER)
 		charge(a, h, customer, share);
 	if (a->turn != ADMISSION_NONE)
-		measure_turn(a, now);
+		measure_interval(a, now);
 	if (!a->contended)
 		return a->turn;
 	if (a->turn == ADMISSION_ORDER)
-		a->credit = MIN(a->credit + 1, OTHERS);
+		a->credit = MIN(a->credit + 1, UNRESERVED_PER_ROUND);
 	else
-		a->credit -= OTHERS;
+		a->credit -= UNRESERVED_PER_ROUND;
 	return a->turn;
 }
 
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,90 +1,96 @@
 /*
- * Admission: which of the requests that wait for the endpoints of a service is
- * tried next. It handles requests for several models, of different urgency,
- * that wait for engines which all these models share.
+ * Admission: selects which of the requests that wait for the endpoints of a
+ * service is dispatched next. The requests are for several models and of
+ * different priority, and wait for engines that all these models share.
  *
- * Streams that have begun go first, then the most urgent, then customers in
- * proportion to their shares, then who must be started soonest. Where more and
- * less urgent requests wait, one turn in ADMISSION_PART is guaranteed to the
- * less urgent, in order of the latest start: a class that offers more than the
- * engines serve leaves the others that much, and has three times it. A request
- * that can't wait for the next guaranteed turn takes it in advance, so that it
- * is started while its caller is there; as the turn is counted, the less urgent
- * don't get more than their part by it.
+ * Requests that resume a stream go first, then higher priorities, then
+ * customers in proportion to their shares, then the earliest latest start.
+ * While requests of lower priority wait as well, one dispatch in
+ * ADMISSION_ROUND is guaranteed to them, in order of the latest start: a class
+ * that offers more load than the engines serve leaves that part to the others,
+ * and gets three times as much itself. A request that would be too late for the
+ * next guaranteed dispatch takes it in advance, so that it is started while its
+ * caller still waits. Such a raised dispatch is counted, so lower priorities
+ * get no more than their guaranteed part.
  *
- * Pure; times are in ms on the caller's clock.
+ * The code does no I/O; times are in ms on the caller's clock.
  */
 #ifndef SS_ADMISSION_H
 #define SS_ADMISSION_H
 
 #include <sapphireshift/queue.h>
 
-/* Of the turns for which both wait, one in so many is for the less urgent. */
-#define ADMISSION_PART 4
+/* Dispatches in a round, one of which is guaranteed to lower priorities that
+ * wait. */
+#define ADMISSION_ROUND 4
 
-/* By which rule a request was chosen. */
+/* Rule by which a request was selected. */
 enum admission_turn {
-	ADMISSION_NONE, /* it didn't wait, or its stream has begun */
+	ADMISSION_NONE, /* the request didn't wait, or resumes a stream */
 	ADMISSION_ORDER,
 	ADMISSION_GUARANTEED,
 	ADMISSION_RAISED,
 };
 
-/* A request that may be tried: of each lane the next of each priority. */
+/* A candidate for dispatch: the first request of each priority in a model
+ * queue. */
 struct admission_head {
-	bool begun;	   /* its stream has; its turn isn't counted */
-	int priority;	   /* 0 (first) to SS_QUEUE_PRIORITIES - 1 */
+	bool begun;	   /* it resumes a stream; its dispatch isn't counted */
+	int priority;	   /* 0 (highest) to SS_QUEUE_PRIORITIES - 1 */
 	uint64_t share;	   /* admission_share() of its customer */
-	int64_t latest_ms; /* its latest start, on the clock */
-	/* Which turns it may have: by the order, as the next by its lane's
-	 * shares; and by time, the guaranteed and the raised. */
+	int64_t latest_ms; /* its latest start */
+	/* Rules that may select it: by_order as the next by the shares of its
+	 * model queue, by_time as the guaranteed or raised request. */
 	bool by_order, by_time;
 	const void *lane;
-	void *request; /* the caller's own */
+	void *request; /* opaque to admission */
 };
 
-/* The turns of a service. */
+/* Admission state of a service. */
 struct admission {
 	size_t waiting[SS_QUEUE_PRIORITIES];
-	/* Turns of more urgent requests towards the next guaranteed one; below
-	 * 0 where one was taken in advance. */
+	/* Dispatches of higher priority since the last guaranteed one; below 0
+	 * after a guaranteed dispatch was taken in advance. */
 	int credit;
-	double turn_ms;	 /* mean time between turns while both wait */
-	int64_t last_ms; /* last turn, or since both wait; 0: they don't */
+	double interval_ms; /* mean interval while several priorities wait */
+	/* Time of the last dispatch, or since when several priorities wait; 0:
+	 * fewer than two wait. */
+	int64_t last_ms;
 	/* Customer -> virtual time, and the least that any customer has. */
-	GHashTable *served[SS_QUEUE_PRIORITIES];
-	uint64_t base[SS_QUEUE_PRIORITIES];
-	enum admission_turn turn; /* by which the last was chosen */
-	bool contended;		  /* less urgent ones could have had it */
+	GHashTable *virtual_time[SS_QUEUE_PRIORITIES];
+	uint64_t virtual_now[SS_QUEUE_PRIORITIES];
+	enum admission_turn turn; /* that selected the last request */
+	bool contended; /* a lower priority could have been selected */
 };
 
 void admission_init(struct admission *a);
 void admission_clear(struct admission *a);
 
-/* A request whose stream hasn't begun waits from now on; no longer. */
+/* Counts a request that starts or stops waiting. Requests that resume a stream
+ * aren't counted. */
 void admission_enter(struct admission *a, int priority, int64_t now);
 void admission_leave(struct admission *a, int priority);
 
-/* The key of a customer's share for a head: the lower one goes first. */
+/* Virtual time of a customer, for use in a head: the lowest goes first. */
 uint64_t admission_share(const struct admission *a, int priority,
 			 const char *customer);
 
-/* Index of the head to try next; -1: there is none. */
+/* Selects the head to try next and returns its index; -1: there is none. */
 int admission_next(struct admission *a, const struct admission_head *heads,
 		   size_t n, int64_t now);
 
-/*
- * What became of the last one that was chosen. It was sent: its turn counts,
- * also for its customer, with this share of turns; the rule that chose it.
- */
+/* The head that was selected last was sent: charges its customer, who has this
+ * share, and counts the dispatch. Returns the rule that selected the head. */
 enum admission_turn admission_taken(struct admission *a,
 				    const struct admission_head *h,
 				    const char *customer, unsigned int share,
 				    int64_t now);
 /*
- * It can't be sent now: its lane has no more turns of that kind, and none at
- * all where it was chosen by the order. Returns how many are left. What is less
- * urgent doesn't stop what is more urgent in its own lane.
+ * The head that was selected last, at index at, can't be sent now. If it was
+ * selected by order, all heads of its model queue are removed; otherwise its
+ * model queue keeps only those that may be selected by order: a request of
+ * lower priority that can't be sent doesn't block higher priorities. Returns
+ * how many heads are left.
  */
 size_t admission_passed(const struct admission *a, struct admission_head *heads,
 			size_t n, size_t at);
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -1,10 +1,10 @@
-/* Which waiting request is tried next. */
+/* Tests of the selection among waiting requests. */
 #include "unit.h"
 
 #include "../src/core/admission.h"
 
-#define TURNS 4000
-#define TURN_MS 10
+#define DISPATCHES 4000
+#define INTERVAL_MS 10
 
 static struct admission_head head(int priority, int64_t latest_ms,
 				  const void *lane)
@@ -16,15 +16,15 @@
 					.lane = lane };
 }
 
-/* A class of requests of which one always waits, in a lane of its own. With
- * patience none of them may be too late. */
+/* Requests of one class, of which one always waits, in a model queue of its
+ * own. With a patience above 0, none may miss its latest start. */
 struct class
 {
 	int priority;
 	int64_t patience_ms; /* until its latest start */
 	const char *customer;
 	unsigned int share;
-	int least, most; /* turns that it gets */
+	int min_dispatches, max_dispatches; /* accepted number of dispatches */
 };
 
 struct load_case {
@@ -34,72 +34,74 @@
 };
 
 static const struct load_case loads[] = {
-	{ "one priority: the soonest first, and each by its latest start",
+	{ "one priority: earliest latest start first, none missed",
 	  { { 3, 100, "", 1, 3996, 3996 }, { 3, 9000, "", 1, 4, 4 } },
 	  2 },
 	{ "one in four goes to the less urgent",
 	  { { 0, 500, "", 1, 3000, 3000 }, { 2, 9000, "", 1, 1000, 1000 } },
 	  2 },
-	{ "no more than that, though all are about to be too late",
+	{ "no more than one in four, though all would be too late",
 	  { { 0, 500, "", 1, 2999, 3000 }, { 2, 0, "", 1, 1000, 1001 } },
 	  2 },
-	{ "none of three is too late",
+	{ "none of three classes is late",
 	  { { 0, 500, "", 1, 2999, 3000 },
 	    { 1, 600, "", 1, 988, 992 },
 	    { 2, 4000, "", 1, 9, 11 } },
 	  3 },
-	{ "customers by their shares",
+	{ "customers in proportion to their shares",
 	  { { 1, 500, "a", 3, 2999, 3001 }, { 1, 100, "b", 1, 999, 1001 } },
 	  2 },
 };
 
-static void fill(const struct admission *a, const struct class *c,
-		 struct admission_head *h, int64_t now)
+static void refill(const struct admission *a, const struct class *c,
+		   struct admission_head *h, int64_t now)
 {
 	if (h->latest_ms && h->latest_ms < now && c->patience_ms)
-		fail_msg("priority %d: one was too late", c->priority);
+		fail_msg("priority %d: a request missed its latest start",
+			 c->priority);
 	if (h->latest_ms < now)
 		*h = head(c->priority, now + c->patience_ms, c);
 	h->share = admission_share(a, c->priority, c->customer);
 }
 
-/* Failures: urgent callers wait behind others; some never have a turn; who is
- * patient enough goes before all. */
-static void each_class_gets_its_turns(void **state)
+/* Guards against urgent requests that wait behind others, classes that starve,
+ * and patient requests that go before all others. */
+static void each_class_gets_its_share(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(loads); i++) {
 		const struct load_case *x = &loads[i];
 		struct admission_head heads[3] = { 0 };
 		struct admission a;
-		int got[3] = { 0 };
+		int dispatched[3] = { 0 };
 
 		admission_init(&a);
 		for (int k = 0; k < x->n; k++)
 			admission_enter(&a, x->classes[k].priority, 1);
-		for (int64_t now = 1; now <= TURNS * TURN_MS; now += TURN_MS) {
+		for (int64_t now = 1; now <= DISPATCHES * INTERVAL_MS;
+		     now += INTERVAL_MS) {
 			int at;
 
 			for (int k = 0; k < x->n; k++)
-				fill(&a, &x->classes[k], &heads[k], now);
+				refill(&a, &x->classes[k], &heads[k], now);
 			at = admission_next(&a, heads, (size_t)x->n, now);
 			admission_taken(&a, &heads[at], x->classes[at].customer,
 					x->classes[at].share, now);
 			heads[at].latest_ms = 0;
-			got[at]++;
+			dispatched[at]++;
 		}
 		for (int k = 0; k < x->n; k++)
-			if (got[k] < x->classes[k].least ||
-			    got[k] > x->classes[k].most)
-				fail_msg("%s: class %d got %d", x->label, k,
-					 got[k]);
+			if (dispatched[k] < x->classes[k].min_dispatches ||
+			    dispatched[k] > x->classes[k].max_dispatches)
+				fail_msg("%s: class %d was dispatched %d times",
+					 x->label, k, dispatched[k]);
 		admission_clear(&a);
 	}
 }
 
 struct raise_case {
-	int64_t turn_ms, left_ms;
-	int urgent; /* turns before */
+	int64_t interval_ms, left_ms;
+	int urgent_dispatches; /* dispatches of priority 0 before */
 	enum admission_turn want;
 };
 
@@ -114,8 +116,8 @@
 	{ 400, -1, 3, ADMISSION_ORDER },
 };
 
-/* Failure: a request is raised when it can't be started any more. */
-static void raised_while_it_can_be_started(void **state)
+/* Guards against raising a request that can no longer be started in time. */
+static void request_is_raised_only_while_it_can_start(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(raises); i++) {
@@ -129,23 +131,26 @@
 		admission_enter(&a, 2, now);
 		heads[0] = head(0, 90000, "u");
 		heads[1] = head(2, 90000, "p");
-		for (int k = 0; k < x->urgent; k++) {
-			now += x->turn_ms;
+		for (int k = 0; k < x->urgent_dispatches; k++) {
+			now += x->interval_ms;
 			assert_int_equal(admission_next(&a, heads, 2, now), 0);
 			admission_taken(&a, &heads[0], "", 1, now);
 		}
-		now += x->turn_ms;
+		now += x->interval_ms;
 		heads[1].latest_ms = now + x->left_ms;
 		admission_next(&a, heads, 2, now);
 		if (a.turn != x->want)
-			fail_msg("row %zu: %d", i, a.turn);
+			fail_msg("row %zu: selected by rule %d", i, a.turn);
 		admission_clear(&a);
 	}
 }
 
-/* Failures: a stream that has begun waits behind new ones; a less urgent
- * request that can't be sent stops the urgent ones of its lane. */
-static void what_cannot_be_sent_stops_nothing_else(void **state)
+/*
+ * Guards against a resumed stream that waits behind new requests, and a less
+ * urgent request that can't be sent and blocks the urgent ones of its model
+ * queue.
+ */
+static void unsendable_request_blocks_no_other(void **state)
 {
 	struct admission_head heads[3] = { head(0, 900, "m"), head(2, 800, "m"),
 					   head(5, 700, "v") };
@@ -154,7 +159,7 @@
 	(void)state;
 	heads[2].begun = true;
 	admission_init(&a);
-	a.credit = ADMISSION_PART - 1;
+	a.credit = ADMISSION_ROUND - 1;
 	assert_int_equal(admission_next(&a, heads, 3, 0), 2);
 	assert_int_equal(admission_passed(&a, heads, 3, 2), 2);
 	assert_int_equal(admission_next(&a, heads, 2, 0), 1);
@@ -165,8 +170,9 @@
 	admission_clear(&a);
 }
 
-/* Failure: a customer who comes back has all turns until it has caught up. */
-static void no_credit_for_time_away(void **state)
+/* Guards against a customer who returns after a pause and gets all dispatches
+ * until it has caught up. */
+static void idle_customer_gets_no_credit(void **state)
 {
 	struct admission_head h = head(1, 900, "m");
 	struct admission a;
@@ -189,10 +195,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(each_class_gets_its_turns),
-		cmocka_unit_test(raised_while_it_can_be_started),
-		cmocka_unit_test(what_cannot_be_sent_stops_nothing_else),
-		cmocka_unit_test(no_credit_for_time_away),
+		cmocka_unit_test(each_class_gets_its_share),
+		cmocka_unit_test(request_is_raised_only_while_it_can_start),
+		cmocka_unit_test(unsendable_request_blocks_no_other),
+		cmocka_unit_test(idle_customer_gets_no_credit),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
