--- a/src/core/endpoint_limit.c
+++ b/src/core/endpoint_limit.c
@@ -1,51 +1,52 @@
-/* An endpoint's own limit. */
+/* The rate limit that an endpoint signals in its answers. */
 #include "endpoint_limit.h"
 
 #include <math.h>
 
-/* In any such window, in s, an endpoint gets no more than one and a half times
- * what its limit allows, and five requests. */
+/* In any window of WINDOW_S seconds an endpoint gets at most one and a half
+ * times what its limit allows, and five requests. */
 #define WINDOW_S 4
-#define RATIO 0.5
-#define EXTRA 5
-/* A request is granted whole: of the five, so many may come at once, with the
- * ratio. */
+#define OVERAGE_RATIO 0.5
+#define OVERAGE_REQUESTS 5
+/* Requests that may come at once, as a request is granted whole. They are taken
+ * out of the five, with their overage. */
 #define BURST 1
-/* A limit below this can't be shared out, requests a second. */
-#define LEAST_PER_S 0.001
-/* A call keeps a slot of an engine for some so long, in s. */
-#define CALL_S 2
-/* Part of a limit that its agent's reads may take beside callers; read more
- * seldom than so often, in ms, it would pass for lost. */
-#define READ_SHARE 0.25
-#define READ_MOST_MS 2000
-/* A word that wasn't repeated for so long, in ms, keeps no model away. */
-#define NARROW_MS 10000
+/* Least limit that can be shared out, in requests per second. */
+#define PER_S_MIN 0.001
+/* Typical time for which a call holds a slot of an engine, in s. */
+#define SLOT_HOLD_S 2
+/* Part of the limit that the agent's polls may use beside callers. With longer
+ * intervals than this maximum, in ms, the endpoint would be taken for lost. */
+#define POLL_SHARE 0.25
+#define POLL_MAX_MS 2000
+/* A signal older than this, in ms, doesn't keep models away. */
+#define LOW_MAX_AGE_MS 10000
 
 const struct quota_options endpoint_limit_quota = {
-	{ WINDOW_S, RATIO, EXTRA - (1 + RATIO) * BURST }
+	{ WINDOW_S, OVERAGE_RATIO,
+	  OVERAGE_REQUESTS - (1 + OVERAGE_RATIO) * BURST }
 };
 
-static int64_t wire_of(double per_s)
+static int64_t to_wire(double per_s)
 {
 	return per_s < 0 ? 0 : (int64_t)lround(per_s * QUOTA_MILLI) + 1;
 }
 
 int64_t endpoint_limit_wire(const struct endpoint_limit *l)
 {
-	return wire_of(l->per_s);
+	return to_wire(l->per_s);
 }
 
-/* Rates that travel alike are alike. */
+/* Rates with the same wire value are equal. */
 bool endpoint_limit_say(struct endpoint_limit *l, double per_s, int64_t at_ms)
 {
-	bool news = wire_of(per_s) != wire_of(l->per_s);
+	bool changed = to_wire(per_s) != to_wire(l->per_s);
 
 	if (at_ms < l->said_ms)
 		return false;
 	l->per_s = per_s;
 	l->said_ms = at_ms;
-	return news;
+	return changed;
 }
 
 int64_t endpoint_limit_age(const struct endpoint_limit *l, int64_t now)
@@ -65,25 +66,23 @@
 bool endpoint_limit_is_narrow(const struct endpoint_limit *l, int64_t slots,
 			      int64_t now)
 {
-	return l->per_s >= 0 && l->per_s * CALL_S < (double)slots &&
-	       now - l->said_ms < NARROW_MS;
+	return l->per_s >= 0 && l->per_s * SLOT_HOLD_S < (double)slots &&
+	       now - l->said_ms < LOW_MAX_AGE_MS;
 }
 
-int64_t endpoint_limit_pause_ms(const struct endpoint_limit *l,
-				int64_t least_ms)
+int64_t endpoint_limit_pause_ms(const struct endpoint_limit *l, int64_t min_ms)
 {
 	if (l->per_s < 0)
-		return least_ms;
-	return MAX(least_ms,
-		   (int64_t)MIN(1000 / MAX(l->per_s * READ_SHARE, LEAST_PER_S),
-				READ_MOST_MS));
+		return min_ms;
+	return MAX(min_ms,
+		   (int64_t)MIN(1000 / MAX(l->per_s * POLL_SHARE, PER_S_MIN),
+				POLL_MAX_MS));
 }
 
 struct customer endpoint_limit_account(const struct endpoint_limit *l,
 				       char *addr)
 {
-	return (struct customer){
-		.name = addr,
-		.limit = { .per_s = MAX(l->per_s, LEAST_PER_S), .burst = BURST }
-	};
+	return (struct customer){ .name = addr,
+				  .limit = { .per_s = MAX(l->per_s, PER_S_MIN),
+					     .burst = BURST } };
 }
--- a/test/test_endpoint_limit.c
+++ b/test/test_endpoint_limit.c
@@ -1,161 +1,166 @@
-/* An endpoint's own limit, shared out over a whole fleet's entries. */
+/* Tests of an endpoint's limit, shared by all entries of a fleet. */
 #include "unit.h"
 
 #include "../src/core/endpoint_limit.h"
 
 #define WINDOW_MS 4000
-#define TURN_MS 10
-#define LENGTH_MS 30000
+#define STEP_MS 10
+#define RUN_MS 30000
 #define LEADER_LOST_MS 8000
 #define LEADER_BACK_MS 9500
 
-struct share_case {
+struct fleet_case {
 	const char *label;
 	int entries;
 	double per_s;
-	int gap_ms;	     /* between two requests at an entry */
-	bool leader_is_lost; /* and another comes */
+	int gap_ms;	   /* between two requests at an entry */
+	bool leader_fails; /* and is replaced */
 	bool entries_restart;
 };
 
 struct entry {
-	void *purses;
+	void *quota_client;
 	uint64_t incarnation;
-	double seat; /* a request that waits for a permit */
+	double reservation; /* cost of the waiting request; 0: none */
 };
 
-struct share {
-	const struct share_case *x;
+struct fleet {
+	const struct fleet_case *x;
 	struct entry *entries;
-	void *place; /* NULL: nobody leads */
+	void *allocator; /* NULL: there is no leader */
 	struct endpoint_limit limit;
 	char addr[16];
-	GArray *sent; /* int64_t, when each request went out */
+	GArray *sent; /* int64_t, when each request was sent */
 	uint64_t incarnations;
-	uint64_t asks;
+	uint64_t requests;
 };
 
-static void entry_begin(struct share *s, struct entry *e, int64_t now)
+static void entry_start(struct fleet *f, struct entry *e, int64_t now)
 {
-	e->purses = quota_lease.entry_new(&endpoint_limit_quota, now);
-	e->incarnation = ++s->incarnations;
-	e->seat = 0;
-	quota_lease.entry_link(e->purses, NULL, s->place != NULL, now);
+	e->quota_client = quota_lease.entry_new(&endpoint_limit_quota, now);
+	e->incarnation = ++f->incarnations;
+	e->reservation = 0;
+	quota_lease.entry_link(e->quota_client, NULL, f->allocator != NULL,
+			       now);
 }
 
-static void restart(struct share *s, int64_t now)
+static void entry_restart(struct fleet *f, int64_t now)
 {
-	struct entry *e = &s->entries[(now / 500) % s->x->entries];
+	struct entry *e = &f->entries[(now / 500) % f->x->entries];
 
-	quota_lease.entry_free(e->purses);
-	if (s->place)
-		quota_lease.place_gone(s->place, e->incarnation, now);
-	entry_begin(s, e, now);
+	quota_lease.entry_free(e->quota_client);
+	if (f->allocator)
+		quota_lease.place_gone(f->allocator, e->incarnation, now);
+	entry_start(f, e, now);
 }
 
-static void try_to_send(struct share *s, struct entry *e, int64_t now)
+static void try_send(struct fleet *f, struct entry *e, int64_t now)
 {
-	struct customer c = endpoint_limit_account(&s->limit, s->addr);
-	struct quota_need need = { 1, e->seat > 0, 2000 };
-	int64_t back;
+	struct customer c = endpoint_limit_account(&f->limit, f->addr);
+	struct quota_need need = { 1, e->reservation > 0, 2000 };
+	int64_t retry_after_ms;
 
-	switch (quota_lease.take(e->purses, &c, &need, now, &back)) {
+	switch (quota_lease.take(e->quota_client, &c, &need, now,
+				 &retry_after_ms)) {
 	case QUOTA_YES:
-		g_array_append_val(s->sent, now);
-		e->seat = 0;
+		g_array_append_val(f->sent, now);
+		e->reservation = 0;
 		break;
 	case QUOTA_WAIT:
-		e->seat = 1;
+		e->reservation = 1;
 		break;
 	case QUOTA_NO:
-		e->seat = 0;
+		e->reservation = 0;
 		break;
 	}
 }
 
-static void ask(struct share *s, struct entry *e, int64_t now)
+static void request_grants(struct fleet *f, struct entry *e, int64_t now)
 {
-	struct customer c = endpoint_limit_account(&s->limit, s->addr);
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-
-	if (s->place)
-		quota_lease.asks(e->purses, now, asks);
-	for (guint i = 0; i < asks->len; i++) {
-		struct quota_word w;
-
-		quota_lease.place_ask(s->place, e->incarnation, &c,
-				      &g_array_index(asks, struct quota_ask, i),
-				      now, &w);
-		quota_lease.word(e->purses, &w, now);
+	struct customer c = endpoint_limit_account(&f->limit, f->addr);
+	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+
+	if (f->allocator)
+		quota_lease.asks(e->quota_client, now, requests);
+	for (guint i = 0; i < requests->len; i++) {
+		struct quota_word reply;
+
+		quota_lease.place_ask(f->allocator, e->incarnation, &c,
+				      &g_array_index(requests, struct quota_ask,
+						     i),
+				      now, &reply);
+		quota_lease.word(e->quota_client, &reply, now);
 	}
-	s->asks += asks->len;
-	g_array_unref(asks);
+	f->requests += requests->len;
+	g_array_unref(requests);
 }
 
-static void lead(struct share *s, bool leads, int64_t now)
+static void set_leader(struct fleet *f, bool is_leading, int64_t now)
 {
-	if (s->place)
-		quota_lease.place_free(s->place);
-	s->place = leads ? quota_lease.place_new(&endpoint_limit_quota, now) :
-			   NULL;
-	for (int i = 0; i < s->x->entries; i++)
-		quota_lease.entry_link(s->entries[i].purses, NULL, leads, now);
+	if (f->allocator)
+		quota_lease.place_free(f->allocator);
+	f->allocator =
+		is_leading ? quota_lease.place_new(&endpoint_limit_quota, now) :
+			     NULL;
+	for (int i = 0; i < f->x->entries; i++)
+		quota_lease.entry_link(f->entries[i].quota_client, NULL,
+				       is_leading, now);
 }
 
-static void share_run(struct share *s, const struct share_case *x)
+static void fleet_run(struct fleet *f, const struct fleet_case *x)
 {
-	memset(s, 0, sizeof(*s));
-	s->x = x;
-	s->limit = (struct endpoint_limit){ x->per_s, 1 };
-	g_strlcpy(s->addr, "10.0.0.1:80", sizeof(s->addr));
-	s->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	s->entries = g_new0(struct entry, x->entries);
-	s->place = quota_lease.place_new(&endpoint_limit_quota, 0);
+	memset(f, 0, sizeof(*f));
+	f->x = x;
+	f->limit = (struct endpoint_limit){ x->per_s, 1 };
+	g_strlcpy(f->addr, "10.0.0.1:80", sizeof(f->addr));
+	f->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	f->entries = g_new0(struct entry, x->entries);
+	f->allocator = quota_lease.place_new(&endpoint_limit_quota, 0);
 	for (int i = 0; i < x->entries; i++)
-		entry_begin(s, &s->entries[i], 0);
-	for (int64_t now = TURN_MS; now < LENGTH_MS; now += TURN_MS) {
-		if (x->leader_is_lost && now == LEADER_LOST_MS)
-			lead(s, false, now);
-		if (x->leader_is_lost && now == LEADER_BACK_MS)
-			lead(s, true, now);
+		entry_start(f, &f->entries[i], 0);
+	for (int64_t now = STEP_MS; now < RUN_MS; now += STEP_MS) {
+		if (x->leader_fails && now == LEADER_LOST_MS)
+			set_leader(f, false, now);
+		if (x->leader_fails && now == LEADER_BACK_MS)
+			set_leader(f, true, now);
 		if (x->entries_restart && now % 500 == 0)
-			restart(s, now);
+			entry_restart(f, now);
 		for (int i = 0; i < x->entries; i++) {
-			struct entry *e = &s->entries[i];
+			struct entry *e = &f->entries[i];
 
-			if (e->seat > 0 ||
-			    (now / TURN_MS + i) % (x->gap_ms / TURN_MS) == 0)
-				try_to_send(s, e, now);
-			ask(s, e, now);
+			if (e->reservation > 0 ||
+			    (now / STEP_MS + i) % (x->gap_ms / STEP_MS) == 0)
+				try_send(f, e, now);
+			request_grants(f, e, now);
 		}
 	}
 }
 
-static void share_clear(struct share *s)
+static void fleet_clear(struct fleet *f)
 {
-	for (int i = 0; i < s->x->entries; i++)
-		quota_lease.entry_free(s->entries[i].purses);
-	g_free(s->entries);
-	quota_lease.place_free(s->place);
-	g_array_unref(s->sent);
+	for (int i = 0; i < f->x->entries; i++)
+		quota_lease.entry_free(f->entries[i].quota_client);
+	g_free(f->entries);
+	quota_lease.place_free(f->allocator);
+	g_array_unref(f->sent);
 }
 
-static double worst_window(const struct share *s)
+static double worst_window(const struct fleet *f)
 {
-	guint most = 0, to = 0;
+	guint max = 0, to = 0;
 
-	for (guint i = 0; i < s->sent->len; i++) {
-		int64_t from = g_array_index(s->sent, int64_t, i);
+	for (guint i = 0; i < f->sent->len; i++) {
+		int64_t from = g_array_index(f->sent, int64_t, i);
 
-		while (to < s->sent->len &&
-		       g_array_index(s->sent, int64_t, to) < from + WINDOW_MS)
+		while (to < f->sent->len &&
+		       g_array_index(f->sent, int64_t, to) < from + WINDOW_MS)
 			to++;
-		most = MAX(most, to - i);
+		max = MAX(max, to - i);
 	}
-	return most;
+	return max;
 }
 
-static const struct share_case cases[] = {
+static const struct fleet_case cases[] = {
 	{ "nine entries", 9, 1.1, 100, false, false },
 	{ "a hundred entries", 105, 1.1, 100, false, false },
 	{ "360 entries", 360, 1, 200, false, false },
@@ -168,42 +173,42 @@
 	{ "a limit of nearly nothing", 105, 0.05, 100, true, true },
 };
 
-/* Symptom: each of hundreds of entries sends an endpoint one request, and it
- * gets hundreds in a second. */
+/* Guards against hundreds of entries that send an endpoint one request each, so
+ * that it gets hundreds in a second. */
 static void limit_holds_at_any_number_of_entries(void **state)
 {
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(cases); k++) {
-		const struct share_case *x = &cases[k];
-		double may = 1.5 * x->per_s * WINDOW_MS / 1000 + 5;
-		struct share s;
+		const struct fleet_case *x = &cases[k];
+		double allowed = 1.5 * x->per_s * WINDOW_MS / 1000 + 5;
+		struct fleet f;
 
-		share_run(&s, x);
-		if (worst_window(&s) > may)
+		fleet_run(&f, x);
+		if (worst_window(&f) > allowed)
 			fail_msg("%s: %.0f in a window, allowed %.1f", x->label,
-				 worst_window(&s), may);
-		/* Half of it reaches the endpoint while entries have work. */
-		if (s.sent->len < x->per_s * LENGTH_MS / 1000 / 2)
-			fail_msg("%s: %u in all", x->label, s.sent->len);
+				 worst_window(&f), allowed);
+		/* Entries with work use at least half of the limit. */
+		if (f.sent->len < x->per_s * RUN_MS / 1000 / 2)
+			fail_msg("%s: %u sent", x->label, f.sent->len);
 		print_message("%s: worst %.0f of %.1f, %u sent, %" PRIu64
-			      " asks a second\n",
-			      x->label, worst_window(&s), may, s.sent->len,
-			      s.asks * 1000 / LENGTH_MS);
-		share_clear(&s);
+			      " grant requests a second\n",
+			      x->label, worst_window(&f), allowed, f.sent->len,
+			      f.requests * 1000 / RUN_MS);
+		fleet_clear(&f);
 	}
 }
 
-struct word {
+struct signal {
 	double per_s;
 	int64_t at_ms;
-	bool news;
-	double holds;
+	bool changed;
+	double per_s_after;
 };
 
-/* Symptom: a word that was late on its way undoes a newer one. */
-static void newest_word_holds(void **state)
+/* Guards against a delayed signal that overrides a newer one. */
+static void newest_signal_holds(void **state)
 {
-	static const struct word words[] = {
+	static const struct signal signals[] = {
 		{ 1.4, 100, true, 1.4 },
 		{ 1.4, 200, false, 1.4 },
 		{ ENDPOINT_LIMIT_NONE, 150, false, 1.4 },
@@ -214,16 +219,16 @@
 	struct endpoint_limit l = { .per_s = ENDPOINT_LIMIT_NONE };
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(words); i++) {
-		assert_int_equal(endpoint_limit_say(&l, words[i].per_s,
-						    words[i].at_ms),
-				 words[i].news);
-		assert_true(l.per_s == words[i].holds);
+	for (size_t i = 0; i < G_N_ELEMENTS(signals); i++) {
+		assert_int_equal(endpoint_limit_say(&l, signals[i].per_s,
+						    signals[i].at_ms),
+				 signals[i].changed);
+		assert_true(l.per_s == signals[i].per_s_after);
 	}
 }
 
-/* What travels is the rate and how old the word is; clocks differ. */
-static void words_travel_with_their_age(void **state)
+/* The rate is sent with the age of the signal, as clocks differ. */
+static void limit_is_sent_with_its_age(void **state)
 {
 	static const double rates[] = { ENDPOINT_LIMIT_NONE, 0, 0.5, 1.25,
 					400 };
@@ -241,28 +246,30 @@
 	}
 }
 
-/* Symptom: a rate is a little less each time that it is told on, so that
- * entries and leader correct each other for ever. */
-static void rate_stays_the_same_when_told_on(void **state)
+/* Guards against a rate that shrinks a little each time it is forwarded, so
+ * that entries and leader correct each other for ever. */
+static void forwarded_rate_is_unchanged(void **state)
 {
 	static const double rates[] = { 2.3, 0.29, 1.23456, 17.0001, 0.0004 };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-		struct endpoint_limit heard = { rates[i], 100 };
-		struct endpoint_limit told = { .per_s = ENDPOINT_LIMIT_NONE };
-		int64_t wire = endpoint_limit_wire(&heard);
-
-		endpoint_limit_told(&told, wire, 1, 200);
-		assert_int_equal(endpoint_limit_wire(&told), wire);
-		assert_false(endpoint_limit_told(&heard, wire, 1, 300));
-		assert_false(endpoint_limit_say(&heard, rates[i], 400));
+		struct endpoint_limit sender = { rates[i], 100 };
+		struct endpoint_limit receiver = {
+			.per_s = ENDPOINT_LIMIT_NONE
+		};
+		int64_t wire = endpoint_limit_wire(&sender);
+
+		endpoint_limit_told(&receiver, wire, 1, 200);
+		assert_int_equal(endpoint_limit_wire(&receiver), wire);
+		assert_false(endpoint_limit_told(&sender, wire, 1, 300));
+		assert_false(endpoint_limit_say(&sender, rates[i], 400));
 	}
 }
 
-/* Symptom: an endpoint that nobody calls can't say that its need is over, and
- * stays without work for good. */
-static void old_word_keeps_no_model_away(void **state)
+/* Guards against an endpoint that gets no models for good: without requests it
+ * can't signal that its limit was raised. */
+static void old_limit_keeps_no_model_away(void **state)
 {
 	struct endpoint_limit l = { 1, 1000 };
 
@@ -275,16 +282,16 @@
 	assert_false(endpoint_limit_is_narrow(&l, 8, 1100));
 }
 
-struct pause_case {
+struct poll_case {
 	double per_s;
-	int64_t least_ms, pause_ms;
+	int64_t min_ms, poll_ms;
 };
 
-/* Symptom: an endpoint in need is read ten times a second beside its callers,
- * or so seldom that it passes for lost. */
-static void reads_take_a_part_of_the_limit(void **state)
+/* Guards against an endpoint with a low limit that is polled ten times a second
+ * beside its callers, or so rarely that it is taken for lost. */
+static void polls_use_part_of_the_limit(void **state)
 {
-	static const struct pause_case rows[] = {
+	static const struct poll_case polls[] = {
 		{ ENDPOINT_LIMIT_NONE, 100, 100 },
 		{ 400, 100, 100 },
 		{ 8, 20, 500 },
@@ -293,11 +300,11 @@
 	};
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		struct endpoint_limit l = { rows[i].per_s, 1 };
+	for (size_t i = 0; i < G_N_ELEMENTS(polls); i++) {
+		struct endpoint_limit l = { polls[i].per_s, 1 };
 
-		assert_int_equal(endpoint_limit_pause_ms(&l, rows[i].least_ms),
-				 rows[i].pause_ms);
+		assert_int_equal(endpoint_limit_pause_ms(&l, polls[i].min_ms),
+				 polls[i].poll_ms);
 	}
 }
 
@@ -305,11 +312,11 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(limit_holds_at_any_number_of_entries),
-		cmocka_unit_test(newest_word_holds),
-		cmocka_unit_test(words_travel_with_their_age),
-		cmocka_unit_test(rate_stays_the_same_when_told_on),
-		cmocka_unit_test(old_word_keeps_no_model_away),
-		cmocka_unit_test(reads_take_a_part_of_the_limit),
+		cmocka_unit_test(newest_signal_holds),
+		cmocka_unit_test(limit_is_sent_with_its_age),
+		cmocka_unit_test(forwarded_rate_is_unchanged),
+		cmocka_unit_test(old_limit_keeps_no_model_away),
+		cmocka_unit_test(polls_use_part_of_the_limit),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
