--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -1,15 +1,16 @@
-/* A retry budget. */
+/* Retry budget of a process. */
 #include "retry_budget.h"
 
-/* A leader doesn't hear the entries that are cut off, and they spend their part
- * all the same. */
+/* Least number of entries that the slack is divided by: the leader doesn't
+ * count disconnected entries, which spend their part all the same. */
 #define ENTRIES_MIN 20
-/* Of the ratio, for the requests of a span; the rest is for those before it. */
-#define SPAN_SHARE 0.5
+/* Part of the ratio for the requests of a span; the rest is for those in the
+ * window before it. */
+#define SPAN_PART 0.5
 
-int64_t retry_slack(int64_t all, uint64_t entries)
+int64_t retry_slack(int64_t total, uint64_t entries)
 {
-	return entries ? all / (int64_t)MAX(entries, ENTRIES_MIN) : 0;
+	return entries ? total / (int64_t)MAX(entries, ENTRIES_MIN) : 0;
 }
 
 void retry_budget_init(struct retry_budget *b, const struct retry_options *o)
@@ -20,8 +21,8 @@
 	b->start = b->newest = o->since_ms / b->slice_ms;
 }
 
-/* Where a slice is counted. */
-static size_t index_of(int64_t slice)
+/* Index of a slice in the arrays. */
+static size_t slice_index(int64_t slice)
 {
 	return (size_t)(slice % RETRY_SLICES_HELD);
 }
@@ -31,15 +32,16 @@
 	int64_t slice = now / b->slice_ms;
 
 	while (b->newest < slice) {
-		/* A long rest empties all of them. */
+		/* After a long pause all slices are cleared. */
 		b->newest = MAX(b->newest, slice - RETRY_SLICES_HELD) + 1;
-		b->requests[index_of(b->newest)] = 0;
-		b->retries[index_of(b->newest)] = 0;
+		b->requests[slice_index(b->newest)] = 0;
+		b->retries[slice_index(b->newest)] = 0;
 	}
 }
 
-/* The first slice of the last window, of which only a part lies within it. */
-static int64_t oldest(const struct retry_budget *b)
+/* First slice of the last window, of which only a part lies within the
+ * window. */
+static int64_t oldest_slice(const struct retry_budget *b)
 {
 	return MAX(b->newest - RETRY_SLICES, b->start);
 }
@@ -47,30 +49,31 @@
 void retry_budget_request(struct retry_budget *b, int64_t now)
 {
 	advance(b, now);
-	b->requests[index_of(b->newest)]++;
+	b->requests[slice_index(b->newest)]++;
 }
 
-static uint64_t requests_between(const struct retry_budget *b, int64_t from,
-				 int64_t to)
+static uint64_t count_requests(const struct retry_budget *b, int64_t from,
+			       int64_t to)
 {
 	uint64_t n = 0;
 
 	for (int64_t s = MAX(from, b->start); s < to; s++)
-		n += b->requests[index_of(s)];
+		n += b->requests[slice_index(s)];
 	return n;
 }
 
-/* For a span that begins in a slice. Of the slice that is a window earlier only
- * a part lies in the window before the span: it counts nothing. */
+/*
+ * Retries allowed in the span that begins with a slice. The slice one window
+ * before it lies only partly in the window before the span, and isn't counted.
+ */
 static double allowed_since(const struct retry_budget *b, int64_t slice,
 			    int64_t slack)
 {
-	uint64_t in = requests_between(b, slice, b->newest + 1);
-	uint64_t before =
-		requests_between(b, slice - (RETRY_SLICES - 1), slice);
+	uint64_t within = count_requests(b, slice, b->newest + 1);
+	uint64_t before = count_requests(b, slice - (RETRY_SLICES - 1), slice);
 
-	return b->ratio * (SPAN_SHARE * (double)in +
-			   (1 - SPAN_SHARE) * (double)before) +
+	return b->ratio * (SPAN_PART * (double)within +
+			   (1 - SPAN_PART) * (double)before) +
 	       (slice > b->start ? (double)slack : 0);
 }
 
@@ -79,12 +82,12 @@
 	uint64_t retries = 1;
 
 	advance(b, now);
-	for (int64_t s = b->newest; s >= oldest(b); s--) {
-		retries += b->retries[index_of(s)];
+	for (int64_t s = b->newest; s >= oldest_slice(b); s--) {
+		retries += b->retries[slice_index(s)];
 		if ((double)retries > allowed_since(b, s, slack))
 			return false;
 	}
-	b->retries[index_of(b->newest)]++;
+	b->retries[slice_index(b->newest)]++;
 	return true;
 }
 
@@ -93,8 +96,8 @@
 	int64_t slice = taken_ms / b->slice_ms;
 
 	if (b->newest - slice < RETRY_SLICES_HELD &&
-	    b->retries[index_of(slice)] > 0)
-		b->retries[index_of(slice)]--;
+	    b->retries[slice_index(slice)] > 0)
+		b->retries[slice_index(slice)]--;
 }
 
 struct retry_counts retry_budget_counts(struct retry_budget *b, int64_t now)
@@ -102,9 +105,9 @@
 	struct retry_counts n = { 0 };
 
 	advance(b, now);
-	for (int64_t s = oldest(b); s <= b->newest; s++) {
-		n.requests += b->requests[index_of(s)];
-		n.retries += b->retries[index_of(s)];
+	for (int64_t s = oldest_slice(b); s <= b->newest; s++) {
+		n.requests += b->requests[slice_index(s)];
+		n.retries += b->retries[slice_index(s)];
 	}
 	return n;
 }
