--- a/src/core/return_turns.c
+++ b/src/core/return_turns.c
@@ -1,55 +1,61 @@
-/* When refused callers are to return. */
+/* Return slots: when refused callers are to return. */
 #include "return_turns.h"
 
 #include <sapphireshift/queue.h>
 
 #include <math.h>
 
-#define TURNS (RETURN_AHEAD_MS / RETURN_TURN_MS)
-/* A cause counts as fully used for so long after a refusal, in ms: entries get
- * allotments, and endpoints places, several times in a second. */
-#define FULL_MS 1000
-/* A cause that serves nothing for longer, in ms, isn't slow but absent: the
- * rate at which it served before holds. */
-#define ABSENT_MS 2000
-/* The rate is known when it has been seen for so long, in ms: some two
- * allotments, or a few calls of a plain service. */
-#define KNOWN_MS 500
-/* Memory of the rate, in ms: an engine more or less shows within some seconds.
+#define SLOTS (RETURN_HORIZON_MS / RETURN_SLOT_MS)
+/* A cause counts as saturated for this time after a refusal, in ms: entries get
+ * grants, and endpoints become free, several times a second. */
+#define SATURATED_MS 1000
+/* A cause that serves nothing for longer, in ms, has an outage rather than a
+ * low rate: its former rate holds. */
+#define OUTAGE_MS 2000
+/* Observation time from which on a rate is known, in ms: about two grants, or a
+ * few calls of a plain service. */
+#define RATE_MIN_MS 500
+/* Decay time of the rate, in ms: an added or lost engine shows within some
+ * seconds. */
+#define RATE_DECAY_MS 4000.0
+/* Decay time of the demand by priority, in ms: about as long as callers with
+ * short deadlines take to return. */
+#define DEMAND_DECAY_MS 2000.0
+/*
+ * In each slot, higher priorities have this many times their share of the
+ * refused demand reserved: their slots then come within half the time, and when
+ * such callers stop coming most of each slot is still in use.
  */
-#define RATE_MS 4000.0
-/* Memory of what was asked by priority, in ms: as long as callers with short
- * deadlines take to return. */
-#define ASKED_MS 2000.0
-/* Of each turn, more urgent callers than the one that asks have so many times
- * their part of what is refused kept for them: their turns then come within
- * half the time, and when they stop coming most of each turn is in use. */
-#define URGENT_PARTS 2.0
-/* The rest, at least a quarter, is for the less urgent. */
-#define URGENT_MOST 0.75
-/* A turn that begins within so long, in ms, is anybody's: what is kept of it
- * would be lost. */
+#define URGENT_FACTOR 2.0
+/* Largest part of a slot that is reserved for higher priorities; lower ones
+ * have the rest, at least a quarter. */
+#define URGENT_MAX 0.75
+/* A slot that starts within this time, in ms, is open to all priorities: its
+ * reserved part would go unused. */
 #define RELEASE_MS 300
-/* A turn has room for a caller where it has for this part of what it needs:
- * the callers of several turns fill up what is left of each. */
-#define ROOM_PART 0.5
+/* A slot has room for a caller if it has this part of the cost: the callers of
+ * several slots fill up what is left of each. */
+#define ROOM_MIN 0.5
 
 struct cause {
 	uint64_t key;
 	GList link;
-	int64_t asked_ms; /* of the last refusal */
-	double asked[SS_QUEUE_PRIORITIES];
-	int64_t full_ms; /* it counts as fully used until then */
-	/* What was served in the time seen, both fading. */
-	double served, seen_ms;
-	int64_t seen_until_ms; /* when it served last, or refused anew */
-	int64_t first;	       /* number of the turn that taken begins with */
-	float taken[TURNS];
+	int64_t refused_ms; /* time of the last refusal */
+	/* Refused cost of each priority; decays. */
+	double demand[SS_QUEUE_PRIORITIES];
+	int64_t saturated_until_ms; /* the cause is saturated until then */
+	/* Units served in the time observed, both decaying. */
+	double served, observed_ms;
+	/* Time of the last served request, or of the refusal after which the
+	 * cause became saturated. */
+	int64_t observed_until_ms;
+	int64_t first_slot;    /* number of the slot at reserved[0] */
+	float reserved[SLOTS]; /* units */
 };
 
 struct return_turns {
 	GHashTable *causes; /* &key -> struct cause */
-	GQueue order;	    /* the first was asked for longest ago */
+	GQueue by_age;	    /* the least recently refused is first */
 };
 
 struct return_turns *return_turns_new(void)
@@ -69,173 +75,175 @@
 	g_free(t);
 }
 
-size_t return_turns_count(const struct return_turns *t)
+size_t return_slots_count(const struct return_turns *t)
 {
 	return g_hash_table_size(t->causes);
 }
 
-/* Links live in their causes: the queue frees none. */
-static void drop(struct return_turns *t, struct cause *c)
+/* The links are embedded in the causes, so the queue frees none. */
+static void drop_cause(struct return_turns *t, struct cause *c)
 {
-	g_queue_unlink(&t->order, &c->link);
+	g_queue_unlink(&t->by_age, &c->link);
 	g_hash_table_remove(t->causes, &c->key);
 }
 
-static struct cause *cause_new(struct return_turns *t, uint64_t key,
+static struct cause *new_cause(struct return_turns *t, uint64_t key,
 			       int64_t now)
 {
 	struct cause *c;
 
-	if (return_turns_count(t) >= RETURN_CAUSES_MOST)
-		drop(t, g_queue_peek_head(&t->order));
+	if (return_slots_count(t) >= RETURN_CAUSES_MAX)
+		drop_cause(t, g_queue_peek_head(&t->by_age));
 	c = g_new0(struct cause, 1);
 	c->key = key;
 	c->link.data = c;
-	c->asked_ms = c->full_ms = c->seen_until_ms = now;
-	c->first = now / RETURN_TURN_MS;
+	c->refused_ms = c->saturated_until_ms = c->observed_until_ms = now;
+	c->first_slot = now / RETURN_SLOT_MS;
 	g_hash_table_insert(t->causes, &c->key, c);
 	return c;
 }
 
-/* It becomes the last one to be dropped. */
+/* Finds or adds a cause, and makes it the last one to be dropped. */
 static struct cause *cause_of(struct return_turns *t, uint64_t key, int64_t now)
 {
 	struct cause *c = g_hash_table_lookup(t->causes, &key);
 
 	if (c)
-		g_queue_unlink(&t->order, &c->link);
+		g_queue_unlink(&t->by_age, &c->link);
 	else
-		c = cause_new(t, key, now);
-	g_queue_push_tail_link(&t->order, &c->link);
+		c = new_cause(t, key, now);
+	g_queue_push_tail_link(&t->by_age, &c->link);
 	return c;
 }
 
-/* It has served something: add the time since it did so last. */
+/* Adds a served cost, and the time since the last one. */
 static void add_served(struct cause *c, double cost, int64_t now)
 {
-	int64_t ms = now - c->seen_until_ms;
-	double fade = exp(-(double)ms / RATE_MS);
+	int64_t ms = now - c->observed_until_ms;
+	double fade = exp(-(double)ms / RATE_DECAY_MS);
 
-	c->seen_until_ms = now;
-	if (ms > ABSENT_MS)
+	c->observed_until_ms = now;
+	if (ms > OUTAGE_MS)
 		return;
 	c->served = c->served * fade + MAX(cost, 0);
-	c->seen_ms = c->seen_ms * fade + RATE_MS * (1 - fade);
+	c->observed_ms = c->observed_ms * fade + RATE_DECAY_MS * (1 - fade);
 }
 
-/* What is served a second; 0: it isn't known. */
-static double rate_of(const struct cause *c, double most)
+/* Rate served, in units per second; 0: unknown. */
+static double rate_of(const struct cause *c, double max)
 {
 	double per_s;
 
-	if (c->seen_ms < KNOWN_MS)
+	if (c->observed_ms < RATE_MIN_MS)
 		return 0;
-	per_s = c->served * 1000 / c->seen_ms;
-	return most > 0 ? MIN(per_s, most) : per_s;
+	per_s = c->served * 1000 / c->observed_ms;
+	return max > 0 ? MIN(per_s, max) : per_s;
 }
 
-static int rank_of(const struct return_ask *a)
+static int priority_of(const struct return_ask *a)
 {
 	return CLAMP(a->priority, 0, SS_QUEUE_PRIORITIES - 1);
 }
 
-static void note_refusal(struct cause *c, const struct return_ask *a,
-			 int64_t now)
+static void record_refusal(struct cause *c, const struct return_ask *a,
+			   int64_t now)
 {
-	double fade = exp(-(double)(now - c->asked_ms) / ASKED_MS);
+	double fade = exp(-(double)(now - c->refused_ms) / DEMAND_DECAY_MS);
 
-	if (now > c->full_ms)
-		c->seen_until_ms = now;
-	c->full_ms = now + FULL_MS;
+	if (now > c->saturated_until_ms)
+		c->observed_until_ms = now;
+	c->saturated_until_ms = now + SATURATED_MS;
 	for (int i = 0; i < SS_QUEUE_PRIORITIES; i++)
-		c->asked[i] *= fade;
-	c->asked[rank_of(a)] += MAX(a->cost, 0);
-	c->asked_ms = now;
+		c->demand[i] *= fade;
+	c->demand[priority_of(a)] += MAX(a->cost, 0);
+	c->refused_ms = now;
 }
 
-/* Forget turns that have passed. */
+/* Drops slots that have passed. */
 static void advance(struct cause *c, int64_t now)
 {
-	int64_t by = now / RETURN_TURN_MS - c->first;
-	size_t n = (size_t)CLAMP(by, 0, TURNS);
+	int64_t passed = now / RETURN_SLOT_MS - c->first_slot;
+	size_t n = (size_t)CLAMP(passed, 0, SLOTS);
 
-	memmove(c->taken, c->taken + n, (TURNS - n) * sizeof(*c->taken));
-	memset(c->taken + TURNS - n, 0, n * sizeof(*c->taken));
-	c->first += MAX(by, 0);
+	memmove(c->reserved, c->reserved + n,
+		(SLOTS - n) * sizeof(*c->reserved));
+	memset(c->reserved + SLOTS - n, 0, n * sizeof(*c->reserved));
+	c->first_slot += MAX(passed, 0);
 }
 
-/* The part of a turn that is kept for more urgent callers. */
-static double kept_share(const struct cause *c, int rank)
+/* Part of a slot that is reserved for higher priorities. */
+static double urgent_share(const struct cause *c, int priority)
 {
-	double urgent = 0, all = 0;
+	double urgent = 0, total = 0;
 
 	for (int i = 0; i < SS_QUEUE_PRIORITIES; i++) {
-		all += c->asked[i];
-		urgent += i < rank ? c->asked[i] : 0;
+		total += c->demand[i];
+		urgent += i < priority ? c->demand[i] : 0;
 	}
-	return all > 0 ? MIN(urgent / all * URGENT_PARTS, URGENT_MOST) : 0;
+	return total > 0 ? MIN(urgent / total * URGENT_FACTOR, URGENT_MAX) : 0;
 }
 
-/* The turns of a cause, for callers of one priority. */
-struct turns_view {
+/* The slots of a cause, for callers of one priority. */
+struct slots_view {
 	struct cause *c;
-	double holds; /* a turn, in all */
-	double kept;  /* of that, for more urgent callers */
+	double capacity; /* of a slot, in units */
+	double urgent;	 /* of the capacity, reserved for higher priorities */
 	int64_t now;
 };
 
-static int64_t begins_ms(const struct turns_view *v, int64_t i)
+static int64_t starts_in_ms(const struct slots_view *v, int64_t i)
 {
-	return (v->c->first + i) * RETURN_TURN_MS - v->now;
+	return (v->c->first_slot + i) * RETURN_SLOT_MS - v->now;
 }
 
-static double room(const struct turns_view *v, int64_t i)
+static double room(const struct slots_view *v, int64_t i)
 {
-	double kept = begins_ms(v, i) < RELEASE_MS ? 0 : v->kept;
+	double urgent = starts_in_ms(v, i) < RELEASE_MS ? 0 : v->urgent;
 
-	return MAX(v->holds - kept - (double)v->c->taken[i], 0);
+	return MAX(v->capacity - urgent - (double)v->c->reserved[i], 0);
 }
 
-/* One that needs more than a turn holds takes of those after it, too. */
-static void take(const struct turns_view *v, int64_t i, double cost)
+/* Reserves a cost; one that exceeds a slot's room takes from later slots,
+ * too. */
+static void reserve(const struct slots_view *v, int64_t i, double cost)
 {
-	for (; i < TURNS && cost > 0; i++) {
+	for (; i < SLOTS && cost > 0; i++) {
 		double n = MIN(room(v, i), cost);
 
-		v->c->taken[i] += (float)n;
+		v->c->reserved[i] += (float)n;
 		cost -= n;
 	}
 }
 
-static int64_t turn_at(const struct cause *c, int64_t ms)
+static int64_t slot_at(const struct cause *c, int64_t ms)
 {
-	return CLAMP(ms / RETURN_TURN_MS - c->first, 0, TURNS);
+	return CLAMP(ms / RETURN_SLOT_MS - c->first_slot, 0, SLOTS);
 }
 
-static struct return_turn next_turn(const struct turns_view *v,
-				    const struct return_ask *a)
+static struct return_turn assign_slot(const struct slots_view *v,
+				      const struct return_ask *a)
 {
-	int64_t from = turn_at(v->c, v->now + a->least_ms), i = from;
-	double needs = MIN(a->cost, v->holds - v->kept) * ROOM_PART;
-	struct return_turn turn = { .width_ms = RETURN_TURN_MS };
+	int64_t from = slot_at(v->c, v->now + a->least_ms), i = from;
+	double needs = MIN(a->cost, v->capacity - v->urgent) * ROOM_MIN;
+	struct return_turn slot = { .width_ms = RETURN_SLOT_MS };
 
-	while (i < TURNS && room(v, i) < needs)
+	while (i < SLOTS && room(v, i) < needs)
 		i++;
-	turn.ms = MAX(begins_ms(v, i), a->least_ms);
-	turn.taken = turn.ms <= a->most_ms;
-	if (turn.taken)
-		take(v, from, a->cost);
-	return turn;
+	slot.ms = MAX(starts_in_ms(v, i), a->least_ms);
+	slot.taken = slot.ms <= a->most_ms;
+	if (slot.taken)
+		reserve(v, from, a->cost);
+	return slot;
 }
 
-/* It returns at the time that it is told, whatever can be served then. */
-static struct return_turn unknown_turn(struct cause *c,
-				       const struct return_ask *a, int64_t now)
+/* Without a rate the caller returns as early as it can be served. */
+static struct return_turn
+slot_without_rate(struct cause *c, const struct return_ask *a, int64_t now)
 {
-	int64_t i = turn_at(c, now + a->least_ms);
+	int64_t i = slot_at(c, now + a->least_ms);
 
-	if (a->least_ms <= a->most_ms && i < TURNS)
-		c->taken[i] += (float)MAX(a->cost, 0);
+	if (a->least_ms <= a->most_ms && i < SLOTS)
+		c->reserved[i] += (float)MAX(a->cost, 0);
 	return (struct return_turn){ .ms = a->least_ms };
 }
 
@@ -243,17 +251,17 @@
 				     const struct return_ask *a, int64_t now)
 {
 	struct cause *c = cause_of(t, a->key, now);
-	struct turns_view v = { .c = c, .now = now };
+	struct slots_view v = { .c = c, .now = now };
 	double rate;
 
-	note_refusal(c, a, now);
+	record_refusal(c, a, now);
 	advance(c, now);
 	rate = rate_of(c, a->per_s);
 	if (rate <= 0)
-		return unknown_turn(c, a, now);
-	v.holds = rate * RETURN_TURN_MS / 1000;
-	v.kept = v.holds * kept_share(c, rank_of(a));
-	return next_turn(&v, a);
+		return slot_without_rate(c, a, now);
+	v.capacity = rate * RETURN_SLOT_MS / 1000;
+	v.urgent = v.capacity * urgent_share(c, priority_of(a));
+	return assign_slot(&v, a);
 }
 
 void return_turns_served(struct return_turns *t, uint64_t key, double cost,
@@ -261,7 +269,7 @@
 {
 	struct cause *c = g_hash_table_lookup(t->causes, &key);
 
-	if (c && now <= c->full_ms)
+	if (c && now <= c->saturated_until_ms)
 		add_served(c, cost, now);
 }
 
@@ -269,7 +277,7 @@
 {
 	struct cause *c;
 
-	while ((c = g_queue_peek_head(&t->order)) &&
-	       now - c->asked_ms >= RETURN_AHEAD_MS)
-		drop(t, c);
+	while ((c = g_queue_peek_head(&t->by_age)) &&
+	       now - c->refused_ms >= RETURN_HORIZON_MS)
+		drop_cause(t, c);
 }
--- a/src/core/return_turns.h
+++ b/src/core/return_turns.h
@@ -1,15 +1,17 @@
 /*
- * When refused callers are to return: as many at a time as can be served then.
+ * Return slots: when refused callers are to return, so that each slot gets as
+ * many as can be served in it.
  *
- * The load: hundreds of callers a second who are refused for one cause, a
- * customer's limit or a model that is full. Told one time, they return in one
- * moment, and most are refused again. So each takes a turn, at the rate at
- * which its cause was served lately. What is served while nobody is refused
- * shows what callers ask for, not what they could get, and doesn't count.
- * Turns of different causes don't affect each other.
+ * The load is hundreds of callers a second that are refused for one cause, such
+ * as a customer's limit or a model at capacity. If all were given the same
+ * time, they would return at once, and most would be refused again. So each
+ * caller gets a slot, at the rate at which its cause was recently served. Only
+ * what is served while callers are refused counts for the rate: the rest shows
+ * what callers request, not what they could get. Slots of different causes are
+ * independent.
  */
-#ifndef SS_RETURN_TURNS_H
-#define SS_RETURN_TURNS_H
+#ifndef SS_RETURN_SLOTS_H
+#define SS_RETURN_SLOTS_H
 
 #include <sapphireshift/base.h>
 
@@ -17,47 +19,53 @@
 extern "C" {
 #endif
 
-/* Width of a turn, in ms: callers of one turn that wait for each other still
- * meet an objective of a tenth of a second. */
-#define RETURN_TURN_MS 100
-/* Turns are given for so long ahead, in ms: a third of what the most patient
+/* Width of a slot, in ms: callers that return in one slot and wait for each
+ * other still meet an objective of a tenth of a second. */
+#define RETURN_SLOT_MS 100
+/* Slots are assigned this far ahead, in ms: a third of what the most patient
  * callers have left, some 40 s. */
-#define RETURN_AHEAD_MS 12800
-/* Causes that are remembered, some 700 bytes each. */
-#define RETURN_CAUSES_MOST 1024
+#define RETURN_HORIZON_MS 12800
+/* Causes that are tracked, some 700 bytes each. */
+#define RETURN_CAUSES_MAX 1024
 
 struct return_turns;
 
-/* What is known of a caller that is refused. */
+/* A refused caller. */
 struct return_ask {
-	uint64_t key; /* of the cause */
-	int priority; /* 0 is first */
-	double cost;  /* as the cause counts: requests, or a limit's units */
-	double per_s; /* of that, the most that is served; 0: not known */
-	int64_t least_ms; /* it can't be served before */
-	int64_t most_ms;  /* it returns no later */
+	uint64_t key; /* identifies the cause */
+	int priority; /* 0 is the highest */
+	double cost;  /* in units of the cause: requests, or a limit's units */
+	double per_s; /* maximum rate, in units per second; 0: unknown */
+	int64_t least_ms; /* the caller can't be served earlier */
+	int64_t most_ms;  /* the caller won't return later */
 };
 
+/* An assigned slot. */
 struct return_turn {
-	int64_t ms;	  /* from now until it begins */
-	int64_t width_ms; /* 0: no rate is known, and ms is least_ms */
-	bool taken;	  /* false: it begins after most_ms, and stays free for
-			     others */
+	int64_t ms; /* from now to its start */
+	/* 0: the rate is unknown, and the slot starts as soon as the caller can
+	 * be served. */
+	int64_t width_ms;
+	/* False: the slot is too late for the caller and stays free for
+	 * others. */
+	bool taken;
 };
 
 struct return_turns *return_turns_new(void);
 void return_turns_free(struct return_turns *t);
 
-/* The next turn of its cause; more urgent callers get earlier ones. */
+/* Assigns the next slot of the cause; callers of higher priority get earlier
+ * ones. */
 struct return_turn return_turns_give(struct return_turns *t,
 				     const struct return_ask *a, int64_t now);
-/* A request was served that could have been refused for this cause. */
+/* Records that a request was served that could have been refused for this
+ * cause. */
 void return_turns_served(struct return_turns *t, uint64_t key, double cost,
 			 int64_t now);
-/* Forget causes that nobody was refused for while their turns last. */
+/* Drops causes without a refusal within the last RETURN_HORIZON_MS. */
 void return_turns_tidy(struct return_turns *t, int64_t now);
-/* Causes that are remembered. */
-size_t return_turns_count(const struct return_turns *t);
+/* Number of tracked causes. */
+size_t return_slots_count(const struct return_turns *t);
 
 #ifdef __cplusplus
 }
