--- a/src/core/start_limit.c
+++ b/src/core/start_limit.c
@@ -1,75 +1,88 @@
-/* How many prompts one entry may have in flight on an engine. */
+/* Start limit: how many prompts an entry may have in flight on an engine. */
 #include "start_limit.h"
 
 /* Part of the limit that a decrease leaves. Entries that see the same pause all
  * decrease at once, so the engine's prompts fall by the same part. */
-#define CUT_SHARE 0.5
-/* The limit grows while pauses stay below this part of what their routes allow:
- * each entry may add a prompt before any of them sees the result. */
-#define GROW_SHARE 0.5
-/* Weight of the newest time to a first event. */
-#define FIRST_WEIGHT 0.25
-/* The prompts that a pause is due to were sent within a period or two before
- * it, in ms: callers rarely allow longer pauses. */
+#define DECREASE_FACTOR 0.5
+/*
+ * A pause of at least this part of what its route allows is high, and the limit
+ * doesn't increase: each entry may add a prompt before any of them sees the
+ * result.
+ */
+#define HIGH_PAUSE_PART 0.5
+/* Weight of the newest time to a first event in the mean. */
+#define FIRST_EVENT_WEIGHT 0.25
+/*
+ * Period over which the most prompts in flight are recorded, in ms: the prompts
+ * that cause a pause were sent within one or two periods before it, as callers
+ * rarely allow longer pauses.
+ */
 #define PERIOD_MS 1000
-/* A longer time is no measurement, in ms. */
-#define SANE_MS 3600000
+/* Longest valid measurement, in ms. */
+#define VALID_MAX_MS 3600000
 #define NEVER_MS (INT64_MIN / 2)
 
 void start_limit_init(struct start_limit *l)
 {
-	*l = (struct start_limit){ .cut_ms = NEVER_MS, .high_ms = NEVER_MS };
+	*l = (struct start_limit){ .decrease_ms = NEVER_MS,
+				   .high_pause_ms = NEVER_MS };
 }
 
-bool start_limit_allows(const struct start_limit *l, int64_t under_way)
+bool start_limit_allows(const struct start_limit *l, int64_t in_flight)
 {
-	return l->most <= 0 || (double)under_way + 1 <= l->most;
+	return l->most <= 0 || (double)in_flight + 1 <= l->most;
 }
 
-static bool is_sane(int64_t ms, int64_t bound_ms, int64_t now)
+static bool is_valid(int64_t ms, int64_t bound_ms, int64_t now)
 {
-	return ms > 0 && ms <= SANE_MS && bound_ms > 0 && now >= 0;
+	return ms > 0 && ms <= VALID_MAX_MS && bound_ms > 0 && now >= 0;
 }
 
 static int64_t peak_of(const struct start_limit *l)
 {
-	return MAX(MAX(l->peak, l->peak_before), 1);
+	return MAX(MAX(l->peak, l->last_peak), 1);
 }
 
-void start_limit_sent(struct start_limit *l, int64_t under_way, int64_t now)
+void start_limit_sent(struct start_limit *l, int64_t in_flight, int64_t now)
 {
-	if (under_way <= 0 || now < 0)
+	if (in_flight <= 0 || now < 0)
 		return;
-	if (now - l->period_ms >= PERIOD_MS) {
-		l->peak_before = now - l->period_ms < 2 * PERIOD_MS ? l->peak :
-								      0;
+	if (now - l->period_start_ms >= PERIOD_MS) {
+		l->last_peak =
+			now - l->period_start_ms < 2 * PERIOD_MS ? l->peak : 0;
 		l->peak = 0;
-		l->period_ms = now;
+		l->period_start_ms = now;
 	}
-	l->peak = MAX(l->peak, under_way);
+	l->peak = MAX(l->peak, in_flight);
 }
 
-/* At most once within an answer's time to its first event: before, what comes
- * is still due to prompts that were sent under the former limit. */
-static bool cut(struct start_limit *l, int64_t ms, int64_t now)
+/*
+ * Decreases the limit, at most once within the mean time to a first event:
+ * until then, what is observed is still due to prompts sent under the former
+ * limit.
+ */
+static bool decrease(struct start_limit *l, int64_t ms, int64_t now)
 {
-	double wait_ms = l->first_ms > 0 ? l->first_ms : (double)ms;
+	double wait_ms = l->first_event_ms > 0 ? l->first_event_ms : (double)ms;
 	double before = l->most, used = (double)peak_of(l);
 
-	if ((double)(now - l->cut_ms) < wait_ms)
+	if ((double)(now - l->decrease_ms) < wait_ms)
 		return false;
-	l->cut_ms = now;
+	l->decrease_ms = now;
 	if (before > 0)
 		used = MIN(used, before);
-	l->most = MAX(used * CUT_SHARE, 1);
+	l->most = MAX(used * DECREASE_FACTOR, 1);
 	return before <= 0 || l->most < before;
 }
 
-/* Where the limit is in use, and no high pause came while this prompt was
- * read: one prompt more for each round of as many as the limit. */
-static void grow(struct start_limit *l, int64_t ms, int64_t now)
+/*
+ * Increases the limit by one prompt for each round of as many first events as
+ * the limit, if the limit is in use and no high pause came while this prompt
+ * was read.
+ */
+static void increase(struct start_limit *l, int64_t ms, int64_t now)
 {
-	if (l->most <= 0 || l->high_ms >= now - ms ||
+	if (l->most <= 0 || l->high_pause_ms >= now - ms ||
 	    (double)peak_of(l) + 1 <= l->most)
 		return;
 	l->most += 1.0 / l->most;
@@ -78,27 +91,28 @@
 bool start_limit_first(struct start_limit *l, int64_t ms, int64_t objective_ms,
 		       int64_t now)
 {
-	bool fell = false;
+	bool lowered = false;
 
-	if (!is_sane(ms, objective_ms, now))
+	if (!is_valid(ms, objective_ms, now))
 		return false;
 	if (ms <= objective_ms)
-		grow(l, ms, now);
+		increase(l, ms, now);
 	else if (l->most > 0)
-		fell = cut(l, ms, now);
-	if (l->first_ms > 0)
-		l->first_ms += FIRST_WEIGHT * ((double)ms - l->first_ms);
+		lowered = decrease(l, ms, now);
+	if (l->first_event_ms > 0)
+		l->first_event_ms +=
+			FIRST_EVENT_WEIGHT * ((double)ms - l->first_event_ms);
 	else
-		l->first_ms = (double)ms;
-	return fell;
+		l->first_event_ms = (double)ms;
+	return lowered;
 }
 
 bool start_limit_pause(struct start_limit *l, int64_t pause_ms,
 		       int64_t allowed_ms, int64_t now)
 {
-	if (!is_sane(pause_ms, allowed_ms, now))
+	if (!is_valid(pause_ms, allowed_ms, now))
 		return false;
-	if ((double)pause_ms >= (double)allowed_ms * GROW_SHARE)
-		l->high_ms = now;
-	return pause_ms > allowed_ms && cut(l, pause_ms, now);
+	if ((double)pause_ms >= (double)allowed_ms * HIGH_PAUSE_PART)
+		l->high_pause_ms = now;
+	return pause_ms > allowed_ms && decrease(l, pause_ms, now);
 }
--- a/test/test_start_limit.c
+++ b/test/test_start_limit.c
@@ -1,4 +1,5 @@
-/* How many prompts an entry may have in flight on an engine. */
+/* Tests of the limit on prompts that an entry may have in flight on an
+ * engine. */
 #include "unit.h"
 
 #include "../src/core/start_limit.h"
@@ -7,120 +8,121 @@
 #define OBJECTIVE_MS 1000
 
 /*
- * An engine reads all prompts that have come in one step, and each of its
- * streams gets an event at a step's end. Entries send bursts of prompts.
+ * Simulates entries that send bursts of prompts to an engine. In one step the
+ * engine reads all prompts that have arrived; each of its streams gets an event
+ * at the end of the step.
  */
 #define ENTRIES 4
 #define STEP_MS 20
 #define PROMPT_MS 30
 #define RUN_MS 60000
-#define WARM_MS 5000
+#define WARMUP_MS 5000
 
 struct load {
 	const char *label;
-	int burst, every_ms;
-	bool saturates; /* more prompts than the engine can read */
+	int burst, interval_ms;
+	bool overloads; /* more prompts than the engine can read */
 };
 
-struct world {
+struct simulation {
 	struct start_limit limits[ENTRIES];
 	int waiting[ENTRIES], sent[ENTRIES];
 	int64_t sent_ms[ENTRIES][1024];
-	int served[ENTRIES], all;
-	int64_t late_ms; /* in steps that were longer than allowed */
-	int64_t read_ms;
+	int served[ENTRIES], total; /* prompts read */
+	int64_t long_pause_ms;	    /* in steps that were longer than allowed */
+	int64_t reading_ms;
 	bool limited;
 };
 
-static void send_waiting(struct world *w, int64_t now)
+static void send_waiting(struct simulation *s, int64_t now)
 {
 	for (int i = 0; i < ENTRIES; i++)
-		while (w->waiting[i] && w->sent[i] < 1024 &&
-		       (!w->limited ||
-			start_limit_allows(&w->limits[i], w->sent[i]))) {
-			w->sent_ms[i][w->sent[i]++] = now;
-			w->waiting[i]--;
-			start_limit_sent(&w->limits[i], w->sent[i], now);
+		while (s->waiting[i] && s->sent[i] < 1024 &&
+		       (!s->limited ||
+			start_limit_allows(&s->limits[i], s->sent[i]))) {
+			s->sent_ms[i][s->sent[i]++] = now;
+			s->waiting[i]--;
+			start_limit_sent(&s->limits[i], s->sent[i], now);
 		}
 }
 
-/* Every entry has a stream there, and learns how long it paused. */
-static void step_ends(struct world *w, const int *read, int64_t pause_ms,
-		      int64_t now)
+/* Each entry has a stream on the engine and observes the pause. */
+static void end_step(struct simulation *s, const int *read, int64_t pause_ms,
+		     int64_t now)
 {
 	for (int i = 0; i < ENTRIES; i++) {
 		for (int k = 0; k < read[i]; k++)
-			start_limit_first(&w->limits[i], now - w->sent_ms[i][k],
+			start_limit_first(&s->limits[i], now - s->sent_ms[i][k],
 					  OBJECTIVE_MS, now);
-		w->sent[i] -= read[i];
-		memmove(w->sent_ms[i], w->sent_ms[i] + read[i],
-			(size_t)w->sent[i] * sizeof(w->sent_ms[i][0]));
-		start_limit_pause(&w->limits[i], pause_ms, ALLOWED_MS, now);
+		s->sent[i] -= read[i];
+		memmove(s->sent_ms[i], s->sent_ms[i] + read[i],
+			(size_t)s->sent[i] * sizeof(s->sent_ms[i][0]));
+		start_limit_pause(&s->limits[i], pause_ms, ALLOWED_MS, now);
 	}
 }
 
-static void run(struct world *w, const struct load *x, bool limited)
+static void run(struct simulation *s, const struct load *x, bool limited)
 {
 	int64_t now = 0, next = 0;
 
-	memset(w, 0, sizeof(*w));
-	w->limited = limited;
+	memset(s, 0, sizeof(*s));
+	s->limited = limited;
 	for (int i = 0; i < ENTRIES; i++)
-		start_limit_init(&w->limits[i]);
+		start_limit_init(&s->limits[i]);
 	while (now < RUN_MS) {
 		int read[ENTRIES], n = 0;
 		int64_t ms;
 
-		/* The bursts of entries follow each other. */
-		for (; next <= now; next += x->every_ms / ENTRIES)
-			w->waiting[next / (x->every_ms / ENTRIES) % ENTRIES] +=
-				x->burst;
-		send_waiting(w, now);
+		/* The bursts of the entries are evenly spaced. */
+		for (; next <= now; next += x->interval_ms / ENTRIES)
+			s->waiting[next / (x->interval_ms / ENTRIES) %
+				   ENTRIES] += x->burst;
+		send_waiting(s, now);
 		for (int i = 0; i < ENTRIES; i++)
-			n += read[i] = w->sent[i];
+			n += read[i] = s->sent[i];
 		ms = STEP_MS + (int64_t)n * PROMPT_MS;
-		/* Prompts that come meanwhile are read in the next step. */
+		/* Prompts that arrive in a step are read in the next one. */
 		now += ms;
-		step_ends(w, read, ms, now);
-		if (now < WARM_MS)
+		end_step(s, read, ms, now);
+		if (now < WARMUP_MS)
 			continue;
-		w->late_ms += ms > ALLOWED_MS ? ms : 0;
-		w->all += n;
-		w->read_ms += (int64_t)n * PROMPT_MS;
+		s->long_pause_ms += ms > ALLOWED_MS ? ms : 0;
+		s->total += n;
+		s->reading_ms += (int64_t)n * PROMPT_MS;
 		for (int i = 0; i < ENTRIES; i++)
-			w->served[i] += read[i];
+			s->served[i] += read[i];
 	}
 }
 
 static const struct load loads[] = {
-	{ "bursts at half of what it can read", 12, 2880, false },
-	{ "bursts at four fifths", 12, 1800, false },
-	{ "more than it can read", 12, 1000, true },
+	{ "bursts at half of the engine's capacity", 12, 2880, false },
+	{ "bursts at four fifths of it", 12, 1800, false },
+	{ "bursts above the engine's capacity", 12, 1000, true },
 };
 
-/* Failure: a burst of prompts makes all other streams of the engine pause. */
-static void late_pauses_fall(void **state)
+/* Guards against a burst of prompts that pauses all other streams of the
+ * engine. */
+static void long_pauses_become_rarer(void **state)
 {
-	struct world with, without;
+	struct simulation with, without;
 
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(loads); k++) {
 		run(&without, &loads[k], false);
 		run(&with, &loads[k], true);
-		print_message("%s: late pauses take %d ms, without a limit "
+		print_message("%s: long pauses take %d ms, without a limit "
 			      "%d ms\n",
-			      loads[k].label, (int)with.late_ms,
-			      (int)without.late_ms);
-		assert_true(without.late_ms >= RUN_MS / 3);
-		assert_true(with.late_ms * 4 <= without.late_ms);
+			      loads[k].label, (int)with.long_pause_ms,
+			      (int)without.long_pause_ms);
+		assert_true(without.long_pause_ms >= RUN_MS / 3);
+		assert_true(with.long_pause_ms * 4 <= without.long_pause_ms);
 	}
 }
 
-/* Failure: a limit that is too low leaves the engine idle while prompts wait.
- */
-static void engine_is_kept_busy(void **state)
+/* Guards against a limit so low that the engine idles while prompts wait. */
+static void engine_stays_busy(void **state)
 {
-	struct world with, without;
+	struct simulation with, without;
 
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(loads); k++) {
@@ -128,31 +130,31 @@
 
 		run(&without, &loads[k], false);
 		run(&with, &loads[k], true);
-		share = (double)with.read_ms / (RUN_MS - WARM_MS);
+		share = (double)with.reading_ms / (RUN_MS - WARMUP_MS);
 		print_message("%s: prompts %d, without a limit %d, reads %.2f "
 			      "of the time\n",
-			      loads[k].label, with.all, without.all, share);
-		if (loads[k].saturates)
+			      loads[k].label, with.total, without.total, share);
+		if (loads[k].overloads)
 			assert_true(share > 0.8);
 		else
-			assert_true(with.all * 100 >= without.all * 97);
+			assert_true(with.total * 100 >= without.total * 97);
 	}
 }
 
-/* Failure: of entries that adapt on their own, one is left with nothing. */
-static void no_entry_is_shut_out(void **state)
+/* Guards against an entry that gets nothing, as each adapts on its own. */
+static void no_entry_starves(void **state)
 {
-	struct world w;
+	struct simulation s;
 
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(loads); k++) {
-		run(&w, &loads[k], true);
+		run(&s, &loads[k], true);
 		for (int i = 0; i < ENTRIES; i++)
-			assert_true(w.served[i] * ENTRIES * 2 >= w.all);
+			assert_true(s.served[i] * ENTRIES * 2 >= s.total);
 	}
 }
 
-/* Failure: an engine whose streams never paused too long is held back. */
+/* Guards against limiting an engine whose streams never paused too long. */
 static void no_limit_without_a_long_pause(void **state)
 {
 	struct start_limit l;
@@ -169,8 +171,8 @@
 	}
 }
 
-/* A limit of 4, set at 10000 ms, where a first event takes 100 ms. */
-static void open_limited(struct start_limit *l)
+/* Sets a limit of 4 at 10000 ms, with first events after 100 ms. */
+static void init_with_limit(struct start_limit *l)
 {
 	start_limit_init(l);
 	start_limit_first(l, 100, OBJECTIVE_MS, 9000);
@@ -181,9 +183,9 @@
 
 struct step {
 	const char *label;
-	bool pause; /* else a first event */
+	bool pause; /* otherwise a first event */
 	int64_t ms, bound_ms, now;
-	double want;
+	double limit_after;
 };
 
 static const struct step steps[] = {
@@ -191,7 +193,8 @@
 	{ "a pause of newer ones", true, 300, 250, 10100, 2 },
 	{ "a late first event", false, 1001, 1000, 10100, 2 },
 	{ "a first event in time", false, 100, 1000, 10200, 4.25 },
-	{ "one that was sent before the pause", false, 100, 1000, 10050, 4 },
+	{ "a first event of a prompt sent before the pause", false, 100, 1000,
+	  10050, 4 },
 	{ "no pause", true, 0, 250, 10200, 4 },
 	{ "a negative pause", true, -300, 250, 10200, 4 },
 	{ "an absurd pause", true, INT64_MAX, 250, 10200, 4 },
@@ -205,33 +208,33 @@
 	{ "an earlier time", true, 300, 250, 500, 4 },
 };
 
-/* Failures: one burst lowers the limit many times over, or a nonsensical figure
- * moves it. */
-static void single_steps(void **state)
+/* Guards against a limit that one burst lowers repeatedly, or that an invalid
+ * time changes. */
+static void single_events_change_the_limit(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
 		const struct step *s = &steps[i];
 		struct start_limit l;
-		bool fell;
-
-		open_limited(&l);
-		fell = s->pause ? start_limit_pause(&l, s->ms, s->bound_ms,
-						    s->now) :
-				  start_limit_first(&l, s->ms, s->bound_ms,
-						    s->now);
-		if (l.most != s->want || fell != (s->want < 4))
-			fail_msg("%s: %f", s->label, l.most);
+		bool lowered;
+
+		init_with_limit(&l);
+		lowered = s->pause ? start_limit_pause(&l, s->ms, s->bound_ms,
+						       s->now) :
+				     start_limit_first(&l, s->ms, s->bound_ms,
+						       s->now);
+		if (l.most != s->limit_after || lowered != (s->limit_after < 4))
+			fail_msg("%s: limit %f", s->label, l.most);
 	}
 }
 
-/* Failure: pauses near the allowed one are answered with more prompts. */
-static void limit_stays_between_half_and_whole(void **state)
+/* Guards against increasing the limit at pauses close to the allowed one. */
+static void limit_holds_at_high_pauses(void **state)
 {
 	struct start_limit l;
 
 	(void)state;
-	open_limited(&l);
+	init_with_limit(&l);
 	for (int64_t now = 10200; now < 12000; now += 50) {
 		start_limit_sent(&l, 4, now);
 		start_limit_pause(&l, ALLOWED_MS * 3 / 5, ALLOWED_MS, now);
@@ -240,15 +243,15 @@
 	assert_true(l.most == 4);
 }
 
-/* Failure: after many bad seconds nothing is sent there any more, or for ever
- * less than the engine can read. */
+/* Guards against a limit that blocks all prompts, or stays below what the
+ * engine can read, after many long pauses. */
 static void limit_recovers(void **state)
 {
 	struct start_limit l;
 	int64_t now = 11000;
 
 	(void)state;
-	open_limited(&l);
+	init_with_limit(&l);
 	for (; now < 60000; now += 200)
 		start_limit_pause(&l, 3000, ALLOWED_MS, now);
 	assert_true(l.most == 1);
@@ -265,12 +268,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(late_pauses_fall),
-		cmocka_unit_test(engine_is_kept_busy),
-		cmocka_unit_test(no_entry_is_shut_out),
+		cmocka_unit_test(long_pauses_become_rarer),
+		cmocka_unit_test(engine_stays_busy),
+		cmocka_unit_test(no_entry_starves),
 		cmocka_unit_test(no_limit_without_a_long_pause),
-		cmocka_unit_test(single_steps),
-		cmocka_unit_test(limit_stays_between_half_and_whole),
+		cmocka_unit_test(single_events_change_the_limit),
+		cmocka_unit_test(limit_holds_at_high_pauses),
 		cmocka_unit_test(limit_recovers),
 	};
 
