--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -317,7 +317,7 @@
 
 struct slack_case {
 	uint64_t entries; /* that share the slack */
-	uint64_t reported_entries;
+	uint64_t reported;
 };
 
 /*
@@ -336,12 +336,10 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
 		for (size_t k = 0; k < G_N_ELEMENTS(slacks); k++)
-			assert_true(
-				(int64_t)cases[i].entries *
-					retry_slack(
-						slacks[k],
-						cases[i].reported_entries) <=
-				slacks[k]);
+			assert_true((int64_t)cases[i].entries *
+					    retry_slack(slacks[k],
+							cases[i].reported) <=
+				    slacks[k]);
 	assert_int_equal(retry_slack(102, 4), 5);
 }
 
