--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -213,11 +213,11 @@
 {
 	bool by_time = a->turn == ADMISSION_GUARANTEED ||
 		       a->turn == ADMISSION_RAISED;
-	const void *lane = heads[at].lane;
+	const void *model_queue = heads[at].lane;
 	size_t kept = 0;
 
 	for (size_t i = 0; i < n; i++) {
-		if (heads[i].lane == lane) {
+		if (heads[i].lane == model_queue) {
 			heads[i].by_time = false;
 			heads[i].by_order &= by_time;
 		}
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -7,13 +7,13 @@
 #define INTERVAL_MS 10
 
 static struct admission_head head(int priority, int64_t latest_ms,
-				  const void *lane)
+				  const void *model_queue)
 {
 	return (struct admission_head){ .priority = priority,
 					.latest_ms = latest_ms,
 					.by_order = true,
 					.by_time = true,
-					.lane = lane };
+					.lane = model_queue };
 }
 
 /* Requests of one class, of which one always waits, in a model queue of its
--- a/test/test_endpoint_limit.c
+++ b/test/test_endpoint_limit.c
@@ -164,7 +164,7 @@
 	{ "nine entries", 9, 1.1, 100, false, false },
 	{ "a hundred entries", 105, 1.1, 100, false, false },
 	{ "360 entries", 360, 1, 200, false, false },
-	{ "720 entries that ask now and then", 720, 3.5, 2000, false, false },
+	{ "720 entries with rare requests", 720, 3.5, 2000, false, false },
 	{ "a hundred entries, the leader lost", 105, 1, 100, true, false },
 	{ "360 entries, the leader lost", 360, 2.2, 200, true, false },
 	{ "nine entries that restart", 9, 1, 100, false, true },
