--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -3,71 +3,75 @@
 
 #include "late.h"
 
-/* Adapters whose last use is remembered, to choose which one leaves. */
-#define USES_MAX 256
+/* Adapters whose last use is kept, to choose the one to unload. */
+#define ADAPTER_USES_MAX 256
 
-struct need {
+struct adapter_request {
 	uint64_t ticket;
 	char *model, *adapter;
 	int64_t until_ms;
-	bool ordered; /* a load of it was taken */
+	bool ordered; /* a load of it was accepted */
 };
 
-struct use {
+struct adapter_use {
 	char *model, *adapter;
 	int64_t at_ms;
 };
 
-/* The order that is out. */
-struct order_out {
-	bool load, former; /* former: the engine has restarted since */
+/* The order that awaits its answer. */
+struct pending_order {
+	bool load;
+	bool prior_incarnation; /* the engine has restarted since it was sent */
 	char *model, *adapter;
 	uint64_t expect;
-	double mb; /* that a load takes */
+	double mb; /* memory that a load takes */
 };
 
 struct engine {
 	struct engine_options o;
 	char *holder;
 	const struct routing_service *service;
-	const struct fleet_report *report; /* NULL: nothing is known */
-	/* Who reported last, and how many orders; kept while report is NULL. */
-	struct fleet_incarnation self;
+	const struct fleet_report *report; /* NULL: state unknown */
+	/* Incarnation and order count that were reported last; kept while
+	 * report is NULL. */
+	struct fleet_incarnation incarnation;
 	uint64_t orders;
-	struct late_orders *late;
-	uint64_t fence;	 /* 0: no leader has told its term */
-	uint64_t fenced; /* the fence that the engine refused; 0: none */
-	bool asking;
-	struct order_out out; /* while asking */
-	bool stale;	      /* the report is older than the last order */
-	int64_t quiet_ms;     /* no order before: an unanswered one settles */
-	/* The count that a report has by which the order that was taken last
-	 * shows, and until when it is waited for. */
-	uint64_t due;
-	int64_t due_ms;
-	/* The step under way. */
-	bool on;
+	struct delayed_orders *delayed;
+	uint64_t fence;		/* newest term; 0: none received */
+	uint64_t refused_fence; /* fence that the engine refused; 0: none */
+	bool order_pending;
+	struct pending_order pending; /* while order_pending */
+	bool report_stale;	      /* report is older than the last order */
+	/* No order before: the last one may still be accepted. */
+	int64_t hold_until_ms;
+	/* Order count of a report that includes the last accepted order, and
+	 * until when a report with a lower count is ignored. */
+	uint64_t expected_orders;
+	int64_t expected_until_ms;
+	/* The current step. */
+	bool step_active;
 	uint64_t step_fence, step;
-	GPtrArray *unload; /* char *, what is left of it */
+	GPtrArray *unload; /* char *, models still to unload */
 	char *load;	   /* NULL: nothing */
-	bool load_taken;
-	int64_t planned_ms; /* start of the engine that it is for; 0: any */
+	bool load_accepted;
+	/* Start of the incarnation that the step is for; 0: any. */
+	int64_t step_started_ms;
 	int64_t begun_ms, progress_ms;
-	GArray *needs; /* struct need */
-	GArray *uses;  /* struct use */
+	GArray *requests; /* struct adapter_request */
+	GArray *uses;	  /* struct adapter_use */
 };
 
-static void need_clear(void *p)
+static void adapter_request_clear(void *p)
 {
-	struct need *n = p;
+	struct adapter_request *r = p;
 
-	g_free(n->model);
-	g_free(n->adapter);
+	g_free(r->model);
+	g_free(r->adapter);
 }
 
-static void use_clear(void *p)
+static void adapter_use_clear(void *p)
 {
-	struct use *u = p;
+	struct adapter_use *u = p;
 
 	g_free(u->model);
 	g_free(u->adapter);
@@ -79,16 +83,16 @@
 
 	e->o = *o;
 	e->holder = g_strdup(o->holder);
-	e->late = late_new();
+	e->delayed = delayed_orders_new();
 	e->unload = g_ptr_array_new_with_free_func(g_free);
-	e->needs = g_array_new(FALSE, TRUE, sizeof(struct need));
-	g_array_set_clear_func(e->needs, need_clear);
-	e->uses = g_array_new(FALSE, TRUE, sizeof(struct use));
-	g_array_set_clear_func(e->uses, use_clear);
+	e->requests = g_array_new(FALSE, TRUE, sizeof(struct adapter_request));
+	g_array_set_clear_func(e->requests, adapter_request_clear);
+	e->uses = g_array_new(FALSE, TRUE, sizeof(struct adapter_use));
+	g_array_set_clear_func(e->uses, adapter_use_clear);
 	return e;
 }
 
-static void out_clear(struct order_out *o)
+static void pending_order_clear(struct pending_order *o)
 {
 	g_free(o->model);
 	g_free(o->adapter);
@@ -99,13 +103,13 @@
 {
 	if (!e)
 		return;
-	out_clear(&e->out);
-	late_free(e->late);
-	fleet_incarnation_clear(&e->self);
+	pending_order_clear(&e->pending);
+	delayed_orders_free(e->delayed);
+	fleet_incarnation_clear(&e->incarnation);
 	g_free(e->holder);
 	g_free(e->load);
 	g_ptr_array_unref(e->unload);
-	g_array_unref(e->needs);
+	g_array_unref(e->requests);
 	g_array_unref(e->uses);
 	g_free(e);
 }
@@ -117,24 +121,26 @@
 
 bool engine_asking(const struct engine *e)
 {
-	return e->asking;
+	return e->order_pending;
 }
 
 bool engine_busy(const struct engine *e)
 {
-	return e->on || e->asking || e->stale || e->needs->len > 0;
+	return e->step_active || e->order_pending || e->report_stale ||
+	       e->requests->len > 0;
 }
 
 static void end_step(struct engine *e, int code, const char *text, int64_t now)
 {
-	e->on = false;
+	e->step_active = false;
 	g_ptr_array_set_size(e->unload, 0);
 	g_clear_pointer(&e->load, g_free);
 	e->o.ops->step_done(e->o.arg, e->step_fence, e->step, code, text,
 			    now - e->begun_ms);
 }
 
-static const struct fleet_held *held(const struct engine *e, const char *model)
+static const struct fleet_held *find_held(const struct engine *e,
+					  const char *model)
 {
 	for (guint i = 0; e->report && i < e->report->held->len; i++) {
 		const struct fleet_held *h =
@@ -152,8 +158,8 @@
 						     g_str_equal, NULL);
 }
 
-static bool is_pending(const struct engine *e, const char *model,
-		       const char *adapter)
+static bool is_adapter_loading(const struct engine *e, const char *model,
+			       const char *adapter)
 {
 	const GPtrArray *list = e->report->loading_adapters;
 	size_t n = strlen(model);
@@ -180,7 +186,7 @@
 	return n;
 }
 
-/* Of a model, or of an adapter of it; 0 where the model isn't known. */
+/* Size of a model, or of one of its adapters; 0 if the model is unknown. */
 static double size_mb(const struct engine *e, const char *model,
 		      const char *adapter)
 {
@@ -192,12 +198,12 @@
 }
 
 /*
- * Memory in use by the report; negative where a size isn't known, and then
+ * Memory in use according to the report. Negative if a size is unknown: then
  * nothing can be loaded safely.
  */
 static double used_mb(const struct engine *e)
 {
-	const GPtrArray *pending = e->report->loading_adapters;
+	const GPtrArray *loading = e->report->loading_adapters;
 	double sum = 0;
 
 	for (guint i = 0; i < e->report->held->len; i++) {
@@ -210,8 +216,8 @@
 			return -1;
 		sum += m->weights_mb + m->adapter_mb * h->adapters->len;
 	}
-	for (guint i = 0; pending && i < pending->len; i++) {
-		char *model = g_strdup(pending->pdata[i]);
+	for (guint i = 0; loading && i < loading->len; i++) {
+		char *model = g_strdup(loading->pdata[i]);
 		char *slash = strchr(model, '/');
 
 		if (slash)
@@ -222,25 +228,26 @@
 	return sum;
 }
 
-/* Room for it beside what is held and what may still be carried out. */
+/* There is memory for a model or adapter beside what is held and what delayed
+ * orders may still load. */
 static bool fits(const struct engine *e, const char *model, const char *adapter,
 		 int64_t now)
 {
-	struct late_room late =
-		late_room(e->late, e->report, model, adapter, now);
+	struct delayed_room delayed =
+		delayed_orders_room(e->delayed, e->report, model, adapter, now);
 	double used = used_mb(e);
 
 	if (used < 0 || !routing_model(e->service, model))
 		return false;
-	if (adapter && adapter_count(e) + late.adapters >=
+	if (adapter && adapter_count(e) + delayed.adapters >=
 			       (size_t)e->service->adapter_slots)
 		return false;
-	return used + late.mb + size_mb(e, model, adapter) <=
+	return used + delayed.mb + size_mb(e, model, adapter) <=
 	       e->service->weights_mb;
 }
 
-static void order(struct engine *e, bool load, const char *model,
-		  const char *adapter)
+static void send_order(struct engine *e, bool load, const char *model,
+		       const char *adapter)
 {
 	struct fleet_order o = { .load = load,
 				 .model = model,
@@ -249,13 +256,13 @@
 				 .holder = e->holder,
 				 .fence = e->fence };
 
-	e->asking = true;
-	out_clear(&e->out);
-	e->out = (struct order_out){ .load = load,
-				     .model = g_strdup(model),
-				     .adapter = g_strdup(adapter),
-				     .expect = o.expect,
-				     .mb = size_mb(e, model, adapter) };
+	e->order_pending = true;
+	pending_order_clear(&e->pending);
+	e->pending = (struct pending_order){ .load = load,
+					     .model = g_strdup(model),
+					     .adapter = g_strdup(adapter),
+					     .expect = o.expect,
+					     .mb = size_mb(e, model, adapter) };
 	e->o.ops->order(e->o.arg, &o);
 }
 
@@ -263,7 +270,7 @@
 
 static void advance_load(struct engine *e, int64_t now)
 {
-	if (!e->load || held(e, e->load)) {
+	if (!e->load || find_held(e, e->load)) {
 		end_step(e, 0, "", now);
 		return;
 	}
@@ -271,7 +278,7 @@
 		e->progress_ms = now;
 		return;
 	}
-	if (e->load_taken) {
+	if (e->load_accepted) {
 		end_step(e, SS_ERROR_ENDPOINT,
 			 "the load ended, and the model isn't there", now);
 		return;
@@ -283,39 +290,40 @@
 			 now);
 		return;
 	}
-	order(e, true, e->load, NULL);
+	send_order(e, true, e->load, NULL);
 }
 
 static void advance_step(struct engine *e, int64_t now)
 {
-	while (e->unload->len && !held(e, e->unload->pdata[0])) {
+	while (e->unload->len && !find_held(e, e->unload->pdata[0])) {
 		g_ptr_array_remove_index(e->unload, 0);
 		e->progress_ms = now;
 	}
-	if (now - e->progress_ms > ENGINE_STUCK_MS)
+	if (now - e->progress_ms > ENGINE_STEP_STALL_MS)
 		end_step(e, SS_ERROR_DEADLINE, "no progress", now);
 	else if (!e->unload->len)
 		advance_load(e, now);
 	else if (!e->report->busy)
-		order(e, false, e->unload->pdata[0], NULL);
+		send_order(e, false, e->unload->pdata[0], NULL);
 }
 
 /* Adapters. */
 
-static void note_use(struct engine *e, const char *model, const char *adapter,
-		     int64_t now)
+static void record_use(struct engine *e, const char *model, const char *adapter,
+		       int64_t now)
 {
-	struct use u = { NULL, NULL, now };
+	struct adapter_use u = { NULL, NULL, now };
 
 	for (guint i = 0; i < e->uses->len; i++) {
-		struct use *at = &g_array_index(e->uses, struct use, i);
+		struct adapter_use *at =
+			&g_array_index(e->uses, struct adapter_use, i);
 
 		if (strcmp(at->model, model) || strcmp(at->adapter, adapter))
 			continue;
 		at->at_ms = now;
 		return;
 	}
-	if (e->uses->len == USES_MAX)
+	if (e->uses->len == ADAPTER_USES_MAX)
 		g_array_remove_index(e->uses, 0);
 	u.model = g_strdup(model);
 	u.adapter = g_strdup(adapter);
@@ -326,7 +334,8 @@
 			const char *adapter)
 {
 	for (guint i = 0; i < e->uses->len; i++) {
-		const struct use *at = &g_array_index(e->uses, struct use, i);
+		const struct adapter_use *at =
+			&g_array_index(e->uses, struct adapter_use, i);
 
 		if (!strcmp(at->model, model) && !strcmp(at->adapter, adapter))
 			return at->at_ms;
@@ -334,20 +343,21 @@
 	return INT64_MIN;
 }
 
-static bool is_needed(const struct engine *e, const char *model,
-		      const char *adapter)
+static bool is_requested(const struct engine *e, const char *model,
+			 const char *adapter)
 {
-	for (guint i = 0; i < e->needs->len; i++) {
-		const struct need *n = &g_array_index(e->needs, struct need, i);
+	for (guint i = 0; i < e->requests->len; i++) {
+		const struct adapter_request *r =
+			&g_array_index(e->requests, struct adapter_request, i);
 
-		if (!strcmp(n->model, model) && !strcmp(n->adapter, adapter))
+		if (!strcmp(r->model, model) && !strcmp(r->adapter, adapter))
 			return true;
 	}
 	return false;
 }
 
-/* Unload the adapter that wasn't asked for the longest. */
-static bool drop_adapter(struct engine *e)
+/* Unload the least recently used adapter that no call waits for. */
+static bool unload_oldest_adapter(struct engine *e)
 {
 	const char *model = NULL, *adapter = NULL;
 	int64_t oldest = INT64_MAX;
@@ -361,7 +371,7 @@
 				last_use(e, h->model, h->adapters->pdata[k]);
 
 			if (at >= oldest ||
-			    is_needed(e, h->model, h->adapters->pdata[k]))
+			    is_requested(e, h->model, h->adapters->pdata[k]))
 				continue;
 			oldest = at;
 			model = h->model;
@@ -369,85 +379,93 @@
 		}
 	}
 	if (model)
-		order(e, false, model, adapter);
+		send_order(e, false, model, adapter);
 	return model != NULL;
 }
 
-static void end_need(struct engine *e, guint i, int code, const char *text)
+static void end_request(struct engine *e, guint i, int code, const char *text)
 {
-	uint64_t ticket = g_array_index(e->needs, struct need, i).ticket;
+	uint64_t ticket =
+		g_array_index(e->requests, struct adapter_request, i).ticket;
 
-	g_array_remove_index(e->needs, i);
+	g_array_remove_index(e->requests, i);
 	e->o.ops->adapter_done(e->o.arg, ticket, code, text);
 }
 
-/* True where it has ended, one way or the other. */
-static bool settle_need(struct engine *e, guint i, int64_t now)
+/* End a request that succeeded, expired or can't succeed; true if it ended. */
+static bool finish_request(struct engine *e, guint i, int64_t now)
 {
-	const struct need *n = &g_array_index(e->needs, struct need, i);
-	const struct fleet_held *h = e->report ? held(e, n->model) : NULL;
+	const struct adapter_request *r =
+		&g_array_index(e->requests, struct adapter_request, i);
+	const struct fleet_held *h = e->report ? find_held(e, r->model) : NULL;
 
-	if (has_adapter(h, n->adapter))
-		end_need(e, i, 0, "");
-	else if (now >= n->until_ms)
-		end_need(e, i, SS_ERROR_DEADLINE, "not loaded in time");
+	if (has_adapter(h, r->adapter))
+		end_request(e, i, 0, "");
+	else if (now >= r->until_ms)
+		end_request(e, i, SS_ERROR_DEADLINE, "not loaded in time");
 	else if (e->report && !h &&
-		 !(e->on && e->load && !strcmp(e->load, n->model)))
-		end_need(e, i, SS_ERROR_UNKNOWN_MODEL,
-			 "its model isn't held here");
+		 !(e->step_active && e->load && !strcmp(e->load, r->model)))
+		end_request(e, i, SS_ERROR_UNKNOWN_MODEL,
+			    "its model isn't held here");
 	else
 		return false;
 	return true;
 }
 
-static bool leaves(const struct engine *e, const char *model)
+static bool is_being_unloaded(const struct engine *e, const char *model)
 {
 	return g_ptr_array_find_with_equal_func(e->unload, model, g_str_equal,
 						NULL);
 }
 
-/* True where an order was given. */
-static bool advance_need(struct engine *e, const struct need *n, int64_t now)
+/* True if an order was sent. */
+static bool advance_request(struct engine *e, const struct adapter_request *r,
+			    int64_t now)
 {
-	if (!held(e, n->model) || leaves(e, n->model) ||
-	    is_pending(e, n->model, n->adapter))
+	if (!find_held(e, r->model) || is_being_unloaded(e, r->model) ||
+	    is_adapter_loading(e, r->model, r->adapter))
 		return false;
-	if (!fits(e, n->model, n->adapter, now))
-		return drop_adapter(e);
-	order(e, true, n->model, n->adapter);
+	if (!fits(e, r->model, r->adapter, now))
+		return unload_oldest_adapter(e);
+	send_order(e, true, r->model, r->adapter);
 	return true;
 }
 
 static void advance(struct engine *e, int64_t now)
 {
-	for (guint i = e->needs->len; i-- > 0;)
-		settle_need(e, i, now);
-	if (e->asking || e->stale || !e->report || !e->service ||
-	    now < e->quiet_ms || !e->fence || e->fenced >= e->fence)
+	for (guint i = e->requests->len; i-- > 0;)
+		finish_request(e, i, now);
+	if (e->order_pending || e->report_stale || !e->report || !e->service ||
+	    now < e->hold_until_ms || !e->fence || e->refused_fence >= e->fence)
 		return;
-	/* While a model loads or leaves, adapters are refused. */
-	for (guint i = 0; i < e->needs->len && !e->asking && !e->report->busy;
-	     i++)
-		advance_need(e, &g_array_index(e->needs, struct need, i), now);
-	if (e->on && !e->asking)
+	/* The engine refuses adapters while it loads or unloads a model. */
+	for (guint i = 0;
+	     i < e->requests->len && !e->order_pending && !e->report->busy; i++)
+		advance_request(e,
+				&g_array_index(e->requests,
+					       struct adapter_request, i),
+				now);
+	if (e->step_active && !e->order_pending)
 		advance_step(e, now);
 }
 
 /*
- * Nothing that was ordered counts, and what the step was planned on is gone.
- * What may yet be carried out of it is remembered.
+ * Orders accepted before the restart had no lasting effect, and the state that
+ * the step was planned on is gone. Orders that may still be carried out are
+ * kept as delayed orders.
  */
-static void restarted(struct engine *e, const struct fleet_report *r,
-		      int64_t now)
-{
-	e->fenced = 0;
-	e->due = 0;
-	e->out.former = e->asking;
-	if (fleet_other_id(&e->self, &r->self))
-		late_forget(e->late);
+static void handle_restart(struct engine *e, const struct fleet_report *r,
+			   int64_t now)
+{
+	e->refused_fence = 0;
+	e->expected_orders = 0;
+	e->pending.prior_incarnation = e->order_pending;
+	if (fleet_other_id(&e->incarnation, &r->self))
+		delayed_orders_clear(e->delayed);
 	else
-		late_restarted(e->late);
-	if (e->on && !(e->planned_ms && e->planned_ms == r->self.started_ms))
+		delayed_orders_restarted(e->delayed);
+	if (e->step_active &&
+	    !(e->step_started_ms && e->step_started_ms == r->self.started_ms))
 		end_step(e, SS_ERROR_UNAVAILABLE, "the engine has restarted",
 			 now);
 }
@@ -460,48 +478,49 @@
 
 void engine_report(struct engine *e, const struct fleet_report *r, int64_t now)
 {
-	switch (fleet_report_judge(&e->self, e->orders, r)) {
+	switch (fleet_report_judge(&e->incarnation, e->orders, r)) {
 	case FLEET_LATE:
 		return;
 	case FLEET_RESTARTED:
 		e->report = r;
-		restarted(e, r, now);
+		handle_restart(e, r, now);
 		break;
 	case FLEET_SAME:
 		break;
 	}
-	fleet_incarnation_learn(&e->self, &r->self);
+	fleet_incarnation_learn(&e->incarnation, &r->self);
 	e->orders = r->orders;
 	e->report = r;
-	/* It says nothing of the order: read from afar, a report may be of
-	 * before, and the load would pass for ended. */
-	if (r->orders < e->due && now < e->due_ms)
+	/* The report predates the accepted order, as it may where the engine is
+	 * read remotely; it would make the load look finished. */
+	if (r->orders < e->expected_orders && now < e->expected_until_ms)
 		return;
-	e->stale = false;
+	e->report_stale = false;
 	advance(e, now);
 }
 
 void engine_lost(struct engine *e, int64_t now)
 {
 	e->report = NULL;
-	if (e->on)
+	if (e->step_active)
 		end_step(e, SS_ERROR_UNAVAILABLE, "the engine can't be read",
 			 now);
 	advance(e, now);
 }
 
-/* The leader planned it on a report of an earlier incarnation. One for a start
- * that hasn't come here yet waits for the report. */
-static bool is_misplaced(const struct engine *e, const struct engine_step *s)
+/* The leader planned the step for an earlier incarnation. A step for one that
+ * hasn't reported here yet is accepted and waits for its report. */
+static bool is_for_earlier_start(const struct engine *e,
+				 const struct engine_step *s)
 {
 	struct fleet_incarnation planned = { .started_ms = s->started_ms };
 
-	return fleet_incarnation_judge(&e->self, &planned) == FLEET_LATE;
+	return fleet_incarnation_judge(&e->incarnation, &planned) == FLEET_LATE;
 }
 
 void engine_step(struct engine *e, const struct engine_step *s, int64_t now)
 {
-	if (is_misplaced(e, s)) {
+	if (is_for_earlier_start(e, s)) {
 		e->o.ops->step_done(e->o.arg, s->fence, s->step,
 				    SS_ERROR_UNAVAILABLE,
 				    "it is for an earlier start of the engine",
@@ -516,19 +535,19 @@
 				    0);
 		return;
 	}
-	if (e->on) {
+	if (e->step_active) {
 		e->o.ops->step_done(e->o.arg, s->fence, s->step,
 				    SS_ERROR_OVERLOAD,
 				    "another step is under way", 0);
 		return;
 	}
 	e->fence = s->fence;
-	e->on = true;
+	e->step_active = true;
 	e->step_fence = s->fence;
 	e->step = s->step;
-	e->planned_ms = s->started_ms;
+	e->step_started_ms = s->started_ms;
 	e->begun_ms = e->progress_ms = now;
-	e->load_taken = false;
+	e->load_accepted = false;
 	for (size_t i = 0; i < s->n_unload; i++)
 		g_ptr_array_add(e->unload, ss_str_dup(s->unload[i]));
 	e->load = s->load.n ? ss_str_dup(s->load) : NULL;
@@ -538,62 +557,64 @@
 void engine_need_adapter(struct engine *e, uint64_t ticket, struct ss_str model,
 			 struct ss_str adapter, int64_t until_ms, int64_t now)
 {
-	struct need n = { .ticket = ticket,
-			  .model = ss_str_dup(model),
-			  .adapter = ss_str_dup(adapter),
-			  .until_ms = until_ms };
+	struct adapter_request r = { .ticket = ticket,
+				     .model = ss_str_dup(model),
+				     .adapter = ss_str_dup(adapter),
+				     .until_ms = until_ms };
 
-	note_use(e, n.model, n.adapter, now);
-	g_array_append_val(e->needs, n);
+	record_use(e, r.model, r.adapter, now);
+	g_array_append_val(e->requests, r);
 	advance(e, now);
 }
 
-/* A load without a clear answer may yet be carried out. */
-static void remember_late(struct engine *e, int64_t now)
+/* A load without a clear answer may still be carried out. */
+static void record_delayed(struct engine *e, int64_t now)
 {
-	const struct order_out *out = &e->out;
-	struct fleet_order o = { .model = out->model,
-				 .adapter = out->adapter,
-				 .expect = out->expect };
+	const struct pending_order *p = &e->pending;
+	struct fleet_order o = { .model = p->model,
+				 .adapter = p->adapter,
+				 .expect = p->expect };
 
-	if (out->load)
-		late_add(e->late, &o, out->mb, out->former, now);
+	if (p->load)
+		delayed_orders_add(e->delayed, &o, p->mb, p->prior_incarnation,
+				   now);
 }
 
 void engine_answered(struct engine *e, enum fleet_order_answer a, int64_t now)
 {
-	bool load = e->out.load && !e->out.adapter && !e->out.former;
+	bool load = e->pending.load && !e->pending.adapter &&
+		    !e->pending.prior_incarnation;
 
-	e->asking = false;
-	e->stale = true;
-	if (a == FLEET_ORDER_TAKEN && !e->out.former) {
-		e->due = e->out.expect + 1;
-		e->due_ms = now + ENGINE_LAG_MS;
+	e->order_pending = false;
+	e->report_stale = true;
+	if (a == FLEET_ORDER_TAKEN && !e->pending.prior_incarnation) {
+		e->expected_orders = e->pending.expect + 1;
+		e->expected_until_ms = now + ENGINE_REPORT_LAG_MS;
 	}
 	switch (a) {
 	case FLEET_ORDER_TAKEN:
 	case FLEET_ORDER_HOLDS:
 		e->progress_ms = now;
-		e->load_taken |= load && a == FLEET_ORDER_TAKEN;
+		e->load_accepted |= load && a == FLEET_ORDER_TAKEN;
 		break;
 	case FLEET_ORDER_FENCED:
-		/* Asking again with the same number can't help. */
-		e->fenced = e->fence;
-		if (e->on)
+		/* The engine would refuse any order with this fence. */
+		e->refused_fence = e->fence;
+		if (e->step_active)
 			end_step(e, SS_ERROR_FENCED,
 				 "the engine has seen a newer order", now);
 		break;
 	case FLEET_ORDER_INVALID:
-		if (e->on)
+		if (e->step_active)
 			end_step(e, SS_ERROR_BAD_REQUEST,
 				 "the engine refused the order", now);
 		break;
 	case FLEET_ORDER_UNKNOWN:
-		remember_late(e, now);
-		e->quiet_ms = now + ENGINE_SETTLE_MS;
+		record_delayed(e, now);
+		e->hold_until_ms = now + ENGINE_SETTLE_MS;
 		break;
 	case FLEET_ORDER_MISPLACED:
-		e->quiet_ms = now + ENGINE_SETTLE_MS;
+		e->hold_until_ms = now + ENGINE_SETTLE_MS;
 		break;
 	case FLEET_ORDER_BUSY:
 		break;
@@ -602,7 +623,7 @@
 
 void engine_tick(struct engine *e, int64_t now)
 {
-	if (e->on && now - e->progress_ms > ENGINE_STUCK_MS)
+	if (e->step_active && now - e->progress_ms > ENGINE_STEP_STALL_MS)
 		end_step(e, SS_ERROR_DEADLINE, "no progress", now);
 	advance(e, now);
 }
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -1,4 +1,5 @@
-/* Orders to an engine: one at a time, by its reports, within its memory. */
+/* Orders to one engine: one at a time, based on its reports, within its
+ * memory. */
 #include "unit.h"
 
 #include "../src/core/engine.h"
@@ -7,12 +8,12 @@
 struct fix {
 	struct engine *e;
 	struct routing_service *service;
-	GString *out; /* what was ordered and answered, in order */
+	GString *out; /* orders sent and results reported, in sequence */
 	struct fleet_report reports[2];
 	int at;
-	const char *id; /* of the incarnation that reports */
+	const char *id; /* of the reporting incarnation */
 	int64_t started_ms;
-	int64_t planned_ms; /* start that steps are planned for; 0: any */
+	int64_t planned_ms; /* start of the incarnation of steps; 0: any */
 	int64_t now;
 };
 
@@ -75,7 +76,7 @@
 	return s;
 }
 
-/* An agent that has just started: no leader has told its term. */
+/* An agent that has just started: it knows no leader's term. */
 static void fix_open_fresh(struct fix *f)
 {
 	struct engine_options o = { .holder = "vm-1", .ops = &ops, .arg = f };
@@ -104,7 +105,8 @@
 	g_string_free(f->out, TRUE);
 }
 
-/* held: "big,small/a1/a2"; busy by a trailing "!". */
+/* held: models with their adapters, as "big,small/a1/a2"; a trailing "!" means
+ * busy. */
 static void report(struct fix *f, uint64_t orders, const char *held)
 {
 	struct fleet_report *r = &f->reports[f->at ^= 1];
@@ -179,12 +181,12 @@
 }
 
 /*
- * Symptom: half of the loads of an engine without an agent beside it fail,
- * though the models are there a moment later. Sequence: an order is taken; a
- * report that was made before comes after. Cause: it shows no load under way
- * and no model, so the load passed for ended.
+ * A report made before an order was accepted may arrive after its answer. It
+ * shows neither the model nor a load in progress, and must not make the load
+ * look failed: half of the loads of an engine without an agent beside it failed
+ * this way, though the models were loaded a moment later.
  */
-static void report_of_before_an_order_says_nothing(void **state)
+static void report_older_than_an_order_is_ignored(void **state)
 {
 	struct fix f;
 
@@ -201,23 +203,24 @@
 	expect(&f, "");
 	report(&f, 4, "other,small");
 	expect(&f, "step 1 ok;");
-	/* One that never counts it doesn't hold up the next for ever. */
+	/* Reports that never count the order block the next one only for
+	 * ENGINE_REPORT_LAG_MS. */
 	engine_need_adapter(f.e, 1, SS_LIT("other"), SS_LIT("a1"), f.now + 5000,
 			    f.now);
 	expect(&f, "load other/a1 @4 #7;");
 	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
-	f.now += ENGINE_LAG_MS;
+	f.now += ENGINE_REPORT_LAG_MS;
 	report(&f, 4, "other,small");
 	expect(&f, "load other/a1 @4 #7;");
 	fix_close(&f);
 }
 
 /*
- * Symptom: an engine crashes with too much in its memory. Sequence: a
- * leader decides on a report that is older than another load. Cause: only
- * the engine's newest report tells what is held.
+ * A leader may plan a load on a report older than another load. The agent
+ * refuses what doesn't fit by the newest report, or the engine would run out of
+ * memory and crash.
  */
-static void never_more_than_fits(void **state)
+static void load_that_does_not_fit_is_refused(void **state)
 {
 	struct fix f;
 
@@ -230,10 +233,9 @@
 }
 
 /*
- * Symptom: an engine does what was ordered seconds ago, against newer
- * orders. Sequence: an order gets no answer; it may be carried out later.
- * Cause: no answer is no refusal. The same count is expected again, so that
- * at most one of the two is carried out, and not before the first settled.
+ * An order without an answer isn't refused: the engine may carry it out seconds
+ * later, against newer orders. The next order waits for ENGINE_SETTLE_MS and
+ * expects the same count, so that at most one of the two is carried out.
  */
 static void unanswered_order_settles_first(void **state)
 {
@@ -257,7 +259,7 @@
 	fix_close(&f);
 }
 
-static void old_leaders_are_refused(void **state)
+static void steps_of_old_leaders_are_refused(void **state)
 {
 	struct fix f;
 
@@ -271,8 +273,8 @@
 	fix_close(&f);
 }
 
-/* After the engine refused a fence, nothing is ordered with it again. */
-static void refused_fence_isnt_used_again(void **state)
+/* No order is sent with a fence that the engine has refused. */
+static void refused_fence_is_not_used_again(void **state)
 {
 	struct engine_step newer = { .fence = 12, .step = 1 };
 	struct fix f;
@@ -292,9 +294,9 @@
 }
 
 /*
- * Symptom: thousands of refused orders, and no adapter. Sequence: a call
- * needs an adapter while a model is being loaded. Cause: an engine takes no
- * other order meanwhile; asking again at each report can't help.
+ * An engine accepts no adapter while it loads a model. Orders sent at each
+ * report in that time were refused by the thousand, and the adapter was never
+ * loaded.
  */
 static void adapters_wait_for_a_busy_engine(void **state)
 {
@@ -315,7 +317,7 @@
 	fix_close(&f);
 }
 
-static void least_used_adapter_leaves(void **state)
+static void least_recently_used_adapter_is_unloaded(void **state)
 {
 	struct fix f;
 
@@ -334,7 +336,7 @@
 	fix_close(&f);
 }
 
-static void adapter_comes_in_time_or_is_refused(void **state)
+static void adapter_request_expires_or_is_refused(void **state)
 {
 	struct fix f;
 
@@ -352,7 +354,7 @@
 	fix_close(&f);
 }
 
-static void lost_engine_ends_the_step(void **state)
+static void unreadable_engine_aborts_the_step(void **state)
 {
 	struct fix f;
 
@@ -364,7 +366,7 @@
 	engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
 	engine_lost(f.e, f.now);
 	expect(&f, "step 5 unavailable;");
-	/* It comes back empty, and can be given another. */
+	/* The engine is back with no models and accepts another step. */
 	f.now += ENGINE_SETTLE_MS;
 	report(&f, 0, "");
 	step(&f, 3, 6, "", "big");
@@ -373,12 +375,11 @@
 }
 
 /*
- * Symptom: a step ends as failed by its endpoint, or goes on with a plan that
- * no longer holds. Sequence: a load is being carried out; the engine restarts
- * under its id and has taken no order since. Cause: a count that isn't lower
- * than before passed for the same incarnation.
+ * The engine restarts under its id during a load. Its order count isn't lower
+ * than before, so only the start time shows the restart. Without it, the step
+ * ended as failed by the endpoint, or continued with an outdated plan.
  */
-static void restart_ends_the_step(void **state)
+static void restart_aborts_the_step(void **state)
 {
 	struct fix f;
 
@@ -399,11 +400,10 @@
 }
 
 /*
- * Symptom: no order until the next change of leader. Sequence: the engine
- * refuses the fence, restarts under its id, and has forgotten fences. Cause:
- * what it refused before outlives it here.
+ * An engine that restarts under its id has forgotten fences. If the agent kept
+ * the refused fence, it would order nothing until the next change of leader.
  */
-static void restart_forgets_the_refused_fence(void **state)
+static void restart_clears_the_refused_fence(void **state)
 {
 	struct fix f;
 
@@ -421,8 +421,8 @@
 	fix_close(&f);
 }
 
-/* An adapter asked for: its model went with the restart, and it says so. */
-static void restart_ends_the_wait_for_an_adapter(void **state)
+/* The model of the requested adapter is lost with the restart. */
+static void restart_ends_an_adapter_request(void **state)
 {
 	struct fix f;
 
@@ -441,11 +441,11 @@
 }
 
 /*
- * Symptom: a load is refused for want of memory that is free. Sequence: the
- * engine restarts; a report of its former life arrives after one of the new.
- * Cause: the higher count passed for the newer report.
+ * After a restart, a report of the earlier incarnation arrives with a higher
+ * order count. If it passed for the newer report, a load would be refused for
+ * lack of memory that is free.
  */
-static void late_report_changes_nothing(void **state)
+static void report_of_an_earlier_incarnation_is_ignored(void **state)
 {
 	struct fix f;
 
@@ -462,11 +462,11 @@
 }
 
 /*
- * Symptom: an engine that has just restarted loads what nobody wants there.
- * Sequence: a leader plans on a report; the engine restarts; the step comes.
- * Cause: a step that doesn't say for which incarnation it is.
+ * The engine restarts between the leader's plan and the arrival of the step.
+ * A step that names no incarnation would load a model that isn't wanted there
+ * any more.
  */
-static void step_for_a_former_life_is_refused(void **state)
+static void step_for_an_earlier_incarnation_is_refused(void **state)
 {
 	struct fix f;
 
@@ -484,12 +484,11 @@
 }
 
 /*
- * Symptom: an engine that has just restarted isn't given the model that is
- * waited for until seconds later. Sequence: the agent tells the new start
- * before it has asked for the id; the leader's next step is there first.
- * Cause: a step for the new start passed for one of another engine.
+ * The agent reports the new start before it has looked up the engine's id, and
+ * the leader's next step arrives before that. If the step were refused as one
+ * for another engine, a model that callers wait for would load seconds later.
  */
-static void step_for_a_start_not_yet_known_waits(void **state)
+static void step_for_a_start_not_yet_reported_waits(void **state)
 {
 	struct fix f;
 
@@ -507,45 +506,45 @@
 	fix_close(&f);
 }
 
-struct late_case {
+struct delayed_case {
 	const char *label;
-	const char *lost; /* its load @3 got no answer */
-	const char *id;	  /* after the restart */
-	int64_t pass_ms;
+	const char *lost;   /* model whose load @3 got no answer */
+	const char *id;	    /* after the restart */
+	int64_t elapsed_ms; /* since the restart, beyond ENGINE_SETTLE_MS */
 	uint64_t orders;
 	const char *held, *load, *want;
 };
 
-static const struct late_case late_cases[] = {
-	{ "it may still come", "small", "i-1", 0, 1, "big", "other",
+static const struct delayed_case delayed_cases[] = {
+	{ "it may still be carried out", "small", "i-1", 0, 1, "big", "other",
 	  "step 2 no_memory;" },
-	{ "its time is over", "small", "i-1", LATE_ORDER_MS, 1, "big", "other",
-	  "load other @1 #7;" },
+	{ "its time has expired", "small", "i-1", ORDER_DELAY_MAX_MS, 1, "big",
+	  "other", "load other @1 #7;" },
 	{ "it names another id", "small", "i-2", 0, 1, "big", "other",
 	  "load other @1 #7;" },
 	{ "its count has passed", "small", "i-1", 0, 4, "big", "other",
 	  "load other @4 #7;" },
-	{ "only one of both can come now", "small", "i-1", 0, 3, "big", "other",
-	  "load other @3 #7;" },
-	{ "it is the same", "other", "i-1", 0, 1, "big", "other",
+	{ "only one of both can be accepted now", "small", "i-1", 0, 3, "big",
+	  "other", "load other @3 #7;" },
+	{ "it loads the same model", "other", "i-1", 0, 1, "big", "other",
 	  "load other @1 #7;" },
-	{ "it holds already", "other", "i-1", 0, 2, "other", "big",
+	{ "its model is held already", "other", "i-1", 0, 2, "other", "big",
 	  "load big @2 #7;" },
 	{ "both fit", "small", "i-1", 0, 1, "big", "small",
 	  "load small @1 #7;" },
 };
 
 /*
- * Symptom: an engine is ordered to hold more than fits, and crashes.
- * Sequence: a load gets no answer; the engine restarts under its id and is
- * filled anew; the load is carried out seconds later, when the new count has
- * reached what it expects. Cause: the id and the count named no incarnation.
+ * A load gets no answer, the engine restarts under its id and loads other
+ * models. The id and the order count don't identify an incarnation, so the load
+ * is carried out seconds later, once the new count reaches the one it expects.
+ * Without memory kept free for it, the engine holds more than fits and crashes.
  */
-static void late_order_of_a_former_life_has_room(void **state)
+static void delayed_load_keeps_its_memory_free(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(late_cases); i++) {
-		const struct late_case *c = &late_cases[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(delayed_cases); i++) {
+		const struct delayed_case *c = &delayed_cases[i];
 		struct fix f;
 
 		fix_open(&f);
@@ -556,7 +555,7 @@
 		f.started_ms = 200;
 		f.id = c->id;
 		report(&f, 0, "");
-		f.now += ENGINE_SETTLE_MS + c->pass_ms;
+		f.now += ENGINE_SETTLE_MS + c->elapsed_ms;
 		report(&f, c->orders, c->held);
 		g_string_truncate(f.out, 0);
 		step(&f, 7, 2, "", c->load);
@@ -566,8 +565,8 @@
 	}
 }
 
-/* The same for adapters: the engine has two slots for them. */
-static void late_adapter_of_a_former_life_has_room(void **state)
+/* The same for an adapter: the engine has two adapter slots. */
+static void delayed_adapter_load_keeps_its_slot_free(void **state)
 {
 	struct fix f;
 
@@ -590,11 +589,11 @@
 }
 
 /*
- * Symptom: as above. Sequence: the engine restarts while the order is out;
- * its report comes before it is known that no answer will. Cause: the order
- * counted as one of the new life.
+ * The engine restarts while an order is pending, and its report arrives before
+ * the order times out. The order must count as one to the earlier incarnation,
+ * or its memory isn't kept free.
  */
-static void order_out_during_a_restart_has_room(void **state)
+static void order_pending_at_a_restart_keeps_its_memory_free(void **state)
 {
 	struct fix f;
 
@@ -615,12 +614,10 @@
 }
 
 /*
- * Symptom: an engine sees a lower fence after a higher one; one that checks
- * fences refuses what callers need, one that doesn't may be ordered by two
- * leaders' steps in the wrong order. Sequence: an agent has ordered with fence
- * 3, ends and starts again; a call needs an adapter before any leader has told
- * its term; the agent orders with fence 1, then with 3. Cause: a process that
- * had just started took the smallest fence for one that it knew.
+ * An agent that has ordered with fence 3 restarts, and a call needs an adapter
+ * before any leader has sent its term. If the agent then orders with fence 1,
+ * an engine that checks fences refuses what callers need, and one that doesn't
+ * may carry out the steps of two leaders in the wrong order.
  */
 static void fresh_agent_waits_for_a_term(void **state)
 {
@@ -636,7 +633,7 @@
 	expect(&f, "step 1 fenced;");
 	engine_term(f.e, 3, f.now);
 	expect(&f, "load big/a1 @4 #3;");
-	/* The word of an earlier leader, held up by a link. */
+	/* The term of an earlier leader, delayed on a link. */
 	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	engine_term(f.e, 2, f.now);
 	report(&f, 5, "big/a1");
@@ -645,8 +642,8 @@
 	fix_close(&f);
 }
 
-/* One who waits is told in time that nothing came, leader or not. */
-static void need_ends_without_a_term(void **state)
+/* A waiting call gets its error at the deadline, with or without a leader. */
+static void adapter_request_expires_without_a_term(void **state)
 {
 	struct fix f;
 
@@ -665,26 +662,27 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(unloads_before_it_loads),
-		cmocka_unit_test(report_of_before_an_order_says_nothing),
-		cmocka_unit_test(never_more_than_fits),
+		cmocka_unit_test(report_older_than_an_order_is_ignored),
+		cmocka_unit_test(load_that_does_not_fit_is_refused),
 		cmocka_unit_test(unanswered_order_settles_first),
-		cmocka_unit_test(old_leaders_are_refused),
-		cmocka_unit_test(refused_fence_isnt_used_again),
+		cmocka_unit_test(steps_of_old_leaders_are_refused),
+		cmocka_unit_test(refused_fence_is_not_used_again),
 		cmocka_unit_test(adapters_wait_for_a_busy_engine),
-		cmocka_unit_test(least_used_adapter_leaves),
-		cmocka_unit_test(adapter_comes_in_time_or_is_refused),
-		cmocka_unit_test(lost_engine_ends_the_step),
-		cmocka_unit_test(restart_ends_the_step),
-		cmocka_unit_test(restart_forgets_the_refused_fence),
-		cmocka_unit_test(restart_ends_the_wait_for_an_adapter),
-		cmocka_unit_test(late_report_changes_nothing),
-		cmocka_unit_test(step_for_a_former_life_is_refused),
-		cmocka_unit_test(step_for_a_start_not_yet_known_waits),
-		cmocka_unit_test(late_order_of_a_former_life_has_room),
-		cmocka_unit_test(late_adapter_of_a_former_life_has_room),
-		cmocka_unit_test(order_out_during_a_restart_has_room),
+		cmocka_unit_test(least_recently_used_adapter_is_unloaded),
+		cmocka_unit_test(adapter_request_expires_or_is_refused),
+		cmocka_unit_test(unreadable_engine_aborts_the_step),
+		cmocka_unit_test(restart_aborts_the_step),
+		cmocka_unit_test(restart_clears_the_refused_fence),
+		cmocka_unit_test(restart_ends_an_adapter_request),
+		cmocka_unit_test(report_of_an_earlier_incarnation_is_ignored),
+		cmocka_unit_test(step_for_an_earlier_incarnation_is_refused),
+		cmocka_unit_test(step_for_a_start_not_yet_reported_waits),
+		cmocka_unit_test(delayed_load_keeps_its_memory_free),
+		cmocka_unit_test(delayed_adapter_load_keeps_its_slot_free),
+		cmocka_unit_test(
+			order_pending_at_a_restart_keeps_its_memory_free),
 		cmocka_unit_test(fresh_agent_waits_for_a_term),
-		cmocka_unit_test(need_ends_without_a_term),
+		cmocka_unit_test(adapter_request_expires_without_a_term),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
