--- a/src/core/fetch.c
+++ b/src/core/fetch.c
@@ -1,4 +1,4 @@
-/* Getting the routing from a control VM that has it. */
+/* Fetches the routing from a control VM that has it. */
 #include "fetch.h"
 
 #include "../base/log.h"
@@ -9,16 +9,16 @@
 	struct fetch_options o;
 	char *self;
 	uint64_t want, have;
-	bool asks;   /* somebody was asked and hasn't answered */
-	bool whole;  /* what came wasn't of use, so no changes are asked for */
-	guint tries; /* since the wanted version was last told */
-	int64_t next_ms; /* the next one is asked then */
+	bool request_pending;
+	bool need_full; /* changes were unusable: request a full copy */
+	guint attempts; /* since the wanted version last changed */
+	int64_t next_attempt_ms;
 };
 
-/* A control VM in the order in which this process asks them. */
+/* A control VM, sorted in the order in which this process asks them. */
 struct source {
 	const char *addr;
-	bool leads;
+	bool is_leader;
 	uint64_t rank;
 };
 
@@ -44,17 +44,17 @@
 	return f->have;
 }
 
-static gint by_rank(gconstpointer a, gconstpointer b)
+static gint compare_sources(gconstpointer a, gconstpointer b)
 {
 	const struct source *x = a, *y = b;
 
-	if (x->leads != y->leads)
-		return x->leads ? 1 : -1;
+	if (x->is_leader != y->is_leader)
+		return x->is_leader ? 1 : -1;
 	return (x->rank > y->rank) - (x->rank < y->rank);
 }
 
-/* The one to ask at the try of this number; NULL: nobody is known. */
-static char *source_at(const struct fetch *f, guint try)
+/* Address of the control VM to ask at an attempt; NULL: none is known. */
+static char *source_at(const struct fetch *f, guint attempt)
 {
 	GPtrArray *addrs = g_ptr_array_new_with_free_func(g_free);
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct source));
@@ -70,55 +70,57 @@
 
 		g_array_append_val(all, s);
 	}
-	g_array_sort(all, by_rank);
+	g_array_sort(all, compare_sources);
 	if (all->len)
 		addr = g_strdup(
-			g_array_index(all, struct source, try % all->len).addr);
+			g_array_index(all, struct source, attempt % all->len)
+				.addr);
 	g_array_unref(all);
 	g_ptr_array_unref(addrs);
 	return addr;
 }
 
-static void ask_next(struct fetch *f, int64_t now)
+static void request_next(struct fetch *f, int64_t now)
 {
-	struct msg_fetch m = { f->whole ? 0 : f->have, f->want, f->o.services };
-	char *addr = source_at(f, f->tries);
+	struct msg_fetch m = { f->need_full ? 0 : f->have, f->want,
+			       f->o.services };
+	char *addr = source_at(f, f->attempts);
 
-	f->next_ms = now + FETCH_TRY_MS;
-	f->asks = true;
+	f->next_attempt_ms = now + FETCH_TIMEOUT_MS;
+	f->request_pending = true;
 	if (!addr) {
 		fetch_failed(f, now);
 		return;
 	}
-	f->tries++;
-	f->o.ops->ask(f->o.arg, addr, &m);
+	f->attempts++;
+	f->o.ops->request(f->o.arg, addr, &m);
 	g_free(addr);
 }
 
 void fetch_want(struct fetch *f, uint64_t version, int64_t now)
 {
-	/* A leader that was replaced may still have words on their way. */
+	/* A message of a replaced leader may arrive late. */
 	if (version <= f->want)
 		return;
 	f->want = version;
-	f->tries = 0;
-	if (!f->asks && f->have < f->want)
-		ask_next(f, now);
+	f->attempts = 0;
+	if (!f->request_pending && f->have < f->want)
+		request_next(f, now);
 }
 
 void fetch_failed(struct fetch *f, int64_t now)
 {
-	if (!f->asks)
+	if (!f->request_pending)
 		return;
-	f->asks = false;
-	f->next_ms = now + FETCH_AGAIN_MS;
+	f->request_pending = false;
+	f->next_attempt_ms = now + FETCH_RETRY_MS;
 }
 
 void fetch_useless(struct fetch *f, uint64_t have, int64_t now)
 {
 	f->have = have;
-	f->whole = true;
-	f->asks = true;
+	f->need_full = true;
+	f->request_pending = true;
 	fetch_failed(f, now);
 }
 
@@ -126,14 +128,14 @@
 {
 	struct msg_fetch ack = { .services = f->o.services };
 
-	if (!f->asks || m->version <= f->have)
+	if (!f->request_pending || m->version <= f->have)
 		return;
 	if (!m->changes.n) {
-		f->next_ms = now + FETCH_TURN_MS;
+		f->next_attempt_ms = now + FETCH_QUEUED_TIMEOUT_MS;
 		return;
 	}
-	if ((m->base && (f->whole || m->base != f->have)) ||
-	    !f->o.ops->take(f->o.arg, m)) {
+	if ((m->base && (f->need_full || m->base != f->have)) ||
+	    !f->o.ops->apply(f->o.arg, m)) {
 		log_warn("routing_not_fetched",
 			 "version=%" PRIu64 " base=%" PRIu64 " held=%" PRIu64,
 			 m->version, m->base, f->have);
@@ -141,18 +143,18 @@
 		return;
 	}
 	f->have = m->version;
-	f->whole = false;
-	/* Of a newer one than was told so far the leader's word is to come. */
+	f->need_full = false;
+	/* The version may be newer than the leader has reported so far. */
 	f->want = MAX(f->want, f->have);
-	f->asks = f->have < f->want;
+	f->request_pending = f->have < f->want;
 	ack.have = f->have;
 	ack.want = f->want;
-	f->next_ms = now + FETCH_TRY_MS;
+	f->next_attempt_ms = now + FETCH_TIMEOUT_MS;
 	f->o.ops->acknowledge(f->o.arg, &ack);
 }
 
 void fetch_tick(struct fetch *f, int64_t now)
 {
-	if (f->have < f->want && now >= f->next_ms)
-		ask_next(f, now);
+	if (f->have < f->want && now >= f->next_attempt_ms)
+		request_next(f, now);
 }
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -4,28 +4,32 @@
 #include "send_window.h"
 
 struct change {
-	uint64_t base; /* the version that it was made of */
+	uint64_t base; /* version that it applies to */
 	GString *packed;
 };
 
-/* A process that was sent the routing, or waits for it. */
+/* A process that was sent the routing or waits for it. */
 struct fetcher {
 	void *peer;
 	uint64_t have, want;
-	bool services; /* no routes, and their versions */
-	bool waits, promised;
-	int64_t since_ms; /* when it asked, or was sent */
-	size_t sent;	  /* bytes that it hasn't acknowledged; 0: none */
+	bool services_only; /* no routes; versions are those of services */
+	bool waiting;	    /* in the queue */
+	/* It was sent a notice that its answer is queued. */
+	bool notified;
+	int64_t since_ms; /* when it last asked or was sent the routing */
+	size_t unacked;	  /* bytes that it hasn't acknowledged */
 };
 
 struct mirror {
 	struct mirror_options o;
-	uint64_t version, services;
-	GArray *changes;   /* struct change, each follows on the one before */
-	size_t bytes;	   /* of the changes */
-	GString *whole[2]; /* without and with routes; NULL: not yet */
-	GHashTable *peers; /* peer -> struct fetcher */
-	GQueue waits;	   /* struct fetcher, who asked first is first */
+	uint64_t version;
+	uint64_t services_version; /* in which services last changed */
+	GArray *changes; /* struct change, each based on the previous one */
+	size_t changes_bytes;
+	/* Full copies without and with routes; NULL: not packed yet. */
+	GString *full[2];
+	GHashTable *fetchers; /* peer -> struct fetcher */
+	GQueue queue; /* struct fetcher that wait, oldest request first */
 	struct send_window window;
 };
 
@@ -41,18 +45,18 @@
 	m->o = *o;
 	m->changes = g_array_new(FALSE, TRUE, sizeof(struct change));
 	g_array_set_clear_func(m->changes, change_clear);
-	m->peers = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	g_queue_init(&m->waits);
+	m->fetchers = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	g_queue_init(&m->queue);
 	send_window_init(&m->window, now);
 	return m;
 }
 
-static void drop_whole(struct mirror *m)
+static void drop_full_copies(struct mirror *m)
 {
 	for (int i = 0; i < 2; i++) {
-		if (m->whole[i])
-			g_string_free(m->whole[i], TRUE);
-		m->whole[i] = NULL;
+		if (m->full[i])
+			g_string_free(m->full[i], TRUE);
+		m->full[i] = NULL;
 	}
 }
 
@@ -60,10 +64,10 @@
 {
 	if (!m)
 		return;
-	drop_whole(m);
-	g_queue_clear(&m->waits);
+	drop_full_copies(m);
+	g_queue_clear(&m->queue);
 	g_array_unref(m->changes);
-	g_hash_table_unref(m->peers);
+	g_hash_table_unref(m->fetchers);
 	g_free(m);
 }
 
@@ -74,10 +78,10 @@
 
 size_t mirror_bytes(const struct mirror *m)
 {
-	size_t n = m->bytes;
+	size_t n = m->changes_bytes;
 
 	for (int i = 0; i < 2; i++)
-		n += m->whole[i] ? m->whole[i]->len : 0;
+		n += m->full[i] ? m->full[i]->len : 0;
 	return n;
 }
 
@@ -91,8 +95,8 @@
 	return &g_array_index(m->changes, struct change, i);
 }
 
-/* The changes since a version; all of them gone: none. */
-static guint changes_since(const struct mirror *m, uint64_t version)
+/* Number of changes since a version; 0 if they are no longer all kept. */
+static guint count_changes_since(const struct mirror *m, uint64_t version)
 {
 	for (guint i = 0; version && i < m->changes->len; i++)
 		if (change_at(m, i)->base == version)
@@ -100,24 +104,26 @@
 	return 0;
 }
 
-/* Packed once for all that need it. */
-static GString *whole(struct mirror *m, bool routes)
+/* Packed once per version, for all processes that need it. */
+static GString *full_copy(struct mirror *m, bool routes)
 {
-	if (!m->whole[routes])
-		m->whole[routes] = m->o.ops->whole(m->o.arg, routes);
-	return m->whole[routes];
+	if (!m->full[routes])
+		m->full[routes] = m->o.ops->pack_full(m->o.arg, routes);
+	return m->full[routes];
 }
 
 static uint64_t newest_for(const struct mirror *m, const struct fetcher *f)
 {
-	return f->services ? m->services : m->version;
+	return f->services_only ? m->services_version : m->version;
 }
 
-/* What a process lacks, as struct routing_bytes. */
-static GArray *lacks(struct mirror *m, const struct fetcher *f, uint64_t *base)
+/* The changes (struct routing_bytes) that a process lacks since version *base,
+ * or a full copy with *base 0. */
+static GArray *missing_changes(struct mirror *m, const struct fetcher *f,
+			       uint64_t *base)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct routing_bytes));
-	guint n = f->services ? 0 : changes_since(m, f->have);
+	guint n = f->services_only ? 0 : count_changes_since(m, f->have);
 	struct routing_bytes b;
 
 	*base = n ? f->have : 0;
@@ -126,17 +132,17 @@
 		g_array_append_val(out, b);
 	}
 	if (!n) {
-		b.packed = ss_str_gs(whole(m, !f->services));
+		b.packed = ss_str_gs(full_copy(m, !f->services_only));
 		g_array_append_val(out, b);
 	}
 	return out;
 }
 
-/* False where nothing can be sent at the moment. */
-static bool serve(struct mirror *m, struct fetcher *f, int64_t now)
+/* False if the send window is full. */
+static bool send_missing(struct mirror *m, struct fetcher *f, int64_t now)
 {
 	struct msg_routing r = { .version = newest_for(m, f) };
-	GArray *changes = lacks(m, f, &r.base);
+	GArray *changes = missing_changes(m, f, &r.base);
 	size_t bytes = 0;
 	bool open;
 
@@ -146,8 +152,8 @@
 				 .packed.n;
 	open = send_window_open(&m->window, bytes);
 	if (open && m->o.ops->send(m->o.arg, f->peer, &r)) {
-		f->waits = false;
-		f->sent = bytes;
+		f->waiting = false;
+		f->unacked = bytes;
 		f->since_ms = now;
 		send_window_sent(&m->window, bytes);
 	}
@@ -155,31 +161,32 @@
 	return open;
 }
 
-/* It waits for its turn only, so it shall not turn to another. */
-static void promise(struct mirror *m, struct fetcher *f)
+/* Tell a process that its answer is queued, so that it doesn't ask another
+ * control VM. */
+static void send_queued_notice(struct mirror *m, struct fetcher *f)
 {
 	struct msg_routing r = { .version = newest_for(m, f) };
 
-	if (!f->promised)
-		f->promised = m->o.ops->send(m->o.arg, f->peer, &r);
+	if (!f->notified)
+		f->notified = m->o.ops->send(m->o.arg, f->peer, &r);
 }
 
-static void pump(struct mirror *m, int64_t now)
+static void dispatch(struct mirror *m, int64_t now)
 {
 	bool open = true;
 	GList *next;
 
-	for (GList *at = m->waits.head; at; at = next) {
+	for (GList *at = m->queue.head; at; at = next) {
 		struct fetcher *f = at->data;
 
 		next = at->next;
 		if (newest_for(m, f) < f->want)
 			continue;
-		open = open && serve(m, f, now);
-		if (!f->waits)
-			g_queue_delete_link(&m->waits, at);
+		open = open && send_missing(m, f, now);
+		if (!f->waiting)
+			g_queue_delete_link(&m->queue, at);
 		else if (!open)
-			promise(m, f);
+			send_queued_notice(m, f);
 	}
 }
 
@@ -189,75 +196,76 @@
 
 	if (v->version <= m->version)
 		return;
-	drop_whole(m);
+	drop_full_copies(m);
 	if (!v->change.n || v->base != m->version) {
 		g_array_set_size(m->changes, 0);
-		m->bytes = 0;
+		m->changes_bytes = 0;
 	}
 	if (v->change.n) {
 		c.packed = g_string_new_len(v->change.p, (gssize)v->change.n);
 		g_array_append_val(m->changes, c);
-		m->bytes += c.packed->len;
+		m->changes_bytes += c.packed->len;
 	}
-	while (m->changes->len > MIRROR_CHANGES || m->bytes > MIRROR_BYTES) {
-		m->bytes -= change_at(m, 0)->packed->len;
+	while (m->changes->len > MIRROR_CHANGES_MAX ||
+	       m->changes_bytes > MIRROR_CHANGES_MAX_BYTES) {
+		m->changes_bytes -= change_at(m, 0)->packed->len;
 		g_array_remove_index(m->changes, 0);
 	}
 	m->version = v->version;
-	m->services = v->services;
-	pump(m, now);
+	m->services_version = v->services;
+	dispatch(m, now);
 }
 
 static struct fetcher *fetcher_for(struct mirror *m, void *peer)
 {
-	struct fetcher *f = g_hash_table_lookup(m->peers, peer);
+	struct fetcher *f = g_hash_table_lookup(m->fetchers, peer);
 
 	if (!f) {
 		f = g_new0(struct fetcher, 1);
 		f->peer = peer;
-		g_hash_table_insert(m->peers, peer, f);
+		g_hash_table_insert(m->fetchers, peer, f);
 	}
 	return f;
 }
 
-static void stop_waiting(struct mirror *m, struct fetcher *f)
+static void cancel_wait(struct mirror *m, struct fetcher *f)
 {
-	if (f->waits)
-		g_queue_remove(&m->waits, f);
-	f->waits = false;
+	if (f->waiting)
+		g_queue_remove(&m->queue, f);
+	f->waiting = false;
 }
 
-void mirror_ask(struct mirror *m, void *peer, const struct msg_fetch *ask,
+void mirror_ask(struct mirror *m, void *peer, const struct msg_fetch *request,
 		int64_t now)
 {
 	struct fetcher *f = fetcher_for(m, peer);
 
-	send_window_acked(&m->window, f->sent, f->since_ms);
-	f->sent = 0;
-	f->have = ask->have;
-	f->want = ask->want;
-	f->services = ask->services;
-	f->promised = false;
+	send_window_acked(&m->window, f->unacked, f->since_ms);
+	f->unacked = 0;
+	f->have = request->have;
+	f->want = request->want;
+	f->services_only = request->services;
+	f->notified = false;
 	f->since_ms = now;
 	if (f->want <= f->have) {
-		stop_waiting(m, f);
-	} else if (!f->waits) {
-		f->waits = true;
-		g_queue_push_tail(&m->waits, f);
+		cancel_wait(m, f);
+	} else if (!f->waiting) {
+		f->waiting = true;
+		g_queue_push_tail(&m->queue, f);
 	}
-	pump(m, now);
+	dispatch(m, now);
 }
 
 void mirror_gone(struct mirror *m, void *peer, int64_t now)
 {
-	struct fetcher *f = g_hash_table_lookup(m->peers, peer);
+	struct fetcher *f = g_hash_table_lookup(m->fetchers, peer);
 
 	if (!f)
 		return;
-	send_window_lost(&m->window, f->sent);
-	stop_waiting(m, f);
-	g_hash_table_remove(m->peers, peer);
-	pump(m, now);
+	send_window_lost(&m->window, f->unacked);
+	cancel_wait(m, f);
+	g_hash_table_remove(m->fetchers, peer);
+	dispatch(m, now);
 }
 
 void mirror_tick(struct mirror *m, int64_t now)
@@ -265,17 +273,17 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, m->peers);
+	g_hash_table_iter_init(&it, m->fetchers);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct fetcher *f = p;
 
-		if (f->sent && now - f->since_ms > SEND_WINDOW_LOST_MS) {
-			send_window_lost(&m->window, f->sent);
-			f->sent = 0;
+		if (f->unacked && now - f->since_ms > SEND_WINDOW_LOST_MS) {
+			send_window_lost(&m->window, f->unacked);
+			f->unacked = 0;
 		}
-		if (f->waits && now - f->since_ms > MIRROR_WAIT_MS)
-			stop_waiting(m, f);
+		if (f->waiting && now - f->since_ms > MIRROR_WAIT_MS)
+			cancel_wait(m, f);
 	}
 	send_window_tick(&m->window, now);
-	pump(m, now);
+	dispatch(m, now);
 }
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -1,34 +1,35 @@
 /*
- * Each control VM's copy of the routing, for all processes to fetch.
+ * Each control VM's copy of the routing, which all processes fetch from.
  *
- * The leader tells everybody the version in force, a few bytes; the changes
- * come from any member that has applied them, as they stand in the log. So
- * what the leader sends doesn't grow with the number of processes, and the
- * link that carries its heartbeats carries none of this. A process that holds
- * an earlier version gets the changes since, and nothing where it holds the
- * newest.
+ * The leader sends everybody only the number of the version in force. The
+ * changes come from any member that has applied them, as they stand in the log.
+ * So what the leader sends doesn't grow with the number of processes, and no
+ * routing is sent over the link that carries its heartbeats. A process that
+ * holds an earlier version gets the changes since; one that holds the newest
+ * version gets nothing.
  */
 #ifndef SS_MIRROR_H
 #define SS_MIRROR_H
 
 #include "msg.h"
 
-/* Changes that are kept, in bytes; the oldest go first. One that is asked for
- * after it is gone is answered with the whole. */
-#define MIRROR_BYTES (4u << 20)
-/* Small ones: as many as operators make while a process is out of reach. */
-#define MIRROR_CHANGES 64
-/* A process that asks for a version that isn't here yet is answered once it
- * is, up to so much later, in ms; it has turned to others long before. */
+/* Bytes of changes that are kept; the oldest are dropped first. A process that
+ * needs a dropped change gets a full copy. */
+#define MIRROR_CHANGES_MAX_BYTES (4u << 20)
+/* Number of changes that are kept if they are small: as many as operators make
+ * while a process is out of reach. */
+#define MIRROR_CHANGES_MAX 64
+/* How long a request for a version that isn't here yet waits for it, in ms; by
+ * then the process has long asked another control VM. */
 #define MIRROR_WAIT_MS 2000
 
 struct mirror;
 
 struct mirror_ops {
-	/* False where its connection takes no more now. */
+	/* False if the peer's connection accepts no more data now. */
 	bool (*send)(void *arg, void *peer, const struct msg_routing *m);
-	/* The newest as a whole, with or without routes, packed. */
-	GString *(*whole)(void *arg, bool routes);
+	/* A full copy of the newest version, with or without routes, packed. */
+	GString *(*pack_full)(void *arg, bool routes);
 };
 
 struct mirror_options {
@@ -40,7 +41,7 @@
 struct mirror_version {
 	uint64_t version;
 	uint64_t services; /* version in which services last changed */
-	/* What made it, and of which version; empty where all came at once. */
+	/* Change from version base; empty if it came as a full copy. */
 	struct ss_str change;
 	uint64_t base;
 };
@@ -48,18 +49,21 @@
 struct mirror *mirror_new(const struct mirror_options *o, int64_t now);
 void mirror_free(struct mirror *m);
 
-/* Those that aren't newer are ignored. */
+/* Add a version; one that isn't newer is ignored. */
 void mirror_set(struct mirror *m, const struct mirror_version *v, int64_t now);
 uint64_t mirror_version(const struct mirror *m);
 
-/* What a process holds and wants; it acknowledges what it was sent. */
+/* A request, with the versions that the peer holds and wants; also the
+ * acknowledgement of what it was sent. */
 void mirror_ask(struct mirror *m, void *peer, const struct msg_fetch *f,
 		int64_t now);
+/* The peer's connection has closed. */
 void mirror_gone(struct mirror *m, void *peer, int64_t now);
 void mirror_tick(struct mirror *m, int64_t now);
 
-/* Bytes that are kept, and that are on their way. */
+/* Memory used by changes and full copies, in bytes. */
 size_t mirror_bytes(const struct mirror *m);
+/* Bytes sent and not yet acknowledged. */
 size_t mirror_in_flight(const struct mirror *m);
 
 #endif
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -1,6 +1,7 @@
 /*
- * The routing in hundreds of processes: the real copies and fetches on links of
- * a given bandwidth, with a fake clock, and what may go wrong on the way.
+ * Distribution of the routing to hundreds of processes: real mirrors and
+ * fetches over simulated links of a given bandwidth, with a fake clock and
+ * injected faults.
  */
 #include "unit.h"
 
@@ -12,19 +13,20 @@
 #define MEMBERS 6
 #define PROCESSES 285
 #define STEP_MS 1
-/* One way, between two VMs of different failure domains. */
-#define DELAY_MS 3
+/* One-way delay between two VMs in different failure domains. */
+#define LINK_DELAY_MS 3
 #define HEARTBEAT_MS 100
-#define SHIFTED 5
-/* Processor time to read one route, in ms. */
-#define READ_MS 0.004
+/* The version whose routes stand at other positions than in the others. */
+#define SHIFTED_VERSION 5
+/* CPU time to read one route, in ms. */
+#define READ_ROUTE_MS 0.004
 
-/* Something on its way from a member to a process, or back. */
-struct parcel {
+/* A message in transit from a member to a process, or back. */
+struct packet {
 	int64_t at_ms; /* when it arrives */
 	int member, process;
 	bool answer;
-	struct msg_fetch ask;
+	struct msg_fetch request;
 	struct msg_routing routing;
 	GPtrArray *changes; /* GString, packed */
 };
@@ -32,23 +34,24 @@
 struct member {
 	struct mirror *mirror;
 	struct document *document;
-	double free_ms;	 /* when its link has sent all */
-	bool dark;	 /* takes and sends nothing */
-	bool deaf;	 /* takes nothing; what it sends arrives */
-	bool mute;	 /* what it sends is lost */
-	int64_t beat_ms; /* longest time that a heartbeat stood in its link */
+	double link_free_ms; /* when its link has sent everything */
+	bool down;	     /* receives and sends nothing */
+	bool drops_incoming; /* receives nothing; what it sends arrives */
+	bool drops_outgoing; /* what it sends is lost */
+	/* Longest time that a heartbeat would have waited for its link. */
+	int64_t max_link_queue_ms;
 	int served;
 };
 
 struct process {
 	struct fetch *fetch;
-	double free_ms; /* of its own link */
-	int asked;	/* the member asked last; -1: none */
-	int asks;
-	int taken;
+	double link_free_ms; /* of its own link */
+	int source;	     /* the member that was asked last; -1: none */
+	int requests;
+	int applied;
 	uint64_t version;
 	struct document *document;
-	int64_t busy_ms; /* until then it reads what it took */
+	int64_t busy_until_ms; /* end of reading what it applied */
 };
 
 struct world {
@@ -57,24 +60,27 @@
 	int members, processes, leader;
 	struct member m[MEMBERS];
 	struct process p[PROCESSES];
-	GArray *parcels;
-	GString *bodies[10]; /* by version */
-	double share; /* of a core that a process has; 0: reads cost nothing */
+	GArray *packets;
+	GString *documents[10]; /* by version */
+	/* Part of a CPU core that a process has; 0: reading takes no time. */
+	double cpu_share;
 };
 
-/* What an entry of the table of a callback's argument is. */
-struct place {
+/* Argument of the callbacks: a member or process, by its index. */
+struct node_ref {
 	struct world *w;
-	int at;
+	int index;
 };
-static struct place member_place[MEMBERS], process_place[PROCESSES];
+static struct node_ref member_ref[MEMBERS], process_ref[PROCESSES];
 
-static void put_on_link(struct world *w, double *free_ms, double bytes_per_ms,
-			struct parcel *parcel, size_t bytes)
+static void send_on_link(struct world *w, double *link_free_ms,
+			 double bytes_per_ms, struct packet *packet,
+			 size_t bytes)
 {
-	*free_ms = MAX(*free_ms, (double)w->now) + (double)bytes / bytes_per_ms;
-	parcel->at_ms = (int64_t)*free_ms + DELAY_MS;
-	g_array_append_val(w->parcels, *parcel);
+	*link_free_ms = MAX(*link_free_ms, (double)w->now) +
+			(double)bytes / bytes_per_ms;
+	packet->at_ms = (int64_t)*link_free_ms + LINK_DELAY_MS;
+	g_array_append_val(w->packets, *packet);
 }
 
 static void free_bytes(void *bytes)
@@ -84,11 +90,11 @@
 
 static bool mirror_send(void *arg, void *peer, const struct msg_routing *m)
 {
-	const struct place *at = arg, *to = peer;
+	const struct node_ref *at = arg, *to = peer;
 	const struct routing_bytes *b = m->changes.items;
-	struct member *from = &at->w->m[at->at];
-	struct parcel x = { .member = at->at,
-			    .process = to->at,
+	struct member *from = &at->w->m[at->index];
+	struct packet x = { .member = at->index,
+			    .process = to->index,
 			    .answer = true,
 			    .routing = *m };
 	size_t bytes = 0;
@@ -101,18 +107,19 @@
 						 (gssize)b[i].packed.n));
 		bytes += b[i].packed.n;
 	}
-	put_on_link(at->w, &from->free_ms, at->w->bytes_per_ms, &x, bytes);
+	send_on_link(at->w, &from->link_free_ms, at->w->bytes_per_ms, &x,
+		     bytes);
 	return true;
 }
 
-static GString *mirror_whole(void *arg, bool routes)
+static GString *mirror_pack_full(void *arg, bool routes)
 {
-	const struct place *at = arg;
+	const struct node_ref *at = arg;
 
-	return document_whole(at->w->m[at->at].document, routes);
+	return document_whole(at->w->m[at->index].document, routes);
 }
 
-static const struct mirror_ops mirror_table = { mirror_send, mirror_whole };
+static const struct mirror_ops mirror_table = { mirror_send, mirror_pack_full };
 
 static char *member_addr(int i)
 {
@@ -121,7 +128,7 @@
 
 static void fetch_sources(void *arg, GPtrArray *out)
 {
-	const struct place *at = arg;
+	const struct node_ref *at = arg;
 
 	for (int i = 0; i < at->w->members; i++)
 		g_ptr_array_add(out, member_addr(i));
@@ -129,7 +136,7 @@
 
 static const char *fetch_leader(void *arg)
 {
-	const struct place *at = arg;
+	const struct node_ref *at = arg;
 	static char addr[32];
 	char *a = member_addr(at->w->leader);
 
@@ -138,42 +145,45 @@
 	return addr;
 }
 
-static void send_ask(struct world *w, int process, const struct msg_fetch *m)
+static void send_request(struct world *w, int process,
+			 const struct msg_fetch *m)
 {
-	struct parcel x = { .member = w->p[process].asked,
+	struct packet x = { .member = w->p[process].source,
 			    .process = process,
-			    .ask = *m,
-			    .at_ms = w->now + DELAY_MS };
+			    .request = *m,
+			    .at_ms = w->now + LINK_DELAY_MS };
 
-	g_array_append_val(w->parcels, x);
+	g_array_append_val(w->packets, x);
 }
 
-static void fetch_ask(void *arg, const char *addr, const struct msg_fetch *m)
+static void fetch_request(void *arg, const char *addr,
+			  const struct msg_fetch *m)
 {
-	const struct place *at = arg;
-	struct process *p = &at->w->p[at->at];
+	const struct node_ref *at = arg;
+	struct process *p = &at->w->p[at->index];
 
-	p->asks++;
+	p->requests++;
 	for (int i = 0; i < at->w->members; i++) {
 		char *a = member_addr(i);
 
 		if (!strcmp(a, addr)) {
-			/* The former connection ends. */
-			if (p->asked >= 0 && p->asked != i)
-				mirror_gone(at->w->m[p->asked].mirror,
-					    &process_place[at->at], at->w->now);
-			p->asked = i;
+			/* The previous connection closes. */
+			if (p->source >= 0 && p->source != i)
+				mirror_gone(at->w->m[p->source].mirror,
+					    &process_ref[at->index],
+					    at->w->now);
+			p->source = i;
 		}
 		g_free(a);
 	}
-	send_ask(at->w, at->at, m);
+	send_request(at->w, at->index, m);
 }
 
 static void fetch_acknowledge(void *arg, const struct msg_fetch *m)
 {
-	const struct place *at = arg;
+	const struct node_ref *at = arg;
 
-	send_ask(at->w, at->at, m);
+	send_request(at->w, at->index, m);
 }
 
 static guint routes_in(const struct document_change *c)
@@ -190,10 +200,10 @@
 	return n;
 }
 
-static bool fetch_take(void *arg, const struct msg_routing *m)
+static bool fetch_apply(void *arg, const struct msg_routing *m)
 {
-	const struct place *at = arg;
-	struct process *p = &at->w->p[at->at];
+	const struct node_ref *at = arg;
+	struct process *p = &at->w->p[at->index];
 	const struct routing_bytes *b = m->changes.items;
 	GString *text;
 
@@ -202,35 +212,36 @@
 		struct document_patch *n = document_open(b[i].packed, NULL);
 		bool ok = n && document_apply(p->document, &n->change, NULL);
 
-		/* It reads a few at a time, and writes in between. */
-		if (ok && at->w->share > 0)
-			p->busy_ms = MAX(p->busy_ms, at->w->now) +
-				     (int64_t)(routes_in(&n->change) * READ_MS /
-					       at->w->share);
+		/* The real process reads a few routes at a time, and sends in
+		 * between. */
+		if (ok && at->w->cpu_share > 0)
+			p->busy_until_ms =
+				MAX(p->busy_until_ms, at->w->now) +
+				(int64_t)(routes_in(&n->change) *
+					  READ_ROUTE_MS / at->w->cpu_share);
 		document_patch_free(n);
 		if (!ok)
 			return false;
 	}
 	text = document_text(p->document);
-	assert_true(g_string_equal(text, at->w->bodies[m->version]));
+	assert_true(g_string_equal(text, at->w->documents[m->version]));
 	g_string_free(text, TRUE);
 	p->version = m->version;
-	p->taken++;
+	p->applied++;
 	return true;
 }
 
 static const struct fetch_ops fetch_table = { fetch_sources, fetch_leader,
-					      fetch_ask, fetch_acknowledge,
-					      fetch_take };
+					      fetch_request, fetch_acknowledge,
+					      fetch_apply };
 
-/* Routes as one page of text; versions differ a little. */
-static GString *body_of(uint64_t version)
+/* A document of 900 routes. Versions differ little, except SHIFTED_VERSION. */
+static GString *make_document(uint64_t version)
 {
 	GString *s = g_string_new("{\"routes\":[");
 	uint64_t seed = 1;
 
-	/* One in which all stands elsewhere. */
-	if (version == SHIFTED)
+	if (version == SHIFTED_VERSION)
 		ss_random(&seed);
 	for (int i = 0; i < 900; i++)
 		g_string_append_printf(s,
@@ -241,15 +252,16 @@
 	return s;
 }
 
-static const char *const lists[DOCUMENT_PARTS] = { "", "routes", "services",
-						   "customers" };
+static const char *const list_names[DOCUMENT_PARTS] = { "", "routes",
+							"services",
+							"customers" };
 
-/* The change that makes a document into a version, packed. */
+/* The packed change from a document to a version. */
 static GString *change_to(const struct world *w, const struct document *d,
 			  uint64_t version)
 {
-	struct document_patch *n =
-		document_compare(d, ss_str_gs(w->bodies[version]), lists, NULL);
+	struct document_patch *n = document_compare(
+		d, ss_str_gs(w->documents[version]), list_names, NULL);
 	GString *packed;
 
 	n->change.version = version;
@@ -266,25 +278,25 @@
 	w->members = members;
 	w->processes = processes;
 	w->bytes_per_ms = mbit_per_s * 125;
-	w->parcels = g_array_new(FALSE, FALSE, sizeof(struct parcel));
-	for (uint64_t v = 0; v < G_N_ELEMENTS(w->bodies); v++)
-		w->bodies[v] = body_of(v);
+	w->packets = g_array_new(FALSE, FALSE, sizeof(struct packet));
+	for (uint64_t v = 0; v < G_N_ELEMENTS(w->documents); v++)
+		w->documents[v] = make_document(v);
 	for (int i = 0; i < members; i++) {
-		struct mirror_options o = { &mirror_table, &member_place[i] };
+		struct mirror_options o = { &mirror_table, &member_ref[i] };
 
-		member_place[i] = (struct place){ w, i };
+		member_ref[i] = (struct node_ref){ w, i };
 		w->m[i].mirror = mirror_new(&o, w->now);
 		w->m[i].document = document_new();
 	}
 	for (int i = 0; i < processes; i++) {
 		char *name = g_strdup_printf("vm-%d", i);
-		struct fetch_options o = { &fetch_table, &process_place[i],
-					   name, false };
+		struct fetch_options o = { &fetch_table, &process_ref[i], name,
+					   false };
 
-		process_place[i] = (struct place){ w, i };
+		process_ref[i] = (struct node_ref){ w, i };
 		w->p[i].fetch = fetch_new(&o);
 		w->p[i].document = document_new();
-		w->p[i].asked = -1;
+		w->p[i].source = -1;
 		g_free(name);
 	}
 	return w;
@@ -300,21 +312,21 @@
 		fetch_free(w->p[i].fetch);
 		document_free(w->p[i].document);
 	}
-	for (guint i = 0; i < w->parcels->len; i++) {
-		struct parcel *x = &g_array_index(w->parcels, struct parcel, i);
+	for (guint i = 0; i < w->packets->len; i++) {
+		struct packet *x = &g_array_index(w->packets, struct packet, i);
 
 		if (x->changes)
 			g_ptr_array_unref(x->changes);
 	}
-	for (size_t v = 0; v < G_N_ELEMENTS(w->bodies); v++)
-		g_string_free(w->bodies[v], TRUE);
-	g_array_unref(w->parcels);
+	for (size_t v = 0; v < G_N_ELEMENTS(w->documents); v++)
+		g_string_free(w->documents[v], TRUE);
+	g_array_unref(w->packets);
 	g_free(w);
 }
 
-/* Make a document into a version, and say by which change. */
-static GString *bring_to(const struct world *w, struct document *d,
-			 uint64_t version)
+/* Update a document to a version; returns the packed change. */
+static GString *advance_document(const struct world *w, struct document *d,
+				 uint64_t version)
 {
 	GString *packed = change_to(w, d, version);
 	struct document_patch *n = document_open(ss_str_gs(packed), NULL);
@@ -324,7 +336,7 @@
 	return packed;
 }
 
-/* A version is applied by a member. */
+/* Apply a version at one member. */
 static void apply_at(struct world *w, int member, uint64_t version)
 {
 	struct member *m = &w->m[member];
@@ -333,8 +345,8 @@
 	GString *packed = NULL;
 
 	if (version > before)
-		packed = bring_to(w, m->document, version);
-	/* One of the whole isn't told as a change. */
+		packed = advance_document(w, m->document, version);
+	/* The first version is a full copy, not a change. */
 	if (packed && before) {
 		v.change = ss_str_gs(packed);
 		v.base = before;
@@ -350,23 +362,23 @@
 		apply_at(w, i, version);
 }
 
-/* The leader's word to everybody. */
-static void tell(struct world *w, uint64_t version)
+/* The leader reports the version in force to all processes. */
+static void announce(struct world *w, uint64_t version)
 {
 	for (int i = 0; i < w->processes; i++)
 		fetch_want(w->p[i].fetch, version, w->now);
 }
 
-static void arrive(struct world *w, struct parcel *x)
+static void receive(struct world *w, struct packet *x)
 {
 	struct process *p = &w->p[x->process];
 	struct member *m = &w->m[x->member];
 	GArray *bytes;
 
 	if (!x->answer) {
-		if (!m->dark && !m->deaf)
-			mirror_ask(m->mirror, &process_place[x->process],
-				   &x->ask, w->now);
+		if (!m->down && !m->drops_incoming)
+			mirror_ask(m->mirror, &process_ref[x->process],
+				   &x->request, w->now);
 		return;
 	}
 	bytes = g_array_new(FALSE, FALSE, sizeof(struct routing_bytes));
@@ -376,43 +388,44 @@
 		g_array_append_val(bytes, c);
 	}
 	x->routing.changes = (struct wire_list){ bytes->data, bytes->len };
-	/* On a connection that was given up nothing arrives. */
-	if (p->asked == x->member && !m->dark && !m->mute)
+	/* Nothing arrives on a connection that was closed. */
+	if (p->source == x->member && !m->down && !m->drops_outgoing)
 		fetch_answered(p->fetch, &x->routing, w->now);
 	g_array_unref(bytes);
 	g_ptr_array_unref(x->changes);
 }
 
-static void deliver(struct world *w)
+static void deliver_packets(struct world *w)
 {
-	for (guint i = 0; i < w->parcels->len;) {
-		struct parcel x = g_array_index(w->parcels, struct parcel, i);
+	for (guint i = 0; i < w->packets->len;) {
+		struct packet x = g_array_index(w->packets, struct packet, i);
 
 		if (x.at_ms > w->now) {
 			i++;
 			continue;
 		}
-		g_array_remove_index(w->parcels, i);
-		arrive(w, &x);
+		g_array_remove_index(w->packets, i);
+		receive(w, &x);
 	}
 }
 
 static void step(struct world *w)
 {
 	w->now += STEP_MS;
-	deliver(w);
+	deliver_packets(w);
 	for (int i = 0; i < w->members; i++) {
-		int64_t wait = (int64_t)(w->m[i].free_ms - (double)w->now);
+		int64_t wait = (int64_t)(w->m[i].link_free_ms - (double)w->now);
 
-		w->m[i].beat_ms = MAX(w->m[i].beat_ms, wait);
-		if (!w->m[i].dark)
+		w->m[i].max_link_queue_ms =
+			MAX(w->m[i].max_link_queue_ms, wait);
+		if (!w->m[i].down)
 			mirror_tick(w->m[i].mirror, w->now);
 	}
 	for (int i = 0; w->now % 20 == 0 && i < w->processes; i++)
 		fetch_tick(w->p[i].fetch, w->now);
 }
 
-static int holding(const struct world *w, uint64_t version)
+static int processes_holding(const struct world *w, uint64_t version)
 {
 	int n = 0;
 
@@ -421,13 +434,14 @@
 	return n;
 }
 
-/* Milliseconds until all hold it; SS_NEVER where they don't within most. */
-static int64_t until_all_hold(struct world *w, uint64_t version, int64_t most)
+/* Milliseconds until all processes hold a version; SS_NEVER after max_ms. */
+static int64_t time_until_all_hold(struct world *w, uint64_t version,
+				   int64_t max_ms)
 {
 	int64_t from = w->now;
 
-	while (holding(w, version) < w->processes) {
-		if (w->now - from >= most)
+	while (processes_holding(w, version) < w->processes) {
+		if (w->now - from >= max_ms)
 			return SS_NEVER;
 		step(w);
 	}
@@ -438,23 +452,24 @@
 	const char *label;
 	double mbit_per_s;
 	int members;
-	int64_t first_ms, change_ms; /* bounds for all to hold it */
+	/* Bounds for all processes to hold the first version and a change. */
+	int64_t first_ms, change_ms;
 };
 
 static const struct link_case link_cases[] = {
 	{ "slow links", 10, MEMBERS, 6000, 300 },
 	{ "links of 100 Mbit/s", 100, MEMBERS, 1000, 200 },
 	{ "fast links", 1000, MEMBERS, 500, 200 },
-	{ "the leader alone", 100, 1, 4000, 300 },
+	{ "only the leader", 100, 1, 4000, 300 },
 };
 
 /*
- * Symptom: the leader loses its majority whenever the routing changes, and
- * again each time that the next leader sends it. Sequence: 285 processes get
- * 100 KB each; heartbeats stand behind them on the leader's link. Cause: what
- * the kernel had taken counted as sent, and one process sent to all.
+ * The leader must not lose its majority when the routing changes. When it sent
+ * 100 KB to each of 285 processes itself, and data in the kernel's buffers
+ * counted as sent, its heartbeats queued behind that data on its link; the next
+ * leader then failed in the same way.
  */
-static void heartbeats_pass_beside_the_routing(void **state)
+static void heartbeats_are_not_delayed_by_the_routing(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(link_cases); i++) {
@@ -464,39 +479,39 @@
 		int64_t first, change;
 
 		apply(w, 1);
-		tell(w, 1);
-		first = until_all_hold(w, 1, 60000);
+		announce(w, 1);
+		first = time_until_all_hold(w, 1, 60000);
 		apply(w, 2);
-		tell(w, 2);
-		change = until_all_hold(w, 2, 60000);
+		announce(w, 2);
+		change = time_until_all_hold(w, 2, 60000);
 		if (first > c->first_ms || change > c->change_ms)
 			fail_msg("%s: %" PRId64 " ms, then %" PRId64, c->label,
 				 first, change);
 		for (int k = 0; k < c->members; k++)
-			if (w->m[k].beat_ms > HEARTBEAT_MS)
-				fail_msg("%s: a heartbeat stood for %" PRId64
+			if (w->m[k].max_link_queue_ms > HEARTBEAT_MS)
+				fail_msg("%s: a heartbeat waited for %" PRId64
 					 " ms",
-					 c->label, w->m[k].beat_ms);
-		/* The leader has its heartbeats to send. */
+					 c->label, w->m[k].max_link_queue_ms);
+		/* The leader, with heartbeats to send, serves nobody. */
 		if (c->members > 1)
 			assert_int_equal(w->m[w->leader].served, 0);
 		for (int k = 0; k < PROCESSES; k++)
-			assert_int_equal(w->p[k].taken, 2);
+			assert_int_equal(w->p[k].applied, 2);
 		world_free(w);
 	}
 }
 
-/* Routes of the versions of a world whose routing grows. */
-static const int grown[] = { 50, 1450, 2850, 4250, 12000, 12001 };
+/* Number of routes in each version of a routing that grows. */
+static const int route_counts[] = { 50, 1450, 2850, 4250, 12000, 12001 };
 
-static void grow(struct world *w)
+static void make_growing_documents(struct world *w)
 {
-	for (size_t v = 0; v < G_N_ELEMENTS(grown); v++) {
+	for (size_t v = 0; v < G_N_ELEMENTS(route_counts); v++) {
 		uint64_t seed = 1;
-		GString *s = w->bodies[v + 1];
+		GString *s = w->documents[v + 1];
 
 		g_string_assign(s, "{\"routes\":[");
-		for (int i = 0; i < grown[v]; i++)
+		for (int i = 0; i < route_counts[v]; i++)
 			g_string_append_printf(s,
 					       "%s{\"name\":\"%016" PRIx64
 					       "\",\"host\":\"%08" PRIx64
@@ -507,23 +522,23 @@
 	}
 }
 
-/* A change that is in force late where many routes are held already. */
-static void growing_routing_is_everywhere_within_a_second(void **state)
+/* A change must not take effect later where many routes are held already. */
+static void growing_routing_is_in_force_within_a_second(void **state)
 {
 	struct world *w = world_new(MEMBERS, 100, 100);
 
 	(void)state;
-	w->share = 0.09;
-	grow(w);
-	for (uint64_t v = 1; v <= G_N_ELEMENTS(grown); v++) {
+	w->cpu_share = 0.09;
+	make_growing_documents(w);
+	for (uint64_t v = 1; v <= G_N_ELEMENTS(route_counts); v++) {
 		int64_t from = w->now, took;
 
 		apply(w, v);
-		tell(w, v);
-		took = until_all_hold(w, v, 10000);
-		/* A process that has read it answers by it. */
+		announce(w, v);
+		took = time_until_all_hold(w, v, 10000);
+		/* It is in force once the process has read it. */
 		for (int i = 0; i < w->processes; i++)
-			took = MAX(took, w->p[i].busy_ms - from);
+			took = MAX(took, w->p[i].busy_until_ms - from);
 		if (took > 1000)
 			fail_msg("version %" PRIu64 ": %" PRId64 " ms", v,
 				 took);
@@ -532,18 +547,19 @@
 	world_free(w);
 }
 
-/* Who holds the newest is sent nothing, also after the leader has changed. */
-static void nobody_is_sent_what_it_holds(void **state)
+/* A process that holds the newest version is sent nothing, also after a change
+ * of leader. */
+static void held_versions_are_not_sent_again(void **state)
 {
 	struct world *w = world_new(MEMBERS, 40, 100);
 	int served = 0;
 
 	(void)state;
 	apply(w, 1);
-	tell(w, 1);
-	until_all_hold(w, 1, 5000);
+	announce(w, 1);
+	time_until_all_hold(w, 1, 5000);
 	w->leader = 1;
-	tell(w, 1);
+	announce(w, 1);
 	for (int i = 0; i < 1000; i++)
 		step(w);
 	for (int i = 0; i < MEMBERS; i++)
@@ -553,48 +569,48 @@
 }
 
 enum fault {
-	STANDS_STILL,
-	DEAF,
-	MUTE,
-	BEHIND,
+	MEMBER_DOWN,
+	DROPS_INCOMING,
+	DROPS_OUTGOING,
+	MEMBER_BEHIND,
 	OLD_STATE,
 	LEADER_CHANGES,
 	LEADER_ONLY,
-	NEWER_MEANWHILE,
-	SKIPPED,
+	NEWER_VERSION,
+	VERSIONS_SKIPPED,
 };
 
 static const struct {
 	const char *label;
 	enum fault fault;
-	int64_t most_ms; /* for all to hold version 3 */
+	int64_t max_ms; /* until all processes hold version 3 */
 } faults[] = {
-	{ "a member stands still", STANDS_STILL, 2000 },
-	{ "a member hears nothing", DEAF, 2000 },
-	{ "nobody hears a member", MUTE, 2000 },
-	{ "a member is behind, and stays so", BEHIND, 2000 },
-	{ "a member is back with an old version", OLD_STATE, 2000 },
-	{ "the leader changes in the middle", LEADER_CHANGES, 1000 },
-	{ "nobody but the leader is left", LEADER_ONLY, 4000 },
-	{ "a newer version comes in the middle", NEWER_MEANWHILE, 1000 },
-	{ "versions between were never fetched", SKIPPED, 1000 },
+	{ "a member is down", MEMBER_DOWN, 2000 },
+	{ "a member receives nothing", DROPS_INCOMING, 2000 },
+	{ "what a member sends is lost", DROPS_OUTGOING, 2000 },
+	{ "a member stays behind", MEMBER_BEHIND, 2000 },
+	{ "a member restarts with an old version", OLD_STATE, 2000 },
+	{ "the leader changes during the update", LEADER_CHANGES, 1000 },
+	{ "only the leader is left", LEADER_ONLY, 4000 },
+	{ "a newer version arrives during the update", NEWER_VERSION, 1000 },
+	{ "intermediate versions were never fetched", VERSIONS_SKIPPED, 1000 },
 };
 
-static void harm(struct world *w, enum fault fault)
+static void inject_fault(struct world *w, enum fault fault)
 {
-	struct mirror_options o = { &mirror_table, &member_place[2] };
+	struct mirror_options o = { &mirror_table, &member_ref[2] };
 
 	switch (fault) {
-	case STANDS_STILL:
-		w->m[2].dark = true;
+	case MEMBER_DOWN:
+		w->m[2].down = true;
 		break;
-	case DEAF:
-		w->m[2].deaf = true;
+	case DROPS_INCOMING:
+		w->m[2].drops_incoming = true;
 		break;
-	case MUTE:
-		w->m[2].mute = true;
+	case DROPS_OUTGOING:
+		w->m[2].drops_outgoing = true;
 		break;
-	case BEHIND:
+	case MEMBER_BEHIND:
 		for (int i = 0; i < w->members; i++)
 			if (i != 2)
 				apply_at(w, i, 3);
@@ -611,25 +627,25 @@
 		return;
 	case LEADER_ONLY:
 		for (int i = 0; i < w->members; i++)
-			w->m[i].dark = i != w->leader;
+			w->m[i].down = i != w->leader;
 		break;
-	case SKIPPED:
+	case VERSIONS_SKIPPED:
 		for (uint64_t v = 4; v < 9; v++)
 			apply(w, v);
 		return;
 	case LEADER_CHANGES:
-	case NEWER_MEANWHILE:
+	case NEWER_VERSION:
 		break;
 	}
 	apply(w, 3);
 }
 
 /*
- * Symptom: an entry follows an old routing for seconds, or for ever. Sequence
- * and cause: the rows; whoever was asked doesn't answer, or with what is of no
- * use, and nobody else was asked.
+ * An entry must not keep an old routing for seconds or for ever because the
+ * member that it asked doesn't answer, or answers with something unusable, and
+ * no other member is asked.
  */
-static void every_process_gets_it_beside_faults(void **state)
+static void every_process_gets_the_routing_despite_faults(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
@@ -637,49 +653,50 @@
 		int64_t took;
 
 		apply(w, 1);
-		tell(w, 1);
-		until_all_hold(w, 1, 5000);
+		announce(w, 1);
+		time_until_all_hold(w, 1, 5000);
 		apply(w, 2);
-		tell(w, 2);
-		until_all_hold(w, 2, 5000);
-		harm(w, faults[i].fault);
-		tell(w, 3);
+		announce(w, 2);
+		time_until_all_hold(w, 2, 5000);
+		inject_fault(w, faults[i].fault);
+		announce(w, 3);
 		for (int k = 0; k < 5; k++)
 			step(w);
 		if (faults[i].fault == LEADER_CHANGES)
 			w->leader = 3;
-		if (faults[i].fault == NEWER_MEANWHILE) {
+		if (faults[i].fault == NEWER_VERSION) {
 			apply(w, 4);
-			tell(w, 4);
+			announce(w, 4);
 		}
-		took = until_all_hold(w, 3, 20000);
-		if (took > faults[i].most_ms)
+		took = time_until_all_hold(w, 3, 20000);
+		if (took > faults[i].max_ms)
 			fail_msg("%s: %" PRId64 " ms", faults[i].label, took);
 		world_free(w);
 	}
 }
 
-/* Rows of one answer to a process that holds version 1 and wants 2. */
+/* Answers to a process that holds version 1 and wants 2. */
 static const struct {
 	const char *label;
 	uint64_t version, base;
-	uint64_t from; /* the version that its change is made of; 0: whole */
-	bool cut, asked, taken;
+	uint64_t from; /* version its change applies to; 0: full copy */
+	bool truncated, requested, applied;
 } answers[] = {
-	{ "whole", 2, 0, 0, false, true, true },
-	{ "the change", 2, 1, 1, false, true, true },
+	{ "a full copy", 2, 0, 0, false, true, true },
+	{ "the change from the held version", 2, 1, 1, false, true, true },
 	{ "newer than wanted", 3, 1, 1, false, true, true },
-	{ "a change of one that isn't held", 2, SHIFTED, SHIFTED, false, true,
-	  false },
-	{ "a change of another than it says", 2, 1, SHIFTED, false, true,
-	  false },
-	{ "cut", 2, 0, 0, true, true, false },
-	{ "what is held already", 1, 0, 0, false, true, false },
-	{ "what nobody asked for", 2, 0, 0, false, false, false },
+	{ "a change from a version that isn't held", 2, SHIFTED_VERSION,
+	  SHIFTED_VERSION, false, true, false },
+	{ "a change from another version than stated", 2, 1, SHIFTED_VERSION,
+	  false, true, false },
+	{ "truncated", 2, 0, 0, true, true, false },
+	{ "the held version", 1, 0, 0, false, true, false },
+	{ "an answer without a request", 2, 0, 0, false, false, false },
 };
 
-/* A useless answer is logged, nothing is lost, and the next is asked whole. */
-static void answers_are_taken_or_asked_again(void **state)
+/* An unusable answer is logged, the held version stays, and a full copy is
+ * requested. */
+static void unusable_answers_are_requested_again(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(answers); i++) {
@@ -692,33 +709,35 @@
 		GString *packed;
 
 		apply(w, 1);
-		tell(w, 1);
-		until_all_hold(w, 1, 5000);
+		announce(w, 1);
+		time_until_all_hold(w, 1, 5000);
 		if (answers[i].from)
-			g_string_free(bring_to(w, from, answers[i].from), TRUE);
+			g_string_free(advance_document(w, from,
+						       answers[i].from),
+				      TRUE);
 		packed = change_to(w, from, answers[i].version);
 		b.packed = ss_str_gs(packed);
-		b.packed.n -= answers[i].cut;
+		b.packed.n -= answers[i].truncated;
 		m.changes = (struct wire_list){ &b, 1 };
-		if (answers[i].asked)
+		if (answers[i].requested)
 			fetch_want(p->fetch, 2, w->now);
-		p->asks = 0;
+		p->requests = 0;
 		fetch_answered(p->fetch, &m, w->now);
-		if ((p->version >= 2) != answers[i].taken)
+		if ((p->version >= 2) != answers[i].applied)
 			fail_msg("%s: version %" PRIu64, answers[i].label,
 				 p->version);
 		assert_int_equal(fetch_version(p->fetch), p->version);
-		w->now += FETCH_TRY_MS;
+		w->now += FETCH_TIMEOUT_MS;
 		fetch_tick(p->fetch, w->now);
-		assert_int_equal(p->asks,
-				 answers[i].asked && !answers[i].taken);
+		assert_int_equal(p->requests,
+				 answers[i].requested && !answers[i].applied);
 		document_free(from);
 		g_string_free(packed, TRUE);
 		world_free(w);
 	}
 }
 
-/* Versions that nobody can be given any more take no memory. */
+/* Changes beyond the limits on number and bytes are dropped. */
 static void old_versions_are_dropped(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
@@ -727,18 +746,18 @@
 	GString *change = g_string_new(NULL);
 
 	(void)state;
-	g_string_set_size(change, MIRROR_BYTES / 3);
+	g_string_set_size(change, MIRROR_CHANGES_MAX_BYTES / 3);
 	for (uint64_t i = 1; i < 10; i++) {
 		v = (struct mirror_version){ i, 1, ss_str_gs(change), i - 1 };
 		mirror_set(big, &v, w->now);
-		assert_true(mirror_bytes(big) <= MIRROR_BYTES);
+		assert_true(mirror_bytes(big) <= MIRROR_CHANGES_MAX_BYTES);
 	}
 	g_string_set_size(change, 1);
 	for (uint64_t i = 10; i < 300; i++) {
 		v = (struct mirror_version){ i, 1, ss_str_gs(change), i - 1 };
 		mirror_set(big, &v, w->now);
 	}
-	assert_int_equal(mirror_bytes(big), MIRROR_CHANGES);
+	assert_int_equal(mirror_bytes(big), MIRROR_CHANGES_MAX);
 	assert_int_equal(mirror_version(big), 299);
 	g_string_free(change, TRUE);
 	world_free(w);
@@ -751,9 +770,9 @@
 	world_free(w);
 }
 
-/* Changes that don't follow on each other, after a snapshot, handed out as if
- * they did. */
-static void gaps_are_answered_with_the_whole(void **state)
+/* After a snapshot, the kept changes may not be consecutive. They must not be
+ * sent as if they were. */
+static void gaps_are_answered_with_a_full_copy(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
 	struct mirror_version v = { .version = 3, .base = 2 };
@@ -761,77 +780,79 @@
 
 	(void)state;
 	apply(w, 1);
-	tell(w, 1);
-	until_all_hold(w, 1, 5000);
-	/* Version 2 came with a snapshot, unseen. */
-	g_string_free(bring_to(w, w->m[0].document, 2), TRUE);
-	packed = bring_to(w, w->m[0].document, 3);
+	announce(w, 1);
+	time_until_all_hold(w, 1, 5000);
+	/* Version 2 came in a snapshot, without a change. */
+	g_string_free(advance_document(w, w->m[0].document, 2), TRUE);
+	packed = advance_document(w, w->m[0].document, 3);
 	v.change = ss_str_gs(packed);
 	mirror_set(w->m[0].mirror, &v, w->now);
-	tell(w, 3);
-	assert_true(until_all_hold(w, 3, 1000) < 1000);
-	/* The change is of use to who holds what it was made of. */
+	announce(w, 3);
+	assert_true(time_until_all_hold(w, 3, 1000) < 1000);
+	/* A process that holds the change's base gets the change. */
 	apply(w, 4);
-	tell(w, 4);
-	assert_true(until_all_hold(w, 4, 1000) < 1000);
+	announce(w, 4);
+	assert_true(time_until_all_hold(w, 4, 1000) < 1000);
 	g_string_free(packed, TRUE);
 	world_free(w);
 }
 
-/* A process that wants no routes is told of services only. */
+/* A process that wants no routes is sent services only. */
 static void services_come_without_routes(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
 	struct mirror_version v = { .version = 7, .services = 2 };
-	const struct parcel *x;
+	const struct packet *x;
 
 	(void)state;
-	g_string_free(bring_to(w, w->m[0].document, 1), TRUE);
+	g_string_free(advance_document(w, w->m[0].document, 1), TRUE);
 	mirror_set(w->m[0].mirror, &v, w->now);
-	mirror_ask(w->m[0].mirror, &process_place[0],
+	mirror_ask(w->m[0].mirror, &process_ref[0],
 		   &(struct msg_fetch){ 0, 2, true }, w->now);
-	x = &g_array_index(w->parcels, struct parcel, 0);
+	x = &g_array_index(w->packets, struct packet, 0);
 	assert_int_equal(x->routing.version, 2);
 	assert_int_equal(x->routing.base, 0);
 	assert_int_equal(x->changes->len, 1);
-	mirror_ask(w->m[0].mirror, &process_place[0],
+	mirror_ask(w->m[0].mirror, &process_ref[0],
 		   &(struct msg_fetch){ 2, 2, true }, w->now);
-	assert_int_equal(w->parcels->len, 1);
+	assert_int_equal(w->packets->len, 1);
 	world_free(w);
 }
 
-/* A process that stands still, or leaves, doesn't hold up the others. */
-static void silent_processes_hold_up_nobody(void **state)
+/* A process that hangs or disconnects doesn't block the others. */
+static void silent_processes_do_not_block_others(void **state)
 {
 	struct world *w = world_new(1, 100, 10);
 
 	(void)state;
 	apply(w, 1);
-	/* Eighty that will never acknowledge. */
+	/* Eighty processes that never acknowledge. */
 	for (int i = 0; i < 80; i++)
-		mirror_ask(w->m[0].mirror, &process_place[i],
+		mirror_ask(w->m[0].mirror, &process_ref[i],
 			   &(struct msg_fetch){ 0, 1, false }, w->now);
 	for (int i = 0; i < 40; i++)
-		mirror_gone(w->m[0].mirror, &process_place[i], w->now);
+		mirror_gone(w->m[0].mirror, &process_ref[i], w->now);
 	for (int i = 80; i < 100; i++)
 		fetch_want(w->p[i].fetch, 1, w->now);
-	for (int i = 0; i < 10000 && holding(w, 1) < 20; i++)
+	for (int i = 0; i < 10000 && processes_holding(w, 1) < 20; i++)
 		step(w);
-	assert_int_equal(holding(w, 1), 20);
+	assert_int_equal(processes_holding(w, 1), 20);
 	for (int i = 0; i < 2 * SEND_WINDOW_LOST_MS; i++)
 		step(w);
 	assert_int_equal(mirror_in_flight(w->m[0].mirror), 0);
 	world_free(w);
 }
 
-/* A link that carries so much, and a sender that always has more. */
+/* The send window on a link of a given rate, with a sender that always has
+ * more to send. */
 static void window_follows_the_link(void **state)
 {
 	static const double bytes_per_ms[] = { 1250, 12500, 125000 };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bytes_per_ms); i++) {
-		double rate = bytes_per_ms[i], queue = 0, most = 0, carried = 0;
+		double rate = bytes_per_ms[i], queue = 0, longest_ms = 0,
+		       carried = 0;
 		struct send_window w;
 
 		send_window_init(&w, 0);
@@ -840,7 +861,7 @@
 
 			queue -= out;
 			carried += out;
-			/* They were sent when what is left stood before. */
+			/* They were sent as long ago as the queue takes. */
 			send_window_acked(&w, (size_t)out,
 					  now - (int64_t)(queue / rate) - 1);
 			while (send_window_open(&w, 1000)) {
@@ -849,26 +870,26 @@
 			}
 			send_window_tick(&w, now);
 			if (now > 1000)
-				most = MAX(most, queue / rate);
+				longest_ms = MAX(longest_ms, queue / rate);
 		}
-		/* Full use of the link, and no heartbeat stands for long. */
+		/* The link is well used, and no heartbeat waits long. */
 		assert_true(carried > 0.7 * rate * 5000);
-		assert_true(most < HEARTBEAT_MS);
+		assert_true(longest_ms < HEARTBEAT_MS);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(heartbeats_pass_beside_the_routing),
-		cmocka_unit_test(growing_routing_is_everywhere_within_a_second),
-		cmocka_unit_test(nobody_is_sent_what_it_holds),
-		cmocka_unit_test(every_process_gets_it_beside_faults),
-		cmocka_unit_test(answers_are_taken_or_asked_again),
+		cmocka_unit_test(heartbeats_are_not_delayed_by_the_routing),
+		cmocka_unit_test(growing_routing_is_in_force_within_a_second),
+		cmocka_unit_test(held_versions_are_not_sent_again),
+		cmocka_unit_test(every_process_gets_the_routing_despite_faults),
+		cmocka_unit_test(unusable_answers_are_requested_again),
 		cmocka_unit_test(old_versions_are_dropped),
-		cmocka_unit_test(gaps_are_answered_with_the_whole),
+		cmocka_unit_test(gaps_are_answered_with_a_full_copy),
 		cmocka_unit_test(services_come_without_routes),
-		cmocka_unit_test(silent_processes_hold_up_nobody),
+		cmocka_unit_test(silent_processes_do_not_block_others),
 		cmocka_unit_test(window_follows_the_link),
 	};
 
