--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -682,14 +682,14 @@
 	uint64_t from; /* version its change applies to; 0: full copy */
 	bool truncated, requested, applied;
 } answers[] = {
-	{ "a full copy", 2, 0, 0, false, true, true },
+	{ "whole", 2, 0, 0, false, true, true },
 	{ "the change from the held version", 2, 1, 1, false, true, true },
 	{ "newer than wanted", 3, 1, 1, false, true, true },
 	{ "a change from a version that isn't held", 2, SHIFTED_VERSION,
 	  SHIFTED_VERSION, false, true, false },
 	{ "a change from another version than stated", 2, 1, SHIFTED_VERSION,
 	  false, true, false },
-	{ "truncated", 2, 0, 0, true, true, false },
+	{ "cut", 2, 0, 0, true, true, false },
 	{ "the held version", 1, 0, 0, false, true, false },
 	{ "an answer without a request", 2, 0, 0, false, false, false },
 };
@@ -861,7 +861,7 @@
 
 			queue -= out;
 			carried += out;
-			/* They were sent as long ago as the queue takes. */
+			/* They were sent before the queue that is left. */
 			send_window_acked(&w, (size_t)out,
 					  now - (int64_t)(queue / rate) - 1);
 			while (send_window_open(&w, 1000)) {
