--- a/src/core/balance.c
+++ b/src/core/balance.c
@@ -1,20 +1,21 @@
-/* Which endpoint gets a call. */
+/* Selects the endpoint that serves a call. */
 #include "balance.h"
 
-/* Scores are calls: how many more a node may have and be preferred all the
- * same. */
-#define FAR_SCORE 0.7	   /* bytes between failure domains are priced */
-#define ADAPTER_SCORE 3.0  /* a load of 6 ms, and another adapter leaves */
-#define AFFINITY_SCORE 1.5 /* reading a shared prompt again, some 5 ms */
-#define FAILING_SCORE 20.0 /* a tenth of failures: as two calls more */
-#define TRIED_SCORE 10.0
-/* Engines have room up to this multiple of their mean: what they run turns over
- * once while calls as many as that come. */
-#define ROOM_OVER_MEAN 2.0
-/* Near ones fill up from this part of their callers' objective on. */
-#define LATE_FROM 0.5
-/* Weight of the newest call in the share of failures. */
-#define FAILING_ALPHA 0.15
+/* Penalties are in calls: a node without one is preferred while it has at most
+ * that many calls more. */
+#define FAR_PENALTY 0.7	     /* traffic between failure domains is charged */
+#define ADAPTER_PENALTY 3.0  /* a load takes 6 ms and evicts an adapter */
+#define AFFINITY_PENALTY 1.5 /* about 5 ms to prefill a shared prompt again */
+#define FAILURE_PENALTY 20.0 /* a failure rate of 10 % weighs as two calls */
+#define TRIED_PENALTY 10.0
+/* An engine takes calls up to this multiple of the mean load: all of its calls
+ * are replaced once while as many new ones arrive. */
+#define ROOM_PER_MEAN_LOAD 2.0
+/* The distance penalty shrinks once the nearby nodes need this part of the
+ * latency objective. */
+#define FAR_DISCOUNT_FROM 0.5
+/* Weight of the newest call in the moving average of failures. */
+#define FAILURE_ALPHA 0.15
 
 int64_t balance_load(const struct balance_node *n)
 {
@@ -26,25 +27,26 @@
 	return (double)(ss_random(seed) >> 11) / (double)(1ULL << 53);
 }
 
-/* What all nodes of one choice are compared by. */
-struct comparison {
-	uint64_t most_affine;
-	double far; /* how much worse a far node is, in calls */
+/* Values common to all candidates of one choice. */
+struct choice_context {
+	uint64_t max_affinity;
+	double far_penalty; /* penalty of a far node, in calls */
 };
 
-/* How much a node is worse than another with as many calls, in calls. */
-static double penalty(const struct balance_node *n, const struct comparison *c)
+/* The penalty of a node against another with the same load, in calls. */
+static double penalty(const struct balance_node *n,
+		      const struct choice_context *c)
 {
-	double s = FAILING_SCORE * n->failing;
+	double s = FAILURE_PENALTY * n->failing;
 
 	if (!n->near)
-		s += c->far;
+		s += c->far_penalty;
 	if (!n->has_adapter)
-		s += ADAPTER_SCORE;
-	if (n->affinity != c->most_affine)
-		s += AFFINITY_SCORE;
+		s += ADAPTER_PENALTY;
+	if (n->affinity != c->max_affinity)
+		s += AFFINITY_PENALTY;
 	if (n->tried)
-		s += TRIED_SCORE;
+		s += TRIED_PENALTY;
 	return s;
 }
 
@@ -54,43 +56,46 @@
 }
 
 /*
- * A slow node's calls count for as many as others run in the same time, also
- * the one that is to be sent: idle nodes that are faster go first. A slow node
- * with which the comparison begins is taken to be like others in one case of
- * so many, or it would get no calls and never be seen to recover.
+ * The load of a node in calls of a node of usual speed. The call to be sent is
+ * included for a slow node, so that idle nodes that are faster come first. If
+ * the comparison starts with a slow node, that node is treated as one of usual
+ * speed with probability 1/slowness: without any calls its recovery would not
+ * be noticed.
  */
-static double weighed_load(const struct balance_node *n, bool begins,
-			   uint64_t *seed)
+static double weighted_load(const struct balance_node *n, bool is_first,
+			    uint64_t *seed)
 {
 	double load = (double)balance_load(n), slow = slowness(n);
 
-	if (slow > 1 && begins && balance_draw(seed) < 1 / slow)
+	if (slow > 1 && is_first && balance_draw(seed) < 1 / slow)
 		return load;
 	return load * slow + MAX(slow - 1, 0);
 }
 
 /*
- * Entries that all take the emptiest by reports of the same age send a hundred
- * calls to one node before the next report. How many others have sent since,
- * and where, nobody knows; so each draws it anew, up to as many as come, and
- * nodes that differ by less than that get their share of calls by chance.
+ * Load plus penalty plus a random term. If all entries chose the least loaded
+ * node by reports of the same age, a hundred calls would go to one node before
+ * the next report. An entry doesn't know how many calls the others have sent
+ * since then, or where. It draws that number at random up to the expected one,
+ * and nodes that differ by less share the calls.
  */
-static double score(const struct balance_node *n, const struct comparison *c,
-		    bool begins, uint64_t *seed)
+static double score(const struct balance_node *n,
+		    const struct choice_context *c, bool is_first,
+		    uint64_t *seed)
 {
-	double load = weighed_load(n, begins, seed);
+	double load = weighted_load(n, is_first, seed);
 
 	return load + n->unseen * balance_draw(seed) + penalty(n, c);
 }
 
-static uint64_t most_affine_of(const struct balance_node *n, size_t count)
+static uint64_t max_affinity_of(const struct balance_node *n, size_t count)
 {
-	uint64_t most = 0;
+	uint64_t max = 0;
 
 	for (size_t i = 0; i < count; i++)
 		if (n[i].usable)
-			most = MAX(most, n[i].affinity);
-	return most;
+			max = MAX(max, n[i].affinity);
+	return max;
 }
 
 static bool is_full(const struct balance_node *n, double fill)
@@ -98,27 +103,29 @@
 	return (double)balance_load(n) >= (double)MAX(n->slots, 1) * fill;
 }
 
-/* A call is better off far away than late: the nearer the best of the near
- * ones comes to that, the less the distance counts. */
-static double far_score(const struct balance_node *n, size_t count, double fill)
+/* The distance penalty. A call is better served far away than late, so the
+ * penalty falls to 0 as the fastest nearby node with room approaches the
+ * latency objective. */
+static double far_penalty_of(const struct balance_node *n, size_t count,
+			     double fill)
 {
-	double late = -1;
+	double used = -1;
 
 	for (size_t i = 0; i < count; i++) {
 		if (!n[i].usable || !n[i].near || is_full(&n[i], fill))
 			continue;
-		late = late < 0 ? n[i].late : MIN(late, n[i].late);
+		used = used < 0 ? n[i].late : MIN(used, n[i].late);
 	}
-	if (late <= LATE_FROM)
-		return FAR_SCORE;
-	return FAR_SCORE * MAX(1 - late, 0) / (1 - LATE_FROM);
+	if (used <= FAR_DISCOUNT_FROM)
+		return FAR_PENALTY;
+	return FAR_PENALTY * MAX(1 - used, 0) / (1 - FAR_DISCOUNT_FROM);
 }
 
-static struct comparison comparison_of(const struct balance_node *n,
-				       size_t count, double fill)
+static struct choice_context choice_context_of(const struct balance_node *n,
+					       size_t count, double fill)
 {
-	struct comparison c = { most_affine_of(n, count),
-				far_score(n, count, fill) };
+	struct choice_context c = { max_affinity_of(n, count),
+				    far_penalty_of(n, count, fill) };
 
 	return c;
 }
@@ -131,7 +138,7 @@
 int balance_choose(const struct balance_node *n, size_t count, double fill,
 		   uint64_t tie)
 {
-	struct comparison c = comparison_of(n, count, fill);
+	struct choice_context c = choice_context_of(n, count, fill);
 	uint64_t seed = tie;
 	double best_score = 0;
 	int best = BALANCE_NOBODY;
@@ -156,29 +163,29 @@
 	return best;
 }
 
-/* The mean of those that have room; 0: none has. */
+/* The mean load of the nodes that have room; 0 if none has. */
 static double mean_load(const struct balance_node *n, size_t count, double fill)
 {
 	double sum = 0;
-	size_t open = 0;
+	size_t n_open = 0;
 
 	for (size_t i = 0; i < count; i++) {
 		if (!n[i].usable || is_full(&n[i], fill))
 			continue;
 		sum += (double)balance_load(&n[i]);
-		open++;
+		n_open++;
 	}
-	return open ? sum / (double)open : 0;
+	return n_open ? sum / (double)n_open : 0;
 }
 
 int balance_share(const struct balance_node *n, size_t count, double fill,
 		  uint64_t tie)
 {
-	struct comparison c = comparison_of(n, count, fill);
+	struct choice_context c = choice_context_of(n, count, fill);
 	uint64_t seed = tie;
-	double level = ROOM_OVER_MEAN * mean_load(n, count, fill);
+	double level = ROOM_PER_MEAN_LOAD * mean_load(n, count, fill);
 	double *room = g_newa(double, count + 1);
-	double all = 0, at;
+	double total = 0, rest;
 
 	for (size_t i = 0; i < count; i++) {
 		room[i] = level - (double)balance_load(&n[i]) -
@@ -187,20 +194,20 @@
 		if (!n[i].usable || is_full(&n[i], fill))
 			room[i] = 0;
 		room[i] = MAX(room[i], 0);
-		all += room[i];
+		total += room[i];
 	}
-	if (all <= 0)
+	if (total <= 0)
 		return balance_choose(n, count, fill, tie);
-	at = balance_draw(&seed) * all;
+	rest = balance_draw(&seed) * total;
 	for (size_t i = 0; i < count; i++) {
-		if (room[i] > at)
+		if (room[i] > rest)
 			return (int)i;
-		at -= room[i];
+		rest -= room[i];
 	}
 	return balance_choose(n, count, fill, tie);
 }
 
 void balance_note(double *failing, bool failed)
 {
-	*failing += FAILING_ALPHA * ((failed ? 1.0 : 0.0) - *failing);
+	*failing += FAILURE_ALPHA * ((failed ? 1.0 : 0.0) - *failing);
 }
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -1,9 +1,10 @@
 /*
- * Which endpoint gets a call: a function of what an entry knows of each.
- * The load it answers: calls of a second or two on engines that batch, bursts
- * that many entries see at once on reports some 100 ms old, and endpoints that
- * differ in speed several times over: one that takes twice as long gets half
- * as many calls.
+ * Load balancing: selects the endpoint that serves a call, from what an entry
+ * knows of each candidate.
+ *
+ * Calls take a second or two on engines that batch. Many entries see a burst at
+ * once, by reports that are some 100 ms old. Endpoints differ in speed several
+ * times over: one that takes twice as long gets half as many calls.
  */
 #ifndef SS_BALANCE_H
 #define SS_BALANCE_H
@@ -11,58 +12,62 @@
 #include <sapphireshift/base.h>
 
 struct balance_node {
-	bool usable;	   /* listed, not leaving, not given up */
+	bool usable;	   /* listed, not draining, not excluded */
 	bool near;	   /* in the entry's failure domain */
-	bool has_adapter;  /* or none is needed */
-	bool tried;	   /* this call was there and came back */
-	int64_t slots;	   /* calls it runs at a time */
-	int64_t reported;  /* calls running and waiting there, as told last */
-	int64_t since;	   /* sent by this entry since then */
-	int64_t own;	   /* of this entry, under way */
-	double unseen;	   /* calls that others may have sent since */
-	double failing;	   /* share of calls that failed lately, decayed */
-	uint64_t affinity; /* larger: its prompt cache is more likely warm */
-	double slow;	   /* times as slow as others; 0: not known, as 1 */
-	double late;	   /* part of the caller's objective that passes until
-			      it answers; 0: not known */
+	bool has_adapter;  /* holds the adapter, or the call needs none */
+	bool tried;	   /* has refused or failed this call */
+	int64_t slots;	   /* calls that it runs concurrently */
+	int64_t reported;  /* running and queued calls in its last report */
+	int64_t since;	   /* calls sent by this entry since that report */
+	int64_t own;	   /* calls of this entry in flight */
+	double unseen;	   /* calls that other entries may have sent since */
+	double failing;	   /* recent failure rate, a moving average */
+	uint64_t affinity; /* higher: its prompt cache is more likely warm */
+	double slow; /* response time / that of others; 0: unknown, as 1 */
+	double late; /* part of the latency objective that passes until
+			it answers; 0: unknown */
 };
 
-/* Why none was chosen. */
+/* The reason why no endpoint was chosen. */
 enum balance_none {
 	BALANCE_NOBODY = -1,
 	BALANCE_FULL = -2,
-	BALANCE_LIMITED = -3, /* by what an endpoint itself admits */
-	BALANCE_RESTING = -4, /* an endpoint has asked for rest */
-	BALANCE_STARTS = -5,  /* engines read as many prompts as they may */
+	BALANCE_LIMITED = -3, /* by the rate limit that an endpoint states */
+	BALANCE_RESTING = -4, /* an endpoint asked for a backoff */
+	BALANCE_STARTS = -5,  /* engines run as many prefills as allowed */
 };
 
-/* Index of the node, or an enum balance_none; tie breaks equal scores. */
+/* Returns the index of the chosen node or an enum balance_refusal. fill: the
+ * part of its slots that a node may use; tie: breaks ties between equal
+ * scores. */
 int balance_choose(const struct balance_node *n, size_t count, double fill,
 		   uint64_t tie);
 
 /*
- * The same for a model that is called often. An engine's calls wait while the
- * prompt of another is read; one that has just loaded the model is the
- * emptiest in all reports until the next, would get dozens of prompts at once,
- * and the events of all its calls would pause. So calls are drawn by the room
- * that nodes have below twice the mean: an emptier one gets more, and fills
- * within the time of a call or two. Where nothing runs the best one is taken.
- * The room of a slower one fills with fewer calls. What it runs isn't weighted
- * besides: its calls stay longer, and so count for longer.
+ * The same for a model with a high call rate. An engine's calls wait during the
+ * prefill of another prompt. An engine that has just loaded the model has the
+ * least load in all reports until the next one: it would get dozens of prompts
+ * at once, and the streams of all its calls would pause.
+ *
+ * So the node is drawn at random, weighted by the room below twice the mean
+ * load. A node with less load gets more calls and fills up within the duration
+ * of a call or two. If no calls run, the best node is chosen. The room of a
+ * slow node is divided by its slowness. Its load isn't weighted in addition:
+ * its calls run for longer and so count for longer.
  */
 int balance_share(const struct balance_node *n, size_t count, double fill,
 		  uint64_t tie);
 
-/* Whether a call more fits there. */
+/* Whether the node has room for another call. */
 bool balance_has_room(const struct balance_node *n, double fill);
 
-/* Calls that a node has by the entry's estimate. */
+/* The number of calls at a node, by the entry's estimate. */
 int64_t balance_load(const struct balance_node *n);
 
-/* At random, from 0 up to 1. */
+/* A random number from 0 to below 1. */
 double balance_draw(uint64_t *seed);
 
-/* A decayed share of failures. */
+/* Adds the result of a call to a moving average of failures. */
 void balance_note(double *failing, bool failed);
 
 #endif
