--- a/test/test_freshness.c
+++ b/test/test_freshness.c
@@ -1,9 +1,9 @@
-/* When a process may be behind. */
+/* Tests when a process takes its routing to be outdated. */
 #include "unit.h"
 
 #include "../src/core/freshness.h"
 
-enum freshness_event { HEAR, TAKE, LOSE, TURN, END };
+enum freshness_event { RECEIVED, APPLIED, LEADER_LOST, TICK, END };
 
 struct step {
 	enum freshness_event event;
@@ -14,114 +14,126 @@
 static const struct {
 	const char *label;
 	struct step steps[12];
-	int64_t at_ms; /* when it is asked; its last turn was just before */
+	int64_t at_ms; /* time of the query; the last tick was just before */
 	enum freshness_level level;
-	int64_t until_ms; /* 0: of no matter */
+	int64_t until_ms; /* 0: not checked */
 } rows[] = {
-	{ "nobody has told anything",
+	{ "no version was announced",
 	  { { END, 0, 0 } },
 	  9000,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "it holds what is told",
-	  { { TAKE, 10, 3 }, { HEAR, 20, 3 }, { END, 0, 0 } },
+	{ "it holds the announced version",
+	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 3 }, { END, 0, 0 } },
 	  9000,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "just told of a newer one",
-	  { { TAKE, 10, 3 }, { HEAR, 20, 4 }, { END, 0, 0 } },
+	{ "a newer version was just announced",
+	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 4 }, { END, 0, 0 } },
 	  20,
 	  FRESHNESS_UNSURE,
 	  1520 },
-	{ "told a second before",
-	  { { TAKE, 10, 3 }, { HEAR, 20, 4 }, { END, 0, 0 } },
+	{ "a newer version was announced a second ago",
+	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 4 }, { END, 0, 0 } },
 	  1020,
 	  FRESHNESS_STALE,
 	  1520 },
-	{ "has taken it",
-	  { { TAKE, 10, 3 }, { HEAR, 20, 4 }, { TAKE, 900, 4 }, { END, 0, 0 } },
+	{ "it has applied the newer version",
+	  { { APPLIED, 10, 3 },
+	    { RECEIVED, 20, 4 },
+	    { APPLIED, 900, 4 },
+	    { END, 0, 0 } },
 	  5000,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "changes in series, each taken within a second",
-	  { { HEAR, 100, 4 },
-	    { HEAR, 700, 5 },
-	    { TAKE, 900, 4 },
-	    { HEAR, 1400, 6 },
-	    { TAKE, 1500, 5 },
+	{ "successive changes, each applied within a second",
+	  { { RECEIVED, 100, 4 },
+	    { RECEIVED, 700, 5 },
+	    { APPLIED, 900, 4 },
+	    { RECEIVED, 1400, 6 },
+	    { APPLIED, 1500, 5 },
 	    { END, 0, 0 } },
 	  1700,
 	  FRESHNESS_UNSURE,
 	  2900 },
-	{ "changes in series, the first not taken",
-	  { { HEAR, 100, 4 },
-	    { HEAR, 700, 5 },
-	    { HEAR, 1000, 6 },
+	{ "successive changes, the first not applied",
+	  { { RECEIVED, 100, 4 },
+	    { RECEIVED, 700, 5 },
+	    { RECEIVED, 1000, 6 },
 	    { END, 0, 0 } },
 	  1100,
 	  FRESHNESS_STALE,
 	  1600 },
-	{ "more told than are kept apart",
-	  { { HEAR, 100, 1 },
-	    { HEAR, 101, 2 },
-	    { HEAR, 102, 3 },
-	    { HEAR, 103, 4 },
-	    { HEAR, 104, 5 },
-	    { HEAR, 105, 6 },
-	    { HEAR, 106, 7 },
-	    { HEAR, 107, 8 },
-	    { HEAR, 900, 9 },
-	    { TAKE, 950, 8 },
+	{ "more versions announced than are stored",
+	  { { RECEIVED, 100, 1 },
+	    { RECEIVED, 101, 2 },
+	    { RECEIVED, 102, 3 },
+	    { RECEIVED, 103, 4 },
+	    { RECEIVED, 104, 5 },
+	    { RECEIVED, 105, 6 },
+	    { RECEIVED, 106, 7 },
+	    { RECEIVED, 107, 8 },
+	    { RECEIVED, 900, 9 },
+	    { APPLIED, 950, 8 },
 	    { END, 0, 0 } },
 	  1107,
 	  FRESHNESS_STALE,
 	  0 },
-	{ "the leader lost a moment ago",
-	  { { HEAR, 20, 3 }, { TAKE, 21, 3 }, { LOSE, 100, 0 }, { END, 0, 0 } },
+	{ "the leader was lost a moment ago",
+	  { { RECEIVED, 20, 3 },
+	    { APPLIED, 21, 3 },
+	    { LEADER_LOST, 100, 0 },
+	    { END, 0, 0 } },
 	  300,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "the leader lost for longer",
-	  { { HEAR, 20, 3 }, { TAKE, 21, 3 }, { LOSE, 100, 0 }, { END, 0, 0 } },
+	{ "the leader has been lost for longer",
+	  { { RECEIVED, 20, 3 },
+	    { APPLIED, 21, 3 },
+	    { LEADER_LOST, 100, 0 },
+	    { END, 0, 0 } },
 	  400,
 	  FRESHNESS_UNSURE,
 	  900 },
-	{ "another leader has told",
-	  { { HEAR, 20, 3 },
-	    { TAKE, 21, 3 },
-	    { LOSE, 100, 0 },
-	    { HEAR, 800, 3 },
+	{ "another leader announced its version",
+	  { { RECEIVED, 20, 3 },
+	    { APPLIED, 21, 3 },
+	    { LEADER_LOST, 100, 0 },
+	    { RECEIVED, 800, 3 },
 	    { END, 0, 0 } },
 	  900,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "an old leader's word changes nothing",
-	  { { HEAR, 20, 5 }, { TAKE, 21, 5 }, { HEAR, 100, 4 }, { END, 0, 0 } },
+	{ "an older version from a former leader is ignored",
+	  { { RECEIVED, 20, 5 },
+	    { APPLIED, 21, 5 },
+	    { RECEIVED, 100, 4 },
+	    { END, 0, 0 } },
 	  9000,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
-	{ "the loop has just gone on",
-	  { { HEAR, 20, 3 },
-	    { TAKE, 21, 3 },
-	    { TURN, 100, 0 },
-	    { TURN, 3000, 0 },
+	{ "the loop has just resumed",
+	  { { RECEIVED, 20, 3 },
+	    { APPLIED, 21, 3 },
+	    { TICK, 100, 0 },
+	    { TICK, 3000, 0 },
 	    { END, 0, 0 } },
 	  3100,
 	  FRESHNESS_STALE,
 	  3200 },
-	{ "the loop went on a while ago",
-	  { { HEAR, 20, 3 },
-	    { TAKE, 21, 3 },
-	    { TURN, 100, 0 },
-	    { TURN, 3000, 0 },
-	    { TURN, 3210, 0 },
+	{ "the loop resumed a while ago",
+	  { { RECEIVED, 20, 3 },
+	    { APPLIED, 21, 3 },
+	    { TICK, 100, 0 },
+	    { TICK, 3000, 0 },
+	    { TICK, 3210, 0 },
 	    { END, 0, 0 } },
 	  3210,
-	  FRESHNESS_SURE,
+	  FRESHNESS_CURRENT,
 	  0 },
 };
 
-static void levels_follow_what_was_told(void **state)
+static void level_follows_announced_versions(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
@@ -132,17 +144,17 @@
 
 		freshness_init(&f, 0);
 		for (; s->event != END; s++) {
-			if (s->event == HEAR)
+			if (s->event == RECEIVED)
 				freshness_hear(&f, s->version, s->at_ms);
-			else if (s->event == TAKE)
+			else if (s->event == APPLIED)
 				freshness_take(&f, s->version);
-			else if (s->event == LOSE)
+			else if (s->event == LEADER_LOST)
 				freshness_lose(&f, s->at_ms);
 			else
 				freshness_turn(&f, s->at_ms);
 		}
-		/* Only the row's own turns stand still. */
-		f.turn_ms = MAX(f.turn_ms, rows[i].at_ms - 1);
+		/* Only the ticks of the row itself show a stall. */
+		f.tick_ms = MAX(f.tick_ms, rows[i].at_ms - 1);
 		level = freshness_level(&f, rows[i].at_ms, &until);
 		if (level != rows[i].level ||
 		    (rows[i].until_ms && until != rows[i].until_ms))
@@ -151,8 +163,8 @@
 	}
 }
 
-/* A stand-still that ends within a turn, before the loop says so. */
-static void what_woke_is_stale_at_once(void **state)
+/* A stall is detected in the first iteration after it, also before the tick. */
+static void stale_at_once_after_a_stall(void **state)
 {
 	struct freshness f;
 	int64_t until;
@@ -162,16 +174,16 @@
 	freshness_hear(&f, 1, 0);
 	freshness_take(&f, 1);
 	freshness_turn(&f, 100);
-	assert_int_equal(freshness_level(&f, 100 + FRESHNESS_STILL_MS, &until),
+	assert_int_equal(freshness_level(&f, 100 + FRESHNESS_STALL_MS, &until),
 			 FRESHNESS_STALE);
-	assert_true(until > 100 + FRESHNESS_STILL_MS);
+	assert_true(until > 100 + FRESHNESS_STALL_MS);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(levels_follow_what_was_told),
-		cmocka_unit_test(what_woke_is_stale_at_once),
+		cmocka_unit_test(level_follows_announced_versions),
+		cmocka_unit_test(stale_at_once_after_a_stall),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
