--- a/src/core/pace.c
+++ b/src/core/pace.c
@@ -1,39 +1,42 @@
-/* How long answers take, learned from those under way. */
+/* Estimates the duration of answers from the timing of earlier ones and of
+ * those in flight. */
 #include "pace.h"
 
 #include <math.h>
 
-/* Weights of the newest sample and of its deviation, and how many deviations
- * above the mean are allowed for: the figures by which TCP sets its
- * retransmission timeout (RFC 6298), which asks the same question. */
-#define MEAN_ALPHA 0.125
-#define DEV_ALPHA 0.25
-#define DEVIATIONS 4.0
-/* Events whose mean gap is one sample: a single gap holds whatever else the
- * engine did in that step, eight of some 50 ms show a slowdown within half a
- * second. A stream of fewer says nothing of how many events its tokens make:
- * its last event holds what is left of them. */
-#define EVENTS_A_SAMPLE 8
-/* Samples by which an estimate stands for itself: the weight of the first one
- * has fallen to a third. Until then the slowest of the whole service counts
- * too: a service's mean is that of its most called models, and large ones need
- * twice as long. */
-#define KNOWN_SAMPLES 8
-/* Plain answers of a route, or whole streams of a service, by which the next
- * can be foretold: of a kind that makes up a tenth of them, two have been seen
- * by then. */
-#define FORETOLD_SAMPLES 20
-/* A model that has shown nothing yet may be so many times slower than the
- * slowest one seen. An endpoint that has shown nothing isn't judged by the
- * others at all: a stream was cut on one that was ten times slower. */
-#define UNSEEN_FACTOR 5.0
-/* The largest is kept of so many samples up to twice as many: one in some
- * hundred exceeds it, and a single odd one is forgotten. */
-#define MOST_SAMPLES 128
-/* Until streams have shown how many tokens an event holds: one. */
-#define EVENTS_PER_TOKEN_UNKNOWN 1.0
-
-/* Of an event: 17 of 100 tokens make 51 of 300, and not 52. */
+/* Weights of the newest sample in the mean and in the deviation, and the number
+ * of deviations that the bound allows above the mean. These are the constants
+ * of TCP's retransmission timeout (RFC 6298), which estimates the same kind of
+ * bound. */
+#define MEAN_WEIGHT 0.125
+#define DEV_WEIGHT 0.25
+#define BOUND_DEVIATIONS 4.0
+/* Events whose mean gap makes up one sample. A single gap includes whatever
+ * else the engine did in that step; eight gaps of some 50 ms show a slowdown
+ * within half a second. A shorter stream says nothing about events per token,
+ * as its last event holds all remaining tokens. */
+#define EVENTS_PER_SAMPLE 8
+/* Samples from which on an estimate is used alone: the weight of the first one
+ * has fallen to a third by then. With fewer samples the slowest of the whole
+ * service counts too: the mean of a service is that of its most used models,
+ * and large models take twice as long. */
+#define TRUSTED_SAMPLES 8
+/* The number of plain answers of a route, or of complete streams of a service,
+ * from which on the next one is predicted: by then two of a kind that makes up
+ * a tenth of them have been seen. */
+#define PREDICTION_SAMPLES 20
+/* A model without samples may be this many times slower than the slowest one
+ * measured. For an endpoint without samples no prediction is made from the
+ * others: streams would be cut on an endpoint that is ten times slower. */
+#define UNKNOWN_MODEL_FACTOR 5.0
+/* The maximum covers this many samples, up to twice as many: about one in a
+ * hundred exceeds it, and a single outlier is forgotten. */
+#define MAX_WINDOW_SAMPLES 128
+/* Events per token until enough streams have been measured. */
+#define DEFAULT_EVENTS_PER_TOKEN 1.0
+
+/* Tolerance in events against rounding errors: 17 events per 100 tokens make 51
+ * per 300, not 52. */
 #define EVENTS_ROUNDING 1e-6
 
 void pace_add(struct pace_estimate *e, double ms)
@@ -43,18 +46,18 @@
 		e->dev_ms = ms / 2;
 		return;
 	}
-	e->dev_ms += DEV_ALPHA * (fabs(ms - e->mean_ms) - e->dev_ms);
-	e->mean_ms += MEAN_ALPHA * (ms - e->mean_ms);
+	e->dev_ms += DEV_WEIGHT * (fabs(ms - e->mean_ms) - e->dev_ms);
+	e->mean_ms += MEAN_WEIGHT * (ms - e->mean_ms);
 }
 
 double pace_bound(const struct pace_estimate *e)
 {
-	return e->n ? e->mean_ms + DEVIATIONS * e->dev_ms : -1;
+	return e->n ? e->mean_ms + BOUND_DEVIATIONS * e->dev_ms : -1;
 }
 
-void pace_most_add(struct pace_most *m, double x)
+void timing_max_add(struct timing_max *m, double x)
 {
-	if (m->n == MOST_SAMPLES) {
+	if (m->n == MAX_WINDOW_SAMPLES) {
 		m->older = m->newer;
 		m->newer = 0;
 		m->n = 0;
@@ -63,7 +66,7 @@
 	m->n++;
 }
 
-double pace_most(const struct pace_most *m)
+double timing_max(const struct timing_max *m)
 {
 	return MAX(m->newer, m->older);
 }
@@ -71,37 +74,37 @@
 void pace_note_first(struct pace *p, double ms)
 {
 	pace_add(&p->first, ms);
-	pace_most_add(&p->first_most, ms);
+	timing_max_add(&p->first_max, ms);
 }
 
 void pace_note_event(struct pace *p, double ms)
 {
 	pace_add(&p->event, ms);
-	pace_most_add(&p->event_most, ms);
+	timing_max_add(&p->event_max, ms);
 }
 
 void pace_raise_first(struct pace *p, double ms)
 {
-	if (p->first.n && ms > pace_most(&p->first_most))
+	if (p->first.n && ms > timing_max(&p->first_max))
 		pace_note_first(p, ms);
 }
 
 void pace_raise_event(struct pace *p, double ms)
 {
-	if (p->event.n && ms > pace_most(&p->event_most))
+	if (p->event.n && ms > timing_max(&p->event_max))
 		pace_note_event(p, ms);
 }
 
 void pace_note_length(struct pace *p, uint64_t events, int64_t tokens)
 {
-	if (tokens > 0 && events >= EVENTS_A_SAMPLE)
-		pace_most_add(&p->events_per_token,
-			      (double)events / (double)tokens);
+	if (tokens > 0 && events >= EVENTS_PER_SAMPLE)
+		timing_max_add(&p->events_per_token,
+			       (double)events / (double)tokens);
 }
 
 void pace_raise_length(struct pace *p, uint64_t events, int64_t tokens)
 {
-	double known = pace_most(&p->events_per_token);
+	double known = timing_max(&p->events_per_token);
 
 	if (known > 0 && (double)events > known * (double)tokens)
 		pace_note_length(p, events, tokens);
@@ -120,7 +123,7 @@
 {
 	uint64_t n = events - m->events;
 
-	if (n < EVENTS_A_SAMPLE)
+	if (n < EVENTS_PER_SAMPLE)
 		return false;
 	*gap_ms = (double)(now - m->ms) / (double)n;
 	*m = (struct pace_mark){ now, events };
@@ -129,44 +132,44 @@
 
 double pace_open_event_ms(const struct pace_mark *m, int64_t now)
 {
-	return (double)(now - m->ms) / EVENTS_A_SAMPLE;
+	return (double)(now - m->ms) / EVENTS_PER_SAMPLE;
 }
 
-/* Of one part of a service. Negative: nothing is known. */
-static double first_of(const struct pace *p, const struct pace *service)
+/* The bound for one part of a service; negative: unknown. */
+static double first_bound(const struct pace *p, const struct pace *service)
 {
-	double own = p->first.n ? pace_most(&p->first_most) : -1;
+	double own = p->first.n ? timing_max(&p->first_max) : -1;
 
-	if (p->first.n >= KNOWN_SAMPLES)
+	if (p->first.n >= TRUSTED_SAMPLES)
 		return own;
-	return service->first.n ? MAX(own, pace_most(&service->first_most)) :
+	return service->first.n ? MAX(own, timing_max(&service->first_max)) :
 				  own;
 }
 
-static double event_of(const struct pace *p, const struct pace *service)
+static double event_bound(const struct pace *p, const struct pace *service)
 {
 	double own = pace_bound(&p->event);
-	double slowest = pace_most(&service->event_most);
+	double slowest = timing_max(&service->event_max);
 
-	if (p->event.n >= KNOWN_SAMPLES || !service->event.n)
+	if (p->event.n >= TRUSTED_SAMPLES || !service->event.n)
 		return own;
-	return p->event.n ? MAX(own, slowest) : slowest * UNSEEN_FACTOR;
+	return p->event.n ? MAX(own, slowest) : slowest * UNKNOWN_MODEL_FACTOR;
 }
 
-/* The longest of a few streams is mostly a short one. */
+/* With few streams the maximum comes from short ones. */
 static double events_per_token(const struct pace *service)
 {
-	const struct pace_most *m = &service->events_per_token;
-	bool known = m->older > 0 || m->n >= FORETOLD_SAMPLES;
+	const struct timing_max *m = &service->events_per_token;
+	bool known = m->older > 0 || m->n >= PREDICTION_SAMPLES;
 
-	return known ? pace_most(m) : EVENTS_PER_TOKEN_UNKNOWN;
+	return known ? timing_max(m) : DEFAULT_EVENTS_PER_TOKEN;
 }
 
 int64_t pace_stream_ms(const struct pace_ask *a)
 {
 	const struct pace *s = a->service;
-	double first = first_of(a->model, s);
-	double event = event_of(a->model, s);
+	double first = first_bound(a->model, s);
+	double event = event_bound(a->model, s);
 	double rate = events_per_token(s);
 	double events;
 
@@ -175,8 +178,8 @@
 	if (a->endpoint && !a->endpoint->event.n)
 		return SS_NEVER;
 	if (a->endpoint) {
-		first = MAX(first, first_of(a->endpoint, s));
-		event = MAX(event, event_of(a->endpoint, s));
+		first = MAX(first, first_bound(a->endpoint, s));
+		event = MAX(event, event_bound(a->endpoint, s));
 	}
 	first = MAX(first, a->open.first_ms);
 	event = MAX(event, a->open.event_ms);
@@ -188,11 +191,12 @@
 
 int64_t pace_plain_ms(const struct pace *route, const struct pace_open *open)
 {
-	if (route->first.n < FORETOLD_SAMPLES)
+	if (route->first.n < PREDICTION_SAMPLES)
 		return SS_NEVER;
-	/* The largest alone leaves no room while few have come: an answer of
-	 * 1,310 ms was begun with 1,305 left, as 1,222 was the largest. */
-	return (int64_t)ceil(MAX(MAX(pace_most(&route->first_most),
+	/* The maximum alone leaves no margin while there are few samples: a
+	 * call was started with 1,305 ms left, as the maximum was 1,222 ms, and
+	 * took 1,310 ms. */
+	return (int64_t)ceil(MAX(MAX(timing_max(&route->first_max),
 				     pace_bound(&route->first)),
 				 open->first_ms));
 }
--- a/src/core/pace.h
+++ b/src/core/pace.h
@@ -1,95 +1,100 @@
 /*
- * How long answers take, learned from those under way. The question it
- * answers: will a request that is begun now have ended by then? Engines differ
- * several times over by model, by batch and by VM, so no fixed time for a
- * token is right for all of them.
+ * Estimates the duration of answers from the timing of earlier ones and of
+ * those in flight. It tells whether a request that starts now would finish
+ * before a given time. Engines differ several times over by model, by batch and
+ * by VM, so no fixed time per token fits all of them.
  */
 #ifndef SS_PACE_H
 #define SS_PACE_H
 
 #include <sapphireshift/base.h>
 
-/* Mean and mean deviation of a time. */
+/* Moving mean and mean deviation of a duration. */
 struct pace_estimate {
 	double mean_ms, dev_ms;
-	uint64_t n; /* samples; 0: nothing is known */
+	uint64_t n; /* samples; 0: no estimate */
 };
 
-/* The largest of the last few hundred samples. */
-struct pace_most {
+/* The maximum of the last few hundred samples, in two windows. */
+struct timing_max {
 	double newer, older;
-	uint32_t n; /* of the newer ones */
+	uint32_t n; /* samples in the newer window */
 };
 
-/* The answers of a service, of one of its models, endpoints or routes. Zeroed:
- * nothing is known. */
+/* Timing of the answers of a service, or of one of its models, endpoints or
+ * routes. All zero: no samples. */
 struct pace {
-	struct pace_estimate first; /* from sending until the answer begins */
-	struct pace_most first_most;
-	struct pace_estimate event; /* from one event to the next */
-	struct pace_most event_most;
-	struct pace_most events_per_token; /* of what a stream was allowed */
+	/* From sending to the start of the answer. */
+	struct pace_estimate first;
+	struct timing_max first_max;
+	/* From one event to the next. */
+	struct pace_estimate event;
+	struct timing_max event_max;
+	struct timing_max events_per_token; /* events per allowed token */
 };
 
-/* Where a stream under way has been measured up to. */
+/* The event up to which a stream in flight has been measured. */
 struct pace_mark {
 	int64_t ms;
 	uint64_t events;
 };
 
-/* What hasn't come yet of answers under way: they take at least this. */
+/* Lower bounds from answers in flight that are still awaited. */
 struct pace_open {
 	double first_ms, event_ms;
 };
 
-/* What is asked of a stream that isn't begun. */
+/* The parameters of a prediction for a stream that has not started. */
 struct pace_ask {
 	const struct pace *service, *model;
-	const struct pace *endpoint; /* NULL: none is chosen yet */
+	const struct pace *endpoint; /* NULL: not chosen yet */
 	struct pace_open open;
-	int64_t tokens; /* that it is allowed; 0: not told */
-	int64_t skip;	/* events that its caller has already */
+	int64_t tokens; /* allowed output tokens; 0: unknown */
+	int64_t skip;	/* events that the caller has already received */
 };
 
 void pace_add(struct pace_estimate *e, double ms);
-/* A time that few samples exceed; negative where nothing is known. */
+/* A duration that few samples exceed; negative if there are no samples. */
 double pace_bound(const struct pace_estimate *e);
 
-void pace_most_add(struct pace_most *m, double x);
-double pace_most(const struct pace_most *m); /* 0: nothing is known */
+void timing_max_add(struct timing_max *m, double x);
+double timing_max(const struct timing_max *m); /* 0: no samples */
 
 void pace_note_first(struct pace *p, double ms);
 void pace_note_event(struct pace *p, double ms);
 /*
- * An answer that never came, or went on no longer, took at least this. Being a
- * lower bound it only raises what whole ones have shown: a caller who leaves
- * at once would pass for a fast answer where nothing is known.
+ * Records that an answer, or the next event of one, took at least this long and
+ * never arrived. As a lower bound it only raises an estimate from complete
+ * answers: otherwise a caller who disconnects at once would count as a fast
+ * answer.
  */
 void pace_raise_first(struct pace *p, double ms);
 void pace_raise_event(struct pace *p, double ms);
-/* A stream has ended as whole after so many events. */
+/* Records a complete stream of that many events. */
 void pace_note_length(struct pace *p, uint64_t events, int64_t tokens);
 /*
- * So many events have come of a stream that goes on. That is a lower bound, so
- * it can only raise what whole streams have shown: those that end first are
- * the short ones. While none has ended it says nothing.
+ * Records the number of events so far of a stream in flight. Streams that end
+ * first are the short ones, so this lower bound raises the estimate from
+ * complete streams. It is ignored while no stream is complete.
  */
 void pace_raise_length(struct pace *p, uint64_t events, int64_t tokens);
 
-/* A time that most answers take until they begin: of a model, or of its service
- * where the model has none; negative where neither is known. */
+/* A duration that most answers exceed before they start. Taken from the model,
+ * or from its service if the model has no samples; negative if neither has
+ * any. */
 double pace_least_first(const struct pace *model, const struct pace *service);
 
-/* An event has come, the events-th of its answer. True where enough of them
- * have come since the mark to measure the time between two; the mark moves. */
+/* To be called when an event arrives; events: the number that the answer has so
+ * far. Returns true once there are enough since the mark to measure the mean
+ * gap, and moves the mark. */
 bool pace_measure(struct pace_mark *m, uint64_t events, int64_t now,
 		  double *gap_ms);
-/* The least time between two events that a run which isn't whole will show. */
+/* A lower bound of the mean gap of the current, incomplete sample. */
 double pace_open_event_ms(const struct pace_mark *m, int64_t now);
 
 /*
- * The longest that an answer is expected to take from now, in ms; SS_NEVER
- * where it can't be told.
+ * The longest expected duration of an answer that starts now, in ms; SS_NEVER
+ * if it can't be predicted.
  */
 int64_t pace_stream_ms(const struct pace_ask *a);
 int64_t pace_plain_ms(const struct pace *route, const struct pace_open *open);
