--- a/src/core/send_window.c
+++ b/src/core/send_window.c
@@ -1,25 +1,25 @@
-/* How much bulk may be on its way. */
+/* Limits the bulk data in flight over all connections of a process. */
 #include "send_window.h"
 
 void send_window_init(struct send_window *w, int64_t now)
 {
 	memset(w, 0, sizeof(*w));
-	w->size = SEND_WINDOW_LEAST;
-	w->since_ms = now;
+	w->size = SEND_WINDOW_MIN_BYTES;
+	w->round_start_ms = now;
 }
 
 bool send_window_open(struct send_window *w, size_t bytes)
 {
 	if (w->in_flight == 0 || w->in_flight + bytes <= w->size)
 		return true;
-	w->full = true;
+	w->blocked = true;
 	return false;
 }
 
 void send_window_sent(struct send_window *w, size_t bytes)
 {
 	w->in_flight += bytes;
-	w->most = MAX(w->most, w->in_flight);
+	w->max_in_flight = MAX(w->max_in_flight, w->in_flight);
 }
 
 void send_window_lost(struct send_window *w, size_t bytes)
@@ -30,40 +30,43 @@
 void send_window_acked(struct send_window *w, size_t bytes, int64_t sent_ms)
 {
 	send_window_lost(w, bytes);
-	w->carried += bytes;
-	w->answered |= bytes && sent_ms >= w->since_ms;
+	w->acked += bytes;
+	w->current_acked |= bytes && sent_ms >= w->round_start_ms;
 }
 
-/* What arrived in a round in which something had to wait. */
-static void follow(struct send_window *w, double rate)
+/* Sets the window from the rate of a round in which a send was blocked. */
+static void adapt_size(struct send_window *w, double rate)
 {
-	bool binds = rate >= w->rate * SEND_WINDOW_FOLLOWED ||
-		     rate * SEND_WINDOW_FOLLOWED <= w->rate;
-	double size = rate * SEND_WINDOW_MS;
+	bool is_window_bound = rate >= w->rate * SEND_WINDOW_RATE_CHANGE ||
+			       rate * SEND_WINDOW_RATE_CHANGE <= w->rate;
+	double size = rate * SEND_WINDOW_TRANSIT_MS;
 
-	/* One piece may be larger than the window. */
-	if (binds)
+	/* A single send may be larger than the window. */
+	if (is_window_bound)
 		size = MAX(size,
-			   SEND_WINDOW_GROWS * (double)MAX(w->size, w->most));
+			   SEND_WINDOW_GROWTH *
+				   (double)MAX(w->size, w->max_in_flight));
 	w->rate = rate;
-	w->size = (size_t)CLAMP(size, SEND_WINDOW_LEAST, SEND_WINDOW_MOST);
+	w->size = (size_t)CLAMP(size, SEND_WINDOW_MIN_BYTES,
+				SEND_WINDOW_MAX_BYTES);
 }
 
 void send_window_tick(struct send_window *w, int64_t now)
 {
-	int64_t age = now - w->since_ms;
+	int64_t age = now - w->round_start_ms;
 
-	/* What arrives earlier was sent by the window before. */
-	if (age < SEND_WINDOW_MS ||
-	    (w->full && !w->answered && age < SEND_WINDOW_LOST_MS))
+	/* Earlier arrivals were sent under the previous window. */
+	if (age < SEND_WINDOW_TRANSIT_MS ||
+	    (w->blocked && !w->current_acked && age < SEND_WINDOW_LOST_MS))
 		return;
-	/* A link that wasn't used in full shows nothing of what it carries. */
-	if (w->full)
-		follow(w, (double)w->carried / (double)age);
+	/* The rate of a link that was not saturated says nothing about its
+	 * capacity. */
+	if (w->blocked)
+		adapt_size(w, (double)w->acked / (double)age);
 	else
 		w->rate = 0;
-	w->carried = 0;
-	w->most = w->in_flight;
-	w->full = w->answered = false;
-	w->since_ms = now;
+	w->acked = 0;
+	w->max_in_flight = w->in_flight;
+	w->blocked = w->current_acked = false;
+	w->round_start_ms = now;
 }
--- a/src/core/send_window.h
+++ b/src/core/send_window.h
@@ -1,61 +1,69 @@
 /*
- * How much bulk a process may have on its way at a time, over all of its
- * connections: what its link carries in half a heartbeat.
+ * Limits the bulk data that a process has in flight, over all of its
+ * connections, to what its link carries in half a heartbeat interval.
  *
- * What the kernel has taken counts as sent for the sender, but stands before
- * all that is written later: heartbeats, votes, orders. A leader that hands out
- * more than its link carries is taken for dead while it works. So bulk counts
- * until its receiver acknowledges it. Where as much arrives whatever the
- * window, the link is full, and the window follows what arrived. Where what
- * arrives follows the window, the window is what binds, and it grows: receivers
- * may take longer to acknowledge than it looks back.
+ * Data that the kernel has accepted counts as sent, but is queued before
+ * everything that is written later: heartbeats, votes, orders. A leader that
+ * sends more than its link carries is taken for dead while it works. Bulk
+ * therefore counts as in flight until the receiver acknowledges it.
+ *
+ * If the arrival rate doesn't change with the window, the link is saturated,
+ * and the window is set from that rate. If the rate changes with the window,
+ * the window is the limit, and it grows: acknowledgements may take longer than
+ * one round of measurement.
  */
 #ifndef SS_SEND_WINDOW_H
 #define SS_SEND_WINDOW_H
 
 #include <sapphireshift/base.h>
 
-/* What is on its way is to arrive within this time, in ms: half a heartbeat,
- * so that a heartbeat that stands behind it isn't missed. */
-#define SEND_WINDOW_MS 50
-/* The window at the start, and the least, in bytes: half of what 10 Mbit/s
- * carry in that time, the slowest link that is planned, so that it may grow
- * once before anything is known. */
-#define SEND_WINDOW_LEAST (32u * 1024)
-/* The most, in bytes: what 1,000 Mbit/s carry in that time. */
-#define SEND_WINDOW_MOST (6u * 1024 * 1024)
-/* Bulk that isn't acknowledged after so long, in ms, is at a receiver that
- * stands still or on a slower link, and holds up nobody else. */
+/* The time in which the data in flight is to arrive, in ms: half a heartbeat
+ * interval, so that no heartbeat queued behind it is missed. Also the least
+ * length of a round. */
+#define SEND_WINDOW_TRANSIT_MS 50
+/* The initial and smallest window, in bytes: half of what 10 Mbit/s, the
+ * slowest supported link, carry in that time, so that the window may grow once
+ * before the rate is known. */
+#define SEND_WINDOW_MIN_BYTES (32u * 1024)
+/* The largest window, in bytes: what 1,000 Mbit/s carry in that time. */
+#define SEND_WINDOW_MAX_BYTES (6u * 1024 * 1024)
+/* Bulk that is not acknowledged within this time, in ms, went to a receiver
+ * that is stalled or has a slower link. It no longer counts, so that it doesn't
+ * block the others. */
 #define SEND_WINDOW_LOST_MS 250
 
-/* What arrives has followed the window where it changed by this factor. */
-#define SEND_WINDOW_FOLLOWED 1.6
-/* How much the window grows at a time: more than what few and large pieces may
- * make the rate seem to change. */
-#define SEND_WINDOW_GROWS 2.0
+/* The rate counts as changed with the window if it changed by this factor. */
+#define SEND_WINDOW_RATE_CHANGE 1.6
+/* The factor by which the window grows: more than the rate may appear to change
+ * when sends are few and large. */
+#define SEND_WINDOW_GROWTH 2.0
 
 struct send_window {
-	size_t size;	  /* bytes */
-	size_t in_flight; /* sent, not acknowledged */
-	size_t most;	  /* of that, since since_ms */
-	size_t carried;	  /* acknowledged since since_ms */
-	bool full;	  /* something had to wait since then */
-	bool answered;	  /* something sent since then was acknowledged */
-	int64_t since_ms;
-	double rate; /* bytes a ms that arrived last; 0: it was at rest */
+	size_t size;	      /* bytes allowed in flight */
+	size_t in_flight;     /* bytes sent and not acknowledged */
+	size_t max_in_flight; /* maximum of in_flight in this round */
+	size_t acked;	      /* bytes acknowledged in this round */
+	bool blocked;	      /* a send was blocked in this round */
+	bool current_acked;   /* data sent in this round was acknowledged */
+	int64_t round_start_ms;
+	/* Bytes per ms acknowledged in the last round; 0: no send was blocked.
+	 */
+	double rate;
 };
 
 void send_window_init(struct send_window *w, int64_t now);
 
-/* Whether so many bytes may be sent now; one send always may. */
+/* Whether that many bytes may be sent now. Always true if nothing is in
+ * flight. */
 bool send_window_open(struct send_window *w, size_t bytes);
 void send_window_sent(struct send_window *w, size_t bytes);
-/* sent_ms: when they were sent. */
+/* sent_ms: when the bytes were sent. */
 void send_window_acked(struct send_window *w, size_t bytes, int64_t sent_ms);
-/* They aren't waited for any more: the receiver is gone, or silent. */
+/* The bytes no longer count: their receiver is gone or silent. */
 void send_window_lost(struct send_window *w, size_t bytes);
 
-/* Follow what was carried; called at least each SEND_WINDOW_MS. */
+/* Ends a round if it is due and adapts the window. To be called at least every
+ * SEND_WINDOW_TRANSIT_MS. */
 void send_window_tick(struct send_window *w, int64_t now);
 
 #endif
--- a/test/test_send_window.c
+++ b/test/test_send_window.c
@@ -1,97 +1,100 @@
-/* Bulk to hundreds of receivers: how long it takes, and what stands behind it
- * on the sender's own link. */
+/* Tests bulk transfers to hundreds of receivers: their duration, and the delay
+ * of what is queued behind them on the link of the sender. */
 #include "unit.h"
 
 #include "../src/core/send_window.h"
 
 #define HEARTBEAT_MS 100
-/* One way, between two VMs. */
-#define WAY_MS 3
+#define LATENCY_MS 3 /* one way, between two VMs */
 #define RECEIVERS_MAX 720
 
 struct link_case {
 	const char *label;
 	int receivers;
-	double bytes;	    /* for each */
-	double own, theirs; /* links, bytes a ms */
-	int64_t confirm_ms; /* after it has arrived */
-	int silent;	    /* so many never confirm */
-	int64_t most_ms;    /* until the last one has it */
+	double bytes;	      /* per receiver */
+	double own_rate;      /* of the sender's link, bytes per ms */
+	double receiver_rate; /* of each receiver's link, bytes per ms */
+	int64_t ack_delay_ms; /* acknowledgement delay after arrival */
+	int silent;	      /* receivers that never acknowledge */
+	int64_t limit_ms;     /* limit until the last one has arrived */
 };
 
 static const struct link_case cases[] = {
-	{ "360 entries on thin links", 360, 40e3, 125e3, 1250, 10, 0, 1000 },
-	{ "720 entries, twice as much for each", 720, 80e3, 125e3, 1250, 10, 0,
-	  2000 },
-	{ "receivers that are slow to confirm", 360, 40e3, 125e3, 1250, 60, 0,
+	{ "360 entries on slow links", 360, 40e3, 125e3, 1250, 10, 0, 1000 },
+	{ "720 entries, twice the bytes", 720, 80e3, 125e3, 1250, 10, 0, 2000 },
+	{ "receivers that acknowledge late", 360, 40e3, 125e3, 1250, 60, 0,
 	  1500 },
-	{ "a sender's link of 100 Mbit/s", 100, 15e3, 12.5e3, 1250, 10, 0,
-	  1000 },
-	{ "a thin link for all", 100, 15e3, 1250, 1250, 10, 0, 3000 },
-	{ "some that stand still", 360, 40e3, 125e3, 1250, 10, 60, 1500 },
+	{ "100 Mbit/s at the sender", 100, 15e3, 12.5e3, 1250, 10, 0, 1000 },
+	{ "10 Mbit/s everywhere", 100, 15e3, 1250, 1250, 10, 0, 3000 },
+	{ "some stalled receivers", 360, 40e3, 125e3, 1250, 10, 60, 1500 },
 };
 
 struct receiver {
-	bool sent, confirmed;
-	int64_t sent_ms, here_ms;
+	bool sent, acked;
+	int64_t sent_ms, arrival_ms;
 };
 
-static int64_t arrival(const struct link_case *c, double own_free)
+static int64_t arrival(const struct link_case *c, double link_free_ms)
 {
-	return (int64_t)(own_free + c->bytes / c->theirs) + WAY_MS;
+	return (int64_t)(link_free_ms + c->bytes / c->receiver_rate) +
+	       LATENCY_MS;
 }
 
-static void confirm(const struct link_case *c, struct send_window *w,
-		    struct receiver *r, int i, int64_t now)
+static void ack_or_drop(const struct link_case *c, struct send_window *w,
+			struct receiver *r, int i, int64_t now)
 {
-	if (!r->sent || r->confirmed)
+	if (!r->sent || r->acked)
 		return;
 	if (now - r->sent_ms > SEND_WINDOW_LOST_MS) {
 		send_window_lost(w, (size_t)c->bytes);
-		r->confirmed = true;
+		r->acked = true;
 	} else if (i >= c->silent &&
-		   now >= r->here_ms + c->confirm_ms + WAY_MS) {
+		   now >= r->arrival_ms + c->ack_delay_ms + LATENCY_MS) {
 		send_window_acked(w, (size_t)c->bytes, r->sent_ms);
-		r->confirmed = true;
+		r->acked = true;
 	}
 }
 
-static void bulk_reaches_all_soon(void **state)
+static void bulk_arrives_without_delaying_heartbeats(void **state)
 {
 	static struct receiver all[RECEIVERS_MAX];
 
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(cases); k++) {
 		const struct link_case *c = &cases[k];
-		double own_free = 0, longest = 0;
-		int64_t last = 0;
+		double link_free_ms = 0, max_delay_ms = 0;
+		int64_t last_arrival_ms = 0;
 		struct send_window w;
 
 		memset(all, 0, sizeof(all));
 		send_window_init(&w, 0);
 		for (int64_t now = 1; now < 60000; now++) {
 			for (int i = 0; i < c->receivers; i++)
-				confirm(c, &w, &all[i], i, now);
+				ack_or_drop(c, &w, &all[i], i, now);
 			for (int i = 0; i < c->receivers; i++) {
 				struct receiver *r = &all[i];
 
 				if (r->sent ||
 				    !send_window_open(&w, (size_t)c->bytes))
 					continue;
-				own_free = MAX(own_free, (double)now) +
-					   c->bytes / c->own;
-				longest = MAX(longest, own_free - (double)now);
+				link_free_ms = MAX(link_free_ms, (double)now) +
+					       c->bytes / c->own_rate;
+				max_delay_ms = MAX(max_delay_ms,
+						   link_free_ms - (double)now);
 				*r = (struct receiver){ true, false, now,
-							arrival(c, own_free) };
-				last = MAX(last, r->here_ms);
+							arrival(c,
+								link_free_ms) };
+				last_arrival_ms =
+					MAX(last_arrival_ms, r->arrival_ms);
 				send_window_sent(&w, (size_t)c->bytes);
 			}
 			send_window_tick(&w, now);
 		}
-		if (last > c->most_ms || longest > HEARTBEAT_MS)
-			fail_msg("%s: the last after %" PRId64
-				 " ms, a heartbeat stood for %.0f ms",
-				 c->label, last, longest);
+		if (last_arrival_ms > c->limit_ms ||
+		    max_delay_ms > HEARTBEAT_MS)
+			fail_msg("%s: the last arrived after %" PRId64
+				 " ms, a heartbeat waited for %.0f ms",
+				 c->label, last_arrival_ms, max_delay_ms);
 		for (int i = 0; i < c->receivers; i++)
 			assert_true(all[i].sent);
 		assert_int_equal(w.in_flight, 0);
@@ -101,7 +104,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(bulk_reaches_all_soon),
+		cmocka_unit_test(bulk_arrives_without_delaying_heartbeats),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
