--- a/test/test_slow_pool.c
+++ b/test/test_slow_pool.c
@@ -1,4 +1,4 @@
-/* How slow endpoints are by what all entries see together. */
+/* Tests the estimate of slowness from the observations of all entries. */
 #include "unit.h"
 
 #include "../src/core/balance.h"
@@ -9,7 +9,7 @@
 
 #include <math.h>
 
-static int64_t sum_of(double ratio, int n)
+static int64_t report_sum(double ratio, int n)
 {
 	struct slow_seen s = { 0 };
 
@@ -18,12 +18,14 @@
 	return slow_seen_sum(&s);
 }
 
-/* One report each 100 ms, of one answer. */
-static int64_t pool(struct slow_pool *p, int n, double ratio, int64_t now)
+/* Adds n reports of one answer each, one every 100 ms. Returns the time of the
+ * last. */
+static int64_t add_reports(struct slow_pool *p, int n, double ratio,
+			   int64_t now)
 {
 	for (int i = 0; i < n; i++) {
 		now += 100;
-		slow_pool_add(p, sum_of(ratio, 1), 1, now);
+		slow_pool_add(p, report_sum(ratio, 1), 1, now);
 	}
 	return now;
 }
@@ -33,24 +35,24 @@
 	int n;
 	double ratio;
 	int64_t later_ms;
-	int64_t least, most; /* told */
+	int64_t min, max; /* limits of the ratio to send */
 };
 
 static const struct pool_case pools[] = {
-	{ "nothing is known", 0, 1, 0, 0, 0 },
+	{ "no answers", 0, 1, 0, 0, 0 },
 	{ "four long prompts", 4, 6, 0, 0, 0 },
-	{ "even", 30, 1.2, 0, 0, 0 },
+	{ "usual speed", 30, 1.2, 0, 0, 0 },
 	{ "five times slower", 30, 5, 0, 4000, 5000 },
 	{ "twice as fast", 30, 0.5, 0, 500, 600 },
 	{ "slow some seconds ago", 20, 5, 3000, 3000, 5000 },
 	{ "slow until a minute ago", 30, 5, 60000, 0, 0 },
-	{ "no number", 30, NAN, 0, 0, 0 },
+	{ "not a number", 30, NAN, 0, 0, 0 },
 	{ "a negative ratio", 30, -4, 0, 0, 0 },
 };
 
-/* Guards against long prompts by chance that pass for a slow endpoint, and
- * against a slow one that stays so after it has recovered. */
-static void answers_of_all_are_pooled(void **state)
+/* Guards against a few long prompts that make an endpoint count as slow, and
+ * against one that counts as slow after it has recovered. */
+static void answers_of_all_entries_are_aggregated(void **state)
 {
 	struct slow_pool p = { 0 };
 	int64_t now;
@@ -59,57 +61,60 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(pools); i++) {
 		const struct pool_case *c = &pools[i];
 		struct slow_pool x = { 0 };
-		int64_t got, at = pool(&x, c->n, c->ratio, 5000) + c->later_ms;
+		int64_t got, at = add_reports(&x, c->n, c->ratio, 5000) +
+				  c->later_ms;
 
 		got = slow_pool_ratio(&x, at);
-		if (got < c->least || got > c->most)
+		if (got < c->min || got > c->max)
 			fail_msg("%s: %" PRId64, c->label, got);
 	}
-	/* Told once, again after a second, and that it is even again, once. */
-	now = pool(&p, 30, 5, 5000);
+	/* A ratio is sent once, again after a second, and the return to usual
+	 * speed once. */
+	now = add_reports(&p, 30, 5, 5000);
 	assert_true(slow_pool_is_news(&p, now));
 	slow_pool_tell(&p, now);
 	assert_false(slow_pool_is_news(&p, now));
-	now = pool(&p, 10, 5, now);
+	now = add_reports(&p, 10, 5, now);
 	assert_true(slow_pool_is_news(&p, now));
 	slow_pool_tell(&p, now);
-	now = pool(&p, 90, 1, now);
+	now = add_reports(&p, 90, 1, now);
 	assert_int_equal(slow_pool_ratio(&p, now), SLOW_WHOLE);
 	slow_pool_tell(&p, now);
 	assert_int_equal(slow_pool_ratio(&p, now), 0);
 	assert_false(slow_pool_is_news(&p, now + 5000));
 }
 
-/* Guards against one entry of ten that reports absurd figures, and turns all
- * others away from an endpoint that is even. */
-static void lies_count_as_their_share(void **state)
+/* Guards against one entry of ten whose absurd reports turn all others away
+ * from an endpoint of usual speed. */
+static void false_reports_count_as_their_share(void **state)
 {
-	static const struct lie {
+	static const struct false_report {
 		int64_t sum_ln;
 		uint64_t n;
-	} lies[] = { { INT64_MAX, 1 },
-		     { INT64_MIN, 1 },
-		     { INT64_MAX, UINT64_MAX },
-		     { 50, 0 } };
+	} false_reports[] = { { INT64_MAX, 1 },
+			      { INT64_MIN, 1 },
+			      { INT64_MAX, UINT64_MAX },
+			      { 50, 0 } };
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(lies); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(false_reports); i++) {
 		struct slow_pool p = { 0 };
-		double share = lies[i].n > 1 ? 8.0 / 17 : 0.1;
+		double share = false_reports[i].n > 1 ? 8.0 / 17 : 0.1;
 		int64_t now = 5000;
 
 		for (int k = 0; k < 50; k++) {
-			now = pool(&p, 9, 1, now);
-			slow_pool_add(&p, lies[i].sum_ln, lies[i].n, now);
+			now = add_reports(&p, 9, 1, now);
+			slow_pool_add(&p, false_reports[i].sum_ln,
+				      false_reports[i].n, now);
 		}
-		/* The newest answers weigh a little more than those before. */
+		/* The newest answers weigh slightly more than earlier ones. */
 		assert_true(fabs(p.mean_ln) <= 1.25 * share * log(100));
 	}
 }
 
-/* Guards against a word of the leader that outlives the endpoint's slowness, or
- * that is weaker than what one entry remembers of its few calls. */
-static void told_ratio_counts_while_fresh(void **state)
+/* Guards against a ratio from the leader that is used after the endpoint has
+ * recovered, or that weighs less than the few calls of a single entry. */
+static void received_ratio_counts_while_valid(void **state)
 {
 	struct slow_told t = { 0 };
 
@@ -139,10 +144,10 @@
 	return n;
 }
 
-/* Guards against messages that grow with endpoints that are even: a row of one
- * is as long as its former fields: MessagePack takes a byte for a tag, and one
- * for a small value. */
-static void even_endpoints_cost_no_byte(void **state)
+/* Guards against messages that grow with endpoints of usual speed: a row of one
+ * has only the fields that it had without slowness. MessagePack takes one byte
+ * for a tag and one for a small value. */
+static void usual_endpoints_add_no_bytes(void **state)
 {
 	struct endpoint_ends e = { .addr = SS_LIT("a"), .failed = 1 };
 	struct fleet_load x = { .addr = SS_LIT("a"), .running = 1 };
@@ -150,7 +155,7 @@
 	struct msg_fleet m = { .loads = { &x, 1 } };
 	size_t ends = bytes_of(MSG_DEMAND, &d), loads = bytes_of(MSG_FLEET, &m);
 	struct slow_pool p = { 0 };
-	int64_t now = pool(&p, 50, 1, 5000);
+	int64_t now = add_reports(&p, 50, 1, 5000);
 
 	(void)state;
 	x.slow = slow_pool_ratio(&p, now);
@@ -165,17 +170,17 @@
 #define NODES 10
 #define SLOW 5
 
-/* Guards against many entries whose turns and trials together give a slow
- * endpoint an even part of the calls. */
-static void many_entries_try_a_slow_one_seldom(void **state)
+/* Guards against many entries that together send a slow endpoint an equal part
+ * of the calls, by their random choices and probes. */
+static void many_entries_probe_seldom(void **state)
 {
-	const int64_t play_ms = 600000;
+	const int64_t duration_ms = 600000;
 	uint64_t seed = 5;
-	int slow = 0, calls = 0, trials = 0;
+	int slow = 0, calls = 0, probes = 0;
 
 	(void)state;
 	for (int e = 0; e < ENTRIES; e++) {
-		uint64_t own = ss_random(&seed);
+		uint64_t entry_seed = ss_random(&seed);
 		struct speed_rest r = { 0 };
 
 		for (int i = 0; i < 1000; i++, calls++) {
@@ -187,29 +192,31 @@
 					.slots = 8,
 					.slow = k ? 1 : SLOW
 				};
-			slow += !balance_choose(n, NODES, 1, ss_random(&own));
+			slow += !balance_choose(n, NODES, 1,
+						ss_random(&entry_seed));
 		}
-		for (int64_t now = 1; now < play_ms; now += 100) {
+		for (int64_t now = 1; now < duration_ms; now += 100) {
 			if (r.until_ms > now)
 				continue;
-			trials += r.until_ms > 0;
+			probes += r.until_ms > 0;
 			speed_rest_begin(&r, now);
-			speed_rest_share(&r, ENTRIES, balance_draw(&own), now);
+			speed_rest_share(&r, ENTRIES, balance_draw(&entry_seed),
+					 now);
 		}
 	}
 	assert_in_range(slow * NODES * SLOW * 100 / calls, 80, 120);
-	/* At most two a second. */
-	assert_in_range(trials, play_ms / 2000, play_ms / 500);
+	/* At most two per second. */
+	assert_in_range(probes, duration_ms / 2000, duration_ms / 500);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(answers_of_all_are_pooled),
-		cmocka_unit_test(lies_count_as_their_share),
-		cmocka_unit_test(told_ratio_counts_while_fresh),
-		cmocka_unit_test(even_endpoints_cost_no_byte),
-		cmocka_unit_test(many_entries_try_a_slow_one_seldom),
+		cmocka_unit_test(answers_of_all_entries_are_aggregated),
+		cmocka_unit_test(false_reports_count_as_their_share),
+		cmocka_unit_test(received_ratio_counts_while_valid),
+		cmocka_unit_test(usual_endpoints_add_no_bytes),
+		cmocka_unit_test(many_entries_probe_seldom),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
