--- a/src/core/speed.c
+++ b/src/core/speed.c
@@ -1,44 +1,48 @@
-/* How slow an endpoint is beside the others of its service. */
+/* Estimates the response time of an endpoint relative to its service, and
+ * ejects outliers. */
 #include "speed.h"
 
 #include <math.h>
 
-/* What an answer says counts for half after so long, in ms: callers whose
- * endpoint has recovered find that out within some seconds. It is remembered
- * longer, up to the second time, while later answers agree. */
-#define MEMORY_MS 3000
-#define MEMORY_MAX_MS 12000
-/* Answers that differ by more than this factor from those before are of
- * another time: the endpoint has slowed down or recovered. */
-#define AGREES 3.0
-/* What was before weighs so much then: one fast answer ends a rest. */
-#define WEIGHT_CHANGED 0.5
-/* Answers that are remembered at most, so that it can change within a few. */
+/* Half-life of the weight of an answer, in ms, so that the recovery of an
+ * endpoint is noticed within some seconds. It grows up to the second value
+ * while later answers agree. */
+#define HALF_LIFE_MS 3000
+#define HALF_LIFE_MAX_MS 12000
+/* An answer that differs by more than this factor from the mean shows a change:
+ * the endpoint has slowed down or recovered. */
+#define CHANGE_FACTOR 3.0
+/* Weight of the earlier answers after such a change: one fast answer ends an
+ * ejection. */
+#define CHANGED_WEIGHT 0.5
+/* Maximum weight of the estimate, so that a few answers can change it. */
 #define WEIGHT_MAX 16.0
-/* All endpoints are taken to be as fast as the median until answers of this
- * weight have come: one prompt may wait behind another. */
-#define PRIOR 1.0
-/* Less than this weight is forgotten. */
+/* Weight of the assumption that the endpoint is as fast as the median: one
+ * prompt may wait behind another. */
+#define PRIOR_WEIGHT 1.0
+/* An estimate of less weight is ignored. */
 #define WEIGHT_MIN 0.1
-/* Times differ by this factor from one prompt to the next. */
-#define EVEN 1.5
-/* Work time that can be told from nonsense, in percent, and how long it holds:
- * machines change their speed several times a second. */
-#define WORK_MIN 25
-#define WORK_MAX 1000
-#define WORK_FRESH_MS 200
-/* A process that has just started fills its caches and connections in its
- * first answers, or within so long, in ms. */
-#define START_MS 3000
-#define START_ANSWERS 12.0
-/* An endpoint as many times slower than the median may be rested. */
-#define SLOW_REST 4.0
-/* A rest is as long as a short stall, in ms, and doubles up to the time after
- * which a caller would rather have the endpoint tried again. */
-#define REST_MS 500
-#define REST_MAX_MS 4000
-/* The trial after a rest is waited for so long, in ms. */
-#define TRIAL_MS 1000
+/* Usual variation of response times between prompts, as a factor. */
+#define USUAL_VARIATION 1.5
+/* Plausible range of a reported work time, in percent, and how long a report is
+ * valid: machines change their speed several times a second. */
+#define WORK_MIN_PERCENT 25
+#define WORK_MAX_PERCENT 1000
+#define WORK_VALID_MS 200
+/* Slow start: a new process fills its caches and connections during its first
+ * answers, or for this time, in ms. */
+#define SLOW_START_MS 3000
+#define SLOW_START_ANSWERS 12.0
+/* Slowness from which on an endpoint may be ejected, as a factor of the
+ * median. */
+#define EJECTION_RATIO 4.0
+/* The first ejection lasts as long as a short stall, in ms. The duration
+ * doubles up to the second value, after which callers are better off with
+ * another probe. */
+#define EJECTION_MS 500
+#define EJECTION_MAX_MS 4000
+/* Timeout of the probe after an ejection, in ms. */
+#define PROBE_TIMEOUT_MS 1000
 
 static double weight_at(const struct speed *s, int64_t now)
 {
@@ -46,18 +50,18 @@
 
 	if (s->weight <= 0)
 		return 0;
-	return s->weight * exp2(-age / (double)s->memory_ms);
+	return s->weight * exp2(-age / (double)s->half_life_ms);
 }
 
-/* It doubles at most once in its own length while answers agree, and starts
- * anew when one doesn't. */
-static void set_memory(struct speed *s, bool agrees, int64_t now)
+/* The half-life doubles at most once per half-life while answers agree, and is
+ * reset when one doesn't. */
+static void set_half_life(struct speed *s, bool agrees, int64_t now)
 {
-	if (agrees && now - s->agreed_ms < s->memory_ms)
+	if (agrees && now - s->half_life_set_ms < s->half_life_ms)
 		return;
-	s->memory_ms = agrees ? MIN(2 * s->memory_ms, MEMORY_MAX_MS) :
-				MEMORY_MS;
-	s->agreed_ms = now;
+	s->half_life_ms = agrees ? MIN(2 * s->half_life_ms, HALF_LIFE_MAX_MS) :
+				   HALF_LIFE_MS;
+	s->half_life_set_ms = now;
 }
 
 void speed_note(struct speed *s, double ms, int64_t now)
@@ -68,15 +72,15 @@
 		return;
 	ln = log(ms);
 	if (weight < WEIGHT_MIN) {
-		s->memory_ms = MEMORY_MS;
-		s->agreed_ms = now;
+		s->half_life_ms = HALF_LIFE_MS;
+		s->half_life_set_ms = now;
 		weight = 0;
 	} else {
-		bool agrees = fabs(ln - s->mean_ln) <= log(AGREES);
+		bool agrees = fabs(ln - s->mean_ln) <= log(CHANGE_FACTOR);
 
-		set_memory(s, agrees, now);
+		set_half_life(s, agrees, now);
 		if (!agrees)
-			weight = MIN(weight, WEIGHT_CHANGED);
+			weight = MIN(weight, CHANGED_WEIGHT);
 	}
 	s->mean_ln = (weight * s->mean_ln + ln) / (weight + 1);
 	s->weight = MIN(weight + 1, WEIGHT_MAX);
@@ -84,8 +88,9 @@
 	s->n++;
 }
 
-/* Calls that haven't been answered say something only above this; 0: never. */
-static double usual_ms(const struct speed *s, double median, int64_t now)
+/* A call without an answer counts only if it has taken longer than this; 0: it
+ * never counts. */
+static double threshold_ms(const struct speed *s, double median, int64_t now)
 {
 	if (weight_at(s, now) < WEIGHT_MIN)
 		return median;
@@ -94,34 +99,34 @@
 
 void speed_note_least(struct speed *s, double ms, double median, int64_t now)
 {
-	double usual = usual_ms(s, median, now);
+	double threshold = threshold_ms(s, median, now);
 	uint64_t n = s->n;
 
-	if (usual <= 0 || !(ms > usual))
+	if (threshold <= 0 || !(ms > threshold))
 		return;
-	/* It isn't an answer. */
+	/* A lower bound is not an answer. */
 	speed_note(s, ms, now);
 	s->n = n;
 }
 
 void speed_open_begin(struct speed *s)
 {
-	s->open_weight = s->open_ln = 0;
+	s->pending_weight = s->pending_ln = 0;
 }
 
 void speed_open(struct speed *s, double ms, double median, int64_t now)
 {
-	double usual = usual_ms(s, median, now);
+	double threshold = threshold_ms(s, median, now);
 
-	if (usual <= 0 || !(ms > usual * EVEN))
+	if (threshold <= 0 || !(ms > threshold * USUAL_VARIATION))
 		return;
-	s->open_ln += log(ms);
-	s->open_weight++;
+	s->pending_ln += log(ms);
+	s->pending_weight++;
 }
 
 void speed_work(struct speed *s, int64_t percent, int64_t now)
 {
-	if (percent < WORK_MIN || percent > WORK_MAX)
+	if (percent < WORK_MIN_PERCENT || percent > WORK_MAX_PERCENT)
 		return;
 	s->work = (double)percent / 100.0;
 	s->work_ms = now;
@@ -129,39 +134,39 @@
 
 double speed_reported(const struct speed *s, int64_t now)
 {
-	return now - s->work_ms <= WORK_FRESH_MS ? s->work : 0;
+	return now - s->work_ms <= WORK_VALID_MS ? s->work : 0;
 }
 
-/* What is known by now, with calls under way; the weight says how well. */
-static double known_ln(const struct speed *s, int64_t now, double *weight)
+/* The mean logarithm, including calls in flight, and its weight. */
+static double estimate(const struct speed *s, int64_t now, double *weight)
 {
 	double w = weight_at(s, now);
 
-	/* They take longer than what was answered: that was before. */
-	if (s->open_weight > 0)
-		w = MIN(w, WEIGHT_CHANGED);
-	*weight = w + s->open_weight;
+	/* The calls in flight take longer than earlier answers: a change. */
+	if (s->pending_weight > 0)
+		w = MIN(w, CHANGED_WEIGHT);
+	*weight = w + s->pending_weight;
 	if (*weight < WEIGHT_MIN)
 		return 0;
-	return (w * s->mean_ln + s->open_ln) / *weight;
+	return (w * s->mean_ln + s->pending_ln) / *weight;
 }
 
 double speed_known(const struct speed *s, int64_t now)
 {
 	double weight;
 
-	known_ln(s, now, &weight);
+	estimate(s, now, &weight);
 	return weight;
 }
 
 double speed_ms(const struct speed *s, int64_t now)
 {
-	double weight, ln = known_ln(s, now, &weight);
+	double weight, ln = estimate(s, now, &weight);
 
 	return weight < WEIGHT_MIN ? 0 : exp(ln);
 }
 
-static int by_size(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	double x = *(const double *)a, y = *(const double *)b;
 
@@ -172,85 +177,86 @@
 {
 	if (n < 2)
 		return 0;
-	qsort(ms, n, sizeof(*ms), by_size);
+	qsort(ms, n, sizeof(*ms), compare_doubles);
 	return ms[(n - 1) / 2];
 }
 
 double speed_ratio(const struct speed *s, double median, int64_t now)
 {
-	double weight, ln = known_ln(s, now, &weight);
+	double weight, ln = estimate(s, now, &weight);
 
 	if (weight < WEIGHT_MIN || !(median > 0))
 		return 0;
-	return exp((ln - log(median)) * weight / (weight + PRIOR));
+	return exp((ln - log(median)) * weight / (weight + PRIOR_WEIGHT));
 }
 
 double speed_weight(double ratio)
 {
-	if (ratio >= 1 / EVEN && ratio <= EVEN)
+	if (ratio >= 1 / USUAL_VARIATION && ratio <= USUAL_VARIATION)
 		return 1;
 	return ratio;
 }
 
 double speed_start(int64_t age_ms, uint64_t answers)
 {
-	double by_time = (double)age_ms / START_MS;
-	double by_answers = (1.0 + (double)answers) / START_ANSWERS;
+	double by_age = (double)age_ms / SLOW_START_MS;
+	double by_answers = (1.0 + (double)answers) / SLOW_START_ANSWERS;
 
-	return MIN(MAX(by_time, by_answers), 1);
+	return MIN(MAX(by_age, by_answers), 1);
 }
 
 bool speed_needs_rest(double ratio, double first_ms, int64_t objective_ms)
 {
-	return ratio >= SLOW_REST && objective_ms > 0 &&
+	return ratio >= EJECTION_RATIO && objective_ms > 0 &&
 	       first_ms > (double)objective_ms;
 }
 
 bool speed_is_resting(const struct speed_rest *r, int64_t now)
 {
 	return now < r->until_ms ||
-	       (r->trial_ms && now - r->trial_ms < TRIAL_MS);
+	       (r->probe_ms && now - r->probe_ms < PROBE_TIMEOUT_MS);
 }
 
-/* The last one is over for so long that it says nothing any more. */
-static bool is_old(const struct speed_rest *r, int64_t now)
+/* Whether the last ejection ended so long ago that it no longer counts. */
+static bool is_expired(const struct speed_rest *r, int64_t now)
 {
-	return now - r->until_ms >= REST_MAX_MS;
+	return now - r->until_ms >= EJECTION_MAX_MS;
 }
 
 bool speed_rest_is_due(const struct speed_rest *r, int64_t now)
 {
-	return !r->until_ms || is_old(r, now) ||
-	       (r->trial_ms && now - r->trial_ms >= TRIAL_MS);
+	return !r->until_ms || is_expired(r, now) ||
+	       (r->probe_ms && now - r->probe_ms >= PROBE_TIMEOUT_MS);
 }
 
 void speed_rest_begin(struct speed_rest *r, int64_t now)
 {
-	if (is_old(r, now))
-		r->pause_ms = 0;
-	r->pause_ms = CLAMP(2 * r->pause_ms, REST_MS, REST_MAX_MS);
-	r->until_ms = now + r->pause_ms;
-	r->trial_ms = 0;
+	if (is_expired(r, now))
+		r->duration_ms = 0;
+	r->duration_ms =
+		CLAMP(2 * r->duration_ms, EJECTION_MS, EJECTION_MAX_MS);
+	r->until_ms = now + r->duration_ms;
+	r->probe_ms = 0;
 }
 
 void speed_rest_share(struct speed_rest *r, uint64_t entries, double draw,
 		      int64_t now)
 {
-	double ms = 2 * draw * (double)entries * REST_MS;
+	double ms = 2 * draw * (double)entries * EJECTION_MS;
 
 	r->until_ms = MAX(r->until_ms, now + (int64_t)ms);
 }
 
 void speed_rest_sent(struct speed_rest *r, int64_t now)
 {
-	if (r->until_ms && now >= r->until_ms && !r->trial_ms)
-		r->trial_ms = now;
+	if (r->until_ms && now >= r->until_ms && !r->probe_ms)
+		r->probe_ms = now;
 }
 
 bool speed_rest_answered(struct speed_rest *r, double ratio)
 {
-	if (ratio >= SLOW_REST)
-		return r->trial_ms != 0;
+	if (ratio >= EJECTION_RATIO)
+		return r->probe_ms != 0;
 	*r = (struct speed_rest){ 0 };
 	return false;
 }
--- a/test/test_speed.c
+++ b/test/test_speed.c
@@ -1,4 +1,4 @@
-/* How slow endpoints are beside each other, by what their calls take. */
+/* Tests the response times of endpoints relative to each other. */
 #include "unit.h"
 
 #include "../src/core/balance.h"
@@ -6,10 +6,10 @@
 
 #include <math.h>
 
-#define FIRST_MS 40 /* of an endpoint at full speed */
+#define FIRST_MS 40 /* time to the first event at full speed */
 
-/* So many answers, one each 200 ms. */
-static int64_t answer(struct speed *s, int n, double ms, int64_t now)
+/* Records n answers, one every 200 ms. Returns the time of the last. */
+static int64_t add_answers(struct speed *s, int n, double ms, int64_t now)
 {
 	for (int i = 0; i < n; i++) {
 		now += 200;
@@ -22,15 +22,15 @@
 	const char *label;
 	int n;
 	double ms;
-	int64_t later_ms; /* it is asked so long after the last answer */
+	int64_t later_ms; /* time of the query after the last answer */
 	double least, most;
 };
 
 static const struct ratio_case ratios[] = {
-	{ "nothing is known", 0, 0, 0, 0, 0 },
+	{ "no answers", 0, 0, 0, 0, 0 },
 	{ "as fast as others", 5, 40, 0, 0.99, 1.01 },
 	{ "one long prompt", 1, 85, 0, 1, 1.5 },
-	{ "one answer that is very late", 1, 800, 0, 3, 6 },
+	{ "one very late answer", 1, 800, 0, 3, 6 },
 	{ "five times slower", 10, 200, 0, 4, 5 },
 	{ "a third slower", 10, 53, 0, 1.2, 1.5 },
 	{ "twice as fast", 10, 20, 0, 0.5, 0.6 },
@@ -38,18 +38,19 @@
 	{ "slower until a minute ago", 10, 200, 60000, 0, 1.5 },
 	{ "a time of 0", 10, 0, 0, 0, 0 },
 	{ "a negative time", 10, -7, 0, 0, 0 },
-	{ "no number", 10, NAN, 0, 0, 0 },
+	{ "not a number", 10, NAN, 0, 0, 0 },
 };
 
-/* Guards against a few chance prompts that pass for a slow endpoint, and
- * against one that stays slow in memory as it gets no more calls. */
-static void answers_show_the_speed(void **state)
+/* Guards against a few long prompts that make an endpoint count as slow, and
+ * against one that counts as slow for good because it gets no more calls. */
+static void ratio_follows_answers(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(ratios); i++) {
 		const struct ratio_case *c = &ratios[i];
 		struct speed s = { 0 };
-		int64_t now = answer(&s, c->n, c->ms, 100000) + c->later_ms;
+		int64_t now =
+			add_answers(&s, c->n, c->ms, 100000) + c->later_ms;
 		double got = speed_ratio(&s, FIRST_MS, now);
 
 		if (got < c->least || got > c->most)
@@ -61,12 +62,12 @@
 	assert_true(speed_median((double[]){ 9 }, 1) == 0);
 }
 
-/* Guards against an endpoint that stands still, answers nothing, and so passes
- * for as fast as it was. */
-static void calls_under_way_show_a_stall(void **state)
+/* Guards against a stalled endpoint that answers nothing and therefore counts
+ * as fast as before. */
+static void calls_in_flight_show_a_stall(void **state)
 {
 	struct speed s = { 0 }, fresh = { 0 };
-	int64_t now = answer(&s, 10, FIRST_MS, 100000) + 1200;
+	int64_t now = add_answers(&s, 10, FIRST_MS, 100000) + 1200;
 
 	(void)state;
 	speed_open_begin(&s);
@@ -77,19 +78,19 @@
 	assert_true(speed_ratio(&s, FIRST_MS, now) > 4);
 	speed_open(&fresh, 1200, FIRST_MS, now);
 	assert_true(speed_ratio(&fresh, FIRST_MS, now) > 4);
-	/* Whoever leaves has waited at least so long. */
+	/* A caller that disconnects has waited at least this long. */
 	speed_open_begin(&s);
 	speed_note_least(&s, 10, FIRST_MS, now);
 	assert_true(speed_weight(speed_ratio(&s, FIRST_MS, now)) == 1);
 	speed_note_least(&s, 1200, FIRST_MS, now);
 	assert_true(speed_ratio(&s, FIRST_MS, now) > 2);
 	speed_open_begin(&s);
-	now = answer(&s, 4, FIRST_MS, now);
+	now = add_answers(&s, 4, FIRST_MS, now);
 	assert_true(speed_weight(speed_ratio(&s, FIRST_MS, now)) == 1);
 }
 
-/* Guards against an endpoint's own word that is nonsense, or is over. */
-static void reported_work_is_believed_for_a_moment(void **state)
+/* Guards against reported work times that are absurd or outdated. */
+static void reported_work_expires(void **state)
 {
 	static const int64_t absurd[] = { 0, -5, 24, 1001, INT64_MAX };
 	struct speed s = { 0 };
@@ -105,9 +106,9 @@
 	assert_true(speed_reported(&s, 1201) == 0);
 }
 
-/* Guards against a slow endpoint that is never tried again, or is tried by
- * all callers together. */
-static void rests_end_with_one_trial(void **state)
+/* Guards against a slow endpoint that is never probed, or is probed by all
+ * callers at once. */
+static void ejections_end_with_one_probe(void **state)
 {
 	struct speed_rest r = { 0 };
 	int64_t now = 100000, first;
@@ -115,7 +116,7 @@
 	(void)state;
 	assert_true(speed_rest_is_due(&r, now));
 	speed_rest_begin(&r, now);
-	first = r.pause_ms;
+	first = r.duration_ms;
 	assert_true(speed_is_resting(&r, now) && !speed_rest_is_due(&r, now));
 	now = r.until_ms;
 	assert_false(speed_is_resting(&r, now) || speed_rest_is_due(&r, now));
@@ -123,12 +124,12 @@
 	assert_true(speed_is_resting(&r, now + 100));
 	assert_true(speed_rest_answered(&r, 6));
 	speed_rest_begin(&r, now + 300);
-	assert_int_equal(r.pause_ms, 2 * first);
+	assert_int_equal(r.duration_ms, 2 * first);
 	now = r.until_ms;
 	speed_rest_sent(&r, now);
 	assert_false(speed_rest_answered(&r, 1.2));
 	assert_false(speed_is_resting(&r, now));
-	/* A trial that doesn't come back. */
+	/* A probe that is never answered. */
 	speed_rest_begin(&r, now);
 	now = r.until_ms;
 	speed_rest_sent(&r, now);
@@ -139,7 +140,7 @@
 }
 
 /* Guards against a burst of calls to an endpoint that has just started. */
-static void started_endpoints_get_more_and_more(void **state)
+static void slow_start_raises_the_share(void **state)
 {
 	(void)state;
 	assert_true(speed_start(0, 0) > 0 && speed_start(0, 0) <= 0.2);
@@ -148,65 +149,72 @@
 	assert_true(speed_start(100, 900) == 1 && speed_start(9000, 0) == 1);
 }
 
-#define PLAYED 10
-#define CALL_MS 500    /* after its first event */
-#define IN_TIME_MS 200 /* until then */
+#define ENGINES 10
+#define CALL_MS 500	 /* duration after the first event */
+#define OBJECTIVE_MS 200 /* latency objective for the first event */
 #define SLOW_FROM_MS 10000
-#define PLAY_MS 60000
+#define SIM_MS 60000
 
-/* Ten engines. From a time to another the first of them, or all, are slower. */
-struct play_case {
+/* Simulates ten engines. The first one, or all, are slower from SLOW_FROM_MS to
+ * to_ms. */
+struct sim_case {
 	const char *label;
-	int64_t gap_ms; /* calls come so far apart */
-	bool share;	/* they are drawn by room */
+	int64_t gap_ms; /* interval between calls */
+	bool weighted;	/* balance_share() instead of balance_choose() */
 	bool all;
-	bool whole;  /* all of a call is slower, and not only its beginning */
-	double slow; /* times slower; 0: they stand still */
+	bool whole;  /* the whole call is slower, not only its first event */
+	double slow; /* factor; 0: they stall */
 	int64_t to_ms;
-	int least, most; /* calls of the first while it is slow, in percent of
-			    an even part, but for the first second */
-	int late;	 /* of all calls then, in percent, at most */
+	int least, most; /* limits of the calls to the first one while it is
+			    slow, in percent of an equal share, without the
+			    first second */
+	int late;	 /* maximum of late calls in that time, in percent */
 };
 
-static const struct play_case plays[] = {
-	{ "even", 20, false, false, false, 1, PLAY_MS, 90, 110, 0 },
-	{ "few calls", 100, false, false, false, 5, PLAY_MS, 10, 35, 3 },
-	{ "some calls each", 20, false, false, false, 5, PLAY_MS, 10, 35, 3 },
-	{ "many calls each", 5, false, false, false, 5, PLAY_MS, 10, 35, 3 },
-	{ "drawn by room", 20, true, false, false, 5, PLAY_MS, 15, 45, 3 },
-	{ "of all of a call", 20, false, false, true, 5, PLAY_MS, 10, 35, 3 },
+static const struct sim_case sim_cases[] = {
+	{ "all equal", 20, false, false, false, 1, SIM_MS, 90, 110, 0 },
+	{ "few calls per engine", 100, false, false, false, 5, SIM_MS, 10, 35,
+	  3 },
+	{ "some calls per engine", 20, false, false, false, 5, SIM_MS, 10, 35,
+	  3 },
+	{ "many calls per engine", 5, false, false, false, 5, SIM_MS, 10, 35,
+	  3 },
+	{ "weighted by room", 20, true, false, false, 5, SIM_MS, 15, 45, 3 },
+	{ "the whole call is slower", 20, false, false, true, 5, SIM_MS, 10, 35,
+	  3 },
 	{ "a stall", 20, false, false, false, 0, 14000, 0, 25, 3 },
-	{ "all are slow", 20, false, true, true, 6, PLAY_MS, 80, 120, 100 },
-	{ "all stand still", 20, false, true, false, 0, 14000, 50, 150, 100 },
+	{ "all are slow", 20, false, true, true, 6, SIM_MS, 80, 120, 100 },
+	{ "all are stalled", 20, false, true, false, 0, 14000, 50, 150, 100 },
 };
 
-struct played {
+struct sim_call {
 	int64_t sent_ms, first_ms, end_ms;
 	int at;
-	bool told;
+	bool received;
 };
 
-struct play {
-	const struct play_case *c;
-	struct speed speeds[PLAYED];
-	double ratios[PLAYED], median;
-	int64_t running[PLAYED];
-	struct played calls[PLAY_MS];
+struct sim {
+	const struct sim_case *c;
+	struct speed speeds[ENGINES];
+	double ratios[ENGINES], median;
+	int64_t running[ENGINES];
+	struct sim_call calls[SIM_MS];
 	int n;
 	uint64_t seed;
 };
 
-/* One call's time: between 0.8 and 1.2 of the usual. */
-static void play_send(struct play *p, int at, int64_t now)
+/* Starts a call that takes 0.8 to 1.2 times the usual time. */
+static void sim_send(struct sim *p, int at, int64_t now)
 {
-	const struct play_case *c = p->c;
-	bool hit = (c->all || at == 0) && now >= SLOW_FROM_MS && now < c->to_ms;
-	double slow = hit ? c->slow : 1;
+	const struct sim_case *c = p->c;
+	bool is_slow = (c->all || at == 0) && now >= SLOW_FROM_MS &&
+		       now < c->to_ms;
+	double slow = is_slow ? c->slow : 1;
 	double first =
 		FIRST_MS * (0.8 + (double)(ss_random(&p->seed) % 5) / 10);
-	struct played *x = &p->calls[p->n++];
+	struct sim_call *x = &p->calls[p->n++];
 
-	*x = (struct played){ .sent_ms = now, .at = at };
+	*x = (struct sim_call){ .sent_ms = now, .at = at };
 	x->first_ms = now + (int64_t)(first * slow);
 	if (slow <= 0) {
 		x->first_ms = c->to_ms + (int64_t)first;
@@ -216,46 +224,46 @@
 	p->running[at]++;
 }
 
-static void play_answers(struct play *p, int64_t now)
+static void sim_receive(struct sim *p, int64_t now)
 {
 	for (int i = 0; i < p->n; i++) {
-		struct played *x = &p->calls[i];
+		struct sim_call *x = &p->calls[i];
 
-		if (!x->told && x->first_ms <= now) {
+		if (!x->received && x->first_ms <= now) {
 			speed_note(&p->speeds[x->at],
 				   (double)(x->first_ms - x->sent_ms), now);
-			x->told = true;
+			x->received = true;
 		}
 		if (x->end_ms <= now && x->end_ms > now - 5)
 			p->running[x->at]--;
 	}
 }
 
-static void play_look(struct play *p, int64_t now)
+static void sim_update(struct sim *p, int64_t now)
 {
-	double ms[PLAYED];
+	double ms[ENGINES];
 	size_t n = 0;
 
-	for (int i = 0; i < PLAYED; i++)
+	for (int i = 0; i < ENGINES; i++)
 		speed_open_begin(&p->speeds[i]);
 	for (int i = 0; i < p->n; i++)
-		if (!p->calls[i].told)
+		if (!p->calls[i].received)
 			speed_open(&p->speeds[p->calls[i].at],
 				   (double)(now - p->calls[i].sent_ms),
 				   p->median, now);
-	for (int i = 0; i < PLAYED; i++)
+	for (int i = 0; i < ENGINES; i++)
 		if (speed_ms(&p->speeds[i], now) > 0)
 			ms[n++] = speed_ms(&p->speeds[i], now);
 	p->median = speed_median(ms, n);
-	for (int i = 0; i < PLAYED; i++)
+	for (int i = 0; i < ENGINES; i++)
 		p->ratios[i] = speed_ratio(&p->speeds[i], p->median, now);
 }
 
-static int play_choose(struct play *p)
+static int sim_choose(struct sim *p)
 {
-	struct balance_node n[PLAYED] = { 0 };
+	struct balance_node n[ENGINES] = { 0 };
 
-	for (int i = 0; i < PLAYED; i++) {
+	for (int i = 0; i < ENGINES; i++) {
 		n[i] = (struct balance_node){ .usable = true,
 					      .near = true,
 					      .has_adapter = true,
@@ -263,53 +271,54 @@
 					      .reported = p->running[i] };
 		n[i].slow = speed_weight(p->ratios[i]);
 	}
-	return (p->c->share ? balance_share : balance_choose)(
-		n, PLAYED, 1.0, ss_random(&p->seed));
+	return (p->c->weighted ? balance_share : balance_choose)(
+		n, ENGINES, 1.0, ss_random(&p->seed));
 }
 
-/* The first one's part of the calls that were sent in a time. */
-static int play_part(const struct play *p, int64_t from, int64_t to, int *late)
+/* The share of the first engine in the calls sent in a period, in percent of an
+ * equal share. */
+static int sim_share(const struct sim *p, int64_t from, int64_t to, int *late)
 {
 	int all = 0, first = 0, n_late = 0;
 
 	for (int i = 0; i < p->n; i++) {
-		const struct played *x = &p->calls[i];
+		const struct sim_call *x = &p->calls[i];
 
 		if (x->sent_ms < from || x->sent_ms >= to)
 			continue;
 		all++;
 		first += x->at == 0;
-		n_late += x->first_ms - x->sent_ms > IN_TIME_MS;
+		n_late += x->first_ms - x->sent_ms > OBJECTIVE_MS;
 	}
 	*late = (n_late * 100 + all - 1) / all;
-	return first * 100 * PLAYED / all;
+	return first * 100 * ENGINES / all;
 }
 
 /*
- * Symptom: callers are late on an engine that is several times slower, as it
- * gets as many calls as the others; it gets none though it has recovered; or
- * engines are shunned where all are slow.
+ * Guards against late callers on an engine that is several times slower but
+ * gets as many calls as the others, against an engine that gets no calls after
+ * its recovery, and against engines that are avoided although all are slow.
  */
 static void slow_engines_get_fewer_calls(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(plays); i++) {
-		const struct play_case *c = &plays[i];
-		struct play *p = g_new0(struct play, 1);
+	for (size_t i = 0; i < G_N_ELEMENTS(sim_cases); i++) {
+		const struct sim_case *c = &sim_cases[i];
+		struct sim *p = g_new0(struct sim, 1);
 		int part, after, late, none;
 
 		p->c = c;
 		p->seed = 11;
-		for (int64_t now = 5; now < PLAY_MS; now += 5) {
-			play_answers(p, now);
+		for (int64_t now = 5; now < SIM_MS; now += 5) {
+			sim_receive(p, now);
 			if (now % 100 == 0)
-				play_look(p, now);
+				sim_update(p, now);
 			if (now % c->gap_ms == 0)
-				play_send(p, play_choose(p), now);
+				sim_send(p, sim_choose(p), now);
 		}
-		part = play_part(p, SLOW_FROM_MS + 1000, c->to_ms, &late);
-		after = c->to_ms < PLAY_MS ?
-				play_part(p, c->to_ms + 3000, PLAY_MS, &none) :
+		part = sim_share(p, SLOW_FROM_MS + 1000, c->to_ms, &late);
+		after = c->to_ms < SIM_MS ?
+				sim_share(p, c->to_ms + 3000, SIM_MS, &none) :
 				100;
 		if (part < c->least || part > c->most || late > c->late ||
 		    after < 80)
@@ -322,12 +331,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(answers_show_the_speed),
-		cmocka_unit_test(calls_under_way_show_a_stall),
-		cmocka_unit_test(reported_work_is_believed_for_a_moment),
-		cmocka_unit_test(rests_end_with_one_trial),
+		cmocka_unit_test(ratio_follows_answers),
+		cmocka_unit_test(calls_in_flight_show_a_stall),
+		cmocka_unit_test(reported_work_expires),
+		cmocka_unit_test(ejections_end_with_one_probe),
 		cmocka_unit_test(slow_engines_get_fewer_calls),
-		cmocka_unit_test(started_endpoints_get_more_and_more),
+		cmocka_unit_test(slow_start_raises_the_share),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
