--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -1,4 +1,4 @@
-/* Choosing an endpoint, whole events, the routing's
+/* Tests the choice of an endpoint, the framing of events, and the routing's
  * version in the replicated state. */
 #include "unit.h"
 
@@ -7,13 +7,15 @@
 #include "../src/core/state.h"
 #include "../src/proxy/events.h"
 
-/* Most are near and have what is needed; a case says where one isn't. */
+/* By default a node is in the failure domain and holds the adapter; far and
+ * bare name an exception. */
 struct choose_case {
 	const char *label;
 	struct balance_node nodes[3];
 	size_t n;
 	int want;
-	int far, bare; /* 1 + index of such a node; 0: none */
+	int far, bare; /* 1 + index of a node in another failure domain, or
+			  without the adapter; 0: none */
 };
 
 #define NODE(...)                                                              \
@@ -21,68 +23,73 @@
 		.usable = true, .slots = 8, __VA_ARGS__                        \
 	}
 
-static const struct choose_case chooses[] = {
-	{ "the one with fewer calls",
+static const struct choose_case choose_cases[] = {
+	{ "the node with fewer calls",
 	  { NODE(.reported = 5), NODE(.reported = 2) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "what was sent since the report counts",
+	{ "calls sent since the report count",
 	  { NODE(.reported = 1, .since = 5), NODE(.reported = 3) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "own calls count where the report is older than they are",
+	{ "own calls count if they exceed the report",
 	  { NODE(.own = 6), NODE(.reported = 3) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "near, where both are as full",
+	{ "the near node at equal load",
 	  { NODE(.own = 0), NODE(.own = 0) },
 	  2,
 	  1,
 	  1,
 	  0 },
-	{ "far, where near is fuller by more than that",
+	{ "the far node if the near one has much more load",
 	  { NODE(.own = 0), NODE(.reported = 2) },
 	  2,
 	  0,
 	  1,
 	  0 },
-	{ "the adapter that is loaded",
+	{ "the node that holds the adapter",
 	  { NODE(.own = 0), NODE(.reported = 2) },
 	  2,
 	  1,
 	  0,
 	  1 },
-	{ "the warm prompt",
+	{ "the node with the warm prompt cache",
 	  { NODE(.affinity = 1), NODE(.affinity = 9, .reported = 1) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "not one that fails a third of its calls",
+	{ "not a node with a failure rate of a third",
 	  { NODE(.failing = 0.33), NODE(.reported = 5) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "but that one rather than none",
+	{ "a failing node if there is no other",
 	  { NODE(.failing = 0.9) },
 	  1,
 	  0,
 	  0,
 	  0 },
-	{ "not the one that it came back from",
+	{ "not a node that has refused the call",
 	  { NODE(.tried = true), NODE(.reported = 6) },
 	  2,
 	  1,
 	  0,
 	  0 },
-	{ "nobody usable", { { .usable = false } }, 1, BALANCE_NOBODY, 0, 0 },
+	{ "no usable endpoint",
+	  { { .usable = false } },
+	  1,
+	  BALANCE_NOBODY,
+	  0,
+	  0 },
 	{ "all full",
 	  { NODE(.reported = 8), NODE(.own = 9) },
 	  2,
@@ -92,11 +99,11 @@
 	{ "no endpoint at all", { { 0 } }, 0, BALANCE_NOBODY, 0, 0 },
 };
 
-static void the_best_is_chosen(void **state)
+static void best_node_is_chosen(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(chooses); i++) {
-		struct choose_case copy = chooses[i], *c = &copy;
+	for (size_t i = 0; i < G_N_ELEMENTS(choose_cases); i++) {
+		struct choose_case copy = choose_cases[i], *c = &copy;
 
 		for (size_t k = 0; k < c->n; k++) {
 			c->nodes[k].near = c->far != (int)k + 1;
@@ -111,7 +118,7 @@
 	}
 }
 
-static void equals_share_the_calls(void **state)
+static void equal_nodes_share_calls(void **state)
 {
 	struct balance_node n[3] = { NODE(.own = 0), NODE(.own = 0),
 				     NODE(.own = 0) };
@@ -132,25 +139,25 @@
 };
 
 static const struct events_case event_cases[] = {
-	{ "one event a piece",
+	{ "one event per read",
 	  { "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n" },
 	  "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
 	  true,
 	  true,
 	  2 },
-	{ "cut anywhere",
+	{ "events split across reads",
 	  { "id: 1\nda", "ta: a\n", "\nid: 2\n", "data: b\n\n" },
 	  "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
 	  true,
 	  true,
 	  2 },
-	{ "the last isn't whole",
+	{ "the last event is incomplete",
 	  { "id: 1\ndata: a\n\nid: 2\nda" },
 	  "id: 1\ndata: a\n\n",
 	  true,
 	  false,
 	  1 },
-	{ "lines that end in CR LF",
+	{ "lines end in CR LF",
 	  { "id: 7\r\ndata: a\r\n\r\n" },
 	  "id: 7\r\ndata: a\r\n\r\n",
 	  true,
@@ -163,7 +170,7 @@
 	  true,
 	  -1 },
 	{ "a gap", { "id: 1\n\n", "id: 3\n\n" }, "id: 1\n\n", false, false, 1 },
-	{ "a repeat",
+	{ "a repeated event",
 	  { "id: 2\n\n", "id: 2\n\n" },
 	  "id: 2\n\n",
 	  false,
@@ -171,7 +178,7 @@
 	  2 },
 };
 
-static void only_whole_events_pass(void **state)
+static void only_complete_events_pass(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(event_cases); i++) {
@@ -217,11 +224,11 @@
 }
 
 /*
- * Symptom: an older routing comes back, or other content under a version
- * that is held. Sequence: two operators, late and repeated changes. All are
- * acknowledged; only a higher version changes anything.
+ * Guards against a return to an older routing, and against other content under
+ * a version that is held. Two operators send delayed and repeated changes: all
+ * are acknowledged, but only a higher version takes effect.
  */
-static void highest_routing_wins(void **state)
+static void highest_routing_version_wins(void **state)
 {
 	static const struct {
 		uint64_t version;
@@ -257,37 +264,37 @@
 	ss_state_free(copy);
 }
 
-/* Entries that all go by reports of the same moment. */
-struct herd_case {
+/* Entries that choose by reports of the same time. */
+struct stale_report_case {
 	const char *label;
-	int64_t loads[3]; /* as reported */
+	int64_t loads[3]; /* in the report */
 	double unseen;
-	int least, most; /* of 300 calls to the first node */
+	int least, most; /* limits of the calls to the first node, of 300 */
 };
 
-static const struct herd_case herds[] = {
-	{ "nothing can have come since", { 4, 5, 5 }, 0, 300, 300 },
-	{ "as full, and dozens may have come", { 5, 5, 5 }, 30, 70, 130 },
-	{ "hardly emptier, and dozens may have come",
+static const struct stale_report_case stale_report_cases[] = {
+	{ "no calls since the report", { 4, 5, 5 }, 0, 300, 300 },
+	{ "equal load, dozens of calls since", { 5, 5, 5 }, 30, 70, 130 },
+	{ "slightly less load, dozens of calls since",
 	  { 4, 5, 5 },
 	  30,
 	  80,
 	  150 },
-	{ "emptier by more than can have come", { 1, 9, 9 }, 6, 300, 300 },
-	{ "emptier by half of what may have come", { 2, 5, 5 }, 6, 180, 280 },
+	{ "less load by more than the calls since", { 1, 9, 9 }, 6, 300, 300 },
+	{ "less load by half of the calls since", { 2, 5, 5 }, 6, 180, 280 },
 };
 
 /*
- * Symptom: one of three replicas has dozens of calls while the others are idle,
- * and a moment later another. Sequence: a hundred entries hear the loads each
- * 200 ms, and each sends its next call to the emptiest. Cause: what the others
- * have sent since is in nobody's report.
+ * Guards against replicas that take turns in getting dozens of calls while the
+ * others are idle. A hundred entries receive the loads every 200 ms, and all
+ * send their next call to the least loaded replica, as no report contains what
+ * the others have sent since.
  */
-static void entries_dont_run_after_one_report(void **state)
+static void stale_reports_cause_no_herding(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(herds); i++) {
-		const struct herd_case *c = &herds[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(stale_report_cases); i++) {
+		const struct stale_report_case *c = &stale_report_cases[i];
 		uint64_t seed = 7;
 		int first = 0;
 
@@ -309,59 +316,59 @@
 	}
 }
 
-struct share_case {
+struct weighted_case {
 	const char *label;
 	struct balance_node nodes[5];
 	size_t n;
-	int least[5], most[5]; /* of a hundred calls */
+	int least[5], most[5]; /* limits, of a hundred calls */
 };
 
-static const struct share_case shares[] = {
-	{ "one that has just loaded its model gets more, and not all",
+static const struct weighted_case weighted_cases[] = {
+	{ "a node that has just loaded the model gets more, but not all",
 	  { NODE(.reported = 0), NODE(.reported = 20), NODE(.reported = 22),
 	    NODE(.reported = 18), NODE(.reported = 25) },
 	  5,
 	  { 30, 8, 6, 10, 3 },
 	  { 55, 26, 24, 28, 20 } },
-	{ "as full as each other",
+	{ "equal load",
 	  { NODE(.reported = 9), NODE(.reported = 9) },
 	  2,
 	  { 40, 40 },
 	  { 60, 60 } },
-	{ "nothing runs: the warm prompt",
+	{ "no calls: the node with the warm prompt cache",
 	  { NODE(.affinity = 1), NODE(.affinity = 9) },
 	  2,
 	  { 0, 100 },
 	  { 0, 100 } },
-	{ "one that is twice as full as all of them gets nothing",
+	{ "a node with twice the mean load gets none",
 	  { NODE(.reported = 30), NODE(.reported = 2), NODE(.reported = 1) },
 	  3,
 	  { 0, 40, 40 },
 	  { 0, 60, 60 } },
-	{ "not one that fails half of its calls",
+	{ "not a node with a failure rate of a half",
 	  { NODE(.reported = 4, .failing = 0.5), NODE(.reported = 4) },
 	  2,
 	  { 0, 100 },
 	  { 0, 100 } },
-	{ "not the one that it came back from",
+	{ "not a node that has refused the call",
 	  { NODE(.reported = 4, .tried = true), NODE(.reported = 4) },
 	  2,
 	  { 0, 100 },
 	  { 0, 100 } },
-	{ "a full one has no room, however empty the others",
+	{ "a full node gets none",
 	  { NODE(.reported = 40), NODE(.reported = 39) },
 	  2,
 	  { 0, 100 },
 	  { 0, 100 } },
 };
 
-/* Dozens of prompts that are read at once on the one engine that the last
- * report showed empty: all its callers see their events pause. */
-static void engines_share_the_prompts(void **state)
+/* Guards against dozens of prefills at once on the engine that had the least
+ * load in the last report: the streams of all its callers would pause. */
+static void engines_share_prefills(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(shares); i++) {
-		struct share_case c = shares[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(weighted_cases); i++) {
+		struct weighted_case c = weighted_cases[i];
 		int got[5] = { 0 };
 		uint64_t seed = 3;
 
@@ -370,11 +377,11 @@
 			c.nodes[k].slots = 40;
 		}
 		for (int call = 0; call < 100; call++) {
-			int at = balance_share(c.nodes, c.n, 1.0,
-					       ss_random(&seed));
+			int node = balance_share(c.nodes, c.n, 1.0,
+						 ss_random(&seed));
 
-			assert_in_range(at, 0, c.n - 1);
-			got[at]++;
+			assert_in_range(node, 0, c.n - 1);
+			got[node]++;
 		}
 		for (size_t k = 0; k < c.n; k++)
 			if (got[k] < c.least[k] || got[k] > c.most[k])
@@ -383,8 +390,8 @@
 	}
 }
 
-/* Where none may be chosen it says why, as for other endpoints. */
-static void engines_that_have_no_room_are_told_apart(void **state)
+/* Reports why no node was chosen, as balance_choose() does. */
+static void reason_for_no_choice_is_returned(void **state)
 {
 	struct balance_node n[2] = { NODE(.reported = 8), NODE(.own = 9) };
 
@@ -395,12 +402,12 @@
 	assert_int_equal(balance_share(n, 0, 1.0, 1), BALANCE_NOBODY);
 }
 
-/* Symptom: deployments whose engines are all as fast are served otherwise than
- * without speeds, by a draw more or a sum that is rounded. The print is that of
- * the choices between nodes whose speed isn't known. */
-static void even_engines_are_chosen_as_before(void **state)
+/* Guards against a change in the choices between engines of equal speed, by one
+ * more random number or by rounding. The fingerprint is that of the choices
+ * between nodes of unknown speed. */
+static void equal_speeds_change_no_choice(void **state)
 {
-	uint64_t seed = 5, print = 0;
+	uint64_t seed = 5, fingerprint = 0;
 
 	(void)state;
 	for (int call = 0; call < 20000; call++) {
@@ -416,30 +423,31 @@
 			n[i].slow = call / 2 % 2;
 			n[i].late = (double)(call % 3) / 4;
 		}
-		print = print * 31 +
+		fingerprint =
+			fingerprint * 31 +
 			(uint64_t)(call % 2 ? balance_share :
 					      balance_choose)(n, 5, 1.0, tie);
 	}
-	assert_true(print == 0xa3f4c7c7cbb88945ULL);
+	assert_true(fingerprint == 0xa3f4c7c7cbb88945ULL);
 }
 
 struct far_case {
 	const char *label;
-	double late[2]; /* of the near ones; a far one is idle */
-	double failing; /* of them: less than the distance weighs */
+	double late[2]; /* of the near nodes; the far one is idle */
+	double failing; /* of the near nodes: less than the distance penalty */
 	bool far;
 };
 
-/* Symptom: callers are late beside engines of another failure domain that have
- * room. */
-static void far_engines_take_what_would_be_late(void **state)
+/* Guards against calls that are late although engines in another failure domain
+ * have room. */
+static void far_engines_take_calls_that_would_be_late(void **state)
 {
 	static const struct far_case cases[] = {
-		{ "nothing is known", { 0, 0 }, 0.02, false },
-		{ "half of the time passes", { 0.5, 0.5 }, 0.02, false },
+		{ "no expected times", { 0, 0 }, 0.02, false },
+		{ "half of the objective is used", { 0.5, 0.5 }, 0.02, false },
 		{ "all would be late", { 1, 1.5 }, 0.02, true },
-		{ "nearly late", { 0.95, 0.9 }, 0.02, true },
-		{ "one of them is in time", { 3, 0.1 }, 0.02, false },
+		{ "all would be nearly late", { 0.95, 0.9 }, 0.02, true },
+		{ "one near node is in time", { 3, 0.1 }, 0.02, false },
 	};
 
 	(void)state;
@@ -462,15 +470,15 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_best_is_chosen),
-		cmocka_unit_test(entries_dont_run_after_one_report),
-		cmocka_unit_test(equals_share_the_calls),
-		cmocka_unit_test(engines_share_the_prompts),
-		cmocka_unit_test(even_engines_are_chosen_as_before),
-		cmocka_unit_test(far_engines_take_what_would_be_late),
-		cmocka_unit_test(engines_that_have_no_room_are_told_apart),
-		cmocka_unit_test(only_whole_events_pass),
-		cmocka_unit_test(highest_routing_wins),
+		cmocka_unit_test(best_node_is_chosen),
+		cmocka_unit_test(stale_reports_cause_no_herding),
+		cmocka_unit_test(equal_nodes_share_calls),
+		cmocka_unit_test(engines_share_prefills),
+		cmocka_unit_test(equal_speeds_change_no_choice),
+		cmocka_unit_test(far_engines_take_calls_that_would_be_late),
+		cmocka_unit_test(reason_for_no_choice_is_returned),
+		cmocka_unit_test(only_complete_events_pass),
+		cmocka_unit_test(highest_routing_version_wins),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
