--- a/src/core/pace.c
+++ b/src/core/pace.c
@@ -189,7 +189,7 @@
 	return (int64_t)ceil(first + events * event);
 }
 
-int64_t pace_plain_ms(const struct pace *route, const struct pace_open *open)
+int64_t pace_plain_ms(const struct pace *route, const struct pace_open *pending)
 {
 	if (route->first.n < PREDICTION_SAMPLES)
 		return SS_NEVER;
@@ -198,5 +198,5 @@
 	 * took 1,310 ms. */
 	return (int64_t)ceil(MAX(MAX(timing_max(&route->first_max),
 				     pace_bound(&route->first)),
-				 open->first_ms));
+				 pending->first_ms));
 }
--- a/src/core/pace.h
+++ b/src/core/pace.h
@@ -97,6 +97,7 @@
  * if it can't be predicted.
  */
 int64_t pace_stream_ms(const struct pace_ask *a);
-int64_t pace_plain_ms(const struct pace *route, const struct pace_open *open);
+int64_t pace_plain_ms(const struct pace *route,
+		      const struct pace_open *pending);
 
 #endif
