--- a/src/core/choose.c
+++ b/src/core/choose.c
@@ -1,10 +1,10 @@
-/* Choosing a replica. */
+/* Selection of a replica for a call, by load and locality. */
 #include "choose.h"
 
-/* In shares of a replica's slots. */
-#define FAR_PENALTY 0.25
+/* Added to or subtracted from a score, as a fraction of a replica's slots. */
+#define OTHER_DOMAIN_PENALTY 0.25
 #define PREFIX_BONUS 0.5
-/* Above this load locality is no reason to wait behind others. */
+/* At this load or above, a cached prefix isn't worth queueing behind others. */
 #define PREFIX_LOAD_MAX 0.75
 
 uint64_t target_load(const struct target *t)
@@ -12,7 +12,8 @@
 	return MAX(t->own, t->reported + t->sent_since);
 }
 
-static uint64_t usable_slots(const struct target *t)
+/* The usable slots grow linearly during slow start, from one. */
+static uint64_t slow_start_slots(const struct target *t)
 {
 	uint64_t n;
 
@@ -22,21 +23,22 @@
 	return MAX(n, 1);
 }
 
-uint64_t target_room(const struct target *t)
+uint64_t target_free_slots(const struct target *t)
 {
-	uint64_t slots = usable_slots(t);
+	uint64_t slots = slow_start_slots(t);
 	uint64_t load = target_load(t);
 
 	return t->usable && load < slots ? slots - load : 0;
 }
 
+/* The lowest score wins. */
 static double score(const struct target *t)
 {
 	double load = (double)target_load(t) / (double)MAX(t->slots, 1);
 	double s = load;
 
 	if (!t->same_domain)
-		s += FAR_PENALTY;
+		s += OTHER_DOMAIN_PENALTY;
 	if (t->prefix && load < PREFIX_LOAD_MAX)
 		s -= PREFIX_BONUS;
 	return s;
@@ -51,7 +53,7 @@
 		size_t i = (k + tie) % n;
 		double s;
 
-		if (target_room(&t[i]) == 0)
+		if (target_free_slots(&t[i]) == 0)
 			continue;
 		s = score(&t[i]);
 		if (best < 0 || s < best_score) {
--- a/src/core/choose.h
+++ b/src/core/choose.h
@@ -1,29 +1,35 @@
-/* Choosing a replica for a call, from load that is always a little old. */
+/*
+ * Selection of a replica for a call. The reported load is always slightly
+ * stale, so it is corrected by the calls sent since the report.
+ */
 #ifndef SS_CHOOSE_H
 #define SS_CHOOSE_H
 
 #include <sapphireshift/base.h>
 
-/* A fresh replica gets its full share of calls after so long. */
+/* Length of slow start: a new replica gets its full share of calls after it. */
 #define CHOOSE_SLOW_START_MS 2000
 
+/* A candidate replica. */
 struct target {
 	uint64_t slots;
-	uint64_t own;	     /* calls of this entry on it */
-	uint64_t reported;   /* calls on it when it last answered */
-	uint64_t sent_since; /* calls sent after that answer left it */
-	int64_t age_ms;	     /* since it was ready */
+	uint64_t own;	     /* running calls of this entry */
+	uint64_t reported;   /* running calls by its last reply */
+	uint64_t sent_since; /* calls of this entry sent after that reply */
+	int64_t age_ms;	     /* time since it became ready */
 	bool same_domain;
-	bool prefix; /* holds the call's prompt prefix, by our memory */
+	bool prefix; /* probably has the call's prompt prefix cached */
 	bool usable; /* connected, and its breaker allows a call */
 };
 
-/* Calls on it by the best knowledge: the report, and what followed it. */
+/* Estimated running calls: the report corrected by what was sent since, and at
+ * least the entry's own. */
 uint64_t target_load(const struct target *t);
-/* How many more it can take now. */
-uint64_t target_room(const struct target *t);
+/* Calls that it can take now. */
+uint64_t target_free_slots(const struct target *t);
 
-/* The best one with room, or -1. Equal ones alternate by tie. */
+/* Index of the best candidate with a free slot, or -1. The scan starts at tie
+ * modulo n, which spreads calls over equal candidates. */
 int choose_target(const struct target *t, size_t n, uint64_t tie);
 
 #endif
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -1,8 +1,8 @@
-/* One model's replicas, as an entry knows them. */
+/* An entry's route to one model: its replicas, and the choice among them. */
 #include "route.h"
 
-/* Mean time of a call, in ms, before one was seen. */
-#define SERVICE_MS_FIRST 200.0
+/* Assumed mean duration of a call until the first one completes. */
+#define SERVICE_MS_INITIAL 200.0
 
 struct route *route_new(const char *model, const struct ss_queue_options *q,
 			int64_t now)
@@ -11,12 +11,12 @@
 
 	rt->model = g_strdup(model);
 	rt->target = g_strdup(model);
-	rt->views = g_array_new(FALSE, FALSE, sizeof(struct view));
+	rt->views = g_array_new(FALSE, FALSE, sizeof(struct replica_view));
 	rt->queue = ss_queue_new(q);
 	rt->eta_ms = SS_NEVER;
-	rt->watch_ms = INT64_MIN / 2;
+	rt->watch_sent_ms = INT64_MIN / 2;
 	rt->used_ms = now;
-	rt->service_ms = SERVICE_MS_FIRST;
+	rt->service_mean_ms = SERVICE_MS_INITIAL;
 	return rt;
 }
 
@@ -31,12 +31,12 @@
 	g_free(rt);
 }
 
-static struct view *view_at(struct route *rt, guint i)
+static struct replica_view *view_at(struct route *rt, guint i)
 {
-	return &g_array_index(rt->views, struct view, i);
+	return &g_array_index(rt->views, struct replica_view, i);
 }
 
-struct view *route_view(struct route *rt, uint64_t replica)
+struct replica_view *route_view(struct route *rt, uint64_t replica)
 {
 	for (guint i = 0; i < rt->views->len; i++)
 		if (view_at(rt, i)->replica == replica)
@@ -50,7 +50,7 @@
 		  void *arg, int64_t now)
 {
 	const struct route_replica *rr = m->replicas.items;
-	GArray *views = g_array_new(FALSE, FALSE, sizeof(struct view));
+	GArray *views = g_array_new(FALSE, FALSE, sizeof(struct replica_view));
 
 	rt->known = true;
 	rt->code = m->code;
@@ -61,8 +61,8 @@
 	}
 	rt->eta_ms = m->eta_ms < 0 ? SS_NEVER : now + m->eta_ms;
 	for (size_t i = 0; i < m->replicas.n; i++) {
-		struct view v = { .replica = rr[i].replica };
-		struct view *old = route_view(rt, v.replica);
+		struct replica_view v = { .replica = rr[i].replica };
+		struct replica_view *old = route_view(rt, v.replica);
 
 		if (old)
 			v = *old;
@@ -76,29 +76,33 @@
 	rt->views = views;
 }
 
-/* Bring a view's target up to date; all: ignore the breakers. */
-static void refresh(struct view *v, const char *domain, bool all, int64_t now)
+/* Updates the fields of a view's target that depend on time and connections. */
+static void refresh(struct replica_view *v, const char *domain,
+		    bool ignore_breakers, int64_t now)
 {
 	v->t.age_ms = now - v->ready_ms;
 	v->t.same_domain = !strcmp(v->agent->domain, domain);
-	v->t.usable = v->agent->up && !v->gone && now >= v->full_ms &&
-		      (all || ss_breaker_allows(&v->agent->breaker, now));
+	v->t.usable =
+		v->agent->up && !v->gone && now >= v->backoff_until_ms &&
+		(ignore_breakers || ss_breaker_allows(&v->agent->breaker, now));
 }
 
-struct view *route_choose(struct route *rt, const char *domain,
-			  uint64_t prefix_replica, uint64_t tie, int64_t now)
+struct replica_view *route_choose(struct route *rt, const char *domain,
+				  uint64_t prefix_replica, uint64_t tie,
+				  int64_t now)
 {
 	struct target *t = g_newa(struct target, MAX(rt->views->len, 1));
 	int best = -1;
 
-	/* Breakers may not close all doors: the second pass ignores them. */
-	for (int all = 0; all < 2 && best < 0; all++) {
+	/* If the breakers leave no usable replica, a second pass ignores them.
+	 */
+	for (int pass = 0; pass < 2 && best < 0; pass++) {
 		bool any = false;
 
 		for (guint i = 0; i < rt->views->len; i++) {
-			struct view *v = view_at(rt, i);
+			struct replica_view *v = view_at(rt, i);
 
-			refresh(v, domain, all, now);
+			refresh(v, domain, pass, now);
 			v->t.prefix = prefix_replica &&
 				      v->replica == prefix_replica;
 			any |= v->t.usable;
@@ -116,13 +120,13 @@
 {
 	*slots = *free_slots = 0;
 	for (guint i = 0; i < rt->views->len; i++) {
-		struct view *v = view_at(rt, i);
+		struct replica_view *v = view_at(rt, i);
 
 		if (!v->agent->up || v->gone)
 			continue;
 		refresh(v, "", true, now);
 		*slots += v->t.slots;
-		*free_slots += target_room(&v->t);
+		*free_slots += target_free_slots(&v->t);
 	}
 }
 
@@ -135,10 +139,10 @@
 		slots += view_at(rt, i)->gone ? 0 : view_at(rt, i)->t.slots;
 	if (slots == 0) {
 		if (rt->eta_ms == SS_NEVER)
-			return 0; /* nothing is known that speaks against it */
+			return 0; /* unknown: don't refuse on a guess */
 		start = MAX(rt->eta_ms - now, 0);
 		slots = 1;
 	}
 	return start +
-	       (int64_t)((double)ahead * rt->service_ms / (double)slots);
+	       (int64_t)((double)ahead * rt->service_mean_ms / (double)slots);
 }
--- a/src/core/route.h
+++ b/src/core/route.h
@@ -1,4 +1,7 @@
-/* What an entry knows of one model's replicas, and of their agents. */
+/*
+ * An entry's route to one model: its queue, its replicas by the leader's last
+ * message, and the state of their agents.
+ */
 #ifndef SS_ROUTE_H
 #define SS_ROUTE_H
 
@@ -10,59 +13,63 @@
 
 struct agent {
 	char *node, *addr, *domain;
-	uint64_t incarnation; /* as the leader or the agent said last */
+	uint64_t incarnation; /* last reported by the agent or the leader */
 	bool up;
-	int64_t down_ms; /* since when; valid while not up */
+	int64_t down_ms; /* when the connection was lost; valid while not up */
 	struct ss_breaker breaker;
 };
 
-struct view {
+/* A replica as this entry sees it. */
+struct replica_view {
 	uint64_t replica;
 	struct agent *agent;
 	struct target t;
 	int64_t ready_ms;
-	int64_t full_ms; /* leave it alone until then */
-	unsigned int refusals;
-	bool gone; /* the agent said that it isn't there */
+	int64_t backoff_until_ms; /* no calls before then */
+	unsigned int refusals;	  /* in a row */
+	bool gone; /* refused by its agent; cleared by the next route */
 };
 
 struct route {
-	char *model;  /* as callers name it */
-	char *target; /* as its agents know it */
-	bool known;   /* the leader has answered */
-	int64_t code;
+	char *model;	/* name used by callers */
+	char *target;	/* name used by its agents */
+	bool known;	/* the leader has sent a route */
+	int64_t code;	/* 0, or an enum ss_error: no such model or pool */
 	int64_t eta_ms; /* when a replica is expected; SS_NEVER: unknown */
 	uint64_t version;
-	GArray *views; /* struct view */
+	GArray *views; /* struct replica_view */
 	struct ss_queue *queue;
-	uint64_t arrivals; /* not told to the leader yet */
-	uint64_t told;	   /* how many it was last told that wait */
-	int64_t watch_ms;  /* when it was last told */
-	int64_t used_ms;
-	double service_ms; /* mean time that a call takes a slot */
+	uint64_t arrivals;	   /* not yet reported to the leader */
+	uint64_t reported_waiting; /* queue length in the last report */
+	int64_t watch_sent_ms;	   /* when the last report was sent */
+	int64_t used_ms;	   /* when a call last arrived or waited */
+	double service_mean_ms;	   /* moving average of a call's duration */
 };
 
 struct route *route_new(const char *model, const struct ss_queue_options *q,
 			int64_t now);
 void route_free(void *route);
 
-struct view *route_view(struct route *rt, uint64_t replica);
+struct replica_view *route_view(struct route *rt, uint64_t replica);
 
-/* Take the leader's word; agent_of gives the agent of each replica. */
+/* Replaces the replicas by those of the leader's message, keeping the state of
+ * known ones; agent_of finds the agent of each. */
 void route_update(struct route *rt, const struct msg_route *m,
 		  struct agent *(*agent_of)(void *arg,
 					    const struct route_replica *r),
 		  void *arg, int64_t now);
 
-/* The best replica for a call; NULL where none has room. */
-struct view *route_choose(struct route *rt, const char *domain,
-			  uint64_t prefix_replica, uint64_t tie, int64_t now);
+/* The best replica for a call; NULL if none has a free slot. */
+struct replica_view *route_choose(struct route *rt, const char *domain,
+				  uint64_t prefix_replica, uint64_t tie,
+				  int64_t now);
 
-/* Slots on connected replicas, and how many of them are free. */
+/* Total and free slots of the connected replicas. */
 void route_slots(struct route *rt, int64_t now, uint64_t *slots,
 		 uint64_t *free_slots);
 
-/* When a call with so many before it would be done, from now; or NEVER. */
+/* Estimated time until a call starts that has ahead others before it; 0 if
+ * there are no replicas and none is known to be coming. */
 int64_t route_wait_ms(struct route *rt, size_t ahead, int64_t now);
 
 #endif
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,30 +1,31 @@
-/* An entry's decisions: routes, admission, time. */
+/* Router: admission, dispatch from the queues, routes, deadlines and timers. */
 #include "router_int.h"
 
-/* Retries saved up at the most while all is well: bounds the burst that follows
- * where everything fails at once. */
-#define RETRY_BUDGET_MOST 20
-/* An unclaimed call asks again after so long without a leader. */
+/* Retries that the budget may accumulate: bounds the burst of retries if all
+ * agents fail at once. */
+#define RETRY_BUDGET_MAX 20
+/* Interval at which an unanswered claim is sent again. */
 #define CLAIM_RETRY_MS 200
 
+/* Callbacks of the admission queue. */
 static unsigned int customer_share(void *arg, struct ss_str customer)
 {
 	const struct router *r = arg;
-	const struct preset_customer *t =
+	const struct preset_customer *pc =
 		r->preset ? preset_customer_of(r->preset, customer) : NULL;
 
-	return t ? (unsigned int)t->share : 1;
+	return pc ? (unsigned int)pc->share : 1;
 }
 
 static size_t customer_limit(void *arg, struct ss_str customer)
 {
 	const struct router *r = arg;
-	const struct preset_customer *t;
+	const struct preset_customer *pc;
 
 	if (!r->preset)
 		return SIZE_MAX;
-	t = preset_customer_of(r->preset, customer);
-	return (size_t)(t ? t->max_waiting : r->preset->customer_max_waiting);
+	pc = preset_customer_of(r->preset, customer);
+	return (size_t)(pc ? pc->max_waiting : r->preset->customer_max_waiting);
 }
 
 static void agent_free(void *p)
@@ -51,7 +52,7 @@
 	r->queue.share = customer_share;
 	r->queue.limit = customer_limit;
 	r->queue.arg = r;
-	ss_budget_init(&r->budget, 10, RETRY_BUDGET_MOST);
+	ss_budget_init(&r->budget, 10, RETRY_BUDGET_MAX);
 	return r;
 }
 
@@ -75,8 +76,8 @@
 	r->budget.percent = p->retry_percent;
 }
 
-struct agent *router_agent_named(struct router *r, const char *node,
-				 struct ss_str addr, struct ss_str domain)
+struct agent *router_get_agent(struct router *r, const char *node,
+			       struct ss_str addr, struct ss_str domain)
 {
 	struct agent *a = g_hash_table_lookup(r->agents, node);
 
@@ -99,7 +100,7 @@
 	return a;
 }
 
-void router_watch(struct router *r, struct route *rt, int64_t now)
+void router_send_watch(struct router *r, struct route *rt, int64_t now)
 {
 	size_t n = ss_queue_length(rt->queue);
 	struct msg_watch w = { .model = ss_str(rt->model),
@@ -110,13 +111,14 @@
 	if (n)
 		w.deadline_ms = MAX(ss_queue_deadline(rt->queue) - now, 1);
 	rt->arrivals = 0;
-	rt->told = n;
-	rt->watch_ms = now;
+	rt->reported_waiting = n;
+	rt->watch_sent_ms = now;
 	r->o.ops->watch(r->o.arg, &w);
 }
 
-/* Classes below this one must leave the free slots to those above. */
-static int least_priority(const struct router *r, struct route *rt, int64_t now)
+/* The lowest priority that may start a call now: lower ones leave the free
+ * slots to the reserves of the classes above them. */
+static int min_priority(const struct router *r, struct route *rt, int64_t now)
 {
 	uint64_t slots, free_slots;
 
@@ -124,27 +126,27 @@
 		return 0;
 	route_slots(rt, now, &slots, &free_slots);
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++) {
-		uint64_t kept = 0;
+		uint64_t reserved = 0;
 
 		for (guint i = 0; i < r->preset->classes->len; i++) {
 			const struct preset_class *k =
 				r->preset->classes->pdata[i];
 
 			if (k->priority > p)
-				kept += slots * (uint64_t)k->reserve_percent /
-					100;
+				reserved += slots *
+					    (uint64_t)k->reserve_percent / 100;
 		}
-		if (free_slots > kept || slots <= 1)
+		if (free_slots > reserved || slots <= 1)
 			return p;
 	}
 	return SS_QUEUE_PRIORITIES - 1;
 }
 
-static void connect_views(struct router *r, struct route *rt)
+static void connect_agents(struct router *r, struct route *rt)
 {
 	for (guint i = 0; i < rt->views->len; i++) {
 		struct agent *a =
-			g_array_index(rt->views, struct view, i).agent;
+			g_array_index(rt->views, struct replica_view, i).agent;
 
 		if (!a->up)
 			r->o.ops->connect(r->o.arg, a->node, a->addr);
@@ -153,35 +155,36 @@
 
 static uint64_t prefix_replica(const struct router *r, uint64_t prefix)
 {
-	if (prefix && r->prefixes[prefix % PREFIX_TABLE].prefix == prefix)
-		return r->prefixes[prefix % PREFIX_TABLE].replica;
+	if (prefix && r->prefixes[prefix % PREFIX_TABLE_SIZE].prefix == prefix)
+		return r->prefixes[prefix % PREFIX_TABLE_SIZE].replica;
 	return 0;
 }
 
-void router_pump(struct router *r, struct route *rt, int64_t now)
+void router_dispatch_queue(struct router *r, struct route *rt, int64_t now)
 {
 	while (ss_queue_length(rt->queue)) {
 		struct rcall *c;
-		struct view *v = route_choose(rt, r->o.domain, 0, r->seqs, now);
+		struct replica_view *v =
+			route_choose(rt, r->o.domain, 0, r->last_seq, now);
 
 		if (!v) {
-			connect_views(r, rt);
+			connect_agents(r, rt);
 			return;
 		}
 		c = (struct rcall *)ss_queue_pop(rt->queue, now,
-						 least_priority(r, rt, now));
+						 min_priority(r, rt, now));
 		if (!c)
 			return;
 		r->waiting--;
 		if (prefix_replica(r, c->prefix))
 			v = route_choose(rt, r->o.domain,
-					 prefix_replica(r, c->prefix), r->seqs,
-					 now);
-		router_dispatch(r, c, v, now);
+					 prefix_replica(r, c->prefix),
+					 r->last_seq, now);
+		router_start_attempt(r, c, v, now);
 	}
 }
 
-static struct route *route_for(struct router *r, struct ss_str model,
+static struct route *get_route(struct router *r, struct ss_str model,
 			       int64_t now)
 {
 	char *name = ss_str_dup(model);
@@ -195,7 +198,7 @@
 	return rt;
 }
 
-/* Refuse at once, or put into the queue. */
+/* Refuses a call at once if its deadline can't be met, or queues it. */
 static void admit(struct router *r, struct rcall *c, int64_t now)
 {
 	struct route *rt = c->route;
@@ -203,9 +206,9 @@
 	int64_t wait;
 
 	if (rt->known && rt->code) {
-		/* Asked again now and then, for it may have come since. */
-		if (now - rt->watch_ms >= ROUTER_WATCH_MS)
-			router_watch(r, rt, now);
+		/* Ask the leader again: the model may exist by now. */
+		if (now - rt->watch_sent_ms >= ROUTER_WATCH_MS)
+			router_send_watch(r, rt, now);
 		router_finish(r, c, (enum ss_error)rt->code, OUTCOME_NOT_RUN,
 			      "no such model", 0);
 		return;
@@ -213,16 +216,16 @@
 	wait = route_wait_ms(
 		rt, ss_queue_ahead(rt->queue, c->item.priority, deadline), now);
 	if (now + wait >= deadline) {
-		router_refuse_late(r, c, wait, "the deadline can't be met");
+		router_refuse_deadline(r, c, wait, "the deadline can't be met");
 		if (!rt->known || rt->views->len == 0)
-			router_watch(r, rt, now);
+			router_send_watch(r, rt, now);
 		return;
 	}
 	router_enqueue(r, c);
-	router_pump(r, rt, now);
+	router_dispatch_queue(r, rt, now);
 	if (ss_queue_length(rt->queue) &&
-	    (rt->views->len == 0 || now - rt->watch_ms >= ROUTER_WATCH_MS))
-		router_watch(r, rt, now);
+	    (rt->views->len == 0 || now - rt->watch_sent_ms >= ROUTER_WATCH_MS))
+		router_send_watch(r, rt, now);
 }
 
 struct rcall *router_submit(struct router *r, const struct router_call *o,
@@ -230,7 +233,7 @@
 {
 	struct rcall *c = rcall_new(o);
 
-	c->route = route_for(r, o->model, now);
+	c->route = get_route(r, o->model, now);
 	c->route->arrivals++;
 	c->route->used_ms = now;
 	c->deadline = g_sequence_insert_sorted(r->deadlines, c,
@@ -247,24 +250,25 @@
 {
 	if (c->state == RCALL_SENT)
 		router_send_cancel(r, c);
-	router_leave(r, c);
+	router_remove_call(r, c);
 	rcall_free(c);
 }
 
 static struct agent *agent_of(void *arg, const struct route_replica *rr)
 {
 	char *node = ss_str_dup(rr->node);
-	struct agent *a = router_agent_named(arg, node, rr->addr, rr->domain);
+	struct agent *a = router_get_agent(arg, node, rr->addr, rr->domain);
 
 	g_free(node);
-	/* What a live connection says is newer than the leader's word. */
+	/* An incarnation received over a live connection is newer. */
 	if (!a->up)
 		a->incarnation = rr->incarnation;
 	return a;
 }
 
-/* All calls of a route that wait, so that the queue may change meanwhile. */
-static GPtrArray *waiting_calls(struct router *r, struct route *rt)
+/* The queued calls of a route, as a list: the queue may change while it is
+ * traversed. */
+static GPtrArray *queued_calls(struct router *r, struct route *rt)
 {
 	GPtrArray *list = g_ptr_array_new();
 
@@ -278,15 +282,16 @@
 	return list;
 }
 
-/* Give up at once on calls that the known wake time makes late. */
-static void refuse_hopeless(struct router *r, struct route *rt, int64_t now)
+/* Refuses queued calls whose deadline is before the expected load time, and all
+ * if the model doesn't exist. */
+static void refuse_infeasible(struct router *r, struct route *rt, int64_t now)
 {
 	GPtrArray *list;
 
 	if (!rt->code && (rt->views->len || rt->eta_ms == SS_NEVER ||
 			  ss_queue_deadline(rt->queue) > rt->eta_ms))
 		return;
-	list = waiting_calls(r, rt);
+	list = queued_calls(r, rt);
 	for (guint i = 0; i < list->len; i++) {
 		struct rcall *c = list->pdata[i];
 
@@ -294,8 +299,9 @@
 			router_finish(r, c, (enum ss_error)rt->code,
 				      OUTCOME_NOT_RUN, "no such model", 0);
 		else if (c->item.deadline_ms <= rt->eta_ms)
-			router_refuse_late(r, c, rt->eta_ms - now,
-					   "the model can't be loaded in time");
+			router_refuse_deadline(
+				r, c, rt->eta_ms - now,
+				"the model can't be loaded in time");
 	}
 	g_ptr_array_unref(list);
 }
@@ -306,27 +312,27 @@
 	struct route *rt = g_hash_table_lookup(r->routes, name);
 
 	g_free(name);
-	/* A leader that was replaced may still say what was once true. */
+	/* A replaced leader may still send outdated routes. */
 	if (!rt || m->version < rt->version)
 		return;
 	route_update(rt, m, agent_of, r, now);
-	refuse_hopeless(r, rt, now);
-	connect_views(r, rt);
-	router_pump(r, rt, now);
+	refuse_infeasible(r, rt, now);
+	connect_agents(r, rt);
+	router_dispatch_queue(r, rt, now);
 }
 
-void router_pump_all(struct router *r, int64_t now)
+void router_dispatch_all(struct router *r, int64_t now)
 {
 	GList *all = g_hash_table_get_values(r->routes);
 
 	for (GList *p = all; p; p = p->next)
-		router_pump(r, p->data, now);
+		router_dispatch_queue(r, p->data, now);
 	g_list_free(all);
 }
 
-static void deadline_passed(struct router *r, struct rcall *c, int64_t now)
+static void expire_call(struct router *r, struct rcall *c, int64_t now)
 {
-	bool sent = c->state == RCALL_SENT || c->state == RCALL_ASKING;
+	bool sent = c->state == RCALL_SENT || c->state == RCALL_RECOVERING;
 	int64_t wait =
 		route_wait_ms(c->route, ss_queue_length(c->route->queue), now);
 
@@ -335,7 +341,7 @@
 	router_finish(r, c, SS_ERROR_DEADLINE,
 		      sent ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
 		      "the deadline has passed",
-		      sent && c->m.once ? 0 : MAX(wait, COMEBACK_MIN_MS));
+		      sent && c->m.once ? 0 : MAX(wait, RETRY_AFTER_MIN_MS));
 }
 
 static void expire(struct router *r, int64_t now)
@@ -349,7 +355,7 @@
 		c = g_sequence_get(it);
 		if (c->item.deadline_ms > now)
 			return;
-		deadline_passed(r, c, now);
+		expire_call(r, c, now);
 	}
 }
 
@@ -361,16 +367,16 @@
 	     !g_sequence_iter_is_end(it); it = g_sequence_iter_next(it)) {
 		struct rcall *c = g_sequence_get(it);
 
-		if (c->state == RCALL_ASKING || c->state == RCALL_CLAIMING)
+		if (c->state == RCALL_RECOVERING || c->state == RCALL_CLAIMING)
 			g_ptr_array_add(list, c);
 	}
 	for (guint i = 0; i < list->len; i++) {
 		struct rcall *c = list->pdata[i];
 
 		if (c->state == RCALL_CLAIMING) {
-			if (now - c->asked_ms >= CLAIM_RETRY_MS)
+			if (now - c->query_ms >= CLAIM_RETRY_MS)
 				router_claim(r, c, now);
-		} else if (now - c->asked_ms >= ROUTER_LOST_MS) {
+		} else if (now - c->query_ms >= ROUTER_AGENT_LOST_MS) {
 			router_resolve_lost(r, c, "the agent can't be reached",
 					    now);
 		} else if (c->agent->up) {
@@ -385,19 +391,20 @@
 
 static void tick_route(struct router *r, struct route *rt, int64_t now)
 {
-	struct msg_watch bye = { .model = ss_str(rt->model), .done = true };
+	struct msg_watch done = { .model = ss_str(rt->model), .done = true };
 	size_t n = ss_queue_length(rt->queue);
 
 	if (n) {
-		refuse_hopeless(r, rt, now);
-		router_pump(r, rt, now);
+		refuse_infeasible(r, rt, now);
+		router_dispatch_queue(r, rt, now);
 		rt->used_ms = now;
 	}
-	if ((n || rt->arrivals || rt->told) &&
-	    now - rt->watch_ms >= ROUTER_WATCH_MS)
-		router_watch(r, rt, now);
-	else if (!n && rt->told && now - rt->watch_ms >= ROUTER_CALM_MS)
-		router_watch(r, rt, now);
+	if ((n || rt->arrivals || rt->reported_waiting) &&
+	    now - rt->watch_sent_ms >= ROUTER_WATCH_MS)
+		router_send_watch(r, rt, now);
+	else if (!n && rt->reported_waiting &&
+		 now - rt->watch_sent_ms >= ROUTER_EMPTY_WATCH_MS)
+		router_send_watch(r, rt, now);
 	if (now - rt->used_ms <
 	    (rt->code ? ROUTER_UNKNOWN_IDLE_MS : ROUTER_ROUTE_IDLE_MS))
 		return;
@@ -405,7 +412,7 @@
 	     !g_sequence_iter_is_end(it); it = g_sequence_iter_next(it))
 		if (((struct rcall *)g_sequence_get(it))->route == rt)
 			return;
-	r->o.ops->watch(r->o.arg, &bye);
+	r->o.ops->watch(r->o.arg, &done);
 	g_hash_table_remove(r->routes, rt->model);
 }
 
@@ -428,7 +435,7 @@
 
 	g_hash_table_iter_init(&it, r->routes);
 	while (g_hash_table_iter_next(&it, NULL, &rt))
-		router_watch(r, rt, now);
+		router_send_watch(r, rt, now);
 }
 
 size_t router_calls(const struct router *r)
--- a/src/core/router_attempt.c
+++ b/src/core/router_attempt.c
@@ -1,13 +1,14 @@
-/* An entry's decisions: attempts on agents, and what becomes of them. */
+/* Router: attempts on agents, their replies, retries and recovery. */
 #include "router_int.h"
 
-/* Attempts of one call at the most: bounds what one caller can cost. */
+/* Bounds the load that one call can cause. */
 #define ATTEMPTS_MAX 8
-/* Weight of the newest call in a route's mean time: ten calls' memory. */
+/* Weight of the newest call in a route's mean duration: about the last ten
+ * calls count. */
 #define SERVICE_ALPHA 0.1
 
-static void again(struct router *r, struct rcall *c, bool free_of_charge,
-		  enum ss_error code, const char *text, int64_t now);
+static void requeue(struct router *r, struct rcall *c, bool budget_exempt,
+		    enum ss_error code, const char *text, int64_t now);
 
 void router_send_cancel(struct router *r, struct rcall *c)
 {
@@ -33,11 +34,11 @@
 		c->state = RCALL_SENT;
 }
 
-/* Ask the agent what became of a call, now or once it is reachable. */
-static void ask(struct router *r, struct rcall *c, int64_t now)
+/* Attaches to an attempt again, now or once its agent is reachable. */
+static void recover_attempt(struct router *r, struct rcall *c, int64_t now)
 {
-	c->state = RCALL_ASKING;
-	c->asked_ms = now;
+	c->state = RCALL_RECOVERING;
+	c->query_ms = now;
 	if (c->agent->up)
 		router_send_attach(r, c);
 	else
@@ -46,7 +47,7 @@
 
 static void send_call(struct router *r, struct rcall *c, int64_t now)
 {
-	struct view *v = route_view(c->route, c->replica);
+	struct replica_view *v = route_view(c->route, c->replica);
 
 	router_set_sub(r, c);
 	c->state = RCALL_SENT;
@@ -63,10 +64,11 @@
 	ss_breaker_sent(&c->agent->breaker);
 	if (r->o.ops->send(r->o.arg, c->agent->node, MSG_CALL, &c->m))
 		return;
-	/* Nothing was handed over, so it surely did not run. */
+	/* Nothing was sent, so the call can't have run. */
 	c->agent->up = false;
 	c->agent->down_ms = now;
-	again(r, c, true, SS_ERROR_UNAVAILABLE, "the connection is gone", now);
+	requeue(r, c, true, SS_ERROR_UNAVAILABLE, "the connection is gone",
+		now);
 }
 
 void router_claim(struct router *r, struct rcall *c, int64_t now)
@@ -84,26 +86,26 @@
 		router_set_sub(r, c);
 	m.sub = c->sub;
 	c->state = RCALL_CLAIMING;
-	c->asked_ms = now;
+	c->query_ms = now;
 	r->stats.claims++;
 	r->o.ops->claim(r->o.arg, &m);
 }
 
-void router_dispatch(struct router *r, struct rcall *c, struct view *v,
-		     int64_t now)
+void router_start_attempt(struct router *r, struct rcall *c,
+			  struct replica_view *v, int64_t now)
 {
 	c->agent = v->agent;
 	c->replica = v->replica;
 	c->incarnation = v->agent->incarnation;
 	c->entry = r->o.incarnation;
-	c->seq = ++r->seqs;
+	c->seq = ++r->last_seq;
 	c->next = 0;
 	c->attempts++;
 	c->counted = true;
 	v->t.own++;
 	if (c->prefix) {
-		r->prefixes[c->prefix % PREFIX_TABLE].prefix = c->prefix;
-		r->prefixes[c->prefix % PREFIX_TABLE].replica = c->replica;
+		r->prefixes[c->prefix % PREFIX_TABLE_SIZE].prefix = c->prefix;
+		r->prefixes[c->prefix % PREFIX_TABLE_SIZE].replica = c->replica;
 	}
 	if (c->key.n)
 		router_claim(r, c, now);
@@ -111,9 +113,11 @@
 		send_call(r, c, now);
 }
 
-/* Let a call that did not run wait for another attempt, if it may. */
-static void again(struct router *r, struct rcall *c, bool free_of_charge,
-		  enum ss_error code, const char *text, int64_t now)
+/* Queues a call that did not run for another attempt, or ends it if its
+ * deadline has passed or, unless exempt, its attempts or the retry budget are
+ * used up. */
+static void requeue(struct router *r, struct rcall *c, bool budget_exempt,
+		    enum ss_error code, const char *text, int64_t now)
 {
 	if (c->key.n) {
 		c->dead_entry = c->entry;
@@ -121,15 +125,15 @@
 	}
 	if (c->item.deadline_ms <= now) {
 		router_finish(r, c, SS_ERROR_DEADLINE, OUTCOME_NOT_RUN, text,
-			      COMEBACK_MIN_MS);
+			      RETRY_AFTER_MIN_MS);
 		return;
 	}
-	if (!free_of_charge) {
+	if (!budget_exempt) {
 		if (c->attempts >= ATTEMPTS_MAX ||
 		    !ss_budget_retry(&r->budget)) {
 			r->stats.retries_refused++;
 			router_finish(r, c, code, OUTCOME_NOT_RUN, text,
-				      COMEBACK_MIN_MS);
+				      RETRY_AFTER_MIN_MS);
 			return;
 		}
 		r->stats.retries++;
@@ -150,7 +154,7 @@
 		c->maybe_ran = true;
 		router_end_attempt(r, c);
 		router_enqueue(r, c);
-		router_pump(r, rt, now);
+		router_dispatch_queue(r, rt, now);
 		return;
 	}
 	router_finish(r, c, SS_ERROR_LOST, OUTCOME_UNKNOWN, text, 0);
@@ -178,19 +182,19 @@
 		g_free(text);
 		return;
 	}
-	/* Another attempt holds the key: its answer is this one's too. */
+	/* Another attempt holds the key: attach to that one for its answer. */
 	router_end_attempt(r, c);
 	node = ss_str_dup(m->node);
-	c->agent = router_agent_named(r, node, m->addr, (struct ss_str){ 0 });
+	c->agent = router_get_agent(r, node, m->addr, (struct ss_str){ 0 });
 	g_free(node);
 	c->entry = m->entry;
 	c->seq = m->seq;
 	c->incarnation = m->incarnation;
 	c->next = 0;
-	ask(r, c, now);
+	recover_attempt(r, c, now);
 }
 
-/* Calls whose attempt is on an agent, in any state but queued. */
+/* Calls that were sent to an agent or recover an attempt there. */
 static GPtrArray *agent_calls(struct router *r, const struct agent *a)
 {
 	GPtrArray *list = g_ptr_array_new();
@@ -200,7 +204,7 @@
 		struct rcall *c = g_sequence_get(it);
 
 		if (c->agent == a &&
-		    (c->state == RCALL_SENT || c->state == RCALL_ASKING))
+		    (c->state == RCALL_SENT || c->state == RCALL_RECOVERING))
 			g_ptr_array_add(list, c);
 	}
 	return list;
@@ -210,7 +214,7 @@
 		     int64_t now)
 {
 	struct ss_str none = { 0 };
-	struct agent *a = router_agent_named(r, node, none, none);
+	struct agent *a = router_get_agent(r, node, none, none);
 	GPtrArray *list;
 
 	a->up = true;
@@ -226,7 +230,7 @@
 					    now);
 	}
 	g_ptr_array_unref(list);
-	router_pump_all(r, now);
+	router_dispatch_all(r, now);
 }
 
 void router_agent_down(struct router *r, const char *node, int64_t now)
@@ -244,33 +248,36 @@
 		struct rcall *c = list->pdata[i];
 
 		if (c->state == RCALL_SENT)
-			ask(r, c, now);
+			recover_attempt(r, c, now);
 	}
 	g_ptr_array_unref(list);
 }
 
-static void learn_service_time(struct rcall *c, int64_t now)
+static void update_service_time(struct rcall *c, int64_t now)
 {
-	double took = (double)(now - c->sent_ms);
+	double elapsed_ms = (double)(now - c->sent_ms);
 
-	c->route->service_ms += SERVICE_ALPHA * (took - c->route->service_ms);
+	c->route->service_mean_ms +=
+		SERVICE_ALPHA * (elapsed_ms - c->route->service_mean_ms);
 }
 
-/* Leave a replica alone for a while, longer each time it refuses. */
-static void rest_view(struct view *v, int64_t now)
+/* Sends a replica no calls for a while; exponential backoff. */
+static void back_off_replica(struct replica_view *v, int64_t now)
 {
 	if (!v)
 		return;
-	v->full_ms = now + (ROUTER_FULL_MS << MIN(v->refusals, 6));
+	v->backoff_until_ms =
+		now + (ROUTER_FULL_BACKOFF_MS << MIN(v->refusals, 6));
 	v->refusals++;
 }
 
-/* The agent refused, or can't say; nothing more comes on this sub. */
-static void take_refusal(struct router *r, struct rcall *c,
-			 const struct msg_reply *m, int64_t now)
+/* Handles the end of an attempt with an error: refused, failed, or of unknown
+ * outcome. It is the last reply with this handle. */
+static void handle_refusal(struct router *r, struct rcall *c,
+			   const struct msg_reply *m, int64_t now)
 {
 	struct route *rt = c->route;
-	struct view *v = route_view(rt, c->replica);
+	struct replica_view *v = route_view(rt, c->replica);
 	char *text = ss_str_dup(m->text);
 	enum ss_error code = (enum ss_error)m->code;
 
@@ -284,32 +291,34 @@
 					  (enum outcome)m->outcome,
 			      text, 0);
 	} else if (code == SS_ERROR_OVERLOAD && v) {
-		rest_view(v, now);
-		again(r, c, true, code, text, now);
+		back_off_replica(v, now);
+		requeue(r, c, true, code, text, now);
 	} else if (code == SS_ERROR_UNKNOWN_MODEL && v) {
-		/* Until the leader has heard of it as well. An engine that
-		 * came back empty refuses before any work, so this isn't a
-		 * retry: else a few of them use up the call's attempts. */
-		rest_view(v, now);
+		/* Skip the replica until the leader knows too. A restarted
+		 * engine without the model refuses before any work, so this
+		 * doesn't count as a retry: a few such refusals would use up
+		 * the call's attempts. */
+		back_off_replica(v, now);
 		v->gone = true;
-		v->full_ms = MAX(v->full_ms, now + ROUTER_GONE_MS);
-		again(r, c, true, code, text, now);
-		router_watch(r, rt, now);
+		v->backoff_until_ms =
+			MAX(v->backoff_until_ms, now + ROUTER_GONE_BACKOFF_MS);
+		requeue(r, c, true, code, text, now);
+		router_send_watch(r, rt, now);
 	} else {
 		if (code == SS_ERROR_ENDPOINT) {
 			ss_breaker_result(&c->agent->breaker, false, now);
-			rest_view(v, now);
+			back_off_replica(v, now);
 		} else if (v && code != SS_ERROR_CANCELLED &&
 			   code != SS_ERROR_LOST) {
-			/* Until the leader has heard of it as well. */
+			/* Skip the replica until the leader knows too. */
 			v->gone = true;
-			v->full_ms = now + ROUTER_GONE_MS;
+			v->backoff_until_ms = now + ROUTER_GONE_BACKOFF_MS;
 		}
-		again(r, c, false, code, text, now);
-		router_watch(r, rt, now);
+		requeue(r, c, false, code, text, now);
+		router_send_watch(r, rt, now);
 	}
 	g_free(text);
-	router_pump(r, rt, now);
+	router_dispatch_queue(r, rt, now);
 }
 
 void router_reply(struct router *r, const char *node, const struct msg_reply *m,
@@ -317,15 +326,15 @@
 {
 	struct rcall *c = g_hash_table_lookup(r->by_sub, &m->sub);
 	struct route *rt;
-	struct view *v;
+	struct replica_view *v;
 
-	/* A late piece of an attempt that was given up has no sub any more. */
+	/* An ended attempt no longer has its handle. */
 	if (!c || c->state != RCALL_SENT || strcmp(c->agent->node, node)) {
 		r->stats.late_pieces++;
 		return;
 	}
 	if (m->end && m->code) {
-		take_refusal(r, c, m, now);
+		handle_refusal(r, c, m, now);
 		return;
 	}
 	if (m->seq < c->next) {
@@ -333,9 +342,9 @@
 		return;
 	}
 	if (m->seq > c->next) {
-		/* A piece is missing: read on from it rather than pass on a
-		 * hole. */
-		ask(r, c, now);
+		/* A piece is missing: attach again from there, so that the
+		 * caller gets no answer with a gap. */
+		recover_attempt(r, c, now);
 		return;
 	}
 	c->next++;
@@ -350,11 +359,11 @@
 	if (!m->end)
 		return;
 	if (c->counted) {
-		learn_service_time(c, now);
+		update_service_time(c, now);
 		if (v && v->t.reported)
 			v->t.reported--;
 	}
 	ss_breaker_result(&c->agent->breaker, true, now);
 	router_finish_ok(r, c);
-	router_pump(r, rt, now);
+	router_dispatch_queue(r, rt, now);
 }
--- a/src/core/router_call.c
+++ b/src/core/router_call.c
@@ -1,7 +1,7 @@
-/* An entry's decisions: the life of a call. */
+/* Router: creating, queueing and ending calls. */
 #include "router_int.h"
 
-static struct ss_str own(struct ss_str s)
+static struct ss_str copy_str(struct ss_str s)
 {
 	char *p = g_malloc(s.n + 1);
 
@@ -11,7 +11,7 @@
 	return (struct ss_str){ p, s.n };
 }
 
-static void disown(struct ss_str *s)
+static void free_str(struct ss_str *s)
 {
 	g_free((char *)s->p);
 }
@@ -21,21 +21,22 @@
 	struct header *h = c->m.headers.items;
 
 	for (size_t i = 0; i < c->m.headers.n; i++) {
-		disown(&h[i].name);
-		disown(&h[i].value);
+		free_str(&h[i].name);
+		free_str(&h[i].value);
 	}
 	g_free(h);
-	disown(&c->m.method);
-	disown(&c->m.path);
-	disown(&c->m.body);
-	disown(&c->key);
-	disown(&c->item.customer);
+	free_str(&c->m.method);
+	free_str(&c->m.path);
+	free_str(&c->m.body);
+	free_str(&c->key);
+	free_str(&c->item.customer);
 	g_free(c);
 }
 
 void router_end_attempt(struct router *r, struct rcall *c)
 {
-	struct view *v = c->counted ? route_view(c->route, c->replica) : NULL;
+	struct replica_view *v = c->counted ? route_view(c->route, c->replica) :
+					      NULL;
 
 	if (v && v->t.own)
 		v->t.own--;
@@ -47,7 +48,7 @@
 	c->sub = 0;
 }
 
-void router_leave(struct router *r, struct rcall *c)
+void router_remove_call(struct router *r, struct rcall *c)
 {
 	if (c->state == RCALL_QUEUED && c->item.lane) {
 		ss_queue_remove(c->route->queue, &c->item);
@@ -64,20 +65,21 @@
 {
 	if (r->submitting == c)
 		r->submitting = NULL;
-	router_leave(r, c);
+	router_remove_call(r, c);
 	r->o.ops->finish(r->o.arg, c, e);
 	rcall_free(c);
 }
 
 void router_finish(struct router *r, struct rcall *c, enum ss_error code,
-		   enum outcome outcome, const char *text, int64_t comeback)
+		   enum outcome outcome, const char *text,
+		   int64_t retry_after_ms)
 {
-	/* "Not run" is for the call, not for its last attempt. */
+	/* The outcome covers all attempts of the call, not only the last. */
 	bool unknown = outcome == OUTCOME_NOT_RUN && c->maybe_ran;
 	struct router_end e = { .code = code,
 				.outcome = unknown ? OUTCOME_UNKNOWN : outcome,
 				.text = text,
-				.retry_after_ms = comeback };
+				.retry_after_ms = retry_after_ms };
 
 	end_call(r, c, &e);
 }
@@ -89,17 +91,17 @@
 	end_call(r, c, &e);
 }
 
-void router_refuse_late(struct router *r, struct rcall *c, int64_t wait,
-			const char *text)
+void router_refuse_deadline(struct router *r, struct rcall *c, int64_t wait,
+			    const char *text)
 {
 	r->stats.refused_early++;
 	router_finish(r, c, SS_ERROR_DEADLINE, OUTCOME_NOT_RUN, text,
-		      MAX(wait, COMEBACK_MIN_MS));
+		      MAX(wait, RETRY_AFTER_MIN_MS));
 }
 
 void router_set_sub(struct router *r, struct rcall *c)
 {
-	c->sub = ++r->subs;
+	c->sub = ++r->last_sub;
 	g_hash_table_insert(r->by_sub, &c->sub, c);
 }
 
@@ -114,7 +116,8 @@
 		return;
 	}
 	router_finish(r, c, SS_ERROR_OVERLOAD, OUTCOME_NOT_RUN, error->message,
-		      MAX((int64_t)c->route->service_ms, COMEBACK_MIN_MS));
+		      MAX((int64_t)c->route->service_mean_ms,
+			  RETRY_AFTER_MIN_MS));
 	g_error_free(error);
 }
 
@@ -133,21 +136,21 @@
 	struct header *h = g_new0(struct header, o->n_headers);
 
 	for (size_t i = 0; i < o->n_headers; i++) {
-		h[i].name = own(o->headers[i].name);
-		h[i].value = own(o->headers[i].value);
+		h[i].name = copy_str(o->headers[i].name);
+		h[i].value = copy_str(o->headers[i].value);
 	}
 	c->m.headers = (struct wire_list){ h, o->n_headers };
-	c->m.method = own(o->method);
-	c->m.path = own(o->path);
-	c->m.body = own(o->body);
+	c->m.method = copy_str(o->method);
+	c->m.path = copy_str(o->path);
+	c->m.body = copy_str(o->body);
 	c->m.once = o->once;
-	c->key = own(o->key);
+	c->key = copy_str(o->key);
 	c->fingerprint = o->fingerprint;
 	c->prefix = o->prefix;
 	c->data = o->data;
 	c->item.deadline_ms = o->deadline_ms;
 	c->item.priority = o->priority;
-	c->item.customer = own(o->customer);
+	c->item.customer = copy_str(o->customer);
 	return c;
 }
 
