--- a/src/core/document.c
+++ b/src/core/document.c
@@ -1,12 +1,12 @@
-/* The operators' configuration as its text in pieces. */
+/* The operators' configuration document: its pieces, packing and changes. */
 #include "document_int.h"
 
 #include "../base/pack.h"
 
-/* Bytes of a text; what operators may send is less. */
-#define TEXT_MAX (16u << 20)
+/* Maximum size of a text; the limit for requests of operators is lower. */
+#define TEXT_MAX_BYTES (16u << 20)
 
-/* Packed form. */
+/* Packing. */
 
 static const struct wire_field piece_fields[] = {
 	{ 1, WIRE_INT, offsetof(struct document_piece, part), NULL },
@@ -26,7 +26,8 @@
 static const struct wire_field change_fields[] = {
 	{ 1, WIRE_UINT, offsetof(struct document_change, base), NULL },
 	{ 2, WIRE_UINT, offsetof(struct document_change, version), NULL },
-	{ 3, WIRE_UINT, offsetof(struct document_change, services), NULL },
+	{ 3, WIRE_UINT, offsetof(struct document_change, services_version),
+	  NULL },
 	{ 4, WIRE_LIST, offsetof(struct document_change, edits), &edit_wire },
 };
 static const struct wire_type change_wire =
@@ -42,7 +43,7 @@
 	return out;
 }
 
-static bool parts_known(const struct document_change *c)
+static bool parts_valid(const struct document_change *c)
 {
 	const struct document_edit *e = c->edits.items;
 
@@ -59,14 +60,15 @@
 struct document_patch *document_open(struct ss_str packed, GError **error)
 {
 	struct document_patch *n;
-	GString *opened = pack_open(packed, 2 * TEXT_MAX, error);
+	GString *unpacked = pack_open(packed, 2 * TEXT_MAX_BYTES, error);
 
-	if (!opened)
+	if (!unpacked)
 		return NULL;
 	n = g_new0(struct document_patch, 1);
-	n->opened = opened;
-	if (wire_decode(&n->buf, ss_str_gs(opened), &change_wire, &n->change) &&
-	    parts_known(&n->change))
+	n->unpacked = unpacked;
+	if (wire_decode(&n->buf, ss_str_gs(unpacked), &change_wire,
+			&n->change) &&
+	    parts_valid(&n->change))
 		return n;
 	document_patch_free(n);
 	g_set_error(error, SS_ERROR, SS_ERROR_FRAME, "not a change");
@@ -77,9 +79,9 @@
 {
 	if (!n)
 		return;
-	if (n->opened) {
+	if (n->unpacked) {
 		wire_done(&n->buf);
-		g_string_free(n->opened, TRUE);
+		g_string_free(n->unpacked, TRUE);
 	}
 	if (n->edits)
 		g_array_unref(n->edits);
@@ -97,14 +99,14 @@
 }
 
 static void drop_pieces(struct document_pieces *p, guint at, guint n,
-			const struct document_splice *s)
+			const struct document_piece_ops *s)
 {
 	for (guint i = at; i < at + n; i++)
 		s->drop(s->arg, p->parts->data[i], p->items->pdata[i]);
 }
 
 void document_pieces_clear(struct document_pieces *p,
-			   const struct document_splice *s)
+			   const struct document_piece_ops *s)
 {
 	drop_pieces(p, 0, p->items->len, s);
 	g_ptr_array_unref(p->items);
@@ -127,8 +129,8 @@
 	return true;
 }
 
-static void append(struct document_pieces *to,
-		   const struct document_pieces *from, guint at, guint n)
+static void append_pieces(struct document_pieces *to,
+			  const struct document_pieces *from, guint at, guint n)
 {
 	guint end = to->items->len;
 
@@ -142,7 +144,7 @@
 
 static void add_pieces(struct document_pieces *to,
 		       const struct document_edit *e,
-		       const struct document_splice *s)
+		       const struct document_piece_ops *s)
 {
 	const struct document_piece *p = e->pieces.items;
 
@@ -154,10 +156,13 @@
 	}
 }
 
-/* The edits that replace as many pieces as they drop are made in place. */
+/*
+ * Applies in place the leading edits that add as many pieces as they drop.
+ * Returns the index of the first edit that remains.
+ */
 static size_t replace_pieces(struct document_pieces *p,
 			     const struct document_change *c,
-			     const struct document_splice *s)
+			     const struct document_piece_ops *s)
 {
 	const struct document_edit *e = c->edits.items;
 	size_t i = 0;
@@ -175,7 +180,7 @@
 
 void document_pieces_splice(struct document_pieces *p,
 			    const struct document_change *c,
-			    const struct document_splice *s)
+			    const struct document_piece_ops *s)
 {
 	const struct document_edit *e = c->edits.items;
 	struct document_pieces tail;
@@ -195,34 +200,34 @@
 	document_pieces_init(&tail);
 	from = at = (guint)e[i].at;
 	for (; i < c->edits.n; i++) {
-		append(&tail, p, at, (guint)e[i].at - at);
+		append_pieces(&tail, p, at, (guint)e[i].at - at);
 		add_pieces(&tail, &e[i], s);
 		at = (guint)(e[i].at + e[i].drop);
 	}
-	append(&tail, p, at, p->items->len - at);
+	append_pieces(&tail, p, at, p->items->len - at);
 	g_ptr_array_set_size(p->items, (gint)from);
 	g_byte_array_set_size(p->parts, from);
-	append(p, &tail, 0, tail.items->len);
+	append_pieces(p, &tail, 0, tail.items->len);
 	g_ptr_array_unref(tail.items);
 	g_byte_array_unref(tail.parts);
 }
 
-/* The document. */
+/* Document. */
 
-static void *text_add(void *arg, const struct document_piece *p)
+static void *add_text(void *arg, const struct document_piece *p)
 {
 	(void)arg;
 	return g_ref_string_new_len(p->text.p, (gssize)p->text.n);
 }
 
-static void text_drop(void *arg, enum document_part part, void *text)
+static void drop_text(void *arg, enum document_part part, void *text)
 {
 	(void)arg;
 	(void)part;
 	g_ref_string_release(text);
 }
 
-static const struct document_splice texts = { text_add, text_drop, NULL };
+static const struct document_piece_ops text_ops = { add_text, drop_text, NULL };
 
 struct document *document_new(void)
 {
@@ -236,7 +241,7 @@
 {
 	if (!d)
 		return;
-	document_pieces_clear(&d->pieces, &texts);
+	document_pieces_clear(&d->pieces, &text_ops);
 	g_free(d);
 }
 
@@ -247,7 +252,7 @@
 
 uint64_t document_services(const struct document *d)
 {
-	return d->services;
+	return d->services_version;
 }
 
 GString *document_text(const struct document *d)
@@ -262,7 +267,7 @@
 	return out;
 }
 
-/* Changing it. */
+/* Changes. */
 
 static bool touches_services(const struct document *d,
 			     const struct document_change *c)
@@ -294,20 +299,21 @@
 		return false;
 	}
 	if (!c->base)
-		d->services = c->services ? c->services : c->version;
+		d->services_version =
+			c->services_version ? c->services_version : c->version;
 	else if (touches_services(d, c))
-		d->services = c->version;
-	document_pieces_splice(&d->pieces, c, &texts);
+		d->services_version = c->version;
+	document_pieces_splice(&d->pieces, c, &text_ops);
 	d->version = c->version;
 	return true;
 }
 
 void document_put(struct document *d, uint64_t version, struct ss_str text)
 {
-	struct document_piece p = { DOCUMENT_REST, text };
+	struct document_piece p = { DOCUMENT_OTHER, text };
 	struct document_edit e = { .pieces = { &p, 1 } };
 	struct document_change c = { .version = version,
-				     .services = version,
+				     .services_version = version,
 				     .edits = { &e, 1 } };
 
 	document_apply(d, &c, NULL);
@@ -319,8 +325,8 @@
 		g_array_new(FALSE, FALSE, sizeof(struct document_piece));
 	struct document_edit e = { 0 };
 	struct document_change c = { .version = routes ? d->version :
-							 d->services,
-				     .services = d->services,
+							 d->services_version,
+				     .services_version = d->services_version,
 				     .edits = { &e, 1 } };
 	GString *out;
 
--- a/src/core/document.h
+++ b/src/core/document.h
@@ -1,8 +1,9 @@
 /*
- * The operators' configuration as its text in pieces: each item of a long list
- * is one, and so is what stands between the lists. A new version travels as
- * the edits that make it out of the one before, so that what it costs in the
- * log, on links and in each process follows from what it changes.
+ * The operators' configuration document, stored as its text in pieces: one
+ * piece for each item of a list (routes, services, customers), and one for
+ * each stretch of text between the lists. A new version is sent as edits of
+ * the previous one, so that its cost in the log, on links and in each process
+ * depends on the size of the change.
  */
 #ifndef SS_DOCUMENT_H
 #define SS_DOCUMENT_H
@@ -10,7 +11,7 @@
 #include "../base/wire.h"
 
 enum document_part {
-	DOCUMENT_REST, /* between the lists */
+	DOCUMENT_OTHER, /* text outside of the lists */
 	DOCUMENT_ROUTE,
 	DOCUMENT_SERVICE,
 	DOCUMENT_CUSTOMER,
@@ -19,28 +20,31 @@
 
 struct document_piece {
 	int64_t part;	    /* enum document_part */
-	struct ss_str text; /* of an item: with the comma before it */
+	struct ss_str text; /* an item includes the comma before it */
 };
 
-/* Drop pieces of the old version, and put others there. */
+/* Replaces "drop" pieces of the base version, from index "at" on. */
 struct document_edit {
 	uint64_t at, drop;
 	struct wire_list pieces; /* struct document_piece */
 };
 
 struct document_change {
-	uint64_t base;	   /* version that it changes; 0: none, it's whole */
-	uint64_t version;  /* that it makes */
-	uint64_t services; /* if whole: when services last changed */
-	struct wire_list edits; /* struct document_edit, in order of place */
+	uint64_t base;	  /* version it applies to; 0: a full document */
+	uint64_t version; /* version it results in */
+	uint64_t services_version; /* of a full document */
+	struct wire_list edits;	   /* struct document_edit, ascending by "at" */
 };
 
-/* A change with its memory. Texts may be views of what it was made from. */
+/*
+ * A change and the memory it uses. The texts of its pieces point into the text
+ * given to document_compare() or into the unpacked bytes.
+ */
 struct document_patch {
 	struct document_change change;
-	GArray *edits, *pieces; /* made here; NULL: unpacked */
+	GArray *edits, *pieces; /* NULL if the change was unpacked */
 	struct wire_buf buf;
-	GString *opened;
+	GString *unpacked; /* bytes that the texts point into */
 };
 
 struct document;
@@ -48,49 +52,58 @@
 struct document *document_new(void);
 void document_free(struct document *d);
 
-/* 0: it is empty. */
+/* The version; 0 while the document is empty. */
 uint64_t document_version(const struct document *d);
 /* The version in which a service was last added, changed or removed. */
 uint64_t document_services(const struct document *d);
-/* The text as it was put; free with g_string_free(). */
+/* The text as operators sent it; free with g_string_free(). */
 GString *document_text(const struct document *d);
 
 /*
- * The change that makes a document into a text, without its version; lists
- * names the member of the text's object that holds each part's items. The
- * text must outlive it. NULL with SS_ERROR_BAD_REQUEST where the text is no
- * object of that form; its items and the rest aren't read.
+ * Returns the change that turns the document into the given text; the caller
+ * sets its version. lists[part] is the name of the member of the text's JSON
+ * object that holds the items of that part. The text must outlive the patch.
+ * Returns NULL with SS_ERROR_BAD_REQUEST unless the text is one JSON object
+ * with each list at most once. The items and other members aren't validated.
  */
 struct document_patch *document_compare(const struct document *d,
 					struct ss_str text,
 					const char *const lists[DOCUMENT_PARTS],
 					GError **error);
 
-/* All of it as a change of nothing; or without routes and customers, where they
- * aren't used. */
+/*
+ * Packs the full document as a change with base 0. Without routes, it leaves
+ * out the routes and the customers, for receivers that use neither.
+ */
 GString *document_whole(const struct document *d, bool routes);
 
-/* A change as bytes, and back; NULL with SS_ERROR_FRAME where they are cut,
- * harmed or larger than what operators may send. */
+/* Serializes and compresses a change. */
 GString *document_pack(const struct document_change *c);
+/*
+ * Reverses document_pack(). NULL with SS_ERROR_FRAME if the bytes are
+ * truncated, corrupt or larger than what operators may send.
+ */
 struct document_patch *document_open(struct ss_str packed, GError **error);
 void document_patch_free(struct document_patch *n);
 
-/* SS_ERROR_FRAME, and nothing changed, where it isn't a change of this. */
+/*
+ * Applies a change. Fails with SS_ERROR_FRAME, and leaves the document as it
+ * is, if the change has another base version or its edits don't fit.
+ */
 bool document_apply(struct document *d, const struct document_change *c,
 		    GError **error);
 
-/* A text that stands in a log of before there were pieces. */
+/* Stores a text of an old log, whose records hold full texts, as one piece. */
 void document_put(struct document *d, uint64_t version, struct ss_str text);
 
-/* Something for each piece of a document, in order. */
+/* One object for each piece of a document, in document order. */
 struct document_pieces {
 	GPtrArray *items;
 	GByteArray *parts; /* enum document_part of each */
 };
 
-struct document_splice {
-	/* What stands for a new piece, and the end of what stood for one. */
+struct document_piece_ops {
+	/* Returns the object of a new piece; releases that of a dropped one. */
 	void *(*add)(void *arg, const struct document_piece *p);
 	void (*drop)(void *arg, enum document_part part, void *item);
 	void *arg;
@@ -98,16 +111,17 @@
 
 void document_pieces_init(struct document_pieces *p);
 void document_pieces_clear(struct document_pieces *p,
-			   const struct document_splice *s);
-/* Whether a change's places are places of these. */
+			   const struct document_piece_ops *s);
+/* Whether all edits of a change are within range and in ascending order. */
 bool document_pieces_fit(const struct document_pieces *p,
 			 const struct document_change *c);
 /*
- * Follow a change that fits: drops come before adds, both in order. Only what
- * stands behind the first change of length is moved.
+ * Applies a change for which document_pieces_fit() is true. All drop callbacks
+ * run before the add callbacks, both in document order. Pieces before the
+ * first edit that changes their number aren't moved.
  */
 void document_pieces_splice(struct document_pieces *p,
 			    const struct document_change *c,
-			    const struct document_splice *s);
+			    const struct document_piece_ops *s);
 
 #endif
--- a/src/core/document_compare.c
+++ b/src/core/document_compare.c
@@ -1,26 +1,29 @@
-/* A text that operators send, compared with the document in force. */
+/*
+ * Comparison of a text that operators send with the current document, piece by
+ * piece, in one pass over the text.
+ */
 #include "document_int.h"
 
 #include <xxhash.h>
 
-/* Pieces that are looked at for one that was removed or replaced. */
-#define LOOK_AHEAD 16
-/* New items in a row after which the old ones are looked up by their text. */
-#define MISSES_MAX 16
+/* Old pieces searched for a new item, to detect removed or replaced ones. */
+#define LOOK_AHEAD_PIECES 16
+/* Consecutive misses before a hash table of the old pieces is built. */
+#define LOOK_AHEAD_MISSES_MAX 16
 
 struct compare {
 	const struct document *d;
 	const char *text, *at, *end;
 	const char *const *lists;
-	guint old; /* the next old piece that is neither kept nor dropped */
-	guint misses;
-	GHashTable
-		*by_text; /* struct document_piece * -> index; NULL: not yet */
-	GArray *keys;
+	guint next_old; /* first old piece not yet kept or dropped */
+	guint misses;	/* consecutive items not found by looking ahead */
+	/* struct document_piece * -> index; created when it is first needed */
+	GHashTable *by_text;
+	GArray *keys; /* of by_text */
 	GArray *edits, *pieces;
-	GArray *first;	   /* of each edit, index into pieces */
-	bool open;	   /* the last edit ends here */
-	unsigned int seen; /* lists, as bits */
+	GArray *first_piece;	 /* of each edit, index into pieces */
+	bool edit_open;		 /* the last edit may be extended */
+	unsigned int lists_seen; /* bit mask by enum document_part */
 };
 
 static void skip_space(struct compare *x)
@@ -53,7 +56,8 @@
 	return false;
 }
 
-/* What stands in brackets, by their number alone. */
+/* Skips an object or array by counting brackets, without matching their kind.
+ */
 static bool skip_nested(struct compare *x)
 {
 	size_t depth = 0;
@@ -90,41 +94,41 @@
 	return x->at > from;
 }
 
-static struct document_edit *edit_here(struct compare *x)
+static struct document_edit *open_edit(struct compare *x)
 {
-	struct document_edit e = { .at = x->old };
+	struct document_edit e = { .at = x->next_old };
 
-	if (!x->open) {
+	if (!x->edit_open) {
 		g_array_append_val(x->edits, e);
-		g_array_append_val(x->first, x->pieces->len);
-		x->open = true;
+		g_array_append_val(x->first_piece, x->pieces->len);
+		x->edit_open = true;
 	}
 	return &g_array_index(x->edits, struct document_edit,
 			      x->edits->len - 1);
 }
 
-static void drop_to(struct compare *x, guint to)
+static void drop_until(struct compare *x, guint to)
 {
 	struct document_edit *e;
 
-	if (to <= x->old)
+	if (to <= x->next_old)
 		return;
-	e = edit_here(x);
-	e->drop += to - x->old;
-	x->old = to;
+	e = open_edit(x);
+	e->drop += to - x->next_old;
+	x->next_old = to;
 }
 
-static void add(struct compare *x, const struct document_piece *p)
+static void add_piece(struct compare *x, const struct document_piece *p)
 {
-	edit_here(x)->pieces.n++;
+	open_edit(x)->pieces.n++;
 	g_array_append_val(x->pieces, *p);
 }
 
-static void keep(struct compare *x, guint at)
+static void keep_piece(struct compare *x, guint at)
 {
-	drop_to(x, at);
-	x->open = false;
-	x->old = at + 1;
+	drop_until(x, at);
+	x->edit_open = false;
+	x->next_old = at + 1;
 	x->misses = 0;
 }
 
@@ -134,29 +138,30 @@
 	       x->d->pieces.parts->data[at] == part;
 }
 
-static bool same_text(const struct compare *x, guint at, struct ss_str text)
+static bool has_text(const struct compare *x, guint at, struct ss_str text)
 {
 	return ss_str_eq(document_piece_at(x->d, at), text);
 }
 
-static void add_rest(struct compare *x, const char *from)
+static void add_other(struct compare *x, const char *from)
 {
-	struct document_piece p = { DOCUMENT_REST,
+	struct document_piece p = { DOCUMENT_OTHER,
 				    { from, (size_t)(x->at - from) } };
 	const guint8 *parts = x->d->pieces.parts->data;
-	const guint8 *next = x->old < x->d->pieces.parts->len ?
-				     memchr(parts + x->old, DOCUMENT_REST,
-					    x->d->pieces.parts->len - x->old) :
-				     NULL;
+	const guint8 *next =
+		x->next_old < x->d->pieces.parts->len ?
+			memchr(parts + x->next_old, DOCUMENT_OTHER,
+			       x->d->pieces.parts->len - x->next_old) :
+			NULL;
 	guint at = next ? (guint)(next - parts) : 0;
 
-	if (next && same_text(x, at, p.text)) {
-		keep(x, at);
+	if (next && has_text(x, at, p.text)) {
+		keep_piece(x, at);
 		return;
 	}
 	if (next)
-		drop_to(x, at + 1);
-	add(x, &p);
+		drop_until(x, at + 1);
+	add_piece(x, &p);
 }
 
 static guint piece_hash(gconstpointer v)
@@ -166,7 +171,7 @@
 	return (guint)XXH3_64bits(p->text.p, p->text.n);
 }
 
-static gboolean piece_equal(gconstpointer a, gconstpointer b)
+static gboolean pieces_equal(gconstpointer a, gconstpointer b)
 {
 	const struct document_piece *x = a, *y = b;
 
@@ -179,7 +184,7 @@
 
 	x->keys = g_array_sized_new(FALSE, FALSE, sizeof(struct document_piece),
 				    n);
-	x->by_text = g_hash_table_new(piece_hash, piece_equal);
+	x->by_text = g_hash_table_new(piece_hash, pieces_equal);
 	for (guint i = 0; i < n; i++) {
 		struct document_piece p = { x->d->pieces.parts->data[i],
 					    document_piece_at(x->d, i) };
@@ -192,46 +197,51 @@
 	}
 }
 
-/* The old piece that an item is, from the next one on. */
-static bool find_old(struct compare *x, const struct document_piece *p,
-		     guint *out)
+/* Finds an old piece, from next_old on, with the part and text of an item. */
+static bool find_old_piece(struct compare *x, const struct document_piece *p,
+			   guint *out)
 {
 	void *at;
 
-	for (guint i = x->old; i < x->old + LOOK_AHEAD; i++) {
+	for (guint i = x->next_old; i < x->next_old + LOOK_AHEAD_PIECES; i++) {
 		if (!is_part(x, i, p->part))
 			break;
 		*out = i;
-		if (same_text(x, i, p->text))
+		if (has_text(x, i, p->text))
 			return true;
 	}
-	if (!is_part(x, x->old, p->part) || x->misses++ < MISSES_MAX)
+	if (!is_part(x, x->next_old, p->part) ||
+	    x->misses++ < LOOK_AHEAD_MISSES_MAX)
 		return false;
 	if (!x->by_text)
 		index_old(x);
 	if (!g_hash_table_lookup_extended(x->by_text, p, NULL, &at))
 		return false;
 	*out = GPOINTER_TO_UINT(at);
-	return *out >= x->old;
+	return *out >= x->next_old;
 }
 
-/* Mostly the next item is the next old one, and needn't be looked through. */
+/*
+ * Keeps the next old piece if the text goes on with it, which is the common
+ * case and saves scanning the item. No value continues behind its last brace,
+ * so what matches is a whole item.
+ */
 static bool skip_kept(struct compare *x, int64_t part)
 {
 	struct ss_str old;
 
-	if (!is_part(x, x->old, part))
+	if (!is_part(x, x->next_old, part))
 		return false;
-	old = document_piece_at(x->d, x->old);
+	old = document_piece_at(x->d, x->next_old);
 	if ((size_t)(x->end - x->at) < old.n || old.p[old.n - 1] != '}' ||
 	    memcmp(x->at, old.p, old.n))
 		return false;
 	x->at += old.n;
-	keep(x, x->old);
+	keep_piece(x, x->next_old);
 	return true;
 }
 
-static bool add_item(struct compare *x, int64_t part, const char *from)
+static bool compare_item(struct compare *x, int64_t part, const char *from)
 {
 	struct document_piece p = { .part = part };
 	guint at;
@@ -239,15 +249,18 @@
 	if (!skip_value(x))
 		return false;
 	p.text = (struct ss_str){ from, (size_t)(x->at - from) };
-	if (find_old(x, &p, &at))
-		keep(x, at);
+	if (find_old_piece(x, &p, &at))
+		keep_piece(x, at);
 	else
-		add(x, &p);
+		add_piece(x, &p);
 	return true;
 }
 
-/* The items between the brackets; the place is behind the last of them. */
-static bool add_items(struct compare *x, int64_t part)
+/*
+ * Compares the items of a list, from behind its opening bracket, and stops
+ * behind the last item: space before the closing bracket is other text.
+ */
+static bool compare_items(struct compare *x, int64_t part)
 {
 	const char *from = x->at;
 
@@ -260,7 +273,7 @@
 			skip_space(x);
 			skip_char(x, ',');
 			skip_space(x);
-			if (!add_item(x, part, from))
+			if (!compare_item(x, part, from))
 				return false;
 		}
 		from = x->at;
@@ -272,16 +285,16 @@
 	return true;
 }
 
-static int list_of(const struct compare *x, struct ss_str key)
+static int find_list(const struct compare *x, struct ss_str key)
 {
-	for (int i = DOCUMENT_REST + 1; i < DOCUMENT_PARTS; i++)
+	for (int i = DOCUMENT_OTHER + 1; i < DOCUMENT_PARTS; i++)
 		if (ss_str_eq(key, ss_str(x->lists[i])))
 			return i;
-	return DOCUMENT_REST;
+	return DOCUMENT_OTHER;
 }
 
-/* A member of the object; rest: where the piece begins that it belongs to. */
-static bool add_member(struct compare *x, const char **rest)
+/* Compares a member of the object; *other: start of the pending other text. */
+static bool compare_member(struct compare *x, const char **other)
 {
 	const char *key;
 	int part;
@@ -290,28 +303,28 @@
 	key = x->at + 1;
 	if (!skip_string(x))
 		return false;
-	part = list_of(x, (struct ss_str){ key, (size_t)(x->at - 1 - key) });
+	part = find_list(x, (struct ss_str){ key, (size_t)(x->at - 1 - key) });
 	skip_space(x);
 	if (!skip_char(x, ':'))
 		return false;
 	skip_space(x);
-	if (part == DOCUMENT_REST || x->at >= x->end || *x->at != '[')
+	if (part == DOCUMENT_OTHER || x->at >= x->end || *x->at != '[')
 		return skip_value(x);
-	if (x->seen & (1u << part))
+	if (x->lists_seen & (1u << part))
 		return false;
-	x->seen |= 1u << part;
+	x->lists_seen |= 1u << part;
 	x->at++;
-	add_rest(x, *rest);
-	if (!add_items(x, part))
+	add_other(x, *other);
+	if (!compare_items(x, part))
 		return false;
-	*rest = x->at;
+	*other = x->at;
 	skip_space(x);
 	return skip_char(x, ']');
 }
 
-static bool compare_all(struct compare *x)
+static bool compare_text(struct compare *x)
 {
-	const char *rest = x->text;
+	const char *other = x->text;
 
 	skip_space(x);
 	if (!skip_char(x, '{'))
@@ -319,7 +332,7 @@
 	skip_space(x);
 	if (x->at < x->end && *x->at != '}')
 		do {
-			if (!add_member(x, &rest))
+			if (!compare_member(x, &other))
 				return false;
 			skip_space(x);
 		} while (skip_char(x, ','));
@@ -328,8 +341,8 @@
 	skip_space(x);
 	if (x->at != x->end)
 		return false;
-	add_rest(x, rest);
-	drop_to(x, x->d->pieces.items->len);
+	add_other(x, other);
+	drop_until(x, x->d->pieces.items->len);
 	return true;
 }
 
@@ -340,7 +353,7 @@
 	for (guint i = 0; i < x->edits->len; i++)
 		g_array_index(x->edits, struct document_edit, i).pieces.items =
 			&g_array_index(x->pieces, struct document_piece,
-				       g_array_index(x->first, guint, i));
+				       g_array_index(x->first_piece, guint, i));
 	n->edits = x->edits;
 	n->pieces = x->pieces;
 	n->change.base = x->d->version;
@@ -362,8 +375,8 @@
 
 	x.edits = g_array_new(FALSE, FALSE, sizeof(struct document_edit));
 	x.pieces = g_array_new(FALSE, FALSE, sizeof(struct document_piece));
-	x.first = g_array_new(FALSE, FALSE, sizeof(guint));
-	if (text.n && compare_all(&x)) {
+	x.first_piece = g_array_new(FALSE, FALSE, sizeof(guint));
+	if (text.n && compare_text(&x)) {
 		n = finish(&x);
 	} else {
 		g_set_error(error, SS_ERROR, SS_ERROR_BAD_REQUEST,
@@ -373,7 +386,7 @@
 		g_array_unref(x.edits);
 		g_array_unref(x.pieces);
 	}
-	g_array_unref(x.first);
+	g_array_unref(x.first_piece);
 	if (x.by_text) {
 		g_hash_table_unref(x.by_text);
 		g_array_unref(x.keys);
--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -171,11 +171,11 @@
 static void drop_text(void *arg, enum document_part part, void *item)
 {
 	(void)arg;
-	if (part == DOCUMENT_REST)
+	if (part == DOCUMENT_OTHER)
 		g_free(item);
 }
 
-static const struct document_splice free_texts = { NULL, drop_text, NULL };
+static const struct document_piece_ops free_texts = { NULL, drop_text, NULL };
 
 struct routing *routing_ref(struct routing *r)
 {
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -25,7 +25,7 @@
 		g_free(item);
 }
 
-static const struct document_splice free_items = { NULL, item_free, NULL };
+static const struct document_piece_ops free_items = { NULL, item_free, NULL };
 
 struct routing_update *routing_update_new(struct routing *r,
 					  const struct routing_format *f,
@@ -158,7 +158,7 @@
 	const guint8 *parts = p->parts->data, *next = parts + from;
 
 	while (next < parts + to &&
-	       (next = memchr(next, DOCUMENT_REST,
+	       (next = memchr(next, DOCUMENT_OTHER,
 			      (size_t)(parts + to - next))))
 		g_string_append(u->text, p->items->pdata[next++ - parts]);
 }
@@ -179,7 +179,7 @@
 
 		add_rest(u, at, (guint)e[i].at);
 		for (size_t k = 0; k < e[i].pieces.n; k++)
-			if (p[k].part == DOCUMENT_REST)
+			if (p[k].part == DOCUMENT_OTHER)
 				g_string_append_len(u->text, p[k].text.p,
 						    (gssize)p[k].text.n);
 		at = (guint)(e[i].at + e[i].drop);
@@ -433,7 +433,7 @@
 	struct routing *r = ((struct routing_update *)arg)->r;
 	struct routing_route *rt = item;
 
-	if (part == DOCUMENT_REST)
+	if (part == DOCUMENT_OTHER)
 		g_free(item);
 	if (part == DOCUMENT_CUSTOMER)
 		customers_remove(&r->customers, item);
@@ -482,7 +482,7 @@
 void routing_update_commit(struct routing_update *u)
 {
 	const struct document_change *c = &u->patch->change;
-	struct document_splice s = { next_item, drop_item, u };
+	struct document_piece_ops s = { next_item, drop_item, u };
 	struct routing *r = u->r;
 
 	mark_all(u, true);
@@ -575,9 +575,9 @@
 	document_free(empty);
 	if (out) {
 		/* The texts are views of what was opened. */
-		out->opened = n->opened;
+		out->unpacked = n->unpacked;
 		out->buf = n->buf;
-		n->opened = NULL;
+		n->unpacked = NULL;
 		out->change.version = n->change.version;
 	}
 	document_patch_free(n);
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -408,7 +408,8 @@
 	whole = document_whole(d, false);
 	n = document_open(ss_str_gs(whole), NULL);
 	assert_non_null(n);
-	assert_null(g_strstr_len(n->opened->str, (gssize)n->opened->len, "k1"));
+	assert_null(
+		g_strstr_len(n->unpacked->str, (gssize)n->unpacked->len, "k1"));
 	document_patch_free(n);
 	g_string_free(whole, TRUE);
 	document_free(d);
