--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -1,4 +1,4 @@
-/* The routing that operators put in force. */
+/* The routing table: services, routes, and their lookup. */
 #include "routing.h"
 
 #include "routing_update.h"
@@ -111,12 +111,12 @@
 	g_free(rt->name);
 	g_free(rt->host);
 	g_free(rt->prefix);
-	g_free(rt->place);
+	g_free(rt->lookup_key);
 	g_array_unref(rt->shares);
 	g_free(rt);
 }
 
-static bool check_prefix(const char *prefix)
+static bool prefix_valid(const char *prefix)
 {
 	size_t n = strlen(prefix);
 
@@ -127,13 +127,13 @@
 {
 	char *host;
 
-	if (!check_prefix(rt->prefix))
+	if (!prefix_valid(rt->prefix))
 		return invalid(error, rt->name,
 			       "prefix \"%s\" must begin and end with a slash",
 			       rt->prefix);
 	if (rt->timeout_ms <= 0)
 		return invalid(error, rt->name, "timeout must be over 0");
-	rt->total = 0;
+	rt->total_weight = 0;
 	for (guint i = 0; i < rt->shares->len; i++) {
 		const struct routing_share *s =
 			&g_array_index(rt->shares, struct routing_share, i);
@@ -141,17 +141,17 @@
 		if (s->weight < 0)
 			return invalid(error, rt->name,
 				       "share %u is out of range", i);
-		rt->total += s->weight;
+		rt->total_weight += s->weight;
 	}
-	if (rt->total <= 0)
+	if (rt->total_weight <= 0)
 		return invalid(error, rt->name, "weights add up to 0");
 	host = g_ascii_strdown(rt->host, -1);
-	rt->place = g_strdup_printf("%s %s", host, rt->prefix);
+	rt->lookup_key = g_strdup_printf("%s %s", host, rt->prefix);
 	g_free(host);
 	return true;
 }
 
-/* The table. */
+/* Table. */
 
 struct routing *routing_new(void)
 {
@@ -160,22 +160,24 @@
 	r->refs = 1;
 	r->services = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)routing_service_unref);
-	r->places = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					  (GDestroyNotify)routing_route_unref);
+	r->routes_by_key =
+		g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+				      (GDestroyNotify)routing_route_unref);
 	customers_init(&r->customers);
 	document_pieces_init(&r->pieces);
 	return r;
 }
 
-/* All items are of the tables by name. */
-static void drop_text(void *arg, enum document_part part, void *item)
+/* Frees text only: the table's other members own the references to items. */
+static void free_text(void *arg, enum document_part part, void *item)
 {
 	(void)arg;
 	if (part == DOCUMENT_OTHER)
 		g_free(item);
 }
 
-static const struct document_piece_ops free_texts = { NULL, drop_text, NULL };
+static const struct document_piece_ops free_text_ops = { NULL, free_text,
+							 NULL };
 
 struct routing *routing_ref(struct routing *r)
 {
@@ -188,8 +190,8 @@
 {
 	if (!r || --r->refs)
 		return;
-	document_pieces_clear(&r->pieces, &free_texts);
-	g_hash_table_unref(r->places);
+	document_pieces_clear(&r->pieces, &free_text_ops);
+	g_hash_table_unref(r->routes_by_key);
 	g_ptr_array_unref(r->services);
 	customers_clear(&r->customers);
 	g_free(r);
@@ -233,17 +235,22 @@
 	return NULL;
 }
 
-/* Each prefix ends with a slash, so only where the path has one may one end. */
-static struct routing_route *longest_at(const struct routing *r, char *place,
-					size_t host, size_t n)
+/*
+ * Finds the route with the longest prefix: key holds the host, of host_len
+ * bytes with the space, and the path. Each prefix ends with a slash, so only
+ * positions behind a slash are tried. Overwrites the key.
+ */
+static struct routing_route *find_longest_prefix(const struct routing *r,
+						 char *key, size_t host_len,
+						 size_t n)
 {
-	for (; n > host; n--) {
+	for (; n > host_len; n--) {
 		struct routing_route *rt;
 
-		if (place[n - 1] != '/')
+		if (key[n - 1] != '/')
 			continue;
-		place[n] = '\0';
-		rt = g_hash_table_lookup(r->places, place);
+		key[n] = '\0';
+		rt = g_hash_table_lookup(r->routes_by_key, key);
 		if (rt)
 			return rt;
 	}
@@ -255,17 +262,17 @@
 {
 	const char *colon = host.n ? memchr(host.p, ':', host.n) : NULL;
 	size_t n = colon ? (size_t)(colon - host.p) : host.n;
-	GString *place = g_string_sized_new(n + r->longest + 2);
+	GString *key = g_string_sized_new(n + r->longest_prefix + 2);
 	struct routing_route *rt;
 
-	g_string_append_len(place, host.p, (gssize)n);
-	g_string_ascii_down(place);
-	g_string_append_c(place, ' ');
+	g_string_append_len(key, host.p, (gssize)n);
+	g_string_ascii_down(key);
+	g_string_append_c(key, ' ');
 	if (path.n)
-		g_string_append_len(place, path.p,
-				    (gssize)MIN(path.n, r->longest));
-	rt = longest_at(r, place->str, n + 1, place->len);
-	g_string_free(place, TRUE);
+		g_string_append_len(key, path.p,
+				    (gssize)MIN(path.n, r->longest_prefix));
+	rt = find_longest_prefix(r, key->str, n + 1, key->len);
+	g_string_free(key, TRUE);
 	return rt;
 }
 
@@ -285,7 +292,7 @@
 				     const struct routing_route *rt,
 				     uint64_t random)
 {
-	int64_t at = (int64_t)(random % (uint64_t)rt->total);
+	int64_t at = (int64_t)(random % (uint64_t)rt->total_weight);
 
 	for (guint i = 0; i < rt->shares->len; i++) {
 		const struct routing_share *s =
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -1,18 +1,18 @@
-/* A routing that follows the operators' document. */
+/* Updates of a routing table by changes of the operators' document. */
 #include "routing_update.h"
 
 struct routing_update {
 	struct routing *r;
 	const struct routing_format *f;
 	struct document_patch *patch;
-	size_t edit, piece;	     /* the next one to read */
-	struct document_pieces read; /* in order */
-	guint added;		     /* of these, by the commit */
-	GString *text;		     /* of the new version, beside the items */
-	struct routing_rest rest;
+	size_t edit, piece;	       /* indices of the next piece to parse */
+	struct document_pieces parsed; /* items of the patch, in order */
+	guint committed;	       /* number of items passed to the table */
+	GString *other_text; /* of the new version, outside of the lists */
+	struct routing_rest settings;
 };
 
-static void item_free(void *arg, enum document_part part, void *item)
+static void free_item(void *arg, enum document_part part, void *item)
 {
 	(void)arg;
 	if (part == DOCUMENT_ROUTE)
@@ -25,7 +25,8 @@
 		g_free(item);
 }
 
-static const struct document_piece_ops free_items = { NULL, item_free, NULL };
+static const struct document_piece_ops free_item_ops = { NULL, free_item,
+							 NULL };
 
 struct routing_update *routing_update_new(struct routing *r,
 					  const struct routing_format *f,
@@ -36,8 +37,8 @@
 	u->r = routing_ref(r);
 	u->f = f;
 	u->patch = patch;
-	document_pieces_init(&u->read);
-	u->text = g_string_new(NULL);
+	document_pieces_init(&u->parsed);
+	u->other_text = g_string_new(NULL);
 	return u;
 }
 
@@ -45,8 +46,8 @@
 {
 	if (!u)
 		return;
-	document_pieces_clear(&u->read, &free_items);
-	g_string_free(u->text, TRUE);
+	document_pieces_clear(&u->parsed, &free_item_ops);
+	g_string_free(u->other_text, TRUE);
 	document_patch_free(u->patch);
 	routing_unref(u->r);
 	g_free(u);
@@ -57,18 +58,16 @@
 	return &u->patch->change;
 }
 
-/* Reading. */
+/* Parsing. */
 
-/* Places in the new text, for errors: items are counted among all of their
- * list. */
-
-static char *place_name(const struct routing_update *u, int64_t part, guint n)
+/* The path of an item for error messages: n is its index in the new list. */
+static char *format_path(const struct routing_update *u, int64_t part, guint n)
 {
 	return g_strdup_printf("%s[%u]", u->f->lists[part], n);
 }
 
-/* Of an item that was or is being read. */
-static char *place_of(const struct routing_update *u, guint at)
+/* The path of the item at an index of u->parsed, or of the one being parsed. */
+static char *item_path(const struct routing_update *u, guint at)
 {
 	const struct document_change *c = &u->patch->change;
 	const struct document_edit *e = c->edits.items;
@@ -82,14 +81,14 @@
 		old += (guint)e[i].drop;
 		for (size_t k = 0; k < e[i].pieces.n; k++) {
 			if (seen++ == at)
-				return place_name(u, p[k].part, n[p[k].part]);
+				return format_path(u, p[k].part, n[p[k].part]);
 			n[p[k].part]++;
 		}
 	}
 	return g_strdup("");
 }
 
-/* An item without the comma that divides it from the one before. */
+/* An item's text without the comma and the space before it. */
 static struct ss_str item_text(struct ss_str s)
 {
 	size_t i = 0;
@@ -100,15 +99,15 @@
 }
 
 static void *read_item(const struct routing_update *u,
-		       const struct document_piece *p, const char *place,
+		       const struct document_piece *p, const char *path,
 		       GError **error)
 {
 	if (p->part == DOCUMENT_ROUTE)
-		return u->f->read_route(item_text(p->text), place, error);
+		return u->f->read_route(item_text(p->text), path, error);
 	if (p->part == DOCUMENT_SERVICE)
-		return u->f->read_service(item_text(p->text), place, error);
+		return u->f->read_service(item_text(p->text), path, error);
 	if (p->part == DOCUMENT_CUSTOMER)
-		return u->f->read_customer(item_text(p->text), place, error);
+		return u->f->read_customer(item_text(p->text), path, error);
 	return ss_str_dup(p->text);
 }
 
@@ -117,26 +116,27 @@
 {
 	void *item = read_item(u, p, "", NULL);
 	guint8 part = (guint8)p->part;
-	char *place;
+	char *path;
 
 	if (item) {
-		g_ptr_array_add(u->read.items, item);
-		g_byte_array_append(u->read.parts, &part, 1);
+		g_ptr_array_add(u->parsed.items, item);
+		g_byte_array_append(u->parsed.parts, &part, 1);
 		return true;
 	}
-	/* Once more, to say where. */
-	place = place_of(u, u->read.items->len);
-	read_item(u, p, place, error);
-	g_free(place);
+	/* Parse again for the error: the path is only computed when needed. */
+	path = item_path(u, u->parsed.items->len);
+	read_item(u, p, path, error);
+	g_free(path);
 	return false;
 }
 
-static bool read_some(struct routing_update *u, GError **error)
+static bool read_items(struct routing_update *u, GError **error)
 {
 	const struct document_change *c = &u->patch->change;
 	const struct document_edit *e = c->edits.items;
 
-	for (int i = 0; i < ROUTING_ITEMS && u->edit < c->edits.n; i++) {
+	for (int i = 0; i < ROUTING_ITEMS_PER_STEP && u->edit < c->edits.n;
+	     i++) {
 		const struct document_piece *p = e[u->edit].pieces.items;
 
 		if (u->piece < e[u->edit].pieces.n &&
@@ -150,9 +150,8 @@
 	return true;
 }
 
-/* What is beside the items, in order. */
-
-static void add_rest(struct routing_update *u, guint from, guint to)
+/* Appends the text outside of the lists among old pieces [from, to). */
+static void append_other_text(struct routing_update *u, guint from, guint to)
 {
 	const struct document_pieces *p = &u->r->pieces;
 	const guint8 *parts = p->parts->data, *next = parts + from;
@@ -160,10 +159,10 @@
 	while (next < parts + to &&
 	       (next = memchr(next, DOCUMENT_OTHER,
 			      (size_t)(parts + to - next))))
-		g_string_append(u->text, p->items->pdata[next++ - parts]);
+		g_string_append(u->other_text, p->items->pdata[next++ - parts]);
 }
 
-static bool read_rest(struct routing_update *u, GError **error)
+static bool read_settings(struct routing_update *u, GError **error)
 {
 	struct document_change *c = &u->patch->change;
 	const struct document_edit *e = c->edits.items;
@@ -177,21 +176,21 @@
 	for (size_t i = 0; i < c->edits.n; i++) {
 		const struct document_piece *p = e[i].pieces.items;
 
-		add_rest(u, at, (guint)e[i].at);
+		append_other_text(u, at, (guint)e[i].at);
 		for (size_t k = 0; k < e[i].pieces.n; k++)
 			if (p[k].part == DOCUMENT_OTHER)
-				g_string_append_len(u->text, p[k].text.p,
+				g_string_append_len(u->other_text, p[k].text.p,
 						    (gssize)p[k].text.n);
 		at = (guint)(e[i].at + e[i].drop);
 	}
-	add_rest(u, at, end);
-	if (!u->f->read_rest(ss_str_gs(u->text), &u->rest, error))
+	append_other_text(u, at, end);
+	if (!u->f->read_rest(ss_str_gs(u->other_text), &u->settings, error))
 		return false;
-	c->version = u->rest.version;
+	c->version = u->settings.version;
 	return true;
 }
 
-/* Checking. */
+/* Validation. */
 
 static bool invalid(GError **error, const char *name, const char *what)
 {
@@ -200,8 +199,9 @@
 	return false;
 }
 
-/* What the change drops, said of each item. */
-static void mark(struct routing_update *u, guint at, guint n, bool leaves)
+/* Sets or clears the marks of items that the change removes. */
+static void mark_items(struct routing_update *u, guint at, guint n,
+		       bool removing)
 {
 	const struct routing *r = u->r;
 
@@ -211,33 +211,34 @@
 
 		if (part == DOCUMENT_SERVICE)
 			((struct routing_service *)r->pieces.items->pdata[i])
-				->leaves = leaves;
+				->removing = removing;
 		if (part == DOCUMENT_CUSTOMER)
 			((struct customer *)r->pieces.items->pdata[i])->leaves =
-				leaves;
+				removing;
 		if (part != DOCUMENT_ROUTE)
 			continue;
-		rt->leaves = leaves;
+		rt->removing = removing;
 		for (guint k = 0; k < rt->shares->len; k++) {
 			struct routing_service *s = routing_service(
 				r, g_array_index(rt->shares,
 						 struct routing_share, k)
 					   .service);
 
-			s->ended = leaves ? s->ended + 1 : 0;
+			s->shares_removed = removing ? s->shares_removed + 1 :
+						       0;
 		}
 	}
 }
 
-static void mark_all(struct routing_update *u, bool leaves)
+static void mark_removed(struct routing_update *u, bool removing)
 {
 	const struct document_change *c = &u->patch->change;
 	const struct document_edit *e = c->edits.items;
 
 	if (!c->base)
-		mark(u, 0, u->r->pieces.items->len, leaves);
+		mark_items(u, 0, u->r->pieces.items->len, removing);
 	for (size_t i = 0; c->base && i < c->edits.n; i++)
-		mark(u, (guint)e[i].at, (guint)e[i].drop, leaves);
+		mark_items(u, (guint)e[i].at, (guint)e[i].drop, removing);
 }
 
 static bool check_service(const struct routing_update *u, GHashTable *added,
@@ -245,28 +246,28 @@
 {
 	const struct routing_service *old = routing_service(u->r, s->name);
 
-	if ((old && !old->leaves) || !g_hash_table_insert(added, s->name, s))
+	if ((old && !old->removing) || !g_hash_table_insert(added, s->name, s))
 		return invalid(error, s->name, "the service stands twice");
 	return true;
 }
 
-static bool no_service(const struct routing_update *u, guint at,
-		       const char *name, GError **error)
+static bool missing_service(const struct routing_update *u, guint at,
+			    const char *name, GError **error)
 {
-	char *place = place_of(u, at);
+	char *path = item_path(u, at);
 
 	g_set_error(error, SS_ERROR, SS_ERROR_BAD_REQUEST,
-		    "%s.service: there is no service %s", place, name);
-	g_free(place);
+		    "%s.service: there is no service %s", path, name);
+	g_free(path);
 	return false;
 }
 
 static bool check_route(const struct routing_update *u, GHashTable *services,
-			GHashTable *places, guint at, GError **error)
+			GHashTable *keys, guint at, GError **error)
 {
-	struct routing_route *rt = u->read.items->pdata[at];
+	struct routing_route *rt = u->parsed.items->pdata[at];
 	const struct routing_route *old =
-		g_hash_table_lookup(u->r->places, rt->place);
+		g_hash_table_lookup(u->r->routes_by_key, rt->lookup_key);
 
 	for (guint i = 0; i < rt->shares->len; i++) {
 		const char *name =
@@ -274,10 +275,11 @@
 				.service;
 		const struct routing_service *s = routing_service(u->r, name);
 
-		if (!g_hash_table_contains(services, name) && (!s || s->leaves))
-			return no_service(u, at, name, error);
+		if (!g_hash_table_contains(services, name) &&
+		    (!s || s->removing))
+			return missing_service(u, at, name, error);
 	}
-	if ((!old || old->leaves) && g_hash_table_add(places, rt->place))
+	if ((!old || old->removing) && g_hash_table_add(keys, rt->lookup_key))
 		return true;
 	g_set_error(error, SS_ERROR, SS_ERROR_BAD_REQUEST,
 		    "%s: host %s has prefix %s twice", rt->name, rt->host,
@@ -285,14 +287,14 @@
 	return false;
 }
 
-/* A service that goes may be one that routes still need. */
-static bool check_needed(const struct routing_update *u, GHashTable *added,
-			 GError **error)
+/* Fails if a service is removed, not replaced, and a kept route names it. */
+static bool check_removed_services(const struct routing_update *u,
+				   GHashTable *added, GError **error)
 {
 	for (guint i = 0; i < u->r->services->len; i++) {
 		const struct routing_service *s = u->r->services->pdata[i];
 
-		if (s->leaves && s->uses > s->ended &&
+		if (s->removing && s->route_shares > s->shares_removed &&
 		    !g_hash_table_contains(added, s->name))
 			return invalid(error, s->name,
 				       "routes lead to a service that is "
@@ -301,23 +303,23 @@
 	return true;
 }
 
-/* Items that were read of a part; at: where each stands among all of them. */
-static GPtrArray *read_of(const struct routing_update *u, guint8 part,
-			  GArray *at)
+/* The parsed items of a part; appends their indices in u->parsed to at. */
+static GPtrArray *items_of_part(const struct routing_update *u, guint8 part,
+				GArray *at)
 {
 	GPtrArray *out = g_ptr_array_new();
 
-	for (guint i = 0; i < u->read.items->len; i++)
-		if (u->read.parts->data[i] == part) {
-			g_ptr_array_add(out, u->read.items->pdata[i]);
+	for (guint i = 0; i < u->parsed.items->len; i++)
+		if (u->parsed.parts->data[i] == part) {
+			g_ptr_array_add(out, u->parsed.items->pdata[i]);
 			g_array_append_val(at, i);
 		}
 	return out;
 }
 
-/* The place of a customer that was there before and stays. */
-static char *place_of_kept(const struct routing_update *u,
-			   const struct customer *c)
+/* The path of a customer that the change keeps. */
+static char *kept_customer_path(const struct routing_update *u,
+				const struct customer *c)
 {
 	const struct document_change *x = &u->patch->change;
 	const struct document_edit *e = x->edits.items;
@@ -334,32 +336,32 @@
 					     .part == DOCUMENT_CUSTOMER;
 		n += p->parts->data[i] == DOCUMENT_CUSTOMER && !one->leaves;
 	}
-	return place_name(u, DOCUMENT_CUSTOMER, n);
+	return format_path(u, DOCUMENT_CUSTOMER, n);
 }
 
-/* Of a customer that was read, or was there before and stays. */
-static char *place_of_customer(const struct routing_update *u,
-			       const struct customer *c)
+/* The path of a parsed or a kept customer. */
+static char *customer_path(const struct routing_update *u,
+			   const struct customer *c)
 {
-	for (guint i = 0; i < u->read.items->len; i++)
-		if (u->read.items->pdata[i] == c)
-			return place_of(u, i);
-	return place_of_kept(u, c);
+	for (guint i = 0; i < u->parsed.items->len; i++)
+		if (u->parsed.items->pdata[i] == c)
+			return item_path(u, i);
+	return kept_customer_path(u, c);
 }
 
-/* The key itself is told nowhere. */
+/* Error messages name the customers, and never the key. */
 static bool check_customers(const struct routing_update *u, GError **error)
 {
 	GArray *at = g_array_new(FALSE, FALSE, sizeof(guint));
-	GPtrArray *added = read_of(u, DOCUMENT_CUSTOMER, at);
+	GPtrArray *added = items_of_part(u, DOCUMENT_CUSTOMER, at);
 	const struct customer *other;
 	enum customers_clash clash;
 	guint i;
 
 	clash = customers_check(&u->r->customers, added, &i, &other);
 	if (clash) {
-		char *here = place_of(u, g_array_index(at, guint, i));
-		char *there = place_of_customer(u, other);
+		char *here = item_path(u, g_array_index(at, guint, i));
+		char *there = customer_path(u, other);
 
 		g_set_error(error, SS_ERROR, SS_ERROR_BAD_REQUEST,
 			    clash == CUSTOMERS_KEY ?
@@ -374,25 +376,25 @@
 	return !clash;
 }
 
-static bool check(struct routing_update *u, GError **error)
+static bool check_change(struct routing_update *u, GError **error)
 {
 	GHashTable *services = g_hash_table_new(g_str_hash, g_str_equal);
-	GHashTable *places = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 	bool ok = true;
 
-	mark_all(u, true);
-	for (guint i = 0; i < u->read.items->len && ok; i++)
-		if (u->read.parts->data[i] == DOCUMENT_SERVICE)
-			ok = check_service(u, services, u->read.items->pdata[i],
-					   error);
-	for (guint i = 0; i < u->read.items->len && ok; i++)
-		if (u->read.parts->data[i] == DOCUMENT_ROUTE)
-			ok = check_route(u, services, places, i, error);
-	ok = ok && check_needed(u, services, error) &&
+	mark_removed(u, true);
+	for (guint i = 0; i < u->parsed.items->len && ok; i++)
+		if (u->parsed.parts->data[i] == DOCUMENT_SERVICE)
+			ok = check_service(u, services,
+					   u->parsed.items->pdata[i], error);
+	for (guint i = 0; i < u->parsed.items->len && ok; i++)
+		if (u->parsed.parts->data[i] == DOCUMENT_ROUTE)
+			ok = check_route(u, services, keys, i, error);
+	ok = ok && check_removed_services(u, services, error) &&
 	     check_customers(u, error);
-	mark_all(u, false);
+	mark_removed(u, false);
 	g_hash_table_unref(services);
-	g_hash_table_unref(places);
+	g_hash_table_unref(keys);
 	return ok;
 }
 
@@ -408,26 +410,30 @@
 		return ROUTING_INVALID;
 	}
 	if (u->edit < c->edits.n)
-		return read_some(u, error) ? ROUTING_MORE : ROUTING_INVALID;
-	return read_rest(u, error) && check(u, error) ? ROUTING_READ :
-							ROUTING_INVALID;
+		return read_items(u, error) ? ROUTING_MORE : ROUTING_INVALID;
+	return read_settings(u, error) && check_change(u, error) ?
+		       ROUTING_READ :
+		       ROUTING_INVALID;
 }
 
-/* Putting in force. */
+/* Commit. */
 
-static void count_uses(const struct routing *r, const struct routing_route *rt,
-		       int n)
+static void count_shares(const struct routing *r,
+			 const struct routing_route *rt, int n)
 {
 	for (guint i = 0; i < rt->shares->len; i++) {
 		struct routing_service *s = routing_service(
 			r, g_array_index(rt->shares, struct routing_share, i)
 				   .service);
 
-		s->uses += (guint)n;
+		s->route_shares += (guint)n;
 	}
 }
 
-/* Services stay until the routes that lead to them have been counted. */
+/*
+ * Removes a dropped item from the table. Services are removed later, by
+ * drop_services(), as the shares of dropped routes are still counted in them.
+ */
 static void drop_item(void *arg, enum document_part part, void *item)
 {
 	struct routing *r = ((struct routing_update *)arg)->r;
@@ -439,9 +445,9 @@
 		customers_remove(&r->customers, item);
 	if (part != DOCUMENT_ROUTE)
 		return;
-	count_uses(r, rt, -1);
+	count_shares(r, rt, -1);
 	r->routes--;
-	g_hash_table_remove(r->places, rt->place);
+	g_hash_table_remove(r->routes_by_key, rt->lookup_key);
 }
 
 static void *next_item(void *arg, const struct document_piece *p)
@@ -449,7 +455,7 @@
 	struct routing_update *u = arg;
 
 	(void)p;
-	return u->read.items->pdata[u->added++];
+	return u->parsed.items->pdata[u->committed++];
 }
 
 static void drop_services(struct routing *r)
@@ -457,8 +463,8 @@
 	for (guint i = r->services->len; i-- > 0;) {
 		struct routing_service *s = r->services->pdata[i];
 
-		s->ended = 0;
-		if (s->leaves)
+		s->shares_removed = 0;
+		if (s->removing)
 			g_ptr_array_remove_index(r->services, i);
 	}
 }
@@ -467,16 +473,16 @@
 {
 	const struct routing_service *old = routing_service(r, s->name);
 
-	s->uses = old ? old->uses : 0;
+	s->route_shares = old ? old->route_shares : 0;
 	g_ptr_array_add(r->services, s);
 }
 
 static void add_route(struct routing *r, struct routing_route *rt)
 {
-	g_hash_table_insert(r->places, rt->place, rt);
-	r->longest = MAX(r->longest, strlen(rt->prefix));
+	g_hash_table_insert(r->routes_by_key, rt->lookup_key, rt);
+	r->longest_prefix = MAX(r->longest_prefix, strlen(rt->prefix));
 	r->routes++;
-	count_uses(r, rt, 1);
+	count_shares(r, rt, 1);
 }
 
 void routing_update_commit(struct routing_update *u)
@@ -485,34 +491,35 @@
 	struct document_piece_ops s = { next_item, drop_item, u };
 	struct routing *r = u->r;
 
-	mark_all(u, true);
+	mark_removed(u, true);
 	document_pieces_splice(&r->pieces, c, &s);
-	for (guint i = 0; i < u->read.items->len; i++)
-		if (u->read.parts->data[i] == DOCUMENT_SERVICE)
-			add_service(r, u->read.items->pdata[i]);
+	for (guint i = 0; i < u->parsed.items->len; i++)
+		if (u->parsed.parts->data[i] == DOCUMENT_SERVICE)
+			add_service(r, u->parsed.items->pdata[i]);
 	drop_services(r);
-	for (guint i = 0; i < u->read.items->len; i++)
-		if (u->read.parts->data[i] == DOCUMENT_ROUTE)
-			add_route(r, u->read.items->pdata[i]);
-		else if (u->read.parts->data[i] == DOCUMENT_CUSTOMER)
-			customers_add(&r->customers, u->read.items->pdata[i]);
-	/* They are the table's now. */
-	g_ptr_array_set_size(u->read.items, 0);
-	r->limits = u->rest.limits;
-	r->keyed = u->rest.keyed;
+	for (guint i = 0; i < u->parsed.items->len; i++)
+		if (u->parsed.parts->data[i] == DOCUMENT_ROUTE)
+			add_route(r, u->parsed.items->pdata[i]);
+		else if (u->parsed.parts->data[i] == DOCUMENT_CUSTOMER)
+			customers_add(&r->customers, u->parsed.items->pdata[i]);
+	/* The table has taken the references. */
+	g_ptr_array_set_size(u->parsed.items, 0);
+	r->limits = u->settings.limits;
+	r->keyed = u->settings.keyed;
 	r->version = c->version;
 }
 
-/* Following. */
+/* Follower. */
 
 struct routing_follower {
 	const struct routing_format *f;
 	struct routing *r;
-	GQueue patches;		    /* struct document_patch, not begun */
-	struct routing_update *u;   /* that is being read; NULL: none */
-	bool read;		    /* it may be put in force */
-	uint64_t version;	    /* of the last that came */
-	uint64_t reading, in_force; /* of the one that is read; before it */
+	GQueue patches;		  /* struct document_patch, not started */
+	struct routing_update *u; /* current update; NULL: none */
+	bool checked;		  /* the current update may be committed */
+	uint64_t version;	  /* of the last change queued */
+	uint64_t next_version;	  /* of the current update */
+	uint64_t table_version;
 };
 
 struct routing_follower *routing_follower_new(const struct routing_format *f)
@@ -550,17 +557,22 @@
 	return w->u || w->patches.length;
 }
 
-static void forget(struct routing_follower *w)
+static void discard_all(struct routing_follower *w)
 {
 	routing_update_free(w->u);
 	w->u = NULL;
 	g_queue_clear_full(&w->patches, (GDestroyNotify)document_patch_free);
-	w->version = w->in_force;
+	w->version = w->table_version;
 }
 
-/* A text of before there were pieces stands in one. */
-static struct document_patch *divide(const struct routing_follower *w,
-				     struct document_patch *n, GError **error)
+/*
+ * Splits a full text that is stored as one piece, as document_put() does for
+ * old logs, into the pieces of its items. Takes the patch; returns it as it is
+ * if it's divided already.
+ */
+static struct document_patch *split_text(const struct routing_follower *w,
+					 struct document_patch *n,
+					 GError **error)
 {
 	const struct document_edit *e = n->change.edits.items;
 	const struct document_piece *p;
@@ -574,7 +586,7 @@
 	out = document_compare(empty, p->text, w->f->lists, error);
 	document_free(empty);
 	if (out) {
-		/* The texts are views of what was opened. */
+		/* The new pieces point into the unpacked bytes. */
 		out->unpacked = n->unpacked;
 		out->buf = n->buf;
 		n->unpacked = NULL;
@@ -598,7 +610,7 @@
 		return false;
 	}
 	if (n)
-		n = divide(w, n, error);
+		n = split_text(w, n, error);
 	if (!n)
 		return false;
 	w->version = n->change.version;
@@ -612,7 +624,7 @@
 
 	if (!n)
 		return false;
-	w->reading = n->change.version;
+	w->next_version = n->change.version;
 	w->u = routing_update_new(w->r, w->f, n);
 	return true;
 }
@@ -623,17 +635,17 @@
 
 	if (!w->u && !begin_next(w))
 		return false;
-	if (!w->read) {
+	if (!w->checked) {
 		step = routing_update_step(w->u, error);
-		w->read = step == ROUTING_READ;
+		w->checked = step == ROUTING_READ;
 		if (step == ROUTING_INVALID)
-			forget(w);
+			discard_all(w);
 		return false;
 	}
-	w->read = false;
+	w->checked = false;
 	routing_update_commit(w->u);
 	routing_update_free(w->u);
 	w->u = NULL;
-	w->in_force = w->reading;
+	w->table_version = w->next_version;
 	return true;
 }
--- a/src/core/routing_update.h
+++ b/src/core/routing_update.h
@@ -1,61 +1,70 @@
 /*
- * A routing that follows the operators' document: a change is read a few items
- * at a time, checked as a whole, and then put in force at once.
+ * Updates of a routing table by changes of the operators' document. A change is
+ * parsed a few items at a time, checked as a whole, and then committed at once.
  *
- * Nothing of the table is touched before that, so an operator's change is
- * checked with the same code, and what it costs follows from the change.
+ * The table isn't modified before the commit, so that the same code validates
+ * a change that an operator submits. The cost depends on the size of the
+ * change.
  */
 #ifndef SS_ROUTING_UPDATE_H
 #define SS_ROUTING_UPDATE_H
 
 #include "routing.h"
 
-/* Items that are read at a time: 0.2 ms of processor time, so that the loop of
- * a process that has a tenth of a core goes on after some 2 ms. */
-#define ROUTING_ITEMS 50
+/*
+ * Items parsed in one step. They take 0.2 ms of processor time, so a process
+ * that has a tenth of a core returns to its event loop after about 2 ms.
+ */
+#define ROUTING_ITEMS_PER_STEP 50
 
 struct routing_update;
 
-/* The patch is freed with it; what it was made from must outlive it. */
+/* Takes ownership of the patch; the text it was made from must outlive it. */
 struct routing_update *routing_update_new(struct routing *r,
 					  const struct routing_format *f,
 					  struct document_patch *patch);
 void routing_update_free(struct routing_update *u);
 
-enum routing_step { ROUTING_MORE, ROUTING_READ, ROUTING_INVALID };
+enum routing_step {
+	ROUTING_MORE,	 /* call again */
+	ROUTING_READ,	 /* parsed and checked; may be committed */
+	ROUTING_INVALID, /* error is set */
+};
 
 /*
- * Read on. Once all is read it is checked: SS_ERROR_BAD_REQUEST, with the place
- * and the reason, for two routes on one host and prefix, names that stand
- * twice, a service that a route lacks, or what can't be read; SS_ERROR_FRAME
- * where it isn't a change of what the table holds.
+ * Parses the next items, or checks the change once all are parsed. Fails with
+ * SS_ERROR_BAD_REQUEST, with the path of the item and the reason, if an item
+ * can't be parsed, two routes have the same host and prefix, a name or a key is
+ * used twice, or a route names a missing service; with SS_ERROR_FRAME if the
+ * change has another base version than the table's.
  */
 enum routing_step routing_update_step(struct routing_update *u, GError **error);
 
-/* The change with the version that it makes, once it is read. */
+/* The change; its version is set once the step returned ROUTING_READ. */
 const struct document_change *routing_update_change(struct routing_update *u);
 
-/* Put in force what was read. */
+/* Applies a checked change to the table. */
 void routing_update_commit(struct routing_update *u);
 
-/* Changes that came, put in force one after the other. */
+/* Applies a sequence of received changes to a table, one after the other. */
 struct routing_follower;
 
 struct routing_follower *routing_follower_new(const struct routing_format *f);
 void routing_follower_free(struct routing_follower *f);
-/* The table; its version is 0 until something is in force. */
+/* The table; its version is 0 until the first change is committed. */
 struct routing *routing_follower_table(const struct routing_follower *f);
 
-/* A packed change; false where it can't be opened or doesn't follow on what
- * came before: then the whole is needed. */
+/* Queues a packed change. False if it can't be unpacked or its base isn't the
+ * last version queued: the follower then needs the full document. */
 bool routing_follower_add(struct routing_follower *f, struct ss_str packed,
 			  GError **error);
-/* The version of the last change that came and was of use. */
+/* The version of the last change queued; after an error, of the table. */
 uint64_t routing_follower_version(const struct routing_follower *f);
 
-/* Read on: true where a version has come into force. False with the error
- * where a change is of no use; all that came is forgotten then. */
+/* Runs one step; true if it committed a version. If a change is invalid, sets
+ * the error and discards all queued changes. */
 bool routing_follower_step(struct routing_follower *f, GError **error);
+/* Whether changes are queued or being processed. */
 bool routing_follower_busy(const struct routing_follower *f);
 
 #endif
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -207,12 +207,12 @@
 
 	assert_int_equal(a->version, b->version);
 	assert_int_equal(a->routes, b->routes);
-	assert_int_equal(g_hash_table_size(a->places), b->routes);
+	assert_int_equal(g_hash_table_size(a->routes_by_key), b->routes);
 	assert_int_equal(a->services->len, b->services->len);
-	g_hash_table_iter_init(&it, b->places);
+	g_hash_table_iter_init(&it, b->routes_by_key);
 	while (g_hash_table_iter_next(&it, &place, &v)) {
 		const struct routing_route *x =
-			g_hash_table_lookup(a->places, place);
+			g_hash_table_lookup(a->routes_by_key, place);
 
 		assert_non_null(x);
 		assert_string_equal(x->name, ((struct routing_route *)v)->name);
@@ -222,8 +222,8 @@
 		const struct routing_service *x = routing_service(a, s->name);
 
 		assert_non_null(x);
-		assert_int_equal(x->uses, s->uses);
-		assert_int_equal(x->ended, 0);
+		assert_int_equal(x->route_shares, s->route_shares);
+		assert_int_equal(x->shares_removed, 0);
 	}
 }
 
@@ -502,7 +502,7 @@
 	while (routing_follower_busy(w)) {
 		reads = 0;
 		routing_follower_step(w, NULL);
-		assert_true(reads <= ROUTING_ITEMS);
+		assert_true(reads <= ROUTING_ITEMS_PER_STEP);
 		all += reads;
 	}
 	assert_int_equal(all, 12000);
