--- a/test/test_document.c
+++ b/test/test_document.c
@@ -1,4 +1,7 @@
-/* The configuration as pieces: changes of it, and the routing that follows. */
+/*
+ * Tests of the configuration document: changes between its versions, the
+ * routing table that applies them, and their replication.
+ */
 #include "unit.h"
 
 #include "../platform/platform.h"
@@ -17,8 +20,9 @@
 	return users_platform.routing->lists;
 }
 
-/* Make a document into a text; the change, packed. */
-static GString *bring_to(struct document *d, const char *text, uint64_t version)
+/* Changes a document into a text, by a packed change, which is returned. */
+static GString *update_document(struct document *d, const char *text,
+				uint64_t version)
 {
 	struct document_patch *n =
 		document_compare(d, ss_str(text), lists(), NULL);
@@ -42,28 +46,27 @@
 
 static const struct {
 	const char *label, *before, *after;
-	guint pieces; /* that the change brings at most */
+	guint pieces; /* maximum number in the change */
 } changes[] = {
-	{ "nothing but the version", TEXT("1", ROUTE("a", "s1")),
+	{ "only the version", TEXT("1", ROUTE("a", "s1")),
 	  TEXT("2", ROUTE("a", "s1")), 1 },
-	{ "one at the end", TEXT("1", ROUTE("a", "s1")),
+	{ "an item appended", TEXT("1", ROUTE("a", "s1")),
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s1")), 2 },
-	{ "one at the start", TEXT("1", ROUTE("a", "s1")),
+	{ "an item prepended", TEXT("1", ROUTE("a", "s1")),
 	  TEXT("2", ROUTE("b", "s1") "," ROUTE("a", "s1")), 3 },
-	{ "one in the middle", TEXT("1", ROUTE("a", "s1") "," ROUTE("c", "s1")),
+	{ "an item inserted", TEXT("1", ROUTE("a", "s1") "," ROUTE("c", "s1")),
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s1") "," ROUTE("c", "s1")),
 	  2 },
-	{ "one replaced", TEXT("1", ROUTE("a", "s1") "," ROUTE("c", "s1")),
+	{ "an item replaced", TEXT("1", ROUTE("a", "s1") "," ROUTE("c", "s1")),
 	  TEXT("2", ROUTE("a", "s2") "," ROUTE("c", "s1")), 2 },
-	{ "one removed",
+	{ "an item removed",
 	  TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1") "," ROUTE("c", "s1")),
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("c", "s1")), 1 },
-	{ "all removed", TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1")),
+	{ "all items removed", TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1")),
 	  TEXT("2", ""), 1 },
-	{ "the first ones", TEXT("1", ""),
+	{ "first items", TEXT("1", ""),
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s1")), 3 },
-	{ "two in another order",
-	  TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1")),
+	{ "two items swapped", TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1")),
 	  TEXT("2", ROUTE("b", "s1") "," ROUTE("a", "s1")), 3 },
 	{ "spaces", TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s1")),
 	  " { \"version\" : 2 , \"routes\" : [ " ROUTE("a", "s1") " ,\n " ROUTE(
@@ -77,8 +80,11 @@
 	  6 },
 };
 
-/* A change that doesn't make what operators sent, or tells what is held. */
-static void changes_make_the_text(void **state)
+/*
+ * Fails if a change doesn't result in the text that operators sent, or carries
+ * pieces that the document holds already.
+ */
+static void changes_reproduce_the_text(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(changes); i++) {
@@ -86,7 +92,7 @@
 		struct document_patch *n;
 		guint pieces = 0;
 
-		g_string_free(bring_to(d, changes[i].before, 1), TRUE);
+		g_string_free(update_document(d, changes[i].before, 1), TRUE);
 		n = document_compare(d, ss_str(changes[i].after), lists(),
 				     NULL);
 		assert_non_null(n);
@@ -97,51 +103,52 @@
 		if (pieces > changes[i].pieces)
 			fail_msg("%s: %u pieces", changes[i].label, pieces);
 		document_patch_free(n);
-		g_string_free(bring_to(d, changes[i].after, 2), TRUE);
+		g_string_free(update_document(d, changes[i].after, 2), TRUE);
 		document_free(d);
 	}
 }
 
 static const struct {
 	const char *label, *text;
-} spoilt[] = {
-	{ "nothing", "" },
-	{ "no object", "[1]" },
-	{ "cut in an item", "{\"version\":2,\"routes\":[{\"a\":1" },
-	{ "cut in a text", "{\"version\":2,\"routes\":[{\"a\":\"1" },
-	{ "cut behind an escape", "{\"version\":2,\"x\":\"1\\" },
-	{ "cut behind a list", "{\"version\":2,\"routes\":[{\"a\":1}]" },
-	{ "more behind it", "{\"version\":2}}" },
-	{ "a comma before the first", "{\"routes\":[,{\"a\":1}]}" },
-	{ "a comma behind the last", "{\"routes\":[{\"a\":1},]}" },
+} corrupt[] = {
+	{ "empty text", "" },
+	{ "not an object", "[1]" },
+	{ "truncated in an item", "{\"version\":2,\"routes\":[{\"a\":1" },
+	{ "truncated in a string", "{\"version\":2,\"routes\":[{\"a\":\"1" },
+	{ "truncated after an escape", "{\"version\":2,\"x\":\"1\\" },
+	{ "truncated after a list", "{\"version\":2,\"routes\":[{\"a\":1}]" },
+	{ "trailing data", "{\"version\":2}}" },
+	{ "leading comma", "{\"routes\":[,{\"a\":1}]}" },
+	{ "trailing comma", "{\"routes\":[{\"a\":1},]}" },
 	{ "two commas", "{\"routes\":[{\"a\":1},,{\"a\":1}]}" },
-	{ "no comma", "{\"routes\":[{\"a\":1}{\"a\":1}]}" },
-	{ "a list twice", "{\"routes\":[],\"routes\":[]}" },
-	{ "no colon", "{\"routes\"[]}" },
+	{ "missing comma", "{\"routes\":[{\"a\":1}{\"a\":1}]}" },
+	{ "duplicate list", "{\"routes\":[],\"routes\":[]}" },
+	{ "missing colon", "{\"routes\"[]}" },
 };
 
-static void spoilt_texts_are_refused(void **state)
+static void corrupt_texts_are_refused(void **state)
 {
 	struct document *d = document_new();
 
 	(void)state;
-	/* Also against what would be kept. */
-	g_string_free(bring_to(d, "{\"routes\":[{\"a\":1},{\"a\":1}]}", 1),
+	/* The document holds items of the texts, to cover kept items too. */
+	g_string_free(update_document(d, "{\"routes\":[{\"a\":1},{\"a\":1}]}",
+				      1),
 		      TRUE);
-	for (size_t i = 0; i < G_N_ELEMENTS(spoilt); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(corrupt); i++) {
 		GError *error = NULL;
 
-		if (document_compare(d, ss_str(spoilt[i].text), lists(),
+		if (document_compare(d, ss_str(corrupt[i].text), lists(),
 				     &error))
-			fail_msg("%s was taken", spoilt[i].label);
+			fail_msg("%s was accepted", corrupt[i].label);
 		assert_int_equal(error->code, SS_ERROR_BAD_REQUEST);
 		g_error_free(error);
 	}
 	document_free(d);
 }
 
-/* A text with so many routes, from a number on. */
-static GString *text_of(uint64_t version, int first, int routes)
+/* A text with the given number of routes, numbered from first on. */
+static GString *numbered_routes(uint64_t version, int first, int routes)
 {
 	GString *s = g_string_new(NULL);
 
@@ -158,17 +165,17 @@
 	return s;
 }
 
-/* Routes that are added, and the bytes of that change. */
-static size_t bytes_to_add(int held, int added)
+/* The packed size of a change that adds routes to a document with some. */
+static size_t change_bytes(int held, int added)
 {
 	struct document *d = document_new();
-	GString *before = text_of(1, 0, held);
-	GString *after = text_of(2, 0, held + added);
+	GString *before = numbered_routes(1, 0, held);
+	GString *after = numbered_routes(2, 0, held + added);
 	GString *change;
 	size_t n;
 
-	g_string_free(bring_to(d, before->str, 1), TRUE);
-	change = bring_to(d, after->str, 2);
+	g_string_free(update_document(d, before->str, 1), TRUE);
+	change = update_document(d, after->str, 2);
 	n = change->len;
 	g_string_free(change, TRUE);
 	g_string_free(before, TRUE);
@@ -177,20 +184,20 @@
 	return n;
 }
 
-/* A change whose bytes grow with what was there before. */
-static void bytes_follow_from_the_change(void **state)
+/* Fails if the size of a change grows with the size of the document. */
+static void change_size_is_independent_of_document(void **state)
 {
 	(void)state;
-	assert_true(bytes_to_add(12000, 1) < 2 * bytes_to_add(50, 1));
-	assert_true(bytes_to_add(12000, 100) < 2 * bytes_to_add(50, 100));
+	assert_true(change_bytes(12000, 1) < 2 * change_bytes(50, 1));
+	assert_true(change_bytes(12000, 100) < 2 * change_bytes(50, 100));
 }
 
-/* The routing. */
+/* Routing table. */
 
-static bool put(struct routing_follower *w, struct document *d,
-		const char *text, uint64_t version, GError **error)
+static bool follow_text(struct routing_follower *w, struct document *d,
+			const char *text, uint64_t version, GError **error)
 {
-	GString *packed = bring_to(d, text, version);
+	GString *packed = update_document(d, text, version);
 	bool ok = routing_follower_add(w, ss_str_gs(packed), error);
 
 	g_string_free(packed, TRUE);
@@ -200,19 +207,19 @@
 	return ok;
 }
 
-static void assert_same(const struct routing *a, const struct routing *b)
+static void assert_same_table(const struct routing *a, const struct routing *b)
 {
 	GHashTableIter it;
-	void *place, *v;
+	void *key, *v;
 
 	assert_int_equal(a->version, b->version);
 	assert_int_equal(a->routes, b->routes);
 	assert_int_equal(g_hash_table_size(a->routes_by_key), b->routes);
 	assert_int_equal(a->services->len, b->services->len);
 	g_hash_table_iter_init(&it, b->routes_by_key);
-	while (g_hash_table_iter_next(&it, &place, &v)) {
+	while (g_hash_table_iter_next(&it, &key, &v)) {
 		const struct routing_route *x =
-			g_hash_table_lookup(a->routes_by_key, place);
+			g_hash_table_lookup(a->routes_by_key, key);
 
 		assert_non_null(x);
 		assert_string_equal(x->name, ((struct routing_route *)v)->name);
@@ -227,8 +234,8 @@
 	}
 }
 
-/* A text whose routes and services a seed draws from a few. */
-static GString *drawn(uint64_t *seed, uint64_t version)
+/* A text with random variants of 60 routes and 2 services. */
+static GString *random_text(uint64_t *seed, uint64_t version)
 {
 	GString *s = g_string_new(NULL);
 	const char *comma = "";
@@ -258,7 +265,10 @@
 	return s;
 }
 
-/* A table that differs, after a series of changes, from the text read whole. */
+/*
+ * Fails if a table that applied a series of random changes differs from one
+ * that is built from the last text.
+ */
 static void table_follows_any_series(void **state)
 {
 	(void)state;
@@ -269,13 +279,13 @@
 		uint64_t random = seed;
 
 		for (uint64_t v = 1; v <= 20; v++) {
-			GString *text = drawn(&random, v);
+			GString *text = random_text(&random, v);
 			struct routing *whole = routing_read(
 				users_platform.routing, ss_str_gs(text), NULL);
 
 			assert_non_null(whole);
-			assert_true(put(w, d, text->str, v, NULL));
-			assert_same(routing_follower_table(w), whole);
+			assert_true(follow_text(w, d, text->str, v, NULL));
+			assert_same_table(routing_follower_table(w), whole);
 			routing_unref(whole);
 			g_string_free(text, TRUE);
 		}
@@ -286,41 +296,41 @@
 
 static const struct {
 	const char *label, *text;
-	const char *error; /* NULL: it is taken */
-} checked[] = {
-	{ "two on one place",
+	const char *error; /* NULL: the change is accepted */
+} table_changes[] = {
+	{ "two routes with one host and prefix",
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s1") "," ROUTE("a", "s2")),
 	  "has prefix /a/ twice" },
-	{ "a service that isn't there",
-	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s9")), "no service s9" },
-	{ "a service that goes while a kept route needs it",
+	{ "a missing service", TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s9")),
+	  "no service s9" },
+	{ "a removed service that a kept route names",
 	  "{\"version\":2,\"routes\":[" ROUTE("a", "s1") "," ROUTE(
 		  "b", "s2") "],\"services\":[{\"name\":\"s1\"}]}",
 	  "s2" },
-	{ "a service that comes twice",
+	{ "a service listed twice",
 	  "{\"version\":2,\"routes\":[" ROUTE(
 		  "a",
 		  "s1") "],\"services\":[{\"name\":\"s1\"},{\"name\":\"s1\"}]}",
 	  "stands twice" },
-	{ "a service replaced under kept routes",
+	{ "a replaced service that kept routes name",
 	  "{\"version\":2,\"routes\":[" ROUTE("a", "s1") "," ROUTE(
 		  "b", "s2") "],\"services\":[{\"name\":\"s1\",\"maxConns\":9},"
 			     "{\"name\":\"s2\"}]}",
 	  NULL },
-	{ "an item that can't be read",
+	{ "an invalid item",
 	  TEXT("2", ROUTE("a", "s1") "," ROUTE("b", "s2") ",{\"name\":3}"),
 	  "routes[2].name" },
-	{ "a service and its routes go",
+	{ "a service and its routes removed",
 	  "{\"version\":2,\"routes\":[" ROUTE(
 		  "a", "s1") "],\"services\":[{\"name\":\"s1\"}]}",
 	  NULL },
-	{ "routes change places",
+	{ "routes in another order",
 	  TEXT("2", ROUTE("b", "s2") "," ROUTE("a", "s1")), NULL },
 	{ "no version", "{\"routes\":[" ROUTE("a", "s1") "]," SERVICES "}",
 	  "version" },
 };
 
-/* Changes of customers, each of what the one before left. */
+/* A series of changes to the customers, each based on the previous one. */
 #define CUSTOMER(name, keys) "{\"name\":\"" name "\",\"keys\":[" keys "]}"
 #define KEYED(version, customers)                                              \
 	"{\"version\":" version                                                \
@@ -329,32 +339,32 @@
 static const struct {
 	const char *label, *text;
 	uint64_t version;
-	const char *key, *holder; /* NULL: nobody */
+	const char *key, *holder; /* customer with the key; NULL: none */
 	const char *error;
-} series[] = {
-	{ "the first ones",
+} customer_changes[] = {
+	{ "first customers",
 	  KEYED("1", CUSTOMER("a", "\"k1\"") "," CUSTOMER("b", "\"k2\"")), 1,
 	  "k2", "b", NULL },
-	{ "a key moves on",
+	{ "a key moves to another customer",
 	  KEYED("2", CUSTOMER("a", "\"k1\",\"k2\"") "," CUSTOMER("b", "")), 2,
 	  "k2", "a", NULL },
-	{ "and back, in one change with a new one",
+	{ "a key moves back as a customer is added",
 	  KEYED("3", CUSTOMER("c", "\"k3\"") "," CUSTOMER(
 			     "a", "\"k1\"") "," CUSTOMER("b", "\"k2\"")),
 	  3, "k2", "b", NULL },
-	{ "one goes, and another takes its key",
+	{ "a customer is removed, another gets its key",
 	  KEYED("5", CUSTOMER("c", "\"k3\"") "," CUSTOMER(
 			     "b", "\"k2\"") "," CUSTOMER("d", "\"k1\"")),
 	  5, "k1", "d", NULL },
-	{ "all lose their keys",
+	{ "all keys are removed",
 	  KEYED("6",
 		CUSTOMER("c", "") "," CUSTOMER("b", "") "," CUSTOMER("d", "")),
 	  6, "k1", NULL, NULL },
-	{ "nobody is a customer", KEYED("7", ""), 7, "k1", NULL, NULL },
-	{ "others come",
+	{ "no customers", KEYED("7", ""), 7, "k1", NULL, NULL },
+	{ "customers are added",
 	  KEYED("8", CUSTOMER("c", "\"k3\"") "," CUSTOMER("a", "\"k1\"")), 8,
 	  "k1", "a", NULL },
-	{ "a key of one that isn't changed",
+	{ "a key of an unchanged customer",
 	  KEYED("9",
 		CUSTOMER("e", "\"k9\"") "," CUSTOMER(
 			"c",
@@ -365,7 +375,7 @@
 	  9, "k1", "a", "tenants[3]: shares a key with tenants[2]" },
 };
 
-/* A key leads to whom it was taken from, or nowhere. */
+/* Fails if a key stays with its former customer, or is lost when it moves. */
 static void keys_follow_any_series(void **state)
 {
 	struct routing_follower *w =
@@ -374,36 +384,42 @@
 	struct document *d = document_new();
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(series); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(customer_changes); i++) {
 		const struct customer *c;
 		GError *error = NULL;
-		bool ok = put(w, d, series[i].text, series[i].version, &error);
-
-		if (ok == (series[i].error != NULL) ||
-		    (error && !strstr(error->message, series[i].error)))
-			fail_msg("%s: %s", series[i].label,
-				 error ? error->message : "taken");
+		bool ok = follow_text(w, d, customer_changes[i].text,
+				      customer_changes[i].version, &error);
+
+		if (ok == (customer_changes[i].error != NULL) ||
+		    (error &&
+		     !strstr(error->message, customer_changes[i].error)))
+			fail_msg("%s: %s", customer_changes[i].label,
+				 error ? error->message : "accepted");
 		if (error && strstr(error->message, "k1"))
-			fail_msg("%s: tells a key", series[i].label);
+			fail_msg("%s: the error contains a key",
+				 customer_changes[i].label);
 		g_clear_error(&error);
-		c = customers_find(&r->customers, ss_str(series[i].key));
-		if (g_strcmp0(c ? c->name : NULL, series[i].holder))
-			fail_msg("%s: %s", series[i].label, c ? c->name : "-");
+		c = customers_find(&r->customers,
+				   ss_str(customer_changes[i].key));
+		if (g_strcmp0(c ? c->name : NULL, customer_changes[i].holder))
+			fail_msg("%s: %s", customer_changes[i].label,
+				 c ? c->name : "-");
 		assert_true(r->keyed);
 	}
 	routing_follower_free(w);
 	document_free(d);
 }
 
-/* Keys reach the agents, which need none. */
-static void agents_hear_of_no_customers(void **state)
+/* Fails if agents receive customers' keys, which they don't need. */
+static void agents_receive_no_customers(void **state)
 {
 	struct document *d = document_new();
 	struct document_patch *n;
 	GString *whole;
 
 	(void)state;
-	g_string_free(bring_to(d, KEYED("1", CUSTOMER("a", "\"k1\"")), 1),
+	g_string_free(update_document(d, KEYED("1", CUSTOMER("a", "\"k1\"")),
+				      1),
 		      TRUE);
 	whole = document_whole(d, false);
 	n = document_open(ss_str_gs(whole), NULL);
@@ -415,14 +431,14 @@
 	document_free(d);
 }
 
-/* An invalid change that is taken, or leaves something behind. */
-static void changes_are_checked_before_they_count(void **state)
+/* Fails if an invalid change is accepted, or modifies the table. */
+static void changes_are_checked_before_commit(void **state)
 {
 	static const char first[] =
 		TEXT("1", ROUTE("a", "s1") "," ROUTE("b", "s2"));
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(checked); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(table_changes); i++) {
 		struct routing_follower *w =
 			routing_follower_new(users_platform.routing);
 		struct routing *before = routing_read(users_platform.routing,
@@ -431,14 +447,14 @@
 		GError *error = NULL;
 		bool ok;
 
-		assert_true(put(w, d, first, 1, NULL));
-		ok = put(w, d, checked[i].text, 2, &error);
-		if (ok == (checked[i].error != NULL) ||
-		    (error && !strstr(error->message, checked[i].error)))
-			fail_msg("%s: %s", checked[i].label,
-				 error ? error->message : "taken");
+		assert_true(follow_text(w, d, first, 1, NULL));
+		ok = follow_text(w, d, table_changes[i].text, 2, &error);
+		if (ok == (table_changes[i].error != NULL) ||
+		    (error && !strstr(error->message, table_changes[i].error)))
+			fail_msg("%s: %s", table_changes[i].label,
+				 error ? error->message : "accepted");
 		if (!ok) {
-			assert_same(routing_follower_table(w), before);
+			assert_same_table(routing_follower_table(w), before);
 			assert_int_equal(routing_follower_version(w), 1);
 		}
 		g_clear_error(&error);
@@ -448,7 +464,7 @@
 	}
 }
 
-/* A request loses the route and service that it came by. */
+/* Fails if a request loses its route and service when a change removes them. */
 static void requests_keep_their_route(void **state)
 {
 	struct routing_follower *w =
@@ -459,14 +475,15 @@
 	struct routing_route *rt;
 
 	(void)state;
-	assert_true(put(w, d, TEXT("1", ROUTE("a", "s1")), 1, NULL));
+	assert_true(follow_text(w, d, TEXT("1", ROUTE("a", "s1")), 1, NULL));
 	rt = routing_route_ref(
 		routing_match(r, SS_LIT("h.example"), SS_LIT("/a/x")));
 	s = routing_service_ref(routing_pick(r, rt, 0));
-	assert_true(put(w, d,
-			"{\"version\":2,\"routes\":[],\"services\":[{\"name\":"
-			"\"s2\"}]}",
-			2, NULL));
+	assert_true(follow_text(
+		w, d,
+		"{\"version\":2,\"routes\":[],\"services\":[{\"name\":"
+		"\"s2\"}]}",
+		2, NULL));
 	assert_null(routing_match(r, SS_LIT("h.example"), SS_LIT("/a/x")));
 	assert_string_equal(rt->name, "a");
 	assert_string_equal(s->name, "s1");
@@ -478,26 +495,26 @@
 
 static guint reads;
 
-static struct routing_route *counted_route(struct ss_str text,
-					   const char *place, GError **error)
+static struct routing_route *
+read_counted_route(struct ss_str text, const char *path, GError **error)
 {
 	reads++;
-	return users_platform.routing->read_route(text, place, error);
+	return users_platform.routing->read_route(text, path, error);
 }
 
-/* The loop stands still while many routes are read. */
+/* Guards against blocking the event loop while many routes are parsed. */
 static void few_items_are_read_at_a_time(void **state)
 {
 	struct routing_format f = *users_platform.routing;
 	struct routing_follower *w;
 	struct document *d = document_new();
-	GString *text = text_of(1, 0, 12000), *packed;
+	GString *text = numbered_routes(1, 0, 12000), *packed;
 	guint all = 0;
 
 	(void)state;
-	f.read_route = counted_route;
+	f.read_route = read_counted_route;
 	w = routing_follower_new(&f);
-	packed = bring_to(d, text->str, 1);
+	packed = update_document(d, text->str, 1);
 	assert_true(routing_follower_add(w, ss_str_gs(packed), NULL));
 	while (routing_follower_busy(w)) {
 		reads = 0;
@@ -513,15 +530,15 @@
 	document_free(d);
 }
 
-/* A change of another version, or a harmed one, that is taken. */
-static void useless_changes_are_refused(void **state)
+/* Fails if a change is queued that is truncated or has another base. */
+static void inapplicable_changes_are_refused(void **state)
 {
 	struct routing_follower *w =
 		routing_follower_new(users_platform.routing);
 	struct document *d = document_new();
-	GString *one = bring_to(d, TEXT("1", ROUTE("a", "s1")), 1);
-	GString *two = bring_to(d, TEXT("2", ROUTE("b", "s1")), 2);
-	GString *three = bring_to(d, TEXT("3", ROUTE("c", "s1")), 3);
+	GString *one = update_document(d, TEXT("1", ROUTE("a", "s1")), 1);
+	GString *two = update_document(d, TEXT("2", ROUTE("b", "s1")), 2);
+	GString *three = update_document(d, TEXT("3", ROUTE("c", "s1")), 3);
 	GError *error = NULL;
 
 	(void)state;
@@ -545,7 +562,7 @@
 	document_free(d);
 }
 
-/* The replicated state. */
+/* Replicated state. */
 
 static int64_t apply(struct ss_state *s, const struct routing_rec *rec,
 		     uint64_t *version)
@@ -562,11 +579,10 @@
 }
 
 static int64_t apply_text(struct ss_state *s, const char *text,
-			  uint64_t version, struct document *made_of)
+			  uint64_t version, struct document *base)
 {
-	struct document_patch *n =
-		document_compare(made_of ? made_of : ss_state_routing(s),
-				 ss_str(text), lists(), NULL);
+	struct document_patch *n = document_compare(
+		base ? base : ss_state_routing(s), ss_str(text), lists(), NULL);
 	struct routing_rec rec = { .version = version };
 	GString *packed;
 	int64_t code;
@@ -588,14 +604,14 @@
 	g_string_free(held, TRUE);
 }
 
-/* Two changes of one version: the second may not be added to the first. */
-static void second_of_two_is_made_anew(void **state)
+/* Of two changes with the same base version, the second is refused. */
+static void conflicting_change_is_refused(void **state)
 {
 	struct ss_state *s = ss_state_new();
 	struct document *one = document_new();
 
 	(void)state;
-	g_string_free(bring_to(one, TEXT("1", ""), 1), TRUE);
+	g_string_free(update_document(one, TEXT("1", ""), 1), TRUE);
 	assert_int_equal(apply_text(s, TEXT("1", ""), 1, NULL), 0);
 	assert_int_equal(apply_text(s, TEXT("2", ROUTE("a", "s1")), 2, one), 0);
 	assert_int_equal(apply_text(s, TEXT("3", ROUTE("b", "s1")), 3, one),
@@ -603,15 +619,15 @@
 	assert_text(s, TEXT("2", ROUTE("a", "s1")));
 	assert_int_equal(apply_text(s, TEXT("3", ROUTE("b", "s1")), 3, NULL),
 			 0);
-	/* What arrives late changes nothing, and isn't refused. */
+	/* A change to an older version is ignored, and not refused. */
 	assert_int_equal(apply_text(s, TEXT("2", ROUTE("a", "s1")), 2, one), 0);
 	assert_text(s, TEXT("3", ROUTE("b", "s1")));
 	document_free(one);
 	ss_state_free(s);
 }
 
-/* A text in a log of before there were changes, and changes of it. */
-static void whole_texts_of_old_logs_are_followed(void **state)
+/* Full texts, as stored in old logs, and changes based on them. */
+static void full_texts_of_old_logs_are_applied(void **state)
 {
 	static const char old[] = TEXT("4", ROUTE("a", "s1"));
 	struct routing_rec rec = { .version = 4, .body = SS_LIT(old) };
@@ -638,7 +654,10 @@
 	ss_state_free(s);
 }
 
-/* Members that disagree on when services changed, after a snapshot. */
+/*
+ * Fails if a snapshot loses the version of the services, on which all members
+ * of the group have to agree.
+ */
 static void snapshots_keep_the_routing(void **state)
 {
 	static const char last[] =
@@ -665,18 +684,18 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(changes_make_the_text),
-		cmocka_unit_test(spoilt_texts_are_refused),
-		cmocka_unit_test(bytes_follow_from_the_change),
+		cmocka_unit_test(changes_reproduce_the_text),
+		cmocka_unit_test(corrupt_texts_are_refused),
+		cmocka_unit_test(change_size_is_independent_of_document),
 		cmocka_unit_test(table_follows_any_series),
-		cmocka_unit_test(changes_are_checked_before_they_count),
+		cmocka_unit_test(changes_are_checked_before_commit),
 		cmocka_unit_test(keys_follow_any_series),
-		cmocka_unit_test(agents_hear_of_no_customers),
+		cmocka_unit_test(agents_receive_no_customers),
 		cmocka_unit_test(requests_keep_their_route),
 		cmocka_unit_test(few_items_are_read_at_a_time),
-		cmocka_unit_test(useless_changes_are_refused),
-		cmocka_unit_test(second_of_two_is_made_anew),
-		cmocka_unit_test(whole_texts_of_old_logs_are_followed),
+		cmocka_unit_test(inapplicable_changes_are_refused),
+		cmocka_unit_test(conflicting_change_is_refused),
+		cmocka_unit_test(full_texts_of_old_logs_are_applied),
 		cmocka_unit_test(snapshots_keep_the_routing),
 	};
 
