--- a/src/core/document_compare.c
+++ b/src/core/document_compare.c
@@ -56,8 +56,7 @@
 	return false;
 }
 
-/* Skips an object or array by counting brackets, without matching their kind.
- */
+/* Skips an object or array. Brackets are counted, not matched by kind. */
 static bool skip_nested(struct compare *x)
 {
 	size_t depth = 0;
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -162,7 +162,7 @@
 		g_string_append(u->other_text, p->items->pdata[next++ - parts]);
 }
 
-static bool read_settings(struct routing_update *u, GError **error)
+static bool parse_settings(struct routing_update *u, GError **error)
 {
 	struct document_change *c = &u->patch->change;
 	const struct document_edit *e = c->edits.items;
@@ -411,7 +411,7 @@
 	}
 	if (u->edit < c->edits.n)
 		return read_items(u, error) ? ROUTING_MORE : ROUTING_INVALID;
-	return read_settings(u, error) && check_change(u, error) ?
+	return parse_settings(u, error) && check_change(u, error) ?
 		       ROUTING_READ :
 		       ROUTING_INVALID;
 }
