--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -1,4 +1,4 @@
-/* Wire tables of the messages. A tag is never used for another meaning. */
+/* Wire tables of the messages. A tag is never reused for another meaning. */
 #include "msg.h"
 
 #define F(tag, kind, type, member)                                             \
@@ -326,7 +326,7 @@
 };
 static const struct wire_type endpoint_calls_type =
 	T(endpoint_calls, endpoint_calls_fields);
-static const struct wire_field endpoint_ends_fields[] = {
+static const struct wire_field endpoint_results_fields[] = {
 	F(1, WIRE_STR, endpoint_ends, addr),
 	F(2, WIRE_INT, endpoint_ends, started_ms),
 	F(3, WIRE_UINT, endpoint_ends, failed),
@@ -334,9 +334,9 @@
 	F(5, WIRE_INT, endpoint_ends, slow_ln),
 	F(6, WIRE_UINT, endpoint_ends, slow_n),
 };
-static const struct wire_type endpoint_ends_type =
-	T(endpoint_ends, endpoint_ends_fields);
-static const struct wire_field endpoint_word_fields[] = {
+static const struct wire_type endpoint_results_type =
+	T(endpoint_ends, endpoint_results_fields);
+static const struct wire_field endpoint_signals_fields[] = {
 	F(1, WIRE_STR, endpoint_word, addr),
 	F(2, WIRE_STR, endpoint_word, id),
 	F(3, WIRE_INT, endpoint_word, started_ms),
@@ -345,15 +345,15 @@
 	F(6, WIRE_INT, endpoint_word, rest_ms),
 	F(7, WIRE_BOOL, endpoint_word, leaving),
 };
-static const struct wire_type endpoint_word_type =
-	T(endpoint_word, endpoint_word_fields);
+static const struct wire_type endpoint_signals_type =
+	T(endpoint_word, endpoint_signals_fields);
 static const struct wire_field demand_fields[] = {
 	F(1, WIRE_UINT, msg_demand, round),
 	F(2, WIRE_UINT, msg_demand, routing),
 	L(3, msg_demand, models, model_demand_type),
 	L(4, msg_demand, calls, endpoint_calls_type),
-	L(5, msg_demand, ends, endpoint_ends_type),
-	L(6, msg_demand, words, endpoint_word_type),
+	L(5, msg_demand, ends, endpoint_results_type),
+	L(6, msg_demand, words, endpoint_signals_type),
 };
 static const struct wire_field routing_bytes_fields[] = {
 	F(1, WIRE_STR, routing_bytes, packed),
@@ -391,14 +391,15 @@
 	F(3, WIRE_STR, msg_adapter_done, text),
 };
 
-static const struct wire_field end_item_fields[] = {
+static const struct wire_field run_outcome_fields[] = {
 	F(1, WIRE_UINT, end_item, print_hi),
 	F(2, WIRE_UINT, end_item, print_lo),
 	F(3, WIRE_INT, end_item, kind),
 	F(4, WIRE_UINT, end_item, life),
 	F(5, WIRE_INT, end_item, age_ms),
 };
-static const struct wire_type end_item_type = T(end_item, end_item_fields);
+static const struct wire_type run_outcome_type =
+	T(end_item, run_outcome_fields);
 static const struct wire_field suspect_item_fields[] = {
 	F(1, WIRE_UINT, suspect_item, print_hi),
 	F(2, WIRE_UINT, suspect_item, print_lo),
@@ -408,8 +409,8 @@
 };
 static const struct wire_type suspect_item_type =
 	T(suspect_item, suspect_item_fields);
-static const struct wire_field ends_fields[] = {
-	L(1, msg_ends, ends, end_item_type),
+static const struct wire_field run_outcomes_fields[] = {
+	L(1, msg_ends, ends, run_outcome_type),
 	L(2, msg_ends, recalled, suspect_item_type),
 };
 static const struct wire_field quarantine_fields[] = {
@@ -435,7 +436,7 @@
 };
 static const struct wire_type quota_part_type =
 	T(quota_part, quota_part_fields);
-static const struct wire_field quota_ask_item_fields[] = {
+static const struct wire_field quota_request_item_fields[] = {
 	F(1, WIRE_STR, quota_ask, customer),
 	F(2, WIRE_UINT, quota_ask, number),
 	F(3, WIRE_INT, quota_ask, held),
@@ -450,9 +451,9 @@
 	F(12, WIRE_INT, quota_ask, refused),
 	L(13, quota_ask, parts, quota_part_type),
 };
-static const struct wire_type quota_ask_type =
-	T(quota_ask, quota_ask_item_fields);
-static const struct wire_field quota_word_item_fields[] = {
+static const struct wire_type quota_request_type =
+	T(quota_ask, quota_request_item_fields);
+static const struct wire_field quota_reply_item_fields[] = {
 	F(1, WIRE_STR, quota_word, customer),
 	F(2, WIRE_UINT, quota_word, number),
 	F(3, WIRE_INT, quota_word, grant),
@@ -461,13 +462,13 @@
 	F(6, WIRE_INT, quota_word, reserve),
 	L(7, quota_word, parts, quota_part_type),
 };
-static const struct wire_type quota_word_type =
-	T(quota_word, quota_word_item_fields);
-static const struct wire_field quota_asks_fields[] = {
-	L(1, msg_quota_ask, asks, quota_ask_type),
+static const struct wire_type quota_reply_type =
+	T(quota_word, quota_reply_item_fields);
+static const struct wire_field quota_request_fields[] = {
+	L(1, msg_quota_ask, asks, quota_request_type),
 };
-static const struct wire_field quota_words_fields[] = {
-	L(1, msg_quota_word, words, quota_word_type),
+static const struct wire_field quota_reply_fields[] = {
+	L(1, msg_quota_word, words, quota_reply_type),
 };
 
 static const struct wire_field stream_group_fields[] = {
@@ -481,12 +482,12 @@
 static const struct wire_field streams_fields[] = {
 	L(1, msg_streams, groups, stream_group_type),
 };
-static const struct wire_field stream_ask_fields[] = {
+static const struct wire_field stream_request_fields[] = {
 	F(1, WIRE_UINT, msg_stream_ask, sub),
 	F(2, WIRE_UINT, msg_stream_ask, key),
 	F(3, WIRE_STR, msg_stream_ask, service),
 };
-static const struct wire_field stream_word_fields[] = {
+static const struct wire_field stream_reply_fields[] = {
 	F(1, WIRE_UINT, msg_stream_word, sub),
 	F(2, WIRE_INT, msg_stream_word, word),
 	F(3, WIRE_STR, msg_stream_word, service),
@@ -526,16 +527,16 @@
 	[MSG_TERM] = T(msg_term, term_fields),
 	[MSG_FETCH] = T(msg_fetch, fetch_fields),
 	[MSG_REMOTE] = T(msg_remote, remote_fields),
-	[MSG_ENDS] = T(msg_ends, ends_fields),
+	[MSG_ENDS] = T(msg_ends, run_outcomes_fields),
 	[MSG_QUARANTINE] = T(msg_quarantine, quarantine_fields),
 	[MSG_TRIAL] = T(msg_trial, trial_fields),
-	[MSG_QUOTA_ASK] = T(msg_quota_ask, quota_asks_fields),
-	[MSG_QUOTA_WORD] = T(msg_quota_word, quota_words_fields),
-	[MSG_LIMIT_ASK] = T(msg_quota_ask, quota_asks_fields),
-	[MSG_LIMIT_WORD] = T(msg_quota_word, quota_words_fields),
+	[MSG_QUOTA_ASK] = T(msg_quota_ask, quota_request_fields),
+	[MSG_QUOTA_WORD] = T(msg_quota_word, quota_reply_fields),
+	[MSG_LIMIT_ASK] = T(msg_quota_ask, quota_request_fields),
+	[MSG_LIMIT_WORD] = T(msg_quota_word, quota_reply_fields),
 	[MSG_STREAMS] = T(msg_streams, streams_fields),
-	[MSG_STREAM_ASK] = T(msg_stream_ask, stream_ask_fields),
-	[MSG_STREAM_WORD] = T(msg_stream_word, stream_word_fields),
+	[MSG_STREAM_ASK] = T(msg_stream_ask, stream_request_fields),
+	[MSG_STREAM_WORD] = T(msg_stream_word, stream_reply_fields),
 };
 
 const struct wire_type *msg_type(enum msg_kind kind)
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -1,4 +1,4 @@
-/* What the system's processes tell each other, as plain structs. */
+/* Messages between the processes of the system, as plain structs. */
 #ifndef SS_MSG_H
 #define SS_MSG_H
 
@@ -8,80 +8,82 @@
 #include "../customer/quota.h"
 
 enum msg_kind {
-	MSG_HELLO = 1, /* first on a connection, both ways */
-	MSG_PING,      /* nothing else was sent for a while */
+	MSG_HELLO = 1, /* first on a connection, in both directions */
+	MSG_PING,      /* keepalive on an idle connection */
 	MSG_RAFT,      /* control to control */
-	MSG_JOIN,      /* a control VM without a group asks to be taken in */
-	MSG_JOINED,    /* its answer */
-	MSG_LEADER,    /* control to others: who leads */
-	MSG_REGISTER,  /* agent to leader: what this endpoint is and holds */
-	MSG_ASSIGN,    /* leader to agent: what it is to hold */
-	MSG_REPORT,    /* agent to leader: what it holds and does */
-	MSG_CONFIG,    /* leader to entry and agent: the preset in force */
-	MSG_ACK,       /* back: that version is in force here */
-	MSG_WATCH,     /* entry to leader: who waits for a model */
-	MSG_ROUTE,     /* leader to entry: where a model stands */
-	MSG_CLAIM,     /* entry to leader: may this call run? */
-	MSG_CLAIMED,   /* its answer */
-	MSG_MODELS,    /* entry to leader: names of the models */
-	MSG_MODEL_LIST,
-	MSG_CALL,   /* entry to agent */
-	MSG_REPLY,  /* agent to entry: a piece of the answer */
-	MSG_CANCEL, /* entry to agent: nobody waits any more */
-	MSG_ATTACH, /* entry to agent: what became of this call? */
-	/* Of a fleet whose endpoints are called directly. */
-	MSG_ENDPOINT,	  /* agent to leader: what its endpoint holds */
-	MSG_LOAD,	  /* leader to agent: what to unload and load */
-	MSG_LOADED,	  /* its answer, once that has ended */
+	MSG_JOIN,     /* control VM without a group to a member: join request */
+	MSG_JOINED,   /* reply to MSG_JOIN */
+	MSG_LEADER,   /* control to others: the current leader */
+	MSG_REGISTER, /* agent to leader: the endpoint and what it holds */
+	MSG_ASSIGN,   /* leader to agent: replicas that it is to hold */
+	MSG_REPORT,   /* agent to leader: replicas that it holds, and load */
+	MSG_CONFIG,   /* leader to entry and agent: the preset in force */
+	MSG_ACK,      /* reply to MSG_CONFIG: that version is applied */
+	MSG_WATCH,    /* entry to leader: callers that wait for a model */
+	MSG_ROUTE,    /* leader to entry: replicas of a model */
+	MSG_CLAIM,    /* entry to leader: asks to run a call at most once */
+	MSG_CLAIMED,  /* reply to MSG_CLAIM */
+	MSG_MODELS,   /* entry to leader: asks for the model names */
+	MSG_MODEL_LIST, /* reply to MSG_MODELS */
+	MSG_CALL,	/* entry to agent: runs a request */
+	MSG_REPLY,	/* agent to entry: a piece of the response */
+	MSG_CANCEL,	/* entry to agent: the caller has gone */
+	MSG_ATTACH,	/* entry to agent: asks for the rest of a response */
+	/* For a fleet whose endpoints are called directly: */
+	MSG_ENDPOINT,	  /* agent to leader: state of its endpoint */
+	MSG_LOAD,	  /* leader to agent: models to unload and load */
+	MSG_LOADED,	  /* reply to MSG_LOAD, once the step has ended */
 	MSG_FLEET,	  /* leader to entry: endpoints that changed */
-	MSG_DEMAND,	  /* entry to leader: what is asked for and runs */
-	MSG_ROUTING,	  /* control to others: the routing, if fetched */
-	MSG_ADAPTER,	  /* entry to agent: an adapter is needed */
-	MSG_ADAPTER_DONE, /* its answer */
+	MSG_DEMAND,	  /* entry to leader: demand and calls in flight */
+	MSG_ROUTING,	  /* reply to MSG_FETCH: the routing */
+	MSG_ADAPTER,	  /* entry to agent: asks for an adapter */
+	MSG_ADAPTER_DONE, /* reply to MSG_ADAPTER */
 	MSG_TERM,	  /* leader to others: its term, once confirmed */
-	MSG_FETCH,  /* others to any control VM: what they hold and want */
+	MSG_FETCH,  /* to any control VM: routing versions held and wanted */
 	MSG_REMOTE, /* leader to control: engines to run agents for */
-	MSG_ENDS,   /* entry to leader: requests under which endpoints ended */
-	MSG_QUARANTINE, /* leader to entry: requests that aren't to be run */
-	MSG_TRIAL,	/* entry to leader: may this one run? and its answer */
-	MSG_QUOTA_ASK,	/* entry to leader: what customers need there */
-	MSG_QUOTA_WORD, /* its answer */
-	MSG_LIMIT_ASK,	/* entry to leader: what endpoints' own limits allow */
-	MSG_LIMIT_WORD, /* its answer */
-	MSG_STREAMS, /* entry to leader, leader to members: what began streams
-		      */
-	MSG_STREAM_ASK,	 /* entry to leader: what began this one? */
-	MSG_STREAM_WORD, /* its answer */
+	MSG_ENDS,   /* entry to leader: outcomes of suspected requests */
+	MSG_QUARANTINE, /* leader to entry: requests that must not run */
+	MSG_TRIAL,	/* both ways: trial run of a request, and the reply */
+	MSG_QUOTA_ASK,	/* entry to leader: grants that customers need */
+	MSG_QUOTA_WORD, /* reply to MSG_QUOTA_ASK */
+	MSG_LIMIT_ASK,	/* entry to leader: grants of endpoints' rate limits */
+	MSG_LIMIT_WORD, /* reply to MSG_LIMIT_ASK */
+	MSG_STREAMS,	/* entry to leader to members: origins of streams */
+	MSG_STREAM_ASK, /* entry to leader: asks which version began a stream */
+	MSG_STREAM_WORD, /* reply to MSG_STREAM_ASK */
 	MSG_KINDS
 };
 
-/* A relay is a control VM without a disk: it votes for nobody, and is told who
- * leads like an entry. A reader is the connection on which an entry or agent
- * fetches the routing: it is led and told of nothing. */
+/*
+ * Kind of peer. A relay is a control VM without a disk: it has no vote and
+ * learns the leader's address as an entry does. A reader is the connection on
+ * which an entry or agent fetches the routing: it receives neither orders nor
+ * the leader's address.
+ */
 enum role { ROLE_ENTRY = 1, ROLE_AGENT, ROLE_CONTROL, ROLE_RELAY, ROLE_READER };
 
 struct msg_hello {
-	uint64_t version; /* of this protocol */
-	uint64_t group;	  /* 0: doesn't know one */
+	uint64_t version; /* of the protocol */
+	uint64_t group;	  /* 0: none known */
 	int64_t role;	  /* enum role */
 	struct ss_str name;
 	struct ss_str domain;
-	uint64_t incarnation; /* a new one at each start */
+	uint64_t incarnation; /* a new one on each start */
 	uint64_t config;      /* version of the preset in force here */
 };
 
-/* A control VM that looks for its group. */
+/* Sent by a control VM that has no group yet. */
 struct msg_join {
-	uint64_t id; /* of its data folder */
+	uint64_t id; /* of its data directory */
 	struct ss_str name;
 	struct ss_str addr;
 };
 
 struct msg_leader {
 	uint64_t group;
-	struct ss_str addr;	  /* empty: nobody known */
-	bool here;		  /* it is the sender */
-	struct wire_list members; /* struct control_addr, all that count */
+	struct ss_str addr;	  /* empty: no leader known */
+	bool here;		  /* the sender is the leader */
+	struct wire_list members; /* struct control_addr: the Raft group */
 };
 
 struct control_addr {
@@ -102,20 +104,20 @@
 	HELD_LOADING = 1,
 	HELD_READY,
 	HELD_UNLOADING,
-	HELD_FAILED, /* loads failed; nothing is held */
-	HELD_GONE,   /* it was to go, and the endpoint no longer has it */
+	HELD_FAILED, /* too many loads failed; nothing is in memory */
+	HELD_GONE,   /* was to be unloaded and is no longer in memory */
 };
 
-/* A model in an endpoint's memory, or a replica as its agent sees it. */
+/* A model in an endpoint's memory, or a replica as its agent reports it. */
 struct held {
-	uint64_t replica; /* 0: nobody decided it */
+	uint64_t replica; /* 0: loaded without an order */
 	struct ss_str model;
 	uint64_t bytes;
 	int64_t state;	 /* enum held_state */
-	int64_t load_ms; /* how long the load took */
-	uint64_t active; /* calls on it */
-	uint64_t served; /* calls since the agent started */
-	int64_t idle_ms; /* since the last call ended, or since ready */
+	int64_t load_ms; /* duration of the load */
+	uint64_t active; /* calls in flight */
+	uint64_t served; /* calls since the start of the agent */
+	int64_t idle_ms; /* since its last call ended, or since it was ready */
 };
 
 struct msg_register {
@@ -127,24 +129,24 @@
 	struct wire_list cached; /* struct cached */
 };
 
-/* Where a checkpoint is near. */
+/* A copy of a checkpoint near the endpoint, and the tier that holds it. */
 struct cached {
 	struct ss_str model;
 	int64_t tier; /* enum ss_tier */
 };
 
-/* One replica that an agent is to hold. */
+/* Orders an agent to hold a replica, or to unload it. */
 struct order {
 	uint64_t replica;
 	struct ss_str model;
 	struct ss_str base;
 	uint64_t bytes;
 	uint64_t slots;
-	bool unload; /* finish its calls, unload it, report it gone */
+	bool unload; /* after its calls have ended; then report HELD_GONE */
 };
 
 struct msg_assign {
-	uint64_t fence; /* only grows for a node; old ones are refused */
+	uint64_t fence; /* increases for each node; lower ones are refused */
 	uint64_t incarnation;
 	bool draining;
 	struct wire_list orders; /* struct order */
@@ -152,11 +154,11 @@
 
 struct msg_report {
 	uint64_t incarnation;
-	uint64_t fence; /* newest it took */
+	uint64_t fence; /* of the newest orders accepted */
 	uint64_t active;
-	bool draining;		 /* takes no new calls */
+	bool draining;		 /* accepts no new calls */
 	struct wire_list held;	 /* struct held */
-	struct wire_list cached; /* struct cached, where it changed */
+	struct wire_list cached; /* struct cached; sent on change */
 };
 
 struct msg_config {
@@ -166,12 +168,12 @@
 };
 
 struct msg_watch {
-	struct ss_str model; /* or "/svc/" and a pool */
+	struct ss_str model; /* or "/svc/" followed by a pool */
 	uint64_t waiting;
-	int64_t deadline_ms; /* left to the earliest deadline */
-	int64_t priority;    /* highest class that waits */
-	uint64_t arrivals;   /* since the last watch */
-	bool done;	     /* no calls lately: send no more changes */
+	int64_t deadline_ms; /* until the earliest deadline */
+	int64_t priority;    /* highest priority that waits */
+	uint64_t arrivals;   /* since the last message */
+	bool done;	     /* unsubscribes: no recent calls */
 };
 
 struct route_replica {
@@ -179,14 +181,14 @@
 	struct ss_str node, addr, domain;
 	uint64_t incarnation;
 	uint64_t slots;
-	int64_t age_ms; /* since it was ready */
+	int64_t age_ms; /* since it became ready */
 };
 
 struct msg_route {
-	struct ss_str model;  /* as it was asked for */
-	struct ss_str target; /* the name that its agents know */
+	struct ss_str model;  /* name in the request */
+	struct ss_str target; /* name at the agents */
 	int64_t code;	      /* 0, or an enum ss_error: no such model */
-	int64_t eta_ms;	      /* until a replica stands; -1: unknown */
+	int64_t eta_ms;	      /* until a replica is ready; -1: unknown */
 	uint64_t version;
 	struct wire_list replicas; /* struct route_replica */
 };
@@ -196,14 +198,14 @@
 	struct ss_str key;
 	uint64_t fingerprint;
 	uint64_t entry, seq;
-	uint64_t dead_entry, dead_seq;
+	uint64_t dead_entry, dead_seq; /* as in struct command */
 	struct ss_str node;
 	uint64_t incarnation;
 };
 
 struct msg_claimed {
 	uint64_t sub;
-	int64_t code; /* 0: run it; SS_ERROR_CONFLICT: it is this one's */
+	int64_t code; /* 0: run it; SS_ERROR_CONFLICT: held by the call below */
 	struct ss_str text;
 	uint64_t entry, seq;
 	struct ss_str node, addr;
@@ -230,13 +232,13 @@
 
 struct msg_call {
 	uint64_t sub;	      /* the entry's handle, echoed in replies */
-	uint64_t entry, seq;  /* the call's id, unique for ever */
+	uint64_t entry, seq;  /* the call's id, never reused */
 	uint64_t incarnation; /* of the agent that may run it */
 	struct ss_str model;
 	struct ss_str method, path;
 	struct wire_list headers; /* struct header */
 	struct ss_str body;
-	int64_t deadline_ms; /* left when sent */
+	int64_t deadline_ms; /* remaining when sent */
 	int64_t priority;
 	bool once; /* must not run twice */
 };
@@ -249,11 +251,11 @@
 	int64_t status; /* HTTP status, on piece 0 */
 	struct wire_list headers;
 	struct ss_str data;
-	bool end;	 /* the answer is whole, or code says why not */
+	bool end;	 /* the response is complete, or failed with code */
 	int64_t code;	 /* enum ss_error */
-	int64_t outcome; /* enum outcome, with code */
+	int64_t outcome; /* enum outcome; set with code */
 	struct ss_str text;
-	uint64_t active; /* calls on the replica, for choosing */
+	uint64_t active; /* calls on the replica, for balancing */
 };
 
 struct msg_cancel {
@@ -264,10 +266,10 @@
 	uint64_t sub;
 	uint64_t entry, seq;
 	uint64_t incarnation;
-	uint64_t have; /* pieces that arrived already */
+	uint64_t have; /* pieces received already */
 };
 
-/* A name in a list. */
+/* An item of a list of names. */
 struct name_item {
 	struct ss_str name;
 };
@@ -276,83 +278,86 @@
 struct held_model {
 	struct ss_str model;
 	struct wire_list adapters; /* struct name_item */
-	int64_t calls;		   /* entry to leader only: under way */
+	int64_t calls;		   /* in flight; entry to leader only */
 };
 
 struct msg_endpoint {
 	struct ss_str addr;  /* of the endpoint */
-	struct ss_str agent; /* of the sender's listener */
+	struct ss_str agent; /* address of the agent's listener */
 	bool reachable;
 	bool busy, leaving;
-	int64_t remaining_ms; /* until it is taken away; 0: not told */
-	uint64_t orders;
+	int64_t remaining_ms; /* until the VM is taken away; 0: unknown */
+	uint64_t orders;      /* accepted since its start */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	struct wire_list held;	    /* struct held_model */
 	struct wire_list in_memory; /* struct name_item */
 	struct wire_list on_disk;   /* struct name_item */
 	int64_t started_ms;	    /* as in struct fleet_incarnation */
-	bool remote;		    /* a control VM speaks for it */
-	struct ss_str id;	    /* of the incarnation; empty: not known */
+	bool remote;		    /* its agent runs on a control VM */
+	struct ss_str id;	    /* of the incarnation; empty: unknown */
 };
 
-/* One step of a plan for an endpoint: first unload, then load. */
+/* One step of an endpoint's plan: unload first, then load. */
 struct msg_load {
-	uint64_t fence;		 /* of the leadership; only grows */
+	uint64_t fence;		 /* of the leadership; only increases */
 	uint64_t step;		 /* echoed */
 	struct wire_list unload; /* struct name_item */
-	struct ss_str load;	 /* empty: nothing */
-	int64_t started_ms;	 /* of the incarnation it is planned for */
+	struct ss_str load;	 /* empty: no load */
+	int64_t started_ms; /* start of the incarnation that the step is for */
 };
 
 struct msg_loaded {
 	uint64_t fence, step;
 	int64_t code; /* 0, or an enum ss_error */
 	struct ss_str text;
-	int64_t took_ms; /* from the first order on */
+	int64_t took_ms; /* since the first order */
 };
 
 struct fleet_endpoint {
 	struct ss_str addr, id, service, domain;
-	struct ss_str agent; /* empty: none is known */
+	struct ss_str agent; /* empty: unknown */
 	int64_t slots;
-	bool leaving, gone;
+	bool leaving; /* accepts no new calls, perhaps only for a time */
+	bool gone;    /* no longer listed */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
-	struct wire_list held; /* struct held_model, open for new calls */
-	int64_t age_ms;	       /* of its load */
-	bool busy;	    /* it loads or unloads: no adapter can be loaded */
+	struct wire_list held; /* struct held_model that accept new calls */
+	int64_t age_ms;	       /* of the load figures */
+	bool busy; /* loads or unloads a model: can't load an adapter */
 	int64_t started_ms; /* as in struct fleet_incarnation */
-	int64_t failing;    /* by what all entries see, as in failing.h */
-	int64_t limit, limit_age; /* as in endpoint_limit.h */
-	struct ss_str version;	  /* as in struct fleet_incarnation */
-	bool ending;  /* it leaves for good, and not only until it is back */
-	int64_t slow; /* by what all entries see, as in slow_pool.h */
+	/* Failure rate over all entries, in parts of FAILING_WHOLE. */
+	int64_t failing;
+	/* Its own rate limit, as sent by endpoint_limit_wire(), and the age. */
+	int64_t limit, limit_age;
+	struct ss_str version; /* as in struct fleet_incarnation */
+	bool ending;	       /* about to stop for good */
+	/* Slowness over all entries, in parts of SLOW_WHOLE. */
+	int64_t slow;
 };
 
 struct fleet_eta {
 	struct ss_str service, model;
-	int64_t eta_ms;	       /* until it can be called; -1: nobody can tell */
-	struct ss_str version; /* for streams that it began; empty: for all */
+	int64_t eta_ms;	       /* until it can be called; -1: unknown */
+	struct ss_str version; /* for streams begun by it; empty: for all */
 };
 
-/* Of an endpoint whose load alone has changed. */
+/* An endpoint of which only the load has changed. */
 struct fleet_load {
 	struct ss_str addr;
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	int64_t age_ms;
-	int64_t failing; /* as in struct fleet_endpoint */
-	int64_t slow;	 /* the same */
+	int64_t failing, slow; /* as in struct fleet_endpoint */
 };
 
 struct msg_fleet {
 	uint64_t fence;
-	uint64_t round;		    /* confirmed by the next demand */
-	bool whole;		    /* what isn't listed doesn't exist */
+	uint64_t round;		    /* echoed in the next MSG_DEMAND */
+	bool whole;		    /* endpoints not listed no longer exist */
 	struct wire_list endpoints; /* struct fleet_endpoint */
 	struct wire_list etas;	    /* struct fleet_eta */
-	uint64_t entries;	    /* that the leader hears */
+	uint64_t entries;	    /* connected to the leader */
 	struct wire_list loads;	    /* struct fleet_load */
 };
 
@@ -360,74 +365,76 @@
 	struct ss_str service, model;
 	uint64_t arrivals; /* since the last message */
 	uint64_t waiting;
-	int64_t slack_ms;      /* to the earliest time that one must be begun */
+	int64_t slack_ms;      /* until the first waiting call must start */
 	struct ss_str version; /* as in struct fleet_eta */
 };
 
 struct endpoint_calls {
 	struct ss_str addr;
 	struct wire_list models; /* struct held_model */
-	int64_t started_ms;	 /* of the incarnation that runs them */
+	int64_t started_ms;	 /* start of the incarnation that runs them */
 };
 
-/* How calls ended at an endpoint since the last message: told of those that
- * fail some; and how long they took, told of those that are slower or faster
- * than others. */
+/*
+ * Results of an endpoint's calls since the last message. Counts are sent for
+ * endpoints that failed some, durations for those that are slower or faster
+ * than the others of their service.
+ */
 struct endpoint_ends {
 	struct ss_str addr;
 	int64_t started_ms; /* as in struct endpoint_calls */
 	uint64_t failed, answered;
-	int64_t slow_ln; /* sum, as in slow_pool.h, of so many answers */
-	uint64_t slow_n;
+	int64_t slow_ln; /* sum as of slow_seen_sum() */
+	uint64_t slow_n; /* answers in that sum */
 };
 
-/* What an endpoint has said of itself in its answers. */
+/* Signals from an endpoint's answers. */
 struct endpoint_word {
 	struct ss_str addr, id;
 	int64_t started_ms;	  /* as in struct endpoint_calls */
-	int64_t limit, limit_age; /* as in endpoint_limit.h */
-	int64_t rest_ms; /* left of the rest that it asked an entry for */
-	bool leaving;	 /* it is about to end */
+	int64_t limit, limit_age; /* as in struct fleet_endpoint */
+	int64_t rest_ms; /* left of the backoff that it asked an entry for */
+	bool leaving;	 /* it is about to stop */
 };
 
 struct msg_demand {
-	uint64_t round;		 /* of the newest fleet message in force here */
-	uint64_t routing;	 /* version in force here */
-	struct wire_list models; /* struct model_demand, what changed */
-	struct wire_list calls;	 /* struct endpoint_calls, all */
+	uint64_t round;		 /* of the newest MSG_FLEET applied */
+	uint64_t routing;	 /* version applied */
+	struct wire_list models; /* struct model_demand that changed */
+	struct wire_list calls;	 /* struct endpoint_calls: all */
 	struct wire_list ends;	 /* struct endpoint_ends */
 	struct wire_list words;	 /* struct endpoint_word */
 };
 
-/* Versions of the routing that the sender holds (0: none) and wants. Where it
- * wants none, it only acknowledges. */
+/* Routing versions that the sender holds (0: none) and wants (0: none, the
+ * message only acknowledges). */
 struct msg_fetch {
 	uint64_t have, want;
-	bool services; /* wants no routes; versions are those of services */
+	bool services; /* without routes; versions are those of services */
 };
 
 struct routing_bytes {
-	struct ss_str packed; /* a document's change */
+	struct ss_str packed; /* struct document_change, packed */
 };
 
-/* The answer, once the control VM holds the version that is wanted. Without
- * changes it says that these will come, after others'. */
+/* Reply to msg_fetch, once the control VM holds the wanted version. A reply
+ * without changes says that they follow, after those to other peers. */
 struct msg_routing {
 	uint64_t version;
-	uint64_t base;		  /* version that they begin at; 0: whole */
+	uint64_t base;		  /* version that they apply to; 0: full copy */
 	struct wire_list changes; /* struct routing_bytes, in order */
 };
 
-/* A majority has confirmed this leadership since the connection came. */
+/* A majority has confirmed this leadership since the connection was opened. */
 struct msg_term {
 	uint64_t fence;
-	uint64_t routing; /* version in force */
+	uint64_t routing; /* current version */
 };
 
-/* All engines that have no agent beside them and are this control VM's. */
+/* All engines without an agent of their own that this control VM serves. */
 struct msg_remote {
 	uint64_t fence;		  /* of the leadership */
-	struct wire_list engines; /* struct name_item: their addresses */
+	struct wire_list engines; /* struct name_item: addresses */
 };
 
 struct msg_adapter {
@@ -439,11 +446,11 @@
 
 struct msg_adapter_done {
 	uint64_t sub;
-	int64_t code; /* 0: it is loaded */
+	int64_t code; /* 0: loaded */
 	struct ss_str text;
 };
 
-/* One thing that an entry has seen, as struct end_seen. */
+/* What an entry has observed of a suspected request, as struct end_seen. */
 struct end_item {
 	uint64_t print_hi, print_lo;
 	int64_t kind; /* enum end_kind */
@@ -451,7 +458,7 @@
 	int64_t age_ms;
 };
 
-/* What is told of a suspected request, as struct suspect_word. */
+/* State of a suspected request, as struct suspect_word. */
 struct suspect_item {
 	uint64_t print_hi, print_lo;
 	bool cleared;
@@ -461,19 +468,19 @@
 
 struct msg_ends {
 	struct wire_list ends;	   /* struct end_item */
-	struct wire_list recalled; /* struct suspect_item; to a new leader */
+	struct wire_list recalled; /* struct suspect_item, for a new leader */
 };
 
 struct msg_quarantine {
 	uint64_t fence;		/* of the leadership */
-	struct wire_list words; /* struct suspect_item, what changed */
+	struct wire_list words; /* struct suspect_item that changed */
 };
 
 struct msg_trial {
 	uint64_t sub; /* echoed */
 	uint64_t print_hi, print_lo;
-	int64_t leave;	 /* in the answer: enum suspect_leave */
-	int64_t wait_ms; /* with SUSPECT_WAIT: before it can make sense */
+	int64_t leave;	 /* in the reply: enum suspect_leave */
+	int64_t wait_ms; /* with SUSPECT_WAIT: until the next request */
 };
 
 struct msg_quota_ask {
@@ -484,12 +491,12 @@
 	struct wire_list words; /* struct quota_word */
 };
 
-/* Streams that one version of a service began; without keys, that the version
- * serves. */
+/* Streams begun by one version of a service; without keys it only states that
+ * the version serves. */
 struct stream_group {
 	struct ss_str service, version;
-	int64_t life_ms;    /* that is left of it */
-	struct ss_str keys; /* as in stream_log.h, eight bytes each */
+	int64_t life_ms;    /* remaining time to live */
+	struct ss_str keys; /* as of stream_key(), eight bytes each */
 };
 
 struct msg_streams {
@@ -498,15 +505,15 @@
 
 struct msg_stream_ask {
 	uint64_t sub; /* echoed */
-	uint64_t key; /* 0: its caller doesn't name it */
+	uint64_t key; /* 0: the caller doesn't name the stream */
 	struct ss_str service;
 };
 
 enum stream_word {
-	STREAM_KNOWN = 1, /* it was begun there */
-	STREAM_ONLY,	  /* nobody knows; no other version has served */
-	STREAM_LATER,	  /* it may yet be told of */
-	STREAM_UNKNOWN,	  /* nobody knows, and there were several */
+	STREAM_KNOWN = 1, /* begun by the version in the reply */
+	STREAM_ONLY,	  /* not recorded; only one version has served */
+	STREAM_LATER,	  /* not recorded yet; a record may still arrive */
+	STREAM_UNKNOWN,	  /* not recorded; several versions have served */
 };
 
 struct msg_stream_word {
@@ -519,7 +526,7 @@
 	uint64_t active;
 };
 
-/* The table of a kind; NULL for none. */
+/* The wire table of a kind; NULL for an unknown kind. */
 const struct wire_type *msg_type(enum msg_kind kind);
 
 #endif
