--- a/src/core/preset.c
+++ b/src/core/preset.c
@@ -1,4 +1,4 @@
-/* Presets. */
+/* Presets: their settings, defaults and checks. */
 #include "preset.h"
 
 #include <sapphireshift/queue.h>
@@ -68,8 +68,8 @@
 	"\"check\":{\"deadline_ms\":300000,\"priority\":3},"
 	"\"batch\":{\"deadline_ms\":28800000,\"priority\":1}}}";
 
-static const struct preset_class *class_named(const struct preset *p,
-					      struct ss_str name)
+static const struct preset_class *find_class(const struct preset *p,
+					     struct ss_str name)
 {
 	for (guint i = 0; i < p->classes->len; i++) {
 		const struct preset_class *c = p->classes->pdata[i];
@@ -80,8 +80,8 @@
 	return NULL;
 }
 
-/* One that stands in a log may be from before customers were called so. */
-static GString *named_anew(struct ss_str text)
+/* Presets in old logs use the former name of customers, tenants. */
+static GString *rename_legacy_settings(struct ss_str text)
 {
 	GString *s = g_string_new_len(text.p, (gssize)text.n);
 
@@ -94,7 +94,7 @@
 bool preset_parse(struct preset *p, const char *file, struct ss_str text,
 		  GError **error)
 {
-	GString *named;
+	GString *renamed;
 	bool ok;
 
 	if (text.n > PRESET_BYTES_MAX) {
@@ -103,12 +103,12 @@
 			    text.n, PRESET_BYTES_MAX);
 		return false;
 	}
-	named = named_anew(text);
-	ok = settings_parse(&preset_type, p, file, ss_str_gs(named), error);
-	g_string_free(named, TRUE);
+	renamed = rename_legacy_settings(text);
+	ok = settings_parse(&preset_type, p, file, ss_str_gs(renamed), error);
+	g_string_free(renamed, TRUE);
 	if (!ok)
 		return false;
-	if (!class_named(p, ss_str(p->default_class))) {
+	if (!find_class(p, ss_str(p->default_class))) {
 		g_set_error(error, SS_ERROR, SS_ERROR_SETTINGS,
 			    "%s:1: default_class: \"%s\" is not among the "
 			    "classes",
@@ -134,9 +134,9 @@
 const struct preset_class *preset_class_of(const struct preset *p,
 					   struct ss_str name)
 {
-	const struct preset_class *c = class_named(p, name);
+	const struct preset_class *c = find_class(p, name);
 
-	return c ? c : class_named(p, ss_str(p->default_class));
+	return c ? c : find_class(p, ss_str(p->default_class));
 }
 
 const struct preset_customer *preset_customer_of(const struct preset *p,
--- a/src/core/preset.h
+++ b/src/core/preset.h
@@ -1,17 +1,18 @@
-/* A preset: what operators adjust. Exactly one is in force at any time. */
+/* Presets: named sets of operators' settings. Exactly one is in force at a
+ * time. */
 #ifndef SS_PRESET_H
 #define SS_PRESET_H
 
 #include "../base/settings.h"
 
-/* A preset has some 1 KB; this bounds what a change adds to the log. */
+/* Bounds what a change adds to the log; a usual preset has about 1 KB. */
 #define PRESET_BYTES_MAX (256 * 1024)
 
 struct preset_class {
 	char *name;
-	int64_t deadline_ms; /* where the caller names none */
+	int64_t deadline_ms; /* of requests without one */
 	int64_t priority;
-	int64_t reserve_percent; /* of slots, kept from lower classes */
+	int64_t reserve_percent; /* of slots, closed to lower classes */
 };
 
 struct preset_customer {
@@ -21,36 +22,40 @@
 };
 
 struct preset {
-	/* 0: only idle accelerator hours count; 100: only cold starts. */
+	/* Weight of cold starts against idle accelerator time, in percent: 0
+	 * counts only idle time, 100 only cold starts. */
 	int64_t cold_weight;
-	int64_t keep_min_ms, keep_max_ms; /* bounds of the idle time */
-	bool wake_ahead;      /* load what history expects within the hour */
+	/* Bounds of a model's idle time before it is unloaded. */
+	int64_t keep_min_ms, keep_max_ms;
+	/* Preload models that past arrivals predict for the next hour. */
+	bool wake_ahead;
 	int64_t max_replicas; /* of one model */
 	int64_t store_per_minute, store_parallel;
 	int64_t retry_percent;
-	int64_t customer_max_waiting; /* where a customer names none */
+	int64_t customer_max_waiting; /* of customers without one */
 	char *default_class;
 	GPtrArray *classes;   /* struct preset_class */
 	GPtrArray *customers; /* struct preset_customer */
-	GPtrArray *pinned;    /* names of models never unloaded */
+	GPtrArray *pinned;    /* char *, names of models never unloaded */
 };
 
 extern const struct setting_type preset_type;
 
-/* Read and check a preset; end with preset_clear(). */
+/* Parses and checks a preset; release it with preset_clear(). */
 bool preset_parse(struct preset *p, const char *file, struct ss_str text,
 		  GError **error);
 void preset_clear(struct preset *p);
 
-/* The class by name, or the default one; never NULL for a checked preset. */
+/* The class of that name, or the default class; never NULL for a preset that
+ * preset_parse() has accepted. */
 const struct preset_class *preset_class_of(const struct preset *p,
 					   struct ss_str name);
-/* NULL where the preset doesn't name the customer. */
+/* NULL for a customer that the preset doesn't list. */
 const struct preset_customer *preset_customer_of(const struct preset *p,
 						 struct ss_str name);
 bool preset_pins(const struct preset *p, struct ss_str model);
 
-/* The preset that holds before any was put in force. */
+/* The preset in force until operators switch to another. */
 extern const char preset_built_in[];
 
 #endif
