--- a/src/core/state.c
+++ b/src/core/state.c
@@ -1,7 +1,7 @@
-/* The replicated state: what a command of the log changes. */
+/* The replicated state: applies the commands of the log. */
 #include "state_int.h"
 
-static struct node_rec *node_of(struct ss_state *s, struct ss_str name)
+static struct node_rec *find_node(struct ss_state *s, struct ss_str name)
 {
 	char *key = ss_str_dup(name);
 	struct node_rec *n = g_hash_table_lookup(s->nodes, key);
@@ -10,10 +10,11 @@
 	return n;
 }
 
-/* Orders to a node are numbered by the log, so that they only grow. */
-static void touch_node(struct ss_state *s, struct ss_str name, uint64_t index)
+/* Orders to a node are numbered by log index, so that their fence increases. */
+static void mark_node_changed(struct ss_state *s, struct ss_str name,
+			      uint64_t index)
 {
-	struct node_rec *n = node_of(s, name);
+	struct node_rec *n = find_node(s, name);
 
 	if (n)
 		n->changed = index;
@@ -27,8 +28,8 @@
 	r->text = text;
 }
 
-/* A wire list of at most one record, as a pointer or NULL. */
-static void *only(const struct wire_list *l)
+/* The record of a list that holds exactly one; otherwise NULL. */
+static void *single_record(const struct wire_list *l)
 {
 	return l->n == 1 ? l->items : NULL;
 }
@@ -37,7 +38,7 @@
 			     const struct command_wire *c,
 			     struct command_result *r)
 {
-	struct preset_rec *p = only(&c->preset);
+	struct preset_rec *p = single_record(&c->preset);
 	const struct preset_rec *old;
 	char *name;
 
@@ -64,7 +65,7 @@
 				const struct command_wire *c,
 				struct command_result *r)
 {
-	struct preset_rec *p = only(&c->preset);
+	struct preset_rec *p = single_record(&c->preset);
 	char *name = p ? ss_str_dup(p->name) : g_strdup("");
 
 	if (!g_hash_table_contains(s->presets, name)) {
@@ -85,7 +86,7 @@
 				const struct command_wire *c,
 				struct command_result *r)
 {
-	struct preset_rec *p = only(&c->preset);
+	struct preset_rec *p = single_record(&c->preset);
 	char *name = p ? ss_str_dup(p->name) : g_strdup("");
 	const struct preset_rec *old = g_hash_table_lookup(s->presets, name);
 
@@ -124,7 +125,7 @@
 			   const struct command_wire *c,
 			   struct command_result *r)
 {
-	struct node_rec *n = only(&c->node);
+	struct node_rec *n = single_record(&c->node);
 	struct node_rec *old;
 	char *name;
 
@@ -135,7 +136,7 @@
 	name = ss_str_dup(n->name);
 	old = g_hash_table_lookup(s->nodes, name);
 	g_free(name);
-	/* A drain ordered before a restart holds after it. */
+	/* Draining persists across a restart of the agent. */
 	n->state = old && old->state == NODE_DRAINING ? NODE_DRAINING :
 							NODE_LIVE;
 	n->changed = index;
@@ -155,7 +156,7 @@
 			     const struct command_wire *c,
 			     struct command_result *r)
 {
-	const struct node_rec *n = only(&c->node);
+	const struct node_rec *n = single_record(&c->node);
 	char *name = n ? ss_str_dup(n->name) : g_strdup("");
 	struct node_rec *old = g_hash_table_lookup(s->nodes, name);
 
@@ -164,7 +165,7 @@
 		refuse(r, SS_ERROR_NOT_FOUND, 0, "no such node");
 		return;
 	}
-	/* What is said of one incarnation doesn't hold for the next. */
+	/* A state of an earlier incarnation doesn't apply to this one. */
 	if (n->incarnation && n->incarnation != old->incarnation) {
 		refuse(r, SS_ERROR_CONFLICT, old->changed,
 		       "the node has another incarnation");
@@ -189,8 +190,8 @@
 	return sum;
 }
 
-static bool on_node(const struct ss_state *s, struct ss_str model,
-		    const struct node_rec *n)
+static bool node_has_model(const struct ss_state *s, struct ss_str model,
+			   const struct node_rec *n)
 {
 	GPtrArray *list = g_hash_table_lookup(s->by_node, n->name.p);
 
@@ -202,15 +203,15 @@
 }
 
 /*
- * Memory and count are checked here, on the replicated state, so that two
- * decisions taken on old knowledge can't both be accepted.
+ * Memory and the replica count are checked here, against the replicated state,
+ * so that two commands based on the same old state can't both be accepted.
  */
 static void apply_replica_add(struct ss_state *s, uint64_t index,
 			      const struct command_wire *c,
 			      struct command_result *r)
 {
-	struct replica_rec *p = only(&c->replica);
-	struct node_rec *n = p ? node_of(s, p->node) : NULL;
+	struct replica_rec *p = single_record(&c->replica);
+	struct node_rec *n = p ? find_node(s, p->node) : NULL;
 	GPtrArray *list;
 	char *model;
 
@@ -224,9 +225,9 @@
 	if (c->expect != (list ? list->len : 0)) {
 		refuse(r, SS_ERROR_CONFLICT, list ? list->len : 0,
 		       "the model has another count of replicas");
-	} else if (on_node(s, p->model, n)) {
+	} else if (node_has_model(s, p->model, n)) {
 		refuse(r, SS_ERROR_CONFLICT, 0, "the node has this model");
-	} else if (p->base.n && !on_node(s, p->base, n)) {
+	} else if (p->base.n && !node_has_model(s, p->base, n)) {
 		refuse(r, SS_ERROR_CONFLICT, 0, "the base isn't there");
 	} else if (ss_state_reserved(s, n->name.p) + p->bytes > n->bytes) {
 		refuse(r, SS_ERROR_MEMORY, 0, "not enough memory");
@@ -240,7 +241,7 @@
 	}
 }
 
-/* Adapters on a base that goes away go with it. */
+/* An adapter can't outlive its base model, so both are unloaded. */
 static void unload_adapters(struct ss_state *s, const struct replica_rec *base)
 {
 	GPtrArray *list = g_hash_table_lookup(s->by_node, base->node.p);
@@ -257,7 +258,7 @@
 				const struct command_wire *c,
 				struct command_result *r)
 {
-	const struct replica_rec *p = only(&c->replica);
+	const struct replica_rec *p = single_record(&c->replica);
 	struct replica_rec *old = p ? g_hash_table_lookup(s->replicas, &p->id) :
 				      NULL;
 
@@ -265,7 +266,7 @@
 		refuse(r, SS_ERROR_NOT_FOUND, 0, "no such replica");
 		return;
 	}
-	/* A load that ends after the unload was decided changes nothing. */
+	/* A load that ended after the unload was ordered is ignored. */
 	if (old->state == REPLICA_UNLOADING && p->state != REPLICA_GONE) {
 		refuse(r, SS_ERROR_CONFLICT, old->id, "it is being unloaded");
 		return;
@@ -277,7 +278,7 @@
 	old->state = p->state;
 	old->load_ms = p->load_ms ? p->load_ms : old->load_ms;
 	r->version = index;
-	touch_node(s, old->node, index);
+	mark_node_changed(s, old->node, index);
 	if (old->state == REPLICA_UNLOADING)
 		unload_adapters(s, old);
 	if (old->state == REPLICA_GONE)
@@ -287,7 +288,7 @@
 static void apply_claim(struct ss_state *s, uint64_t index,
 			const struct command_wire *c, struct command_result *r)
 {
-	struct claim_rec *want = only(&c->claim);
+	struct claim_rec *want = single_record(&c->claim);
 	struct claim_rec *old;
 
 	if (!want || !want->key.n) {
@@ -300,7 +301,7 @@
 		       "the key was used for another request");
 	} else if (old &&
 		   (old->entry != c->dead_entry || old->seq != c->dead_seq)) {
-		/* The same call asking twice holds its own claim. */
+		/* A repeated claim of the holder succeeds. */
 		if (old->entry != want->entry || old->seq != want->seq)
 			refuse(r, SS_ERROR_CONFLICT, 0, "claimed");
 		r->claim = *old;
@@ -318,15 +319,15 @@
 }
 
 /*
- * The highest version wins. What arrives late, or again, is answered like
- * the first and changes nothing, so that an operator who lost the answer
- * may send it to anyone. A change of a version that isn't in force any more is
- * made anew by the leader.
+ * The highest version wins. An older or repeated version changes nothing and
+ * gets the current version as a successful result, so that an operator who lost
+ * the answer may resend to any control VM. A change that is based on another
+ * version than the current one is refused; the leader computes it again.
  */
 static void apply_routing_put(struct ss_state *s, const struct command_wire *c,
 			      struct command_result *r)
 {
-	const struct routing_rec *p = only(&c->routing);
+	const struct routing_rec *p = single_record(&c->routing);
 	GError *error = NULL;
 
 	if (!p || p->version == 0) {
@@ -343,8 +344,9 @@
 	r->version = document_version(s->routing);
 }
 
-static void apply_kind(struct ss_state *s, uint64_t index,
-		       const struct command_wire *c, struct command_result *r)
+static void apply_command(struct ss_state *s, uint64_t index,
+			  const struct command_wire *c,
+			  struct command_result *r)
 {
 	switch ((enum command_kind)c->kind) {
 	case COMMAND_PRESET_PUT:
@@ -381,7 +383,8 @@
 	refuse(r, SS_ERROR_BAD_REQUEST, 0, "unknown command");
 }
 
-static const char *describe(const struct command_wire *c, char *buf, size_t n)
+static const char *describe_change(const struct command_wire *c, char *buf,
+				   size_t n)
 {
 	static const char *const verbs[] = {
 		[COMMAND_PRESET_PUT] = "put preset",
@@ -403,7 +406,7 @@
 	return buf;
 }
 
-/* The answer to a change id that was applied before. */
+/* The stored result of a change id that was applied before. */
 static bool answer_resend(struct ss_state *s, const struct command_wire *c,
 			  struct command_result *r)
 {
@@ -432,15 +435,15 @@
 	if (!wire_decode(&buf, bytes, &command_wire_type, &c)) {
 		refuse(result, SS_ERROR_CORRUPT, 0, "unreadable command");
 	} else if (c.change_id.n == 0) {
-		apply_kind(s, index, &c, result);
+		apply_command(s, index, &c, result);
 	} else if (!answer_resend(s, &c, result)) {
 		struct change_rec change = { .id = c.change_id,
 					     .author = c.author,
 					     .index = index,
 					     .at_ms = c.at_ms };
 
-		apply_kind(s, index, &c, result);
-		change.what = ss_str(describe(&c, what, sizeof(what)));
+		apply_command(s, index, &c, result);
+		change.what = ss_str(describe_change(&c, what, sizeof(what)));
 		change.code = result->code;
 		change.version = result->version;
 		change.text = ss_str(result->text);
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -1,18 +1,19 @@
 /*
- * The replicated state: presets, which one is in force, models, nodes,
- * replicas decided, and claims of calls that may run at most once.
+ * The replicated state machine: presets and the one in force, models, nodes,
+ * replicas, the routing, and claims on calls that may run at most once.
  *
- * Changed only by ss_state_apply() with entries of the replicated log, in
- * order, so that it is the same on every control VM. Records own their
- * strings; pointers to them hold until the next apply or restore.
+ * It changes only by ss_state_apply() with the entries of the replicated log,
+ * in order, so that it is the same on every control VM. Records own their
+ * strings; pointers to records are valid until the next apply or restore.
  */
 #ifndef SS_STATE_H
 #define SS_STATE_H
 
 #include <sapphireshift/base.h>
 
-/* Results of so many changes are kept to answer a resend alike. */
+/* Results of changes that are kept, so that a resend gets the same answer. */
 #define STATE_CHANGES_MAX 4096
+/* Claims are dropped beyond this count or age, the oldest first. */
 #define STATE_CLAIMS_MAX 200000
 #define STATE_CLAIM_AGE_MS (24 * 3600 * 1000LL)
 
@@ -33,15 +34,15 @@
 
 enum node_state {
 	NODE_LIVE = 1,
-	NODE_DRAINING, /* takes no new work; finishes what it has */
+	NODE_DRAINING, /* accepts no new work; finishes what it has */
 	NODE_GONE,     /* the VM no longer exists: nothing runs there */
 };
 
 enum replica_state {
-	REPLICA_LOADING = 1, /* decided; its memory is reserved */
+	REPLICA_LOADING = 1, /* ordered; its memory is reserved */
 	REPLICA_READY,
 	REPLICA_UNLOADING,
-	REPLICA_GONE, /* its end is known; the record is dropped */
+	REPLICA_GONE, /* confirmed unloaded; the record is dropped */
 };
 
 struct preset_rec {
@@ -52,11 +53,11 @@
 
 struct model_rec {
 	struct ss_str name;
-	struct ss_str base; /* of an adapter: the model it sits on */
+	struct ss_str base; /* of an adapter: its base model */
 	struct ss_str pool;
 	uint64_t bytes;
-	uint64_t slots; /* calls at a time on one replica */
-	bool removed;	/* in a command: drop it */
+	uint64_t slots; /* concurrent calls per replica */
+	bool removed;	/* in a command: delete the model */
 };
 
 struct node_rec {
@@ -69,58 +70,59 @@
 	uint64_t incarnation; /* of its agent */
 	uint64_t bytes;	      /* accelerator memory */
 	uint64_t slots;	      /* of a plain service */
-	uint64_t changed;     /* log index: when its orders last changed */
+	uint64_t changed;     /* log index of the last change of its orders */
 };
 
 struct replica_rec {
-	uint64_t id; /* log index of the decision; grows over leaders */
+	uint64_t id; /* log index of its command; increases across leaders */
 	struct ss_str model;
 	struct ss_str base;
 	struct ss_str node;
 	uint64_t bytes;
 	uint64_t slots;
 	int64_t state;	 /* enum replica_state */
-	int64_t at_ms;	 /* wall time of the decision */
-	int64_t load_ms; /* measured, once ready */
+	int64_t at_ms;	 /* wall time of the command */
+	int64_t load_ms; /* duration of the load, once ready */
 };
 
 struct claim_rec {
 	struct ss_str key;    /* hash of customer and idempotency key */
 	uint64_t fingerprint; /* of the request */
-	uint64_t entry, seq;  /* the call that may run */
+	uint64_t entry, seq;  /* id of the call that may run */
 	struct ss_str node;   /* where it runs */
 	uint64_t incarnation;
 	int64_t at_ms;
 };
 
-/* A change of the routing that operators put in force. */
+/* A change of the routing by operators. */
 struct routing_rec {
-	uint64_t version;   /* given by the operator; only grows */
-	struct ss_str body; /* the text; in logs of before there were changes */
-	struct ss_str change; /* a document's, packed */
+	uint64_t version;     /* given by the operator; only increases */
+	struct ss_str body;   /* full text; only in old logs */
+	struct ss_str change; /* struct document_change, packed */
 };
 
 struct change_rec {
 	struct ss_str id;
 	struct ss_str author;
 	struct ss_str what;
-	uint64_t index;	  /* of the change; the version it made */
-	int64_t code;	  /* 0, or the enum ss_error it got */
-	uint64_t version; /* in its answer */
+	uint64_t index;	  /* log index, and the version that the change made */
+	int64_t code;	  /* result: 0, or an enum ss_error */
+	uint64_t version; /* in the result */
 	struct ss_str text;
 	int64_t at_ms;
 };
 
-/* A change. Only the fields of its kind are set. */
+/* A command of the log. Only the fields of its kind are set. */
 struct command {
 	int64_t kind;		 /* enum command_kind */
-	struct ss_str change_id; /* empty: never resent */
+	struct ss_str change_id; /* empty: resends aren't detected */
 	struct ss_str author;
 	int64_t at_ms; /* wall time at the leader */
 	/*
-	 * The version that the change is based on: of the preset for a put
-	 * (0: new), the configuration for a switch. Where another change
-	 * came first the answer is SS_ERROR_CONFLICT.
+	 * The version that the change is based on: the preset's for a put
+	 * (0: a new preset) or delete, the configuration's for a switch, and
+	 * the number of the model's replicas for a new one. If another change
+	 * came first the result is SS_ERROR_CONFLICT.
 	 */
 	uint64_t expect;
 	struct preset_rec *preset;
@@ -130,16 +132,17 @@
 	struct replica_rec *replica;
 	struct claim_rec *claim;
 	struct routing_rec *routing;
-	/* A claim's predecessor that is known not to run: taken over. */
+	/* Holder of the claim that is known not to run: the claim passes to
+	 * the new call. */
 	uint64_t dead_entry, dead_seq;
 };
 
 struct command_result {
-	int64_t code;		/* 0, or an enum ss_error */
-	uint64_t version;	/* made by the change, or the one that won */
-	const char *text;	/* static or owned by the state */
-	bool resend;		/* answered from an earlier one */
-	struct claim_rec claim; /* the one in force, of COMMAND_CLAIM */
+	int64_t code;	  /* 0, or an enum ss_error */
+	uint64_t version; /* made by the change, or that it conflicts with */
+	const char *text; /* static or owned by the state */
+	bool resend;	  /* the result of an earlier change of this id */
+	struct claim_rec claim; /* COMMAND_CLAIM: the claim now held */
 };
 
 struct ss_state;
@@ -149,17 +152,19 @@
 
 GString *ss_command_encode(const struct command *c);
 
-/* Apply the entry at index. Unreadable bytes give SS_ERROR_CORRUPT. */
+/* Applies the log entry at index. Bytes that can't be decoded give
+ * SS_ERROR_CORRUPT. */
 void ss_state_apply(struct ss_state *s, uint64_t index, struct ss_str bytes,
 		    struct command_result *result);
 
 GString *ss_state_snapshot(const struct ss_state *s);
-/* False, and the state unchanged, where the bytes are no snapshot. */
+/* False if the bytes can't be decoded, with the state unchanged, or if the
+ * routing in them can't. */
 bool ss_state_restore(struct ss_state *s, struct ss_str bytes);
 
 /* The preset in force; NULL before the first switch. */
 const struct preset_rec *ss_state_in_force(const struct ss_state *s);
-/* Log index of the last change of what is in force. */
+/* Log index of the last switch, or last change of the preset in force. */
 uint64_t ss_state_config_version(const struct ss_state *s);
 
 const struct preset_rec *ss_state_preset(const struct ss_state *s,
@@ -171,26 +176,27 @@
 const struct replica_rec *ss_state_replica(const struct ss_state *s,
 					   uint64_t id);
 
-/* Bytes decided on a node and not known to be free again. */
+/* Bytes of a node's memory that are reserved for replicas: until an unload is
+ * confirmed. */
 uint64_t ss_state_reserved(const struct ss_state *s, const char *node);
 
-/* The routing in force, as operators sent it; empty before the first one. */
+/* The current routing as operators sent it; empty before the first one. */
 const struct document *ss_state_routing(const struct ss_state *s);
-/* The change that made it, packed, and the version that it was made of; empty
- * where all of it came at once. */
+/* The packed change that made the current routing, and the version that it
+ * applies to; empty if the routing arrived as a full copy. */
 struct ss_str ss_state_routing_change(const struct ss_state *s, uint64_t *base);
 
-/* Tables for reading: name to record, replica id (uint64_t *) to record. */
+/* Read-only tables: name to record; for replicas, id (uint64_t *) to record. */
 GHashTable *ss_state_presets(const struct ss_state *s);
 GHashTable *ss_state_models(const struct ss_state *s);
 GHashTable *ss_state_nodes(const struct ss_state *s);
 GHashTable *ss_state_replicas(const struct ss_state *s);
 /* struct change_rec *, oldest first. */
 GQueue *ss_state_history(const struct ss_state *s);
-/* The replicas on a node: struct replica_rec *; NULL for none. */
+/* The replicas on a node or of a model: struct replica_rec *; NULL for none. */
 GPtrArray *ss_state_node_replicas(const struct ss_state *s, const char *node);
-/* The replicas of a model. */
 GPtrArray *ss_state_model_replicas(const struct ss_state *s, const char *model);
+/* Number of claims. */
 size_t ss_state_claims(const struct ss_state *s);
 
 #endif
--- a/src/core/state_codec.c
+++ b/src/core/state_codec.c
@@ -1,4 +1,4 @@
-/* The replicated state's records as bytes. */
+/* Wire tables of the replicated state's commands, records and snapshots. */
 #include "state_codec.h"
 
 #define F(tag, kind, type, member)                                             \
@@ -99,15 +99,16 @@
 const struct wire_type command_wire_type =
 	WIRE_TYPE(struct command_wire, command_fields);
 
-static const struct wire_field image_fields[] = {
-	F(1, WIRE_STR, image, in_force),
-	F(2, WIRE_UINT, image, config_version),
-	L(3, image, presets, preset_wire),
-	L(4, image, models, model_wire),
-	L(5, image, nodes, node_wire),
-	L(6, image, replicas, replica_wire),
-	L(7, image, claims, claim_wire),
-	L(8, image, changes, change_wire),
-	L(9, image, routing, routing_wire),
+static const struct wire_field snapshot_fields[] = {
+	F(1, WIRE_STR, state_snapshot, in_force),
+	F(2, WIRE_UINT, state_snapshot, config_version),
+	L(3, state_snapshot, presets, preset_wire),
+	L(4, state_snapshot, models, model_wire),
+	L(5, state_snapshot, nodes, node_wire),
+	L(6, state_snapshot, replicas, replica_wire),
+	L(7, state_snapshot, claims, claim_wire),
+	L(8, state_snapshot, changes, change_wire),
+	L(9, state_snapshot, routing, routing_wire),
 };
-const struct wire_type image_wire = WIRE_TYPE(struct image, image_fields);
+const struct wire_type snapshot_wire =
+	WIRE_TYPE(struct state_snapshot, snapshot_fields);
--- a/src/core/state_codec.h
+++ b/src/core/state_codec.h
@@ -1,11 +1,12 @@
-/* The replicated state's records as bytes. */
+/* Wire tables of the replicated state's commands, records and snapshots. */
 #ifndef SS_STATE_CODEC_H
 #define SS_STATE_CODEC_H
 
 #include "../base/wire.h"
 #include "state.h"
 
-/* A command as it stands in the log: at most one of each record. */
+/* A command as encoded in the log: a list of models, and at most one of each
+ * other record. */
 struct command_wire {
 	int64_t kind;
 	struct ss_str change_id, author;
@@ -14,8 +15,8 @@
 	struct wire_list preset, models, node, replica, claim, routing;
 };
 
-/* The whole state, as it stands in a snapshot. */
-struct image {
+/* The whole state, as encoded in a snapshot. */
+struct state_snapshot {
 	struct ss_str in_force;
 	uint64_t config_version;
 	struct wire_list presets, models, nodes, replicas, claims, changes,
@@ -23,6 +24,6 @@
 };
 
 extern const struct wire_type preset_wire, model_wire, node_wire, replica_wire,
-	claim_wire, change_wire, routing_wire, command_wire_type, image_wire;
+	claim_wire, change_wire, routing_wire, command_wire_type, snapshot_wire;
 
 #endif
--- a/src/core/state_store.c
+++ b/src/core/state_store.c
@@ -1,7 +1,7 @@
-/* The replicated state: its tables, snapshots, and what is read of them. */
+/* The replicated state: tables, snapshots and read access. */
 #include "state_int.h"
 
-/* Records as owned copies: the strings are found by the wire table. */
+/* Copies a record with its strings, which the wire table locates. */
 static void *rec_dup(const struct wire_type *t, const void *rec)
 {
 	char *copy = g_memdup2(rec, t->size);
@@ -211,8 +211,8 @@
 	struct claim_rec *copy = rec_dup(&claim_wire, c);
 	struct claim_rec *old;
 
-	/* A key is bytes, so the copy by length matters; an empty one has no
-	 * address to copy from. */
+	/* A key may hold zero bytes, so it is copied by length; an empty key
+	 * may be a null pointer. */
 	if (c->key.n)
 		memcpy((char *)copy->key.p, c->key.p, c->key.n);
 	g_hash_table_insert(s->claims, &copy->key, copy);
@@ -244,7 +244,7 @@
 bool state_put_routing(struct ss_state *s, const struct routing_rec *r,
 		       GError **error)
 {
-	struct document_patch *n;
+	struct document_patch *patch;
 	bool ok;
 
 	g_string_truncate(s->routing_change, 0);
@@ -252,22 +252,22 @@
 		document_put(s->routing, r->version, r->body);
 		return true;
 	}
-	n = document_open(r->change, error);
-	ok = n && n->change.version == r->version &&
-	     document_apply(s->routing, &n->change, error);
+	patch = document_open(r->change, error);
+	ok = patch && patch->change.version == r->version &&
+	     document_apply(s->routing, &patch->change, error);
 	if (!ok && error && !*error)
 		g_set_error(error, SS_ERROR, SS_ERROR_FRAME,
 			    "a change to another version than it says");
-	if (ok && n->change.base) {
-		s->routing_base = n->change.base;
+	if (ok && patch->change.base) {
+		s->routing_base = patch->change.base;
 		g_string_append_len(s->routing_change, r->change.p,
 				    (gssize)r->change.n);
 	}
-	document_patch_free(n);
+	document_patch_free(patch);
 	return ok;
 }
 
-/* Records in one array, as a list is encoded; items are shallow copies. */
+/* The records as an array, for encoding; items are shallow copies. */
 static struct wire_list collect(GList *recs, const struct wire_type *t)
 {
 	struct wire_list l = { 0 };
@@ -291,62 +291,64 @@
 
 GString *ss_state_snapshot(const struct ss_state *s)
 {
-	struct image im = { .in_force = ss_str(s->in_force),
-			    .config_version = s->config_version };
+	struct state_snapshot snap = { .in_force = ss_str(s->in_force),
+				       .config_version = s->config_version };
 	struct routing_rec routing = { .version =
 					       document_version(s->routing) };
-	GString *out, *whole = NULL;
+	GString *out, *full = NULL;
 
 	if (routing.version) {
-		whole = document_whole(s->routing, true);
-		routing.change = ss_str_gs(whole);
+		full = document_whole(s->routing, true);
+		routing.change = ss_str_gs(full);
 	}
 
-	im.presets = collect_table(s->presets, &preset_wire);
-	im.models = collect_table(s->models, &model_wire);
-	im.nodes = collect_table(s->nodes, &node_wire);
-	im.replicas = collect_table(s->replicas, &replica_wire);
-	im.claims = collect(s->claim_order.head, &claim_wire);
-	im.changes = collect(s->history.head, &change_wire);
-	im.routing = (struct wire_list){ &routing, whole != NULL };
-	out = wire_encode(&image_wire, &im);
-	if (whole)
-		g_string_free(whole, TRUE);
-	g_free(im.presets.items);
-	g_free(im.models.items);
-	g_free(im.nodes.items);
-	g_free(im.replicas.items);
-	g_free(im.claims.items);
-	g_free(im.changes.items);
+	snap.presets = collect_table(s->presets, &preset_wire);
+	snap.models = collect_table(s->models, &model_wire);
+	snap.nodes = collect_table(s->nodes, &node_wire);
+	snap.replicas = collect_table(s->replicas, &replica_wire);
+	snap.claims = collect(s->claim_order.head, &claim_wire);
+	snap.changes = collect(s->history.head, &change_wire);
+	snap.routing = (struct wire_list){ &routing, full != NULL };
+	out = wire_encode(&snapshot_wire, &snap);
+	if (full)
+		g_string_free(full, TRUE);
+	g_free(snap.presets.items);
+	g_free(snap.models.items);
+	g_free(snap.nodes.items);
+	g_free(snap.replicas.items);
+	g_free(snap.claims.items);
+	g_free(snap.changes.items);
 	return out;
 }
 
 bool ss_state_restore(struct ss_state *s, struct ss_str bytes)
 {
 	struct wire_buf buf;
-	struct image im;
-	bool ok = wire_decode(&buf, bytes, &image_wire, &im);
+	struct state_snapshot snap;
+	bool ok = wire_decode(&buf, bytes, &snapshot_wire, &snap);
 
 	if (!ok)
 		goto out;
 	state_clear(s);
 	g_free(s->in_force);
-	s->in_force = ss_str_dup(im.in_force);
-	s->config_version = im.config_version;
-	for (size_t i = 0; i < im.presets.n; i++)
-		state_put_preset(s, (struct preset_rec *)im.presets.items + i);
-	for (size_t i = 0; i < im.models.n; i++)
-		state_put_model(s, (struct model_rec *)im.models.items + i);
-	for (size_t i = 0; i < im.nodes.n; i++)
-		state_put_node(s, (struct node_rec *)im.nodes.items + i);
-	for (size_t i = 0; i < im.replicas.n; i++)
-		state_put_replica(s,
-				  (struct replica_rec *)im.replicas.items + i);
-	for (size_t i = 0; i < im.claims.n; i++)
-		state_put_claim(s, (struct claim_rec *)im.claims.items + i);
-	for (size_t i = 0; i < im.changes.n; i++)
-		state_put_change(s, (struct change_rec *)im.changes.items + i);
-	ok = !im.routing.n || state_put_routing(s, im.routing.items, NULL);
+	s->in_force = ss_str_dup(snap.in_force);
+	s->config_version = snap.config_version;
+	for (size_t i = 0; i < snap.presets.n; i++)
+		state_put_preset(s,
+				 (struct preset_rec *)snap.presets.items + i);
+	for (size_t i = 0; i < snap.models.n; i++)
+		state_put_model(s, (struct model_rec *)snap.models.items + i);
+	for (size_t i = 0; i < snap.nodes.n; i++)
+		state_put_node(s, (struct node_rec *)snap.nodes.items + i);
+	for (size_t i = 0; i < snap.replicas.n; i++)
+		state_put_replica(s, (struct replica_rec *)snap.replicas.items +
+					     i);
+	for (size_t i = 0; i < snap.claims.n; i++)
+		state_put_claim(s, (struct claim_rec *)snap.claims.items + i);
+	for (size_t i = 0; i < snap.changes.n; i++)
+		state_put_change(s,
+				 (struct change_rec *)snap.changes.items + i);
+	ok = !snap.routing.n || state_put_routing(s, snap.routing.items, NULL);
 out:
 	wire_done(&buf);
 	return ok;
