--- a/test/test_state.c
+++ b/test/test_state.c
@@ -1,4 +1,4 @@
-/* The replicated state: races, resends, memory, counts and claims. */
+/* The replicated state: conflicts, resends, memory and claims. */
 #include "unit.h"
 
 #include "../src/core/state.h"
@@ -17,8 +17,8 @@
 	return r;
 }
 
-static struct command_result put(struct ss_state *s, const char *name,
-				 uint64_t expect, const char *id)
+static struct command_result put_preset(struct ss_state *s, const char *name,
+					uint64_t expect, const char *id)
 {
 	struct preset_rec p = { .name = ss_str(name), .body = SS_LIT("{}") };
 	struct command c = { .kind = COMMAND_PRESET_PUT,
@@ -29,8 +29,8 @@
 	return apply(s, &c);
 }
 
-static struct command_result switch_to(struct ss_state *s, const char *name,
-				       uint64_t expect, const char *id)
+static struct command_result switch_preset(struct ss_state *s, const char *name,
+					   uint64_t expect, const char *id)
 {
 	struct preset_rec p = { .name = ss_str(name) };
 	struct command c = { .kind = COMMAND_PRESET_SWITCH,
@@ -76,66 +76,67 @@
 	return apply(s, &c).code;
 }
 
-/* Through bytes and back: what a member that was down gets. */
-static struct ss_state *reborn(struct ss_state *s)
+/* The state as restored from a snapshot, as by a member that was down. */
+static struct ss_state *restored(struct ss_state *s)
 {
-	GString *image = ss_state_snapshot(s);
+	GString *snapshot = ss_state_snapshot(s);
 	struct ss_state *t = ss_state_new();
 
-	assert_true(ss_state_restore(t, ss_str_gs(image)));
-	g_string_free(image, TRUE);
+	assert_true(ss_state_restore(t, ss_str_gs(snapshot)));
+	g_string_free(snapshot, TRUE);
 	ss_state_free(s);
 	return t;
 }
 
 /*
- * Symptom: two operators both believe that their change is in force.
- * Sequence: both read version 1 and change it. Cause: equal numbers.
+ * Two operators change the same version of a preset. If both changes were
+ * accepted, each operator would believe that theirs is in force.
  */
 static void equal_versions_have_one_winner(void **state)
 {
 	struct ss_state *s = ss_state_new();
-	uint64_t v = put(s, "a", 0, "c1").version;
-	struct command_result one = put(s, "a", v, "c2");
-	struct command_result two = put(s, "a", v, "c3");
+	uint64_t v = put_preset(s, "a", 0, "c1").version;
+	struct command_result one = put_preset(s, "a", v, "c2");
+	struct command_result two = put_preset(s, "a", v, "c3");
 
 	(void)state;
 	assert_int_equal(one.code, 0);
 	assert_int_equal(two.code, SS_ERROR_CONFLICT);
 	assert_int_equal(two.version, one.version);
-	assert_int_equal(put(s, "a", 0, "c4").code, SS_ERROR_CONFLICT);
+	assert_int_equal(put_preset(s, "a", 0, "c4").code, SS_ERROR_CONFLICT);
 	ss_state_free(s);
 }
 
 /*
- * Symptom: a change is applied twice, or a resend is told "conflict" by
- * its own first form. Sequence: the answer is lost, the operator sends the
- * same id again, perhaps after a snapshot. Cause: nobody remembers it.
+ * An operator who lost the answer resends a change with the same id, perhaps
+ * after a snapshot. If its result weren't stored, the change would be applied
+ * twice, or would conflict with its own first copy.
  */
-static void resend_is_answered_alike(void **state)
+static void resend_gets_the_same_answer(void **state)
 {
 	struct ss_state *s = ss_state_new();
 	struct command_result a, b;
 	uint64_t v;
 
 	(void)state;
-	put(s, "a", 0, "c1");
-	a = switch_to(s, "a", 0, "c2");
-	b = switch_to(s, "a", 0, "c2");
+	put_preset(s, "a", 0, "c1");
+	a = switch_preset(s, "a", 0, "c2");
+	b = switch_preset(s, "a", 0, "c2");
 	assert_true(!a.code && !b.code && b.resend && a.version == b.version);
-	assert_int_equal(switch_to(s, "a", 0, "c3").code, SS_ERROR_CONFLICT);
+	assert_int_equal(switch_preset(s, "a", 0, "c3").code,
+			 SS_ERROR_CONFLICT);
 	v = a.version;
-	s = reborn(s);
-	b = switch_to(s, "a", 0, "c2");
+	s = restored(s);
+	b = switch_preset(s, "a", 0, "c2");
 	assert_true(b.resend && b.version == v);
-	/* A refusal is answered alike as well. */
-	b = switch_to(s, "a", 0, "c3");
+	/* A refused change gets the same answer, too. */
+	b = switch_preset(s, "a", 0, "c3");
 	assert_true(b.resend && b.code == SS_ERROR_CONFLICT);
 	assert_int_equal(ss_state_config_version(s), v);
 	ss_state_free(s);
 }
 
-static void preset_in_force_stays(void **state)
+static void preset_in_force_is_not_deleted(void **state)
 {
 	struct preset_rec p = { .name = SS_LIT("a") };
 	struct command c = { .kind = COMMAND_PRESET_DELETE, .preset = &p };
@@ -143,12 +144,13 @@
 	uint64_t version;
 
 	(void)state;
-	c.expect = put(s, "a", 0, "c1").version;
-	assert_int_equal(switch_to(s, "b", 0, "c2").code, SS_ERROR_NOT_FOUND);
-	switch_to(s, "a", 0, "c3");
+	c.expect = put_preset(s, "a", 0, "c1").version;
+	assert_int_equal(switch_preset(s, "b", 0, "c2").code,
+			 SS_ERROR_NOT_FOUND);
+	switch_preset(s, "a", 0, "c3");
 	assert_int_equal(apply(s, &c).code, SS_ERROR_CONFLICT);
-	/* Adjusting what is in force is a new configuration. */
-	version = put(s, "a", c.expect, "c4").version;
+	/* A change of the preset in force makes a new configuration. */
+	version = put_preset(s, "a", c.expect, "c4").version;
 	assert_int_equal(version, ss_state_config_version(s));
 	ss_state_free(s);
 }
@@ -159,21 +161,21 @@
 	int64_t code;
 };
 
-/* Each on a node of 10 GB that holds model "m" of 6 GB. */
+/* Each with model "m" of 6 GB on node n1; every node has 10 GB. */
 static const struct add_case adds[] = {
 	{ "fits beside it", "x", "", "n1", 4 * GB, 0, 0 },
 	{ "a byte too many", "x", "", "n1", 4 * GB + 1, 0, SS_ERROR_MEMORY },
-	{ "decided on an old count", "m", "", "n2", GB, 0, SS_ERROR_CONFLICT },
-	{ "decided on the count", "m", "", "n2", GB, 1, 0 },
+	{ "based on an old count", "m", "", "n2", GB, 0, SS_ERROR_CONFLICT },
+	{ "based on the current count", "m", "", "n2", GB, 1, 0 },
 	{ "twice on a node", "m", "", "n1", GB, 1, SS_ERROR_CONFLICT },
 	{ "adapter beside its base", "m:a", "m", "n1", GB, 0, 0 },
 	{ "adapter without its base", "m:a", "m", "n2", GB, 0,
 	  SS_ERROR_CONFLICT },
-	{ "on nobody", "x", "", "n9", GB, 0, SS_ERROR_UNAVAILABLE },
-	{ "on a leaving node", "x", "", "n3", GB, 0, SS_ERROR_UNAVAILABLE },
+	{ "on an unknown node", "x", "", "n9", GB, 0, SS_ERROR_UNAVAILABLE },
+	{ "on a draining node", "x", "", "n3", GB, 0, SS_ERROR_UNAVAILABLE },
 };
 
-static void replicas_keep_memory_and_count(void **state)
+static void replicas_respect_memory_and_count(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(adds); i++) {
@@ -187,7 +189,7 @@
 		add_node(s, "n3", 10 * GB, 1);
 		apply(s, &c);
 		add_replica(s, "m", "", "n1", 6 * GB, 0);
-		s = reborn(s);
+		s = restored(s);
 		assert_int_equal(add_replica(s, adds[i].model, adds[i].base,
 					     adds[i].node, adds[i].bytes,
 					     adds[i].expect)
@@ -198,11 +200,11 @@
 }
 
 /*
- * Symptom: a model's memory is given to another while it still loads.
- * Sequence: unload is decided during the load; "ready" arrives late.
- * Cause: the late word overwrites the decision.
+ * An unload is ordered during a load, and "ready" arrives after that. If it
+ * overwrote the order, the replica's memory could be given to another model
+ * while the load still runs.
  */
-static void memory_is_freed_only_when_known(void **state)
+static void memory_is_freed_after_the_unload(void **state)
 {
 	struct ss_state *s = ss_state_new();
 	uint64_t id;
@@ -221,7 +223,7 @@
 	ss_state_free(s);
 }
 
-/* A new VM under an old name isn't hit by what was said of the old one. */
+/* A state of an old VM doesn't apply to a new VM of the same name. */
 static void incarnations_are_told_apart(void **state)
 {
 	struct node_rec n = { .name = SS_LIT("n1"),
@@ -248,17 +250,19 @@
 	uint64_t holder; /* seq of the claim in force after it */
 };
 
-/* In a row, on one key. */
+/* Applied in this order, on one key. */
 static const struct claim_case claims[] = {
 	{ "the first holds it", 1, 10, 0, 0, 5, 0, 10 },
-	{ "asking again is no second claim", 1, 10, 0, 0, 5, 0, 10 },
+	{ "a repeated claim succeeds", 1, 10, 0, 0, 5, 0, 10 },
 	{ "another entry finds it held", 2, 20, 0, 0, 5, SS_ERROR_CONFLICT,
 	  10 },
-	{ "with a wrong proof too", 2, 20, 1, 9, 5, SS_ERROR_CONFLICT, 10 },
+	{ "with a wrong predecessor too", 2, 20, 1, 9, 5, SS_ERROR_CONFLICT,
+	  10 },
 	{ "another request under the key", 2, 21, 0, 0, 6, SS_ERROR_BAD_REQUEST,
 	  0 },
 	{ "taken over once the first is dead", 2, 20, 1, 10, 5, 0, 20 },
-	{ "the same proof works once", 3, 30, 1, 10, 5, SS_ERROR_CONFLICT, 20 },
+	{ "a predecessor is replaced only once", 3, 30, 1, 10, 5,
+	  SS_ERROR_CONFLICT, 20 },
 };
 
 static void claims_have_one_holder(void **state)
@@ -280,12 +284,12 @@
 
 		assert_int_equal(r.code, claims[i].code);
 		assert_int_equal(r.claim.seq, claims[i].holder);
-		s = reborn(s);
+		s = restored(s);
 	}
 	ss_state_free(s);
 }
 
-/* Bytes that are no command change nothing and crash nobody. */
+/* Bytes that can't be decoded are refused, as a command and as a snapshot. */
 static void garbage_is_refused(void **state)
 {
 	static const struct ss_str bad[] = {
@@ -307,8 +311,8 @@
 }
 
 /*
- * Symptom: undefined behaviour (found by a fuzzer). Sequence: a snapshot brings
- * a claim whose key is empty. Cause: bytes copied from no address.
+ * A snapshot holds a claim whose key is empty. Copying the key by memcpy() from
+ * a null pointer is undefined behaviour.
  */
 static void empty_key_in_a_snapshot_is_read(void **state)
 {
@@ -326,10 +330,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(equal_versions_have_one_winner),
-		cmocka_unit_test(resend_is_answered_alike),
-		cmocka_unit_test(preset_in_force_stays),
-		cmocka_unit_test(replicas_keep_memory_and_count),
-		cmocka_unit_test(memory_is_freed_only_when_known),
+		cmocka_unit_test(resend_gets_the_same_answer),
+		cmocka_unit_test(preset_in_force_is_not_deleted),
+		cmocka_unit_test(replicas_respect_memory_and_count),
+		cmocka_unit_test(memory_is_freed_after_the_unload),
 		cmocka_unit_test(incarnations_are_told_apart),
 		cmocka_unit_test(claims_have_one_holder),
 		cmocka_unit_test(empty_key_in_a_snapshot_is_read),
