--- a/include/sapphireshift/keep.h
+++ b/include/sapphireshift/keep.h
@@ -1,6 +1,7 @@
 /*
- * How long to keep a model that nobody uses, and when to load one that
- * will be used: from the model's own history of arrivals.
+ * Keep-alive policy of models: how long an idle model stays loaded, and when
+ * to load one before its next request. Both follow from the model's history
+ * of arrivals.
  */
 #ifndef SAPPHIRESHIFT_KEEP_H
 #define SAPPHIRESHIFT_KEEP_H
@@ -11,50 +12,55 @@
 extern "C" {
 #endif
 
-/* Gaps between arrivals: four steps in each doubling, from 1 s to 3 days. */
+/*
+ * Buckets of the histogram of gaps between arrivals: four per doubling, from
+ * 1 s to 3 days.
+ */
 #define SS_KEEP_GAPS 72
-/* Quarters of an hour in a day, for workdays and for the others. */
+/* Slots of 15 minutes in a day; workdays and weekends are counted apart. */
 #define SS_KEEP_SLOTS 96
 
 struct ss_arrivals {
-	int64_t last_ms; /* wall time of the last arrival; 0: none yet */
-	float gaps[SS_KEEP_GAPS]; /* decayed counts */
-	float total;
-	/* Shares of the days seen on which a slot had an arrival. */
+	int64_t last_ms;	  /* wall time of the last arrival; 0: none */
+	float gaps[SS_KEEP_GAPS]; /* histogram of gaps, decayed */
+	float total;		  /* sum of gaps */
+	/* Smoothed share of the days on which a slot had an arrival. */
 	float slots[2][SS_KEEP_SLOTS];
-	/* Mean time into the slot at which its first arrival came, in ms. */
+	/* Smoothed time from a slot's start to its first arrival, in ms. */
 	float offsets[2][SS_KEEP_SLOTS];
-	uint16_t days[2];
-	int32_t slot_day; /* the day and slot counted last */
-	int32_t first_day;
+	uint16_t days[2];  /* days counted, by kind */
+	int32_t slot_day;  /* day and slot of the last counted arrival */
+	int32_t first_day; /* day of the first arrival */
 };
 
-/* What a wrong guess costs; all times in ms. */
+/* Costs that the policy weighs; all times in ms. */
 struct ss_keep_costs {
-	double cold_weight; /* 0 to 1 */
-	int64_t load_ms;    /* what a caller waits for a cold start */
-	double share;	    /* of one accelerator's memory that is held */
-	int64_t min_ms, max_ms;
+	double cold_weight; /* of cold starts against idle memory, 0 to 1 */
+	int64_t load_ms;    /* duration of a cold start */
+	double share;	    /* of an accelerator's memory, used by the model */
+	int64_t min_ms, max_ms; /* bounds of ss_keep_ms() */
 };
 
 /*
- * An arrival; its local hour decides the slot. The gap is also counted in
- * the arrivals of all models together, if given.
+ * Records an arrival in the slot of its local time. Also adds its gap to all,
+ * the arrivals of all models together, unless NULL.
  */
 void ss_arrivals_add(struct ss_arrivals *a, struct ss_arrivals *all,
 		     struct ss_wall at);
 
 /*
- * The idle time after which unloading is cheaper than keeping on. The
- * prior (may be NULL) is the gaps of all models; it counts as a few
- * arrivals, so that a model seen once or twice gets a sane answer.
+ * Returns the idle time after which unloading the model is cheaper than
+ * keeping it. The prior (may be NULL) holds the gaps of all models. It weighs
+ * as much as a few arrivals, so that a model with a short history gets a
+ * reasonable result.
  */
 int64_t ss_keep_ms(const struct ss_arrivals *a, const struct ss_arrivals *prior,
 		   const struct ss_keep_costs *c);
 
 /*
- * Whether to have the model loaded for the slot that starts within the
- * load time from now, although nobody has asked for it yet.
+ * Returns whether to preload the model: its history predicts an arrival at
+ * about the time at which a load started now would end, and the expected cold
+ * start costs more than the expected idle time.
  */
 bool ss_wake_ahead(const struct ss_arrivals *a, struct ss_wall now,
 		   const struct ss_keep_costs *c);
--- a/src/core/keep.c
+++ b/src/core/keep.c
@@ -1,45 +1,50 @@
-/* Keeping and waking by arrival history. */
+/* Keep-alive and preload decisions from a model's history of arrivals. */
 #include <sapphireshift/keep.h>
 
 #include <math.h>
 
-/* The shortest gap between calls that the histogram tells apart, in ms. */
-#define GAP_FIRST_MS 1000.0
-#define GAP_STEPS 4 /* in each doubling */
-/* Old gaps count less, so that a change of habit shows within some days. */
+/* Upper bound of the histogram's first bucket. */
+#define GAP_MIN_MS 1000.0
+#define GAP_STEPS 4 /* buckets per doubling */
+/*
+ * Decay of old gaps at each arrival, so that a changed pattern of use shows
+ * within some days.
+ */
 #define GAP_DECAY 0.98f
-/* How many arrivals the gaps of all models count for. */
+/* Weight of the gaps of all models, in arrivals. */
 #define PRIOR_ARRIVALS 3.0
 #define SLOT_MS (15 * 60 * 1000)
 #define DAY_SLOTS SS_KEEP_SLOTS
 #define DAY_MS ((int64_t)DAY_SLOTS * SLOT_MS)
 #define WEEK_DAYS 7
-/* 1970-01-01 was a Thursday: so many days after a Monday. */
+/* 1970-01-01 was a Thursday, 3 days after a Monday. */
 #define EPOCH_WEEKDAY 3
-#define WORKDAYS 5 /* Monday to Friday */
-#define SLOT_ALPHA 0.3f
-/* A model is woken so long before the time at which it is expected. */
-#define AHEAD_MARGIN_MS 60000
-/* Days of a kind before a slot's share is believed. */
+#define WORKDAYS 5	/* Monday to Friday */
+#define SLOT_ALPHA 0.3f /* weight of the newest day */
+/* Time between the end of a preload and the expected arrival. */
+#define PRELOAD_MARGIN_MS 60000
+/* Time after the earliest start of a preload in which it may still start. */
+#define PRELOAD_WINDOW_MS (4 * PRELOAD_MARGIN_MS)
+/* Days of a kind to count before its slots are used. */
 #define DAYS_MIN 2
 /*
- * What a caller's second in a cold start is worth in seconds of a held
- * accelerator, at equal weights.
+ * Cost of a second that a caller waits for a cold start, in seconds of an
+ * occupied accelerator, at equal weights.
  */
-#define COLD_WORTH 30.0
+#define COLD_START_COST 30.0
 
 static size_t gap_bucket(double gap_ms)
 {
 	double b;
 
-	if (gap_ms <= GAP_FIRST_MS)
+	if (gap_ms <= GAP_MIN_MS)
 		return 0;
-	b = log2(gap_ms / GAP_FIRST_MS) * GAP_STEPS + 1;
+	b = log2(gap_ms / GAP_MIN_MS) * GAP_STEPS + 1;
 	return b >= SS_KEEP_GAPS - 1 ? SS_KEEP_GAPS - 1 : (size_t)b;
 }
 
 struct slot {
-	int kind; /* 0: workday */
+	int kind; /* 0: workday, 1: weekend */
 	int day;  /* local days since 1970 */
 	int slot;
 	int64_t into_ms; /* since the slot began */
@@ -47,7 +52,7 @@
 
 static struct slot slot_at(struct ss_wall at)
 {
-	/* A clock that was never set stands before 1970 west of UTC. */
+	/* A clock that was never set is before 1970 in zones west of UTC. */
 	int64_t local = MAX(at.ms + at.utc_offset_ms, 0);
 	int day = (int)(local / DAY_MS);
 	int weekday = (day + EPOCH_WEEKDAY) % WEEK_DAYS;
@@ -59,8 +64,9 @@
 }
 
 /*
- * Shares are updated when a slot gets its first arrival of a day, by the
- * number of days of that kind that have passed without one.
+ * Counts the first arrival of a day in a slot. The first arrival of a day
+ * decays the shares of all slots of that kind of day once, however many days
+ * without arrivals have passed since.
  */
 static void add_slot(struct ss_arrivals *a, struct ss_wall at)
 {
@@ -75,7 +81,7 @@
 	if (code == a->slot_day)
 		return;
 	if (a->slot_day / DAY_SLOTS != s.day || a->slot_day == 0) {
-		/* A new day: all slots of its kind age by one. */
+		/* A new day: decays all slots of its kind. */
 		for (int i = 0; i < DAY_SLOTS; i++)
 			a->slots[s.kind][i] *= 1 - SLOT_ALPHA;
 		if (a->days[s.kind] < UINT16_MAX)
@@ -112,8 +118,8 @@
 	double p[SS_KEEP_GAPS];
 	double sum = 0, beyond, held = 0, best_cost;
 	double idle_rate = (1 - c->cold_weight) * c->share;
-	double cold = c->cold_weight * COLD_WORTH * (double)c->load_ms;
-	double best = 0, from = 0, top = GAP_FIRST_MS;
+	double cold = c->cold_weight * COLD_START_COST * (double)c->load_ms;
+	double best = 0, from = 0, top = GAP_MIN_MS;
 	double step = exp2(1.0 / GAP_STEPS);
 
 	for (size_t i = 0; i < SS_KEEP_GAPS; i++) {
@@ -126,9 +132,9 @@
 	if (sum <= 0)
 		return c->min_ms;
 	/*
-	 * Cost of keeping for t: what is held, min(gap, t), and a cold
-	 * start where the gap is longer. The last bucket has no end, so
-	 * keeping through it is never tried.
+	 * The cost of keeping a model for t is the memory occupied for
+	 * min(gap, t), and a cold start where the gap is longer than t. The
+	 * last bucket is unbounded, so its end is no candidate for t.
 	 */
 	beyond = 1;
 	best_cost = cold;
@@ -143,7 +149,7 @@
 			best_cost = cost;
 			best = top;
 		}
-		/* The longest gap of each bucket, in equal steps. */
+		/* The next bucket's bounds. */
 		from = top;
 		top *= step;
 	}
@@ -153,8 +159,8 @@
 bool ss_wake_ahead(const struct ss_arrivals *a, struct ss_wall now,
 		   const struct ss_keep_costs *c)
 {
-	/* A clock that is put forward meanwhile is seen once it was. */
-	struct ss_wall at = { now.ms + c->load_ms + AHEAD_MARGIN_MS,
+	/* A change of the UTC offset before then counts once it is made. */
+	struct ss_wall at = { now.ms + c->load_ms + PRELOAD_MARGIN_MS,
 			      now.utc_offset_ms };
 	struct slot s = slot_at(at);
 	double into = (double)s.into_ms;
@@ -163,13 +169,13 @@
 	if (a->days[s.kind] < DAYS_MIN)
 		return false;
 	share = (double)a->slots[s.kind][s.slot];
-	begin = (double)a->offsets[s.kind][s.slot] - AHEAD_MARGIN_MS;
-	if (share <= 0 || into < begin || into > begin + 4 * AHEAD_MARGIN_MS)
+	begin = (double)a->offsets[s.kind][s.slot] - PRELOAD_MARGIN_MS;
+	if (share <= 0 || into < begin || into > begin + PRELOAD_WINDOW_MS)
 		return false;
-	/* Where the arrival doesn't come it is held to the slot's end. */
+	/* Without an arrival the model stays loaded until the slot ends. */
 	idle = (1 - c->cold_weight) * c->share *
-	       (share * 2 * AHEAD_MARGIN_MS +
+	       (share * 2 * PRELOAD_MARGIN_MS +
 		(1 - MIN(share, 1)) * (SLOT_MS - MAX(begin, 0)));
-	cold = c->cold_weight * COLD_WORTH * (double)c->load_ms * share;
+	cold = c->cold_weight * COLD_START_COST * (double)c->load_ms * share;
 	return cold > idle;
 }
