--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -1,7 +1,7 @@
-/* An agent's table of calls. */
+/* An agent's table of calls: at most one run of each, stored replies. */
 #include "calls.h"
 
-enum call_state { CALL_RUNNING, CALL_DONE, CALL_DEAD };
+enum call_state { CALL_RUNNING, CALL_DONE, CALL_REFUSED };
 
 struct call_id {
 	uint64_t entry, seq;
@@ -24,9 +24,9 @@
 	GPtrArray *pieces; /* struct piece */
 	GArray *subs;	   /* struct subscriber */
 	size_t bytes;
-	int64_t alone_ms; /* since when nobody is connected; or NEVER */
-	int64_t until_ms; /* when a finished one is forgotten */
-	GList link;	  /* in one of the table's queues */
+	int64_t orphaned_ms; /* when the last subscriber left, or SS_NEVER */
+	int64_t until_ms;    /* eviction time of a finished call */
+	GList link;	     /* in one of the table's queues */
 	GQueue *queue;
 	void *data;
 };
@@ -34,10 +34,10 @@
 struct calls {
 	struct calls_options o;
 	GHashTable *by_id;
-	GHashTable *forgotten; /* &entry -> highest seq forgotten */
+	GHashTable *evicted; /* &entry -> highest evicted seq */
 	GQueue running;
-	/* Finished ones in the order in which they may be forgotten. */
-	GQueue done, done_once, dead;
+	/* Finished and refused calls, in order of eviction. */
+	GQueue done, done_once, refused;
 	size_t bytes;
 };
 
@@ -102,12 +102,12 @@
 
 	t->o = *o;
 	t->by_id = g_hash_table_new_full(id_hash, id_equal, NULL, call_free);
-	t->forgotten = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					     g_free, NULL);
+	t->evicted = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+					   NULL);
 	g_queue_init(&t->running);
 	g_queue_init(&t->done);
 	g_queue_init(&t->done_once);
-	g_queue_init(&t->dead);
+	g_queue_init(&t->refused);
 	return t;
 }
 
@@ -116,7 +116,7 @@
 	if (!t)
 		return;
 	g_hash_table_unref(t->by_id);
-	g_hash_table_unref(t->forgotten);
+	g_hash_table_unref(t->evicted);
 	g_free(t);
 }
 
@@ -134,14 +134,14 @@
 	c->id = (struct call_id){ entry, seq };
 	c->pieces = g_ptr_array_new_with_free_func(piece_free);
 	c->subs = g_array_new(FALSE, FALSE, sizeof(struct subscriber));
-	c->alone_ms = SS_NEVER;
+	c->orphaned_ms = SS_NEVER;
 	c->link.data = c;
 	g_hash_table_insert(t->by_id, &c->id, c);
 	return c;
 }
 
-/* Put a call at the end of a queue; until when it stays, if finished. */
-static void move(struct call *c, GQueue *queue, int64_t until)
+/* Moves a call to the end of a queue; it may be evicted at the time until. */
+static void move_to_queue(struct call *c, GQueue *queue, int64_t until)
 {
 	if (c->queue)
 		g_queue_unlink(c->queue, &c->link);
@@ -150,29 +150,29 @@
 	g_queue_push_tail_link(queue, &c->link);
 }
 
-static void make_dead(struct calls *t, struct call *c, int64_t now)
+static void mark_refused(struct calls *t, struct call *c, int64_t now)
 {
-	c->state = CALL_DEAD;
-	move(c, &t->dead, now + CALLS_KEEP_DEAD_MS);
+	c->state = CALL_REFUSED;
+	move_to_queue(c, &t->refused, now + CALLS_KEEP_REFUSED_MS);
 }
 
-static bool was_forgotten(const struct calls *t, uint64_t entry, uint64_t seq)
+static bool was_evicted(const struct calls *t, uint64_t entry, uint64_t seq)
 {
-	const uint64_t *upto = g_hash_table_lookup(t->forgotten, &entry);
+	const uint64_t *upto = g_hash_table_lookup(t->evicted, &entry);
 
 	return upto && seq <= *upto;
 }
 
-static void forget(struct calls *t, struct call *c)
+static void evict(struct calls *t, struct call *c)
 {
-	uint64_t *upto = g_hash_table_lookup(t->forgotten, &c->id.entry);
+	uint64_t *upto = g_hash_table_lookup(t->evicted, &c->id.entry);
 
 	if (!upto) {
 		uint64_t *rec = g_new0(uint64_t, 2);
 
 		rec[0] = c->id.entry;
 		upto = rec + 1;
-		g_hash_table_insert(t->forgotten, rec, upto);
+		g_hash_table_insert(t->evicted, rec, upto);
 	}
 	*upto = MAX(*upto, c->id.seq);
 	g_queue_unlink(c->queue, &c->link);
@@ -189,8 +189,9 @@
 	t->o.ops->reply(t->o.arg, s->peer, &m);
 }
 
-static void say(struct calls *t, void *peer, uint64_t sub, enum ss_error code,
-		enum outcome outcome, const char *text)
+static void send_error(struct calls *t, void *peer, uint64_t sub,
+		       enum ss_error code, enum outcome outcome,
+		       const char *text)
 {
 	struct msg_reply m = { .sub = sub,
 			       .end = true,
@@ -201,13 +202,13 @@
 	t->o.ops->reply(t->o.arg, peer, &m);
 }
 
-/* Let a peer read a running or finished call's answer from a piece on. */
+/* Sends the stored pieces from number have on, and later ones as they come. */
 static void subscribe(struct calls *t, struct call *c, void *peer, uint64_t sub,
 		      uint64_t have)
 {
 	struct subscriber s = { peer, sub };
 
-	c->alone_ms = SS_NEVER;
+	c->orphaned_ms = SS_NEVER;
 	for (guint i = (guint)MIN(have, c->pieces->len); i < c->pieces->len;
 	     i++)
 		send_piece(t, &s, c->pieces->pdata[i]);
@@ -215,12 +216,12 @@
 		g_array_append_val(c->subs, s);
 }
 
-static void answer_known(struct calls *t, struct call *c, void *peer,
-			 uint64_t sub, uint64_t have)
+static void reply_known(struct calls *t, struct call *c, void *peer,
+			uint64_t sub, uint64_t have)
 {
-	if (c->state == CALL_DEAD)
-		say(t, peer, sub, SS_ERROR_CANCELLED, OUTCOME_NOT_RUN,
-		    "this call was refused before");
+	if (c->state == CALL_REFUSED)
+		send_error(t, peer, sub, SS_ERROR_CANCELLED, OUTCOME_NOT_RUN,
+			   "this call was refused before");
 	else
 		subscribe(t, c, peer, sub, have);
 }
@@ -231,37 +232,37 @@
 	struct call *c = find(t, m->entry, m->seq);
 
 	if (c) {
-		answer_known(t, c, peer, m->sub, 0);
+		reply_known(t, c, peer, m->sub, 0);
 		return;
 	}
 	if (m->incarnation != t->o.incarnation) {
-		/* Not run here, but the incarnation it is for may have. */
-		say(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
-		    "the agent has restarted");
+		/* An earlier incarnation of the agent may have run it. */
+		send_error(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
+			   "the agent has restarted");
 		return;
 	}
-	if (was_forgotten(t, m->entry, m->seq)) {
-		say(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
-		    "too old to know whether it ran");
+	if (was_evicted(t, m->entry, m->seq)) {
+		send_error(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
+			   "too old to know whether it ran");
 		return;
 	}
 	c = add(t, m->entry, m->seq);
 	c->once = m->once;
 	c->data = data;
 	if (refusal) {
-		make_dead(t, c, now);
-		say(t, peer, m->sub, (enum ss_error)refusal->code,
-		    OUTCOME_NOT_RUN, refusal->message);
+		mark_refused(t, c, now);
+		send_error(t, peer, m->sub, (enum ss_error)refusal->code,
+			   OUTCOME_NOT_RUN, refusal->message);
 		return;
 	}
-	move(c, &t->running, SS_NEVER);
+	move_to_queue(c, &t->running, SS_NEVER);
 	subscribe(t, c, peer, m->sub, 0);
 	t->o.ops->start(t->o.arg, c, m);
 }
 
 bool calls_known(const struct calls *t, uint64_t entry, uint64_t seq)
 {
-	return find(t, entry, seq) || was_forgotten(t, entry, seq);
+	return find(t, entry, seq) || was_evicted(t, entry, seq);
 }
 
 void calls_attach(struct calls *t, void *peer, const struct msg_attach *m,
@@ -270,28 +271,29 @@
 	struct call *c = find(t, m->entry, m->seq);
 
 	if (c) {
-		answer_known(t, c, peer, m->sub, m->have);
+		reply_known(t, c, peer, m->sub, m->have);
 	} else if (m->incarnation != t->o.incarnation) {
-		say(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
-		    "the agent has restarted");
-	} else if (was_forgotten(t, m->entry, m->seq)) {
-		say(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
-		    "too old to know whether it ran");
+		send_error(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
+			   "the agent has restarted");
+	} else if (was_evicted(t, m->entry, m->seq)) {
+		send_error(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_UNKNOWN,
+			   "too old to know whether it ran");
 	} else {
 		/*
-		 * The call may still be on its way, on a connection that the
-		 * entry gave up. Dead from now on, it can't run any more,
-		 * which is what makes "not run" true.
+		 * The call may still arrive on a connection that the entry
+		 * has given up. Recording its id as refused keeps it from
+		 * running then, so that OUTCOME_NOT_RUN stays true.
 		 */
-		make_dead(t, add(t, m->entry, m->seq), now);
-		say(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_NOT_RUN,
-		    "the call never arrived");
+		mark_refused(t, add(t, m->entry, m->seq), now);
+		send_error(t, peer, m->sub, SS_ERROR_LOST, OUTCOME_NOT_RUN,
+			   "the call never arrived");
 	}
 }
 
-static bool drop_subscriber(struct call *c, void *peer, uint64_t sub, bool all)
+static bool remove_subscriber(struct call *c, void *peer, uint64_t sub,
+			      bool all)
 {
-	bool dropped = false;
+	bool removed = false;
 
 	for (guint i = c->subs->len; i-- > 0;) {
 		struct subscriber *s =
@@ -299,13 +301,13 @@
 
 		if (s->peer == peer && (all || s->sub == sub)) {
 			g_array_remove_index(c->subs, i);
-			dropped = true;
+			removed = true;
 		}
 	}
-	return dropped;
+	return removed;
 }
 
-static void cancel_alone(struct calls *t, struct call *c)
+static void cancel_unsubscribed(struct calls *t, struct call *c)
 {
 	if (c->state != CALL_RUNNING || c->subs->len || c->cancelled)
 		return;
@@ -319,9 +321,9 @@
 	for (GList *p = t->running.head; p; p = p->next) {
 		struct call *c = p->data;
 
-		if (!drop_subscriber(c, peer, sub, false))
+		if (!remove_subscriber(c, peer, sub, false))
 			continue;
-		cancel_alone(t, c);
+		cancel_unsubscribed(t, c);
 		return;
 	}
 }
@@ -331,8 +333,8 @@
 	for (GList *p = t->running.head; p; p = p->next) {
 		struct call *c = p->data;
 
-		if (drop_subscriber(c, peer, 0, true) && c->subs->len == 0)
-			c->alone_ms = now;
+		if (remove_subscriber(c, peer, 0, true) && c->subs->len == 0)
+			c->orphaned_ms = now;
 	}
 }
 
@@ -356,19 +358,19 @@
 	c->data = NULL;
 	g_array_set_size(c->subs, 0);
 	if (c->once)
-		move(c, &t->done_once, now + CALLS_KEEP_ONCE_MS);
+		move_to_queue(c, &t->done_once, now + CALLS_KEEP_ONCE_MS);
 	else
-		move(c, &t->done, now + CALLS_KEEP_MS);
+		move_to_queue(c, &t->done, now + CALLS_KEEP_MS);
 }
 
-static void forget_old(struct calls *t, GQueue *q, int64_t now, size_t bytes)
+static void evict_old(struct calls *t, GQueue *q, int64_t now, size_t bytes)
 {
 	struct call *c;
 
 	while ((c = g_queue_peek_head(q)) &&
 	       (c->until_ms <= now || t->bytes > bytes ||
 		g_hash_table_size(t->by_id) > CALLS_COUNT_MAX))
-		forget(t, c);
+		evict(t, c);
 }
 
 static void cancel_orphans(struct calls *t, int64_t now)
@@ -379,19 +381,19 @@
 		struct call *c = p->data;
 
 		next = p->next;
-		/* One that may not be repeated runs on to a known end. */
-		if (!c->once && c->alone_ms != SS_NEVER &&
-		    now - c->alone_ms >= CALLS_ORPHAN_MS)
-			cancel_alone(t, c);
+		/* A call that must not run twice runs to a known outcome. */
+		if (!c->once && c->orphaned_ms != SS_NEVER &&
+		    now - c->orphaned_ms >= CALLS_ORPHAN_MS)
+			cancel_unsubscribed(t, c);
 	}
 }
 
 void calls_tick(struct calls *t, int64_t now)
 {
-	/* Answers that a caller may still claim go last. */
-	forget_old(t, &t->done, now, CALLS_BYTES_MAX / 2);
-	forget_old(t, &t->dead, now, SIZE_MAX);
-	forget_old(t, &t->done_once, now, CALLS_BYTES_MAX);
+	/* Replies that a caller may still fetch are evicted last. */
+	evict_old(t, &t->done, now, CALLS_BYTES_MAX / 2);
+	evict_old(t, &t->refused, now, SIZE_MAX);
+	evict_old(t, &t->done_once, now, CALLS_BYTES_MAX);
 	cancel_orphans(t, now);
 }
 
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -1,31 +1,32 @@
 /*
- * An agent's table of calls: each id runs at most once, its answer is kept
- * in pieces, and an entry that lost its connection can ask what became of
- * it and read on.
+ * An agent's table of calls. Each call id runs at most once. The reply is
+ * stored in pieces, so that an entry that lost its connection can attach to
+ * the call again, learn its outcome and read the rest of the reply.
  */
 #ifndef SS_CALLS_H
 #define SS_CALLS_H
 
 #include "msg.h"
 
-/* How long a finished call can still be asked for. */
+/* How long a finished call that must not run twice, or another, is kept. */
 #define CALLS_KEEP_ONCE_MS 600000
 #define CALLS_KEEP_MS 5000
-/* A refused id goes on being refused. */
-#define CALLS_KEEP_DEAD_MS 600000
-/* Answers held in all; over it the oldest finished are forgotten. */
+/* How long a refused id is kept, so that it stays refused. */
+#define CALLS_KEEP_REFUSED_MS 600000
+/* Limits of stored replies and calls; the oldest finished are evicted. */
 #define CALLS_BYTES_MAX (64u * 1024 * 1024)
 #define CALLS_COUNT_MAX 200000
-/* A repeatable call that nobody is connected for is cancelled after: */
+/* A repeatable call without a subscriber is cancelled after this time. */
 #define CALLS_ORPHAN_MS 5000
 
 struct call;
 
 struct calls_ops {
-	/* Hand the call to the endpoint. The message's strings go after. */
+	/* Passes the call to the endpoint; m is valid during start() only. */
 	void (*start)(void *arg, struct call *c, const struct msg_call *m);
-	/* Nobody wants it any more: stop it there. */
+	/* Stops the call at the endpoint; it has no subscriber left. */
 	void (*cancel)(void *arg, struct call *c);
+	/* Sends a piece of a reply to a peer. */
 	void (*reply)(void *arg, void *peer, const struct msg_reply *r);
 };
 
@@ -41,41 +42,47 @@
 void calls_free(struct calls *t);
 
 /*
- * A call came from a peer. If its id is new and refusal is NULL it starts
- * with data set; a refusal marks it dead for good, so that "not run" stays
- * true.
+ * Takes a call from a peer. A new id starts with the given data if refusal is
+ * NULL; otherwise it is recorded as refused, so that a repeated call with this
+ * id can't run and OUTCOME_NOT_RUN stays true. A known id is answered as by
+ * calls_attach(), from its first piece.
  */
 void calls_call(struct calls *t, void *peer, const struct msg_call *m,
 		const GError *refusal, void *data, int64_t now);
 
-/* True where the id is known, in whatever state. */
+/* Returns whether the id was seen before, in any state or evicted. */
 bool calls_known(const struct calls *t, uint64_t entry, uint64_t seq);
 
 /*
- * What became of a call? Running or done: its pieces from have on follow.
- * Never seen: marked dead, and answered not run. Of another incarnation,
- * or forgotten: unknown.
+ * Subscribes a peer to a call. A running or finished call sends its pieces
+ * from number have on. An id that was never seen is recorded as refused and
+ * answered OUTCOME_NOT_RUN. An evicted id, or one of another incarnation, is
+ * answered OUTCOME_UNKNOWN.
  */
 void calls_attach(struct calls *t, void *peer, const struct msg_attach *m,
 		  int64_t now);
 
+/* Removes a subscription; a call without subscribers is cancelled. */
 void calls_cancel(struct calls *t, void *peer, uint64_t sub, int64_t now);
+/* Removes all subscriptions of a disconnected peer. */
 void calls_peer_gone(struct calls *t, void *peer, int64_t now);
 
-/* The endpoint's answer, piece by piece; the last has end set. */
+/* Stores and forwards a piece of the endpoint's reply; the last has end set. */
 void calls_piece(struct calls *t, struct call *c, struct msg_reply *piece,
 		 int64_t now);
 
+/* Evicts expired calls and cancels orphaned ones. */
 void calls_tick(struct calls *t, int64_t now);
 
-/* What the shell keeps with a call. */
+/* The data given to calls_call(); NULL once the call has finished. */
 void *call_data(const struct call *c);
 uint64_t call_entry(const struct call *c);
 uint64_t call_seq(const struct call *c);
-/* Pieces so far. */
+/* Number of pieces stored so far. */
 size_t call_pieces(const struct call *c);
 
 size_t calls_running(const struct calls *t);
+/* Number of calls in any state, refused ones included. */
 size_t calls_count(const struct calls *t);
 
 #endif
