--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -1,4 +1,4 @@
-/* An agent's ledger of replicas and memory. */
+/* An agent's ledger of replicas and accelerator memory. */
 #include "ledger.h"
 
 struct ledger {
@@ -6,10 +6,10 @@
 	uint64_t bytes;
 	GPtrArray *replicas; /* struct ledger_replica */
 	uint64_t fence;
-	bool truth; /* the endpoint has been read since the start */
-	bool draining_order, draining_self;
-	int64_t leader_ms; /* when a leader was last heard */
-	uint64_t reads;	   /* numbers reads and orders in one row */
+	bool read_done; /* the endpoint has been read at least once */
+	bool draining_by_leader, draining_self;
+	int64_t leader_ms; /* time of the leader's last message */
+	uint64_t last_seq; /* of a read or an answered order */
 	uint64_t active;
 };
 
@@ -73,7 +73,7 @@
 	uint64_t sum = 0;
 
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (at(l, i)->have != HAVE_NOTHING)
+		if (at(l, i)->state != LEDGER_UNLOADED)
 			sum += at(l, i)->bytes;
 	return sum;
 }
@@ -85,14 +85,14 @@
 	if (!*r->base)
 		return true;
 	base = find(l, ss_str(r->base));
-	return base && base->have == HAVE_READY && !base->unload;
+	return base && base->state == LEDGER_READY && !base->unload;
 }
 
 static bool has_adapters(const struct ledger *l, const struct ledger_replica *r)
 {
 	for (guint i = 0; i < l->replicas->len; i++)
 		if (!strcmp(at(l, i)->base, r->model) &&
-		    at(l, i)->have != HAVE_NOTHING)
+		    at(l, i)->state != LEDGER_UNLOADED)
 			return true;
 	return false;
 }
@@ -101,21 +101,23 @@
 		     int64_t now)
 {
 	/*
-	 * A process that was frozen wakes with orders from long ago; the
-	 * leader's silence shows it, and it asks before it acts.
+	 * A process that was suspended may hold an outdated assignment. The
+	 * time since the leader's last message shows it; no load starts
+	 * before the next one.
 	 */
 	if (now - l->leader_ms > LEDGER_LEASE_MS)
 		return false;
-	return l->truth && !r->unload && r->ordered && !r->asking &&
-	       r->have == HAVE_NOTHING && now >= r->retry_ms &&
+	return l->read_done && !r->unload && r->assigned && !r->order_pending &&
+	       r->state == LEDGER_UNLOADED && now >= r->retry_ms &&
 	       r->failures < LEDGER_FAILURES_MAX && base_ready(l, r) &&
 	       ledger_bytes(l) + r->bytes <= l->bytes;
 }
 
 static bool may_unload(const struct ledger *l, const struct ledger_replica *r)
 {
-	return l->truth && r->unload && !r->asking && r->active == 0 &&
-	       r->have == HAVE_READY && !has_adapters(l, r);
+	return l->read_done && r->unload && !r->order_pending &&
+	       r->active == 0 && r->state == LEDGER_READY &&
+	       !has_adapters(l, r);
 }
 
 void ledger_tick(struct ledger *l, int64_t now)
@@ -124,12 +126,12 @@
 		struct ledger_replica *r = at(l, i);
 
 		if (may_unload(l, r)) {
-			r->have = HAVE_UNLOADING;
-			r->asking = true;
+			r->state = LEDGER_UNLOADING;
+			r->order_pending = true;
 			l->o.ops->unload(l->o.arg, r, l->fence);
 		} else if (may_load(l, r, now)) {
-			r->have = HAVE_LOADING;
-			r->asking = true;
+			r->state = LEDGER_LOADING;
+			r->order_pending = true;
 			r->load_start_ms = now;
 			l->o.ops->load(l->o.arg, r, l->fence);
 		}
@@ -141,19 +143,19 @@
 	l->leader_ms = now;
 }
 
-/* Forget what is neither wanted nor held. */
-static void sweep(struct ledger *l)
+/* Removes replicas that are neither assigned nor held. */
+static void remove_unused(struct ledger *l)
 {
 	for (guint i = l->replicas->len; i-- > 0;) {
 		struct ledger_replica *r = at(l, i);
 
-		if (!r->ordered && r->have == HAVE_NOTHING && !r->asking &&
-		    r->active == 0)
+		if (!r->assigned && r->state == LEDGER_UNLOADED &&
+		    !r->order_pending && r->active == 0)
 			g_ptr_array_remove_index(l->replicas, i);
 	}
 }
 
-static void take_order(struct ledger *l, const struct order *o)
+static void apply_order(struct ledger *l, const struct order *o)
 {
 	struct ledger_replica *r = find(l, o->model);
 
@@ -167,7 +169,7 @@
 	r->bytes = o->bytes;
 	r->slots = MAX(o->slots, 1);
 	r->unload = o->unload;
-	r->ordered = true;
+	r->assigned = true;
 }
 
 bool ledger_assign(struct ledger *l, const struct msg_assign *a, int64_t now,
@@ -187,67 +189,67 @@
 		return false;
 	}
 	l->fence = a->fence;
-	l->draining_order = a->draining;
+	l->draining_by_leader = a->draining;
 	ledger_leader_heard(l, now);
 	if (l->o.service)
 		return true;
 	for (guint i = 0; i < l->replicas->len; i++) {
-		at(l, i)->ordered = false;
+		at(l, i)->assigned = false;
 		at(l, i)->unload = true;
 	}
 	for (size_t i = 0; i < a->orders.n; i++)
-		take_order(l, &o[i]);
-	sweep(l);
+		apply_order(l, &o[i]);
+	remove_unused(l);
 	ledger_tick(l, now);
 	return true;
 }
 
 uint64_t ledger_read_begin(struct ledger *l)
 {
-	return ++l->reads;
+	return ++l->last_seq;
 }
 
-static void failed(struct ledger *l, struct ledger_replica *r, int64_t now)
+static void load_failed(struct ledger *l, struct ledger_replica *r, int64_t now)
 {
-	r->have = HAVE_NOTHING;
+	r->state = LEDGER_UNLOADED;
 	r->retry_ms = now + (LEDGER_RETRY_MS << MIN(r->failures, 8));
 	r->failures++;
 	l->o.ops->changed(l->o.arg);
 }
 
-/* The endpoint says that it holds this model. */
-static void seen(struct ledger *l, const struct held *h, int64_t now)
+/* Updates a replica that a read of the endpoint lists. */
+static void apply_held(struct ledger *l, const struct held *h, int64_t now)
 {
-	static const enum have_state states[] = {
-		[HELD_LOADING] = HAVE_LOADING,
-		[HELD_READY] = HAVE_READY,
-		[HELD_UNLOADING] = HAVE_UNLOADING,
+	static const enum ledger_state states[] = {
+		[HELD_LOADING] = LEDGER_LOADING,
+		[HELD_READY] = LEDGER_READY,
+		[HELD_UNLOADING] = LEDGER_UNLOADING,
 	};
 	struct ledger_replica *r = find(l, h->model);
-	enum have_state before;
+	enum ledger_state before;
 
 	if (h->state < HELD_LOADING || h->state > HELD_UNLOADING)
 		return;
 	if (!r) {
 		r = add(l, h->model);
-		/* Known to nobody: once an assignment has come, it goes. */
+		/* Not assigned: unloaded if an assignment has arrived. */
 		r->unload = l->fence > 0;
 	}
-	before = r->have;
-	r->have = states[h->state];
+	before = r->state;
+	r->state = states[h->state];
 	r->bytes = MAX(r->bytes, h->bytes);
-	if (r->have == before)
+	if (r->state == before)
 		return;
-	if (r->have == HAVE_READY) {
+	if (r->state == LEDGER_READY) {
 		r->failures = 0;
 		r->idle_ms = now;
-		if (before == HAVE_LOADING)
+		if (before == LEDGER_LOADING)
 			r->load_ms = now - r->load_start_ms;
 	}
 	l->o.ops->changed(l->o.arg);
 }
 
-static bool listed(const struct held *held, size_t n, const char *model)
+static bool is_listed(const struct held *held, size_t n, const char *model)
 {
 	for (size_t i = 0; i < n; i++)
 		if (ss_str_eq(held[i].model, ss_str(model)))
@@ -258,29 +260,29 @@
 void ledger_read_done(struct ledger *l, uint64_t read, const struct held *held,
 		      size_t n, int64_t now)
 {
-	l->truth = true;
+	l->read_done = true;
 	if (l->o.service)
 		return;
 	for (size_t i = 0; i < n; i++) {
 		struct ledger_replica *r = find(l, held[i].model);
 
-		if (!r || (!r->asking && read > r->asked))
-			seen(l, &held[i], now);
+		if (!r || (!r->order_pending && read > r->order_seq))
+			apply_held(l, &held[i], now);
 	}
 	for (guint i = 0; i < l->replicas->len; i++) {
 		struct ledger_replica *r = at(l, i);
 
-		if (r->asking || read <= r->asked || r->have == HAVE_NOTHING ||
-		    listed(held, n, r->model))
+		if (r->order_pending || read <= r->order_seq ||
+		    r->state == LEDGER_UNLOADED || is_listed(held, n, r->model))
 			continue;
-		if (r->have == HAVE_LOADING) {
-			failed(l, r, now);
+		if (r->state == LEDGER_LOADING) {
+			load_failed(l, r, now);
 		} else {
-			r->have = HAVE_NOTHING;
+			r->state = LEDGER_UNLOADED;
 			l->o.ops->changed(l->o.arg);
 		}
 	}
-	sweep(l);
+	remove_unused(l);
 	ledger_tick(l, now);
 }
 
@@ -288,16 +290,16 @@
 {
 	struct ledger_replica *r = find(l, ss_str(model));
 
-	if (!r || !r->asking)
+	if (!r || !r->order_pending)
 		return;
-	r->asking = false;
+	r->order_pending = false;
 	/*
-	 * Also after a refusal, or no answer at all, only what the endpoint
-	 * says in a read asked from now on tells what it holds: "no answer"
-	 * is not "not loaded", and its memory stays counted until then.
+	 * Only a read requested from now on shows what the endpoint holds,
+	 * also after a refusal or without an answer. A load without an answer
+	 * may have happened, so its memory stays counted until that read.
 	 */
-	r->asked = ++l->reads;
-	if (!ok && r->have == HAVE_LOADING)
+	r->order_seq = ++l->last_seq;
+	if (!ok && r->state == LEDGER_LOADING)
 		l->o.ops->changed(l->o.arg);
 	(void)now;
 }
@@ -315,11 +317,11 @@
 	r = find(l, model);
 	if (l->o.service && !r) {
 		r = add(l, model);
-		r->ordered = true;
+		r->assigned = true;
 		r->slots = MAX(l->o.slots, 1);
-		r->have = HAVE_READY;
+		r->state = LEDGER_READY;
 	}
-	if (!r || r->have != HAVE_READY || r->unload || !r->ordered) {
+	if (!r || r->state != LEDGER_READY || r->unload || !r->assigned) {
 		g_set_error(error, SS_ERROR, SS_ERROR_UNKNOWN_MODEL,
 			    "no replica of it is ready here");
 		return NULL;
@@ -351,7 +353,7 @@
 
 bool ledger_draining(const struct ledger *l)
 {
-	return l->draining_self || l->draining_order;
+	return l->draining_self || l->draining_by_leader;
 }
 
 uint64_t ledger_fence(const struct ledger *l)
@@ -367,22 +369,23 @@
 bool ledger_busy(const struct ledger *l)
 {
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (at(l, i)->asking || at(l, i)->have == HAVE_LOADING ||
-		    at(l, i)->have == HAVE_UNLOADING)
+		if (at(l, i)->order_pending ||
+		    at(l, i)->state == LEDGER_LOADING ||
+		    at(l, i)->state == LEDGER_UNLOADING)
 			return true;
-	return !l->truth;
+	return !l->read_done;
 }
 
 static int64_t reported_state(const struct ledger_replica *r)
 {
-	switch (r->have) {
-	case HAVE_LOADING:
+	switch (r->state) {
+	case LEDGER_LOADING:
 		return HELD_LOADING;
-	case HAVE_READY:
+	case LEDGER_READY:
 		return HELD_READY;
-	case HAVE_UNLOADING:
+	case LEDGER_UNLOADING:
 		return HELD_UNLOADING;
-	case HAVE_NOTHING:
+	case LEDGER_UNLOADED:
 		break;
 	}
 	if (r->unload)
@@ -394,8 +397,8 @@
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct held));
 
-	/* Before the endpoint was read, silence would pass for "nothing". */
-	for (guint i = 0; l->truth && i < l->replicas->len; i++) {
+	/* Before the first read it isn't known what the endpoint holds. */
+	for (guint i = 0; l->read_done && i < l->replicas->len; i++) {
 		const struct ledger_replica *r = at(l, i);
 		struct held h = { .replica = r->id,
 				  .model = ss_str(r->model),
