--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -1,27 +1,35 @@
-/* The leader's decisions on replicas. */
+/* The leader's planning of replicas: placement, eviction, load order. */
 #include "plan.h"
 
 #include "state.h"
 
 #define MINUTE_MS 60000.0
-#define BYTES_PER_MS_FIRST 1.0e6 /* 1 GB/s until a load was seen */
-#define PACE_ALPHA 0.3
-/* Order, answer and report of a load beside the reading itself, in ms: two
- * ticks of the agent. */
+#define BYTES_PER_MS_INITIAL 1.0e6 /* 1 GB/s, until the first load */
+#define SPEED_ALPHA 0.3		   /* weight of the newest load's speed */
+/* Time for order, answer and report of a load: two ticks of the agent. */
 #define LOAD_OVERHEAD_MS 50
-/* Loads from disk and memory against those from the store. */
+/* Duration of loads from disk and memory, relative to the store. */
 #define DISK_FACTOR 0.4
 #define MEMORY_FACTOR 0.1
-/* A second replica is asked for when the queue needs more than this share
- * of the time that is left. */
+/*
+ * Another replica is loaded when the queue needs more than this share of the
+ * time until its earliest deadline.
+ */
 #define SCALE_SLACK_SHARE 0.5
-#define SERVICE_MS_GUESS 1000
-/* An idle replica this young isn't evicted for another model. */
+/* Expected duration of a call. */
+#define SERVICE_MS 1000
+/* An idle replica younger than this isn't evicted for another model. */
 #define EVICT_AGE_MIN_MS 2000
-/* An idle replica is worth half its load after so long. */
-#define WORTH_HALF_MS 600000
-/* A load this much slower than expected has no known end. */
+/* Idle time after which evicting a replica costs half of its load time. */
+#define EVICT_COST_HALF_MS 600000
+/* A load is expected to take at least its age times this in all. */
 #define OVERDUE_FACTOR 1.5
+/* Placement cost of each replica in the same failure domain, in load times. */
+#define SAME_DOMAIN_COST 0.5
+/* Placement cost of each load in progress on the node, in load times. */
+#define BUSY_NODE_COST 0.25
+/* Best fit: cost of free memory, to leave large holes for large models. */
+#define FREE_MS_PER_BYTE 1e-9
 
 static const double tier_factor[] = { [TIER_REMOTE] = 1,
 				      [TIER_DISK] = DISK_FACTOR,
@@ -31,14 +39,14 @@
 {
 	p->tokens = 1;
 	p->at_ms = now;
-	p->bytes_per_ms = BYTES_PER_MS_FIRST;
+	p->bytes_per_ms = BYTES_PER_MS_INITIAL;
 }
 
 void pacer_loaded(struct pacer *p, uint64_t bytes, int64_t took_ms)
 {
 	double rate = (double)bytes / (double)MAX(took_ms, 1);
 
-	p->bytes_per_ms += PACE_ALPHA * (rate - p->bytes_per_ms);
+	p->bytes_per_ms += SPEED_ALPHA * (rate - p->bytes_per_ms);
 }
 
 int64_t pacer_load_ms(const struct pacer *p, uint64_t bytes, enum ss_tier tier)
@@ -53,25 +61,26 @@
 	double per_ms = (double)preset->store_per_minute / MINUTE_MS;
 
 	p->tokens += (double)(now - p->at_ms) * per_ms;
-	/* What may be saved up is one second's worth, and at least one. */
+	/* The bucket holds the tokens of one second, and at least one. */
 	p->tokens = MIN(p->tokens, MAX(per_ms * 1000, 1));
 	p->at_ms = now;
 }
 
-/* One pass: the view with its replicas sorted by node. */
+/* State of one plan_run(): the view, with its replicas indexed by node. */
 struct pass {
 	const struct plan_view *v;
 	struct pacer *p;
 	const struct plan_ops *ops;
 	void *arg;
-	size_t loading;
-	int *first;    /* of a node's replicas, by node; -1: none */
-	int *next;     /* the same node's next one, by replica */
-	bool *wanted;  /* by replica: somebody waits for its model */
-	bool *evicted; /* by replica: unloaded in this pass */
+	size_t loading; /* loads in progress */
+	int *first;	/* by node: its first replica, or -1 */
+	int *next;	/* by replica: the next one of its node, or -1 */
+	bool *wanted;	/* by replica: there is demand for its model */
+	bool *evicted;	/* by replica: unloaded in this pass */
 };
 
-static bool has(const struct pass *s, const char *model, int node, bool ready)
+static bool node_has(const struct pass *s, const char *model, int node,
+		     bool ready)
 {
 	for (int i = s->first[node]; i >= 0; i = s->next[i]) {
 		const struct plan_replica *r = &s->v->replicas[i];
@@ -91,16 +100,16 @@
 	return false;
 }
 
-/* Replicas of a model in the view. */
+/* Counts of a model's replicas in the view. */
 struct tally {
-	size_t all;	/* whatever their state: the decided count */
+	size_t all;	/* in any state and on any node */
 	size_t serving; /* ready on a usable node */
-	size_t loading;
-	uint64_t slots;
+	size_t loading; /* on a usable node, and not failed */
+	uint64_t slots; /* of both */
 	int64_t oldest_load_ms;
 };
 
-static struct tally tally_of(const struct plan_view *v, const char *model)
+static struct tally count_replicas(const struct plan_view *v, const char *model)
 {
 	struct tally t = { 0 };
 
@@ -124,8 +133,8 @@
 	return t;
 }
 
-static int64_t load_time(const struct pacer *p, const struct plan_demand *d,
-			 enum ss_tier tier)
+static int64_t load_ms_of(const struct pacer *p, const struct plan_demand *d,
+			  enum ss_tier tier)
 {
 	if (d->load_ms)
 		return (int64_t)((double)d->load_ms * tier_factor[tier]);
@@ -148,7 +157,7 @@
 	return ss_keep_ms(a ? a : &none, v->prior, &c);
 }
 
-static bool is_wanted(const struct plan_view *v, const char *model)
+static bool has_demand(const struct plan_view *v, const char *model)
 {
 	for (size_t i = 0; i < v->n_demands; i++)
 		if (!strcmp(v->demands[i].model, model) ||
@@ -168,18 +177,20 @@
 }
 
 /*
- * What unloading it now costs: its next load, less likely to be needed
- * the longer nobody has used it. In ms, as the time of a load is.
+ * Cost of unloading a replica now, in ms: the time of its next load, weighed
+ * lower the longer the replica has been idle, as it is less likely to be
+ * needed.
  */
-static double worth(const struct pass *s, const struct plan_replica *r)
+static double evict_cost(const struct pass *s, const struct plan_replica *r)
 {
 	double load = (double)pacer_load_ms(s->p, r->bytes, TIER_REMOTE);
 
-	return load * WORTH_HALF_MS / (double)(r->idle_ms + WORTH_HALF_MS);
+	return load * EVICT_COST_HALF_MS /
+	       (double)(r->idle_ms + EVICT_COST_HALF_MS);
 }
 
-/* Bytes that are being freed on a node already. */
-static uint64_t leaving_bytes(const struct pass *s, int node)
+/* Bytes on a node that unloads in progress will free. */
+static uint64_t bytes_being_freed(const struct pass *s, int node)
 {
 	uint64_t sum = 0;
 
@@ -190,7 +201,7 @@
 	return sum;
 }
 
-static bool is_in(const GArray *list, int i)
+static bool contains(const GArray *list, int i)
 {
 	for (guint k = 0; k < list->len; k++)
 		if (g_array_index(list, int, k) == i)
@@ -199,11 +210,12 @@
 }
 
 /*
- * The cost of making room for bytes on a node: the worth of what goes.
- * Negative where it can't be done. The victims' indices are put in out.
+ * Returns the cost of freeing enough memory on a node for bytes: the sum of
+ * its victims' costs, or -1 if it can't be freed. Stores the victims' indices
+ * in out.
  */
-static double eviction(const struct pass *s, int node, uint64_t bytes,
-		       GArray *out)
+static double choose_victims(const struct pass *s, int node, uint64_t bytes,
+			     GArray *out)
 {
 	const struct plan_node *n = &s->v->nodes[node];
 	uint64_t room = n->bytes - MIN(n->used, n->bytes);
@@ -212,26 +224,26 @@
 	g_array_set_size(out, 0);
 	if (room >= bytes)
 		return 0;
-	room += leaving_bytes(s, node);
+	room += bytes_being_freed(s, node);
 	while (room < bytes) {
 		const struct plan_replica *r = s->v->replicas;
 		int least = -1;
 
 		for (int i = s->first[node]; i >= 0; i = s->next[i])
-			if (evictable(s, i) && !is_in(out, i) &&
+			if (evictable(s, i) && !contains(out, i) &&
 			    (least < 0 ||
-			     worth(s, &r[i]) < worth(s, &r[least])))
+			     evict_cost(s, &r[i]) < evict_cost(s, &r[least])))
 				least = i;
 		if (least < 0)
 			return -1;
 		g_array_append_val(out, least);
 		room += r[least].bytes;
-		cost += worth(s, &r[least]);
+		cost += evict_cost(s, &r[least]);
 	}
 	return cost;
 }
 
-/* Nodes that have the model, whatever its state there. */
+/* Returns the nodes with a replica of the model, in any state. */
 static GArray *nodes_with(const struct plan_view *v, const char *model)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(int));
@@ -253,36 +265,36 @@
 	return n;
 }
 
-static bool may_take(const struct pass *s, const struct plan_demand *d,
+static bool can_host(const struct pass *s, const struct plan_demand *d,
 		     const GArray *with, int i)
 {
 	const struct plan_node *n = &s->v->nodes[i];
 
 	return n->usable && (!*d->pool || !strcmp(n->pool, d->pool)) &&
-	       !is_in(with, i) && (!*d->base || has(s, d->base, i, true));
+	       !contains(with, i) &&
+	       (!*d->base || node_has(s, d->base, i, true));
 }
 
-static double place_cost(const struct pass *s, const struct plan_demand *d,
-			 const GArray *with, int i, double evict)
+static double placement_cost(const struct pass *s, const struct plan_demand *d,
+			     const GArray *with, int i, double evict)
 {
 	const struct plan_node *n = &s->v->nodes[i];
 	enum ss_tier tier = s->v->tier(s->v->arg, d->model, n->name);
-	double cost =
-		(double)load_time(s->p, d, tier) *
-		(1 + 0.5 * same_domain(s->v, with, i) + 0.25 * n->loading);
+	double cost = (double)load_ms_of(s->p, d, tier) *
+		      (1 + SAME_DOMAIN_COST * same_domain(s->v, with, i) +
+		       BUSY_NODE_COST * n->loading);
 
-	/* Best fit: leave large holes for large models. */
 	return cost + evict +
-	       1e-9 * (double)(n->bytes - MIN(n->used, n->bytes));
+	       FREE_MS_PER_BYTE * (double)(n->bytes - MIN(n->used, n->bytes));
 }
 
 /*
- * The cheapest node: the time to load there, a preference for another
- * failure domain than the replicas that exist, and what must leave. -1
- * where none can take it; the victims are put in out.
+ * Returns the cheapest node for a new replica, or -1 if none can take it. The
+ * cost counts the load time, other replicas in the same failure domain, loads
+ * in progress and evictions. Stores the indices of replicas to evict in out.
  */
-static int find_place(const struct pass *s, const struct plan_demand *d,
-		      GArray *out)
+static int find_node(const struct pass *s, const struct plan_demand *d,
+		     GArray *out)
 {
 	GArray *with = nodes_with(s->v, d->model);
 	double best_cost = 0;
@@ -291,24 +303,24 @@
 	for (int i = 0; i < (int)s->v->n_nodes; i++) {
 		double evict, cost;
 
-		if (!may_take(s, d, with, i))
+		if (!can_host(s, d, with, i))
 			continue;
-		evict = eviction(s, i, d->bytes, out);
+		evict = choose_victims(s, i, d->bytes, out);
 		if (evict < 0)
 			continue;
-		cost = place_cost(s, d, with, i, evict);
+		cost = placement_cost(s, d, with, i, evict);
 		if (best >= 0 && cost >= best_cost)
 			continue;
 		best = i;
 		best_cost = cost;
 	}
 	if (best >= 0)
-		eviction(s, best, d->bytes, out);
+		choose_victims(s, best, d->bytes, out);
 	g_array_unref(with);
 	return best;
 }
 
-/* Whether the queue's deadlines call for one more replica. */
+/* Returns whether another replica is needed to meet the queue's deadlines. */
 static bool needs_more(const struct plan_view *v, const struct plan_demand *d,
 		       const struct tally *t)
 {
@@ -318,7 +330,7 @@
 		return true;
 	if (t->all >= (size_t)v->preset->max_replicas || d->ahead)
 		return false;
-	need = (int64_t)(d->waiting / MAX(t->slots, 1)) * SERVICE_MS_GUESS;
+	need = (int64_t)(d->waiting / MAX(t->slots, 1)) * SERVICE_MS;
 	return d->waiting > t->slots &&
 	       need > (int64_t)((double)d->slack_ms * SCALE_SLACK_SHARE);
 }
@@ -337,17 +349,20 @@
 	return strcmp(x->model, y->model);
 }
 
-static int64_t expected_left(const struct pacer *p, const struct plan_demand *d,
-			     const struct tally *t)
+static int64_t load_left_ms(const struct pacer *p, const struct plan_demand *d,
+			    const struct tally *t)
 {
-	int64_t whole = load_time(p, d, TIER_REMOTE);
+	int64_t whole = load_ms_of(p, d, TIER_REMOTE);
 	int64_t overdue = (int64_t)((double)t->oldest_load_ms * OVERDUE_FACTOR);
 
-	/* A slow store shortens what is promised to new callers. */
+	/*
+	 * A load slower than expected, as from a slow store, has no known
+	 * end: the estimate grows with its age.
+	 */
 	return MAX(whole, overdue) - t->oldest_load_ms;
 }
 
-static size_t loading_now(const struct plan_view *v)
+static size_t count_loading(const struct plan_view *v)
 {
 	size_t n = 0;
 
@@ -368,14 +383,14 @@
 	}
 }
 
-static void load_at(struct pass *s, struct plan_demand *d, int node,
+static void load_on(struct pass *s, struct plan_demand *d, int node,
 		    const GArray *victims, const struct tally *t)
 {
 	const struct plan_view *v = s->v;
 	struct plan_node *n = &v->nodes[node];
 	enum ss_tier tier = v->tier(v->arg, d->model, n->name);
 
-	d->eta_ms = load_time(s->p, d, tier);
+	d->eta_ms = load_ms_of(s->p, d, tier);
 	if (n->used + d->bytes > n->bytes) {
 		d->why = "another model is unloaded first";
 		if (!d->ahead)
@@ -400,16 +415,19 @@
 			 const struct tally *t)
 {
 	GArray *victims = g_array_new(FALSE, FALSE, sizeof(int));
-	int node = find_place(s, d, victims);
+	int node = find_node(s, d, victims);
 
 	if (node < 0)
 		d->why = "no endpoint has room, or could get it";
 	else
-		load_at(s, d, node, victims, t);
+		load_on(s, d, node, victims, t);
 	g_array_unref(victims);
 }
 
-/* An adapter needs its base first: the demand passes to the base. */
+/*
+ * Returns whether the demand is for an adapter whose base model is ready on no
+ * usable node. The base model has a demand of its own and is loaded first.
+ */
 static bool base_missing(struct pass *s, struct plan_demand *d)
 {
 	const struct plan_view *v = s->v;
@@ -417,22 +435,22 @@
 	if (!*d->base)
 		return false;
 	for (int i = 0; i < (int)v->n_nodes; i++)
-		if (v->nodes[i].usable && has(s, d->base, i, true))
+		if (v->nodes[i].usable && node_has(s, d->base, i, true))
 			return false;
 	d->why = "its base is loaded first";
 	return true;
 }
 
-static void plan_demand_of(struct pass *s, struct plan_demand *d)
+static void plan_one_demand(struct pass *s, struct plan_demand *d)
 {
-	struct tally t = tally_of(s->v, d->model);
+	struct tally t = count_replicas(s->v, d->model);
 
 	d->eta_ms = -1;
 	d->why = "a replica is ready";
 	if (t.serving)
 		d->eta_ms = 0;
 	else if (t.loading)
-		d->eta_ms = expected_left(s->p, d, &t);
+		d->eta_ms = load_left_ms(s->p, d, &t);
 	if (t.loading && !t.serving)
 		d->why = "a replica is being loaded";
 	if (!needs_more(s->v, d, &t) || base_missing(s, d))
@@ -440,7 +458,7 @@
 	place_demand(s, d, &t);
 }
 
-static const char *why_unload(const struct pass *s, int i)
+static const char *unload_reason(const struct pass *s, int i)
 {
 	const struct plan_view *v = s->v;
 	const struct plan_replica *r = &v->replicas[i];
@@ -459,7 +477,7 @@
 	return "idle for longer than keeping it is worth";
 }
 
-static void sort_replicas(struct pass *s)
+static void index_replicas(struct pass *s)
 {
 	const struct plan_view *v = s->v;
 
@@ -474,7 +492,7 @@
 
 		s->next[i] = s->first[node];
 		s->first[node] = i;
-		s->wanted[i] = is_wanted(v, v->replicas[i].model);
+		s->wanted[i] = has_demand(v, v->replicas[i].model);
 	}
 }
 
@@ -493,15 +511,15 @@
 	GPtrArray *order = g_ptr_array_new();
 
 	pacer_refill(p, v->preset, v->now);
-	s.loading = loading_now(v);
-	sort_replicas(&s);
+	s.loading = count_loading(v);
+	index_replicas(&s);
 	for (size_t i = 0; i < v->n_demands; i++)
 		g_ptr_array_add(order, &v->demands[i]);
 	g_ptr_array_sort(order, by_urgency);
 	for (guint i = 0; i < order->len; i++)
-		plan_demand_of(&s, order->pdata[i]);
+		plan_one_demand(&s, order->pdata[i]);
 	for (int i = 0; i < (int)v->n_replicas; i++) {
-		const char *why = why_unload(&s, i);
+		const char *why = unload_reason(&s, i);
 
 		if (why && !s.evicted[i])
 			ops->unload(arg, &v->replicas[i], why);
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -1,8 +1,8 @@
 /*
- * The leader's decisions on replicas: which model to load where, what to
- * unload, in which order the store is used. A function of a view of the
- * system; what it decides goes through the replicated log before anyone
- * acts on it.
+ * The leader's planning of replicas: which model to load on which node, which
+ * replica to unload, and in which order models are read from the weight store.
+ * The plan is a pure function of a view of the system and the pacer. Decisions
+ * are committed to the replicated log before they are carried out.
  */
 #ifndef SS_PLAN_H
 #define SS_PLAN_H
@@ -11,7 +11,7 @@
 
 #include "preset.h"
 
-/* Where a checkpoint is near, from slow to fast. */
+/* Nearest copy of a model's checkpoint to a node, from slow to fast. */
 enum ss_tier { TIER_REMOTE, TIER_DISK, TIER_MEMORY };
 
 struct plan_node {
@@ -19,24 +19,24 @@
 	const char *domain;
 	const char *pool;
 	uint64_t bytes;
-	uint64_t used; /* decided and not known to be free */
-	bool usable;   /* live, heard, takes new work */
-	bool draining; /* heard, and to be emptied */
+	uint64_t used; /* bytes of replicas not known to be unloaded */
+	bool usable;   /* live, has reported, accepts new work */
+	bool draining; /* has reported, and its replicas are to be unloaded */
 	unsigned int loading;
 };
 
 struct plan_replica {
 	uint64_t id;
 	const char *model;
-	const char *base; /* of an adapter, else empty */
-	int node;	  /* index */
+	const char *base; /* base model of an adapter, else empty */
+	int node;	  /* index into plan_view.nodes */
 	uint64_t bytes;
 	uint64_t slots;
 	int state; /* enum replica_state */
 	uint64_t active;
 	int64_t idle_ms;
 	int64_t age_ms; /* since the decision */
-	bool failed;	/* its agent gave up loading it */
+	bool failed;	/* the agent reported the load as failed */
 };
 
 struct plan_demand {
@@ -45,17 +45,17 @@
 	const char *pool;
 	uint64_t bytes;
 	uint64_t slots;
-	uint64_t waiting;
+	uint64_t waiting; /* queued calls */
 	int64_t slack_ms; /* to the earliest deadline */
 	int priority;
-	bool ahead;	 /* nobody waits yet: history expects it */
+	bool ahead;	 /* a preload: no call waits, history predicts one */
 	int64_t load_ms; /* expected from the store; 0: unknown */
-	int64_t eta_ms;	 /* out: until a replica stands; -1: unknown */
+	int64_t eta_ms;	 /* out: until a replica is ready; -1: unknown */
 	const char *why; /* out: static text */
 };
 
 struct plan_view {
-	int64_t now; /* clock */
+	int64_t now; /* monotonic, in ms */
 	const struct preset *preset;
 	struct plan_node *nodes;
 	size_t n_nodes;
@@ -63,40 +63,44 @@
 	size_t n_replicas;
 	struct plan_demand *demands;
 	size_t n_demands;
-	/* Nearness of a checkpoint to a node. */
+	/* Nearest copy of a model's checkpoint to a node. */
 	enum ss_tier (*tier)(void *arg, const char *model, const char *node);
-	/* A model's arrivals, NULL for none; and those of all together. */
+	/* Arrivals of a model, or NULL; prior: of all models together. */
 	const struct ss_arrivals *(*arrivals)(void *arg, const char *model);
 	const struct ss_arrivals *prior;
 	void *arg;
 };
 
 struct plan_ops {
-	/* count: replicas that the model has by this view. */
+	/* Decides a load; count is the model's replicas in this view. */
 	void (*load)(void *arg, const struct plan_demand *d,
 		     const struct plan_node *n, size_t count);
+	/* Decides an unload; why is static text. */
 	void (*unload)(void *arg, const struct plan_replica *r,
 		       const char *why);
 };
 
-/* The store's pace: a token for each load, and loads at a time. */
+/* Rate limiter of loads from the weight store: a token bucket. */
 struct pacer {
-	double tokens;
-	int64_t at_ms;
-	double bytes_per_ms; /* observed of loads from the store */
+	double tokens;	     /* one for each load */
+	int64_t at_ms;	     /* time of the last refill */
+	double bytes_per_ms; /* smoothed speed of the loads */
 };
 
 void pacer_init(struct pacer *p, int64_t now);
-/* A load has ended. */
+/* Records the duration of a load. */
 void pacer_loaded(struct pacer *p, uint64_t bytes, int64_t took_ms);
-/* How long a load from a tier takes. */
+/* Returns the expected duration of a load from a tier. */
 int64_t pacer_load_ms(const struct pacer *p, uint64_t bytes, enum ss_tier tier);
 
-/* Decide. Call again whenever the view has changed, or some ms later. */
+/*
+ * Makes one plan. Call it again after each change of the view, and every few
+ * ms, as the store's tokens refill.
+ */
 void plan_run(const struct plan_view *v, struct pacer *p,
 	      const struct plan_ops *ops, void *arg);
 
-/* How long an idle replica of a model is kept, by the view's preset. */
+/* Returns how long an idle replica is kept under the view's preset. */
 int64_t plan_keep_ms(const struct plan_view *v, const struct pacer *p,
 		     const char *model, uint64_t bytes, uint64_t node_bytes);
 
