--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -1,4 +1,4 @@
-/* An agent's ledger and table of calls, under faults. */
+/* Tests of an agent's ledger and table of calls under faults. */
 #include "unit.h"
 
 #include "../src/core/calls.h"
@@ -7,9 +7,9 @@
 #define GB (1ull << 30)
 #define SELF 77
 
-/* A fake endpoint: what was ordered, in a row. */
+/* A fake endpoint, which records its orders: +model, -model. */
 struct fake {
-	GString *did;
+	GString *orders;
 	uint64_t fence;
 };
 
@@ -17,7 +17,7 @@
 {
 	struct fake *f = arg;
 
-	g_string_append_printf(f->did, "+%s", r->model);
+	g_string_append_printf(f->orders, "+%s", r->model);
 	f->fence = fence;
 }
 
@@ -26,7 +26,7 @@
 {
 	struct fake *f = arg;
 
-	g_string_append_printf(f->did, "-%s", r->model);
+	g_string_append_printf(f->orders, "-%s", r->model);
 	f->fence = fence;
 }
 
@@ -38,21 +38,21 @@
 static const struct ledger_ops fake_ops = { fake_load, fake_unload,
 					    fake_changed };
 
-struct bench {
+struct fixture {
 	struct fake f;
 	struct ledger *l;
 	int64_t now;
 };
 
-static struct bench bench_new(void)
+static struct fixture fixture_new(void)
 {
-	struct bench b = { .now = 1000 };
+	struct fixture b = { .now = 1000 };
 
-	b.f.did = g_string_new(NULL);
+	b.f.orders = g_string_new(NULL);
 	return b;
 }
 
-static void bench_start(struct bench *b)
+static void fixture_start(struct fixture *b)
 {
 	struct ledger_options o = { .incarnation = SELF,
 				    .ops = &fake_ops,
@@ -62,13 +62,13 @@
 	ledger_set_bytes(b->l, 10 * GB);
 }
 
-static void bench_free(struct bench *b)
+static void fixture_free(struct fixture *b)
 {
 	ledger_free(b->l);
-	g_string_free(b->f.did, TRUE);
+	g_string_free(b->f.orders, TRUE);
 }
 
-static bool assign(struct bench *b, uint64_t fence, const struct order *o,
+static bool assign(struct fixture *b, uint64_t fence, const struct order *o,
 		   size_t n)
 {
 	struct msg_assign a = { .fence = fence,
@@ -78,7 +78,7 @@
 	return ledger_assign(b->l, &a, b->now, NULL);
 }
 
-static void truth(struct bench *b, const struct held *h, size_t n)
+static void read_engine(struct fixture *b, const struct held *h, size_t n)
 {
 	ledger_read_done(b->l, ledger_read_begin(b->l), h, n, b->now);
 }
@@ -94,149 +94,151 @@
 	}
 
 /*
- * Symptom: a model is loaded that nobody decided any more. Sequence: an
- * order of an old leader arrives after one of the new leader. Cause: the
- * engine ignores the number, so the agent itself must refuse.
+ * Guards against loading a model that is no longer assigned: an old leader's
+ * assignment arrives after one of the new leader. The engine ignores fencing
+ * numbers, so the agent must refuse it.
  */
-static void old_orders_are_refused(void **state)
+static void old_assignments_are_refused(void **state)
 {
 	struct order a = ORDER(5, "a", GB), c = ORDER(9, "c", GB);
 	struct msg_assign other = { .fence = 99, .incarnation = SELF + 1 };
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, NULL, 0);
+	fixture_start(&b);
+	read_engine(&b, NULL, 0);
 	assert_true(assign(&b, 9, &c, 1));
 	assert_false(assign(&b, 5, &a, 1));
-	assert_string_equal(b.f.did->str, "+c");
+	assert_string_equal(b.f.orders->str, "+c");
 	assert_int_equal(b.f.fence, 9);
 	assert_false(ledger_assign(b.l, &other, b.now, NULL));
-	bench_free(&b);
+	fixture_free(&b);
 }
 
 /*
- * Symptom: memory overcommitted after an agent's restart. Sequence: the
- * agent dies during a load; the new one gets an order at once. Cause: it
- * hasn't read what the engine holds.
+ * Guards against overcommitted memory after an agent's restart: the agent
+ * crashes during a load, and its successor gets an assignment before it has
+ * read what the engine holds.
  */
 static void restarted_agent_reads_before_it_acts(void **state)
 {
 	struct order a = ORDER(5, "a", 6 * GB);
 	struct held big = HELD("old", 8 * GB, HELD_LOADING);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 
 	(void)state;
-	bench_start(&b);
+	fixture_start(&b);
 	assign(&b, 5, &a, 1);
-	assert_string_equal(b.f.did->str, "");
-	truth(&b, &big, 1);
-	assert_string_equal(b.f.did->str, "");
+	assert_string_equal(b.f.orders->str, "");
+	read_engine(&b, &big, 1);
+	assert_string_equal(b.f.orders->str, "");
 	big.state = HELD_READY;
-	truth(&b, &big, 1);
-	/* Nobody decided it: unloaded first. */
-	assert_string_equal(b.f.did->str, "-old");
+	read_engine(&b, &big, 1);
+	/* The old model is not assigned, so it is unloaded first. */
+	assert_string_equal(b.f.orders->str, "-old");
 	ledger_answered(b.l, "old", true, b.now);
-	truth(&b, NULL, 0);
-	assert_string_equal(b.f.did->str, "-old+a");
-	bench_free(&b);
+	read_engine(&b, NULL, 0);
+	assert_string_equal(b.f.orders->str, "-old+a");
+	fixture_free(&b);
 }
 
 /*
- * Symptom: a load is started twice, or its memory given away. Sequence:
- * the engine doesn't answer the order; a read that was asked before says
- * "nothing held". Cause: "no answer" taken for "not loaded".
+ * Guards against starting a load twice, or using its memory for another: the
+ * engine doesn't answer the order, and a read requested before it lists no
+ * models. A load without an answer must not be taken for one that failed.
  */
 static void unanswered_load_stays_counted(void **state)
 {
 	struct order both[] = { ORDER(5, "a", 6 * GB), ORDER(6, "b", 6 * GB) };
 	struct held a = HELD("a", 6 * GB, HELD_LOADING);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 	uint64_t before;
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, NULL, 0);
+	fixture_start(&b);
+	read_engine(&b, NULL, 0);
 	assign(&b, 6, both, 2);
-	assert_string_equal(b.f.did->str, "+a");
+	assert_string_equal(b.f.orders->str, "+a");
 	before = ledger_read_begin(b.l);
 	ledger_answered(b.l, "a", false, b.now);
 	ledger_read_done(b.l, before, NULL, 0, b.now);
 	assert_int_equal(ledger_bytes(b.l), 6 * GB);
-	assert_string_equal(b.f.did->str, "+a");
-	/* Asked after it, the engine has it after all. */
-	truth(&b, &a, 1);
+	assert_string_equal(b.f.orders->str, "+a");
+	/* A read requested after the order shows that the load has begun. */
+	read_engine(&b, &a, 1);
 	a.state = HELD_READY;
-	truth(&b, &a, 1);
-	assert_string_equal(b.f.did->str, "+a");
-	bench_free(&b);
+	read_engine(&b, &a, 1);
+	assert_string_equal(b.f.orders->str, "+a");
+	fixture_free(&b);
 }
 
 /*
- * Symptom: a process frozen for minutes wakes and loads what was decided
- * before its sleep. Cause: it acts before it looks at the time.
+ * Guards against loads from an outdated assignment: a process that was
+ * suspended for minutes resumes and acts before it checks how long ago the
+ * leader's last message came.
  */
-static void frozen_agent_asks_before_it_loads(void **state)
+static void suspended_agent_waits_for_leader_before_load(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct held big = HELD("x", 10 * GB, HELD_READY);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, &big, 1);
+	fixture_start(&b);
+	read_engine(&b, &big, 1);
 	assign(&b, 5, &a, 1);
 	ledger_answered(b.l, "x", true, b.now);
 	b.now += LEDGER_LEASE_MS + 1;
-	truth(&b, NULL, 0);
-	assert_string_equal(b.f.did->str, "-x");
+	read_engine(&b, NULL, 0);
+	assert_string_equal(b.f.orders->str, "-x");
 	ledger_leader_heard(b.l, b.now);
 	ledger_tick(b.l, b.now);
-	assert_string_equal(b.f.did->str, "-x+a");
-	bench_free(&b);
+	assert_string_equal(b.f.orders->str, "-x+a");
+	fixture_free(&b);
 }
 
-/* An unload waits for the calls on the model; new ones are refused. */
+/* An unload waits for the model's calls; new calls are refused. */
 static void unload_cuts_no_call(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct held h = HELD("a", GB, HELD_READY);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 	struct ledger_replica *r;
 	GError *error = NULL;
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, NULL, 0);
+	fixture_start(&b);
+	read_engine(&b, NULL, 0);
 	assign(&b, 5, &a, 1);
 	ledger_answered(b.l, "a", true, b.now);
-	truth(&b, &h, 1);
+	read_engine(&b, &h, 1);
 	r = ledger_begin(b.l, SS_LIT("a"), NULL);
 	assert_non_null(r);
 	a.unload = true;
 	assign(&b, 6, &a, 1);
-	assert_string_equal(b.f.did->str, "+a");
+	assert_string_equal(b.f.orders->str, "+a");
 	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
 	assert_int_equal(error->code, SS_ERROR_UNKNOWN_MODEL);
 	g_clear_error(&error);
 	ledger_end(b.l, r, b.now);
-	assert_string_equal(b.f.did->str, "+a-a");
-	bench_free(&b);
+	assert_string_equal(b.f.orders->str, "+a-a");
+	fixture_free(&b);
 }
 
+/* Calls are refused when all slots are taken and while draining. */
 static void slots_and_draining_refuse(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct held h = HELD("a", GB, HELD_READY);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 	GError *error = NULL;
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, NULL, 0);
+	fixture_start(&b);
+	read_engine(&b, NULL, 0);
 	assign(&b, 5, &a, 1);
 	ledger_answered(b.l, "a", true, b.now);
-	truth(&b, &h, 1);
+	read_engine(&b, &h, 1);
 	assert_non_null(ledger_begin(b.l, SS_LIT("a"), NULL));
 	assert_non_null(ledger_begin(b.l, SS_LIT("a"), NULL));
 	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
@@ -246,39 +248,40 @@
 	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
 	assert_int_equal(error->code, SS_ERROR_DRAINING);
 	g_clear_error(&error);
-	bench_free(&b);
+	fixture_free(&b);
 }
 
-/* A load that fails again and again is told, not tried for ever. */
+/* A load that fails repeatedly is reported and not retried forever. */
 static void failing_load_is_given_up(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
-	struct bench b = bench_new();
+	struct fixture b = fixture_new();
 	GArray *report;
 
 	(void)state;
-	bench_start(&b);
-	truth(&b, NULL, 0);
+	fixture_start(&b);
+	read_engine(&b, NULL, 0);
 	assign(&b, 5, &a, 1);
 	for (int i = 0; i < 6; i++) {
 		ledger_answered(b.l, "a", false, b.now);
-		truth(&b, NULL, 0);
+		read_engine(&b, NULL, 0);
 		b.now += 60000;
 		ledger_leader_heard(b.l, b.now);
 		ledger_tick(b.l, b.now);
 	}
-	assert_string_equal(b.f.did->str, "+a+a+a");
+	assert_string_equal(b.f.orders->str, "+a+a+a");
 	report = ledger_report(b.l, b.now);
 	assert_int_equal(g_array_index(report, struct held, 0).state,
 			 HELD_FAILED);
 	g_array_unref(report);
-	bench_free(&b);
+	fixture_free(&b);
 }
 
-/* The table of calls. */
+/* Tests of the table of calls. */
 
+/* Records runs, cancellations and replies, in order. */
 struct log {
-	GString *did;
+	GString *events;
 	struct call *last;
 };
 
@@ -286,7 +289,7 @@
 {
 	struct log *l = arg;
 
-	g_string_append_printf(l->did, "run%" PRIu64 " ", m->seq);
+	g_string_append_printf(l->events, "run%" PRIu64 " ", m->seq);
 	l->last = c;
 }
 
@@ -294,7 +297,7 @@
 {
 	struct log *l = arg;
 
-	g_string_append_printf(l->did, "cancel%" PRIu64 " ", call_seq(c));
+	g_string_append_printf(l->events, "cancel%" PRIu64 " ", call_seq(c));
 }
 
 static void log_reply(void *arg, void *peer, const struct msg_reply *r)
@@ -303,10 +306,10 @@
 	struct log *l = arg;
 
 	if (r->code)
-		g_string_append_printf(l->did, "%s:%s ", (char *)peer,
+		g_string_append_printf(l->events, "%s:%s ", (char *)peer,
 				       outcomes[r->outcome]);
 	else
-		g_string_append_printf(l->did, "%s:%" PRIu64 "%.*s%s ",
+		g_string_append_printf(l->events, "%s:%" PRIu64 "%.*s%s ",
 				       (char *)peer, r->seq, SS_FMT(r->data),
 				       r->end ? "." : "");
 }
@@ -320,7 +323,7 @@
 
 static struct table table_new(void)
 {
-	struct table x = { .l = { .did = g_string_new(NULL) } };
+	struct table x = { .l = { .events = g_string_new(NULL) } };
 
 	return x;
 }
@@ -337,7 +340,7 @@
 static void table_free(struct table *x)
 {
 	calls_free(x->t);
-	g_string_free(x->l.did, TRUE);
+	g_string_free(x->l.events, TRUE);
 }
 
 static void call(struct table *x, char *peer, uint64_t seq, bool once)
@@ -371,8 +374,9 @@
 }
 
 /*
- * Symptom: a booking runs twice. Sequence: the entry loses the connection
- * and asks; or sends the same id again. Cause: the agent took it as new.
+ * Guards against running a call twice: the entry loses the connection and
+ * attaches again, or sends the call again with the same id, and the agent
+ * takes it for a new one.
  */
 static void same_id_runs_once(void **state)
 {
@@ -387,15 +391,15 @@
 	piece(&x, "two", true);
 	attach(&x, "b", 7, 1, SELF);
 	call(&x, "b", 7, true);
-	assert_string_equal(x.l.did->str,
+	assert_string_equal(x.l.events->str,
 			    "run7 a:0one b:1two. b:0one b:1two. ");
 	table_free(&x);
 }
 
 /*
- * Symptom: a refusal says "not run", and yet it ran. Sequence: the entry
- * gives a connection up and asks on a new one; then the call arrives on
- * the old one. Cause: "never seen" was answered and not remembered.
+ * Guards against running a call after it was answered OUTCOME_NOT_RUN: the
+ * entry gives up a connection and attaches on a new one; then the call arrives
+ * on the old one. The agent must remember that it has answered for this id.
  */
 static void never_seen_can_never_run(void **state)
 {
@@ -405,10 +409,11 @@
 	table_start(&x);
 	attach(&x, "b", 7, 0, SELF);
 	call(&x, "a", 7, true);
-	assert_string_equal(x.l.did->str, "b:not_run a:not_run ");
+	assert_string_equal(x.l.events->str, "b:not_run a:not_run ");
 	table_free(&x);
 }
 
+/* A refused call that is sent again doesn't run. */
 static void refused_stays_refused(void **state)
 {
 	GError *full = g_error_new(SS_ERROR, SS_ERROR_OVERLOAD, "full");
@@ -421,13 +426,13 @@
 	table_start(&x);
 	calls_call(x.t, "a", &m, full, NULL, 0);
 	calls_call(x.t, "a", &m, NULL, NULL, 0);
-	assert_string_equal(x.l.did->str, "a:not_run a:not_run ");
+	assert_string_equal(x.l.events->str, "a:not_run a:not_run ");
 	g_error_free(full);
 	table_free(&x);
 }
 
-/* What is too old to know is said so, and not taken for "never seen". */
-static void forgotten_is_unknown(void **state)
+/* An evicted call has an unknown outcome; it doesn't count as never seen. */
+static void evicted_call_is_unknown(void **state)
 {
 	struct table x = table_new();
 
@@ -440,12 +445,13 @@
 	attach(&x, "a", 7, 0, SELF);
 	call(&x, "a", 7, true);
 	attach(&x, "a", 9, 0, SELF + 1);
-	assert_string_equal(x.l.did->str,
+	assert_string_equal(x.l.events->str,
 			    "run7 a:0x. a:unknown a:unknown a:unknown ");
 	table_free(&x);
 }
 
-static void callers_gone_cancel(void **state)
+/* A repeatable call is cancelled once it has no subscriber. */
+static void call_without_subscriber_is_cancelled(void **state)
 {
 	struct table x = table_new();
 
@@ -458,26 +464,26 @@
 	calls_peer_gone(x.t, "a", 0);
 	calls_tick(x.t, CALLS_ORPHAN_MS - 1);
 	calls_tick(x.t, CALLS_ORPHAN_MS);
-	/* The third may not be repeated: it goes on to a known end. */
-	assert_string_equal(x.l.did->str, "run1 run2 run3 cancel1 cancel2 ");
+	/* The third must not run twice: it continues to a known outcome. */
+	assert_string_equal(x.l.events->str, "run1 run2 run3 cancel1 cancel2 ");
 	table_free(&x);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(old_orders_are_refused),
+		cmocka_unit_test(old_assignments_are_refused),
 		cmocka_unit_test(restarted_agent_reads_before_it_acts),
 		cmocka_unit_test(unanswered_load_stays_counted),
-		cmocka_unit_test(frozen_agent_asks_before_it_loads),
+		cmocka_unit_test(suspended_agent_waits_for_leader_before_load),
 		cmocka_unit_test(unload_cuts_no_call),
 		cmocka_unit_test(slots_and_draining_refuse),
 		cmocka_unit_test(failing_load_is_given_up),
 		cmocka_unit_test(same_id_runs_once),
 		cmocka_unit_test(never_seen_can_never_run),
 		cmocka_unit_test(refused_stays_refused),
-		cmocka_unit_test(forgotten_is_unknown),
-		cmocka_unit_test(callers_gone_cancel),
+		cmocka_unit_test(evicted_call_is_unknown),
+		cmocka_unit_test(call_without_subscriber_is_cancelled),
 	};
 
 	return cmocka_run_group_tests_name("agent", tests, NULL, NULL);
