--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -1,6 +1,8 @@
 /*
- * Properties of an agent under any interleaving: its endpoint's memory is
- * never overcommitted, no call runs twice, "not run" is true.
+ * Properties of an agent under random interleavings of events: its endpoint's
+ * memory is never overcommitted, orders with an old fencing number never reach
+ * the engine, no call runs twice, and a call that was answered
+ * OUTCOME_NOT_RUN never runs.
  */
 #include <rapidcheck.h>
 
@@ -20,11 +22,12 @@
 const uint64_t kMemory = 10;
 const int kModels = 6;
 
-/* An engine that does what it is told, late, and may die. */
+/* A model of an engine: it carries out orders late and may restart. */
 struct Engine {
 	std::map<std::string, int> held; /* enum held_state */
 	std::map<std::string, uint64_t> bytes;
-	std::vector<std::pair<std::string, bool>> orders; /* load? */
+	/* Orders that wait: a model, and whether to load it. */
+	std::vector<std::pair<std::string, bool>> orders;
 
 	uint64_t used() const
 	{
@@ -36,13 +39,13 @@
 	}
 };
 
-struct Ledger {
+struct LedgerState {
 	Engine engine;
 	ledger *l = nullptr;
 	uint64_t incarnation = 1;
-	uint64_t newest = 0;
+	uint64_t newest_fence = 0;
 	int64_t now = 0;
-	std::set<std::string> decided;
+	std::set<std::string> assigned;
 };
 
 std::string name(int i)
@@ -52,18 +55,18 @@
 
 void load(void *arg, const ledger_replica *r, uint64_t fence)
 {
-	Ledger *w = static_cast<Ledger *>(arg);
+	LedgerState *w = static_cast<LedgerState *>(arg);
 
-	/* Old numbers never reach the engine, nor what nobody decided. */
-	RC_ASSERT(fence == w->newest);
-	RC_ASSERT(w->decided.count(r->model) == 1);
+	/* No old fencing number and no unassigned model reaches the engine. */
+	RC_ASSERT(fence == w->newest_fence);
+	RC_ASSERT(w->assigned.count(r->model) == 1);
 	w->engine.bytes[r->model] = r->bytes;
 	w->engine.orders.push_back({ r->model, true });
 }
 
 void unload(void *arg, const ledger_replica *r, uint64_t)
 {
-	Ledger *w = static_cast<Ledger *>(arg);
+	LedgerState *w = static_cast<LedgerState *>(arg);
 
 	RC_ASSERT(r->active == 0);
 	w->engine.orders.push_back({ r->model, false });
@@ -75,7 +78,7 @@
 
 const ledger_ops kLedgerOps = { load, unload, changed };
 
-void restart_agent(Ledger &w)
+void restart_agent(LedgerState &w)
 {
 	ledger_options o = {};
 
@@ -85,13 +88,13 @@
 	o.arg = &w;
 	w.l = ledger_new(&o);
 	ledger_set_bytes(w.l, kMemory);
-	w.newest = 0;
-	/* Orders that the engine has not taken are lost with the agent. */
+	w.newest_fence = 0;
+	/* Orders that the engine hasn't received are lost with the agent. */
 	w.engine.orders.clear();
 }
 
-/* The engine takes its oldest order, and answers or not. */
-void serve_order(Ledger &w, bool answered)
+/* The engine carries out its oldest order, and answers it or not. */
+void serve_order(LedgerState &w, bool answered)
 {
 	if (w.engine.orders.empty())
 		return;
@@ -106,7 +109,7 @@
 	ledger_answered(w.l, order.first.c_str(), answered, w.now);
 }
 
-void read_engine(Ledger &w)
+void read_engine(LedgerState &w)
 {
 	std::vector<held> list;
 	uint64_t id = ledger_read_begin(w.l);
@@ -122,8 +125,8 @@
 	ledger_read_done(w.l, id, list.data(), list.size(), w.now);
 }
 
-/* A leader's decision: models whose sum fits, numbered. */
-void assign(Ledger &w, uint32_t v, bool old)
+/* Sends an assignment of models that fit, with a new or an old number. */
+void assign(LedgerState &w, uint32_t v, bool old)
 {
 	std::vector<order> orders;
 	std::vector<std::string> names;
@@ -150,22 +153,23 @@
 		orders.push_back(o);
 	}
 	a.incarnation = w.incarnation;
-	a.fence = old && w.newest ? w.newest - 1 : w.newest + 1;
+	a.fence = old && w.newest_fence ? w.newest_fence - 1 :
+					  w.newest_fence + 1;
 	a.orders = { orders.data(), orders.size() };
-	bool fresh = a.fence >= w.newest;
+	bool fresh = a.fence >= w.newest_fence;
 
 	if (fresh) {
-		w.newest = a.fence;
-		w.decided.clear();
+		w.newest_fence = a.fence;
+		w.assigned.clear();
 		for (auto &o : orders)
 			if (!o.unload)
-				w.decided.insert(
+				w.assigned.insert(
 					std::string(o.model.p, o.model.n));
 	}
 	RC_ASSERT(ledger_assign(w.l, &a, w.now, nullptr) == fresh);
 }
 
-void ledger_step(Ledger &w, uint32_t v)
+void ledger_step(LedgerState &w, uint32_t v)
 {
 	uint32_t x = v >> 4;
 
@@ -205,7 +209,7 @@
 			restart_agent(w);
 		break;
 	case 11:
-		if (x % 6 == 0) /* the engine restarts, empty */
+		if (x % 6 == 0) /* the engine restarts without models */
 			w.engine.held.clear();
 		break;
 	}
@@ -214,7 +218,7 @@
 
 void run_ledger(const std::vector<uint32_t> &ops)
 {
-	Ledger w;
+	LedgerState w;
 
 	restart_agent(w);
 	for (uint32_t v : ops)
@@ -222,14 +226,14 @@
 	ledger_free(w.l);
 }
 
-/* Calls: entries that send, resend, ask, and lose connections. */
+/* Entries that send and resend calls, attach, and lose connections. */
 
-struct Calls {
+struct CallsState {
 	calls *t = nullptr;
 	uint64_t incarnation = 1;
 	int64_t now = 0;
 	std::map<uint64_t, int> runs; /* by id */
-	std::set<uint64_t> told_not_run;
+	std::set<uint64_t> reported_not_run;
 	std::map<uint64_t, uint64_t> id_of_sub;
 	std::map<uint64_t, uint64_t> next_piece; /* by sub */
 	std::map<uint64_t, call *> running;
@@ -238,7 +242,7 @@
 
 void start(void *arg, call *c, const msg_call *m)
 {
-	Calls *w = static_cast<Calls *>(arg);
+	CallsState *w = static_cast<CallsState *>(arg);
 
 	w->runs[m->seq]++;
 	w->running[m->seq] = c;
@@ -246,7 +250,7 @@
 
 void cancel(void *arg, call *c)
 {
-	Calls *w = static_cast<Calls *>(arg);
+	CallsState *w = static_cast<CallsState *>(arg);
 	msg_reply m = {};
 
 	w->running.erase(call_seq(c));
@@ -258,15 +262,15 @@
 
 void reply(void *arg, void *, const msg_reply *m)
 {
-	Calls *w = static_cast<Calls *>(arg);
+	CallsState *w = static_cast<CallsState *>(arg);
 	uint64_t id = w->id_of_sub[m->sub];
 
 	if (m->end && m->code) {
 		if (m->outcome == OUTCOME_NOT_RUN)
-			w->told_not_run.insert(id);
+			w->reported_not_run.insert(id);
 		return;
 	}
-	/* Pieces of this call, in their order, no holes, none twice. */
+	/* The call's pieces arrive in order, without gaps or duplicates. */
 	std::string data(m->data.p ? m->data.p : "", m->data.n);
 
 	RC_ASSERT(m->seq == w->next_piece[m->sub]);
@@ -277,7 +281,7 @@
 
 const calls_ops kCallsOps = { start, cancel, reply };
 
-void restart_table(Calls &w)
+void restart_table(CallsState &w)
 {
 	calls_options o = {};
 
@@ -289,7 +293,7 @@
 	w.t = calls_new(&o);
 }
 
-void send_call(Calls &w, uint32_t v, char *peer, uint64_t id,
+void send_call(CallsState &w, uint32_t v, char *peer, uint64_t id,
 	       uint64_t incarnation, bool attach)
 {
 	GError *full = nullptr;
@@ -317,7 +321,7 @@
 	g_clear_error(&full);
 }
 
-void send_piece(Calls &w, uint32_t v, uint64_t id)
+void send_piece(CallsState &w, uint32_t v, uint64_t id)
 {
 	if (!w.running.count(id))
 		return;
@@ -333,11 +337,11 @@
 	calls_piece(w.t, c, &m, w.now);
 }
 
-void calls_step(Calls &w, uint32_t v)
+void calls_step(CallsState &w, uint32_t v)
 {
 	char *peer = (v >> 16) % 2 ? const_cast<char *>("a") :
 				     const_cast<char *>("b");
-	/* An id belongs to the incarnation that it was made for. */
+	/* Each id is made for one incarnation of the agent. */
 	uint64_t incarnation = 2 + (v >> 8) % 3;
 	uint64_t id = 1 + (v >> 10) % 8 + 100 * incarnation;
 
@@ -373,13 +377,13 @@
 	}
 	for (auto &r : w.runs) {
 		RC_ASSERT(r.second <= 1);
-		RC_ASSERT(w.told_not_run.count(r.first) == 0);
+		RC_ASSERT(w.reported_not_run.count(r.first) == 0);
 	}
 }
 
 void run_calls(const std::vector<uint32_t> &ops)
 {
-	Calls w;
+	CallsState w;
 
 	restart_table(w);
 	for (uint32_t v : ops)
