--- a/test/test_plan.c
+++ b/test/test_plan.c
@@ -1,4 +1,4 @@
-/* Decisions on replicas, and how long idle ones are kept. */
+/* Tests of the plan of replicas and of the keep-alive policy. */
 #include "unit.h"
 
 #include "../src/core/plan.h"
@@ -10,11 +10,12 @@
 /* A Monday, 2026-11-30, 00:00 UTC. */
 #define MONDAY_MS 1795996800000LL
 
+/* A view of the system, and a record of the decisions made from it. */
 struct fake {
 	struct preset preset;
 	struct pacer pacer;
-	GString *did;
-	GHashTable *tiers; /* "model@node" */
+	GString *decisions;
+	GHashTable *tiers; /* "model@node" -> enum ss_tier */
 	const struct ss_arrivals *arrivals;
 	struct plan_view v;
 };
@@ -39,14 +40,15 @@
 static void load(void *arg, const struct plan_demand *d,
 		 const struct plan_node *n, size_t count)
 {
-	g_string_append_printf(((struct fake *)arg)->did, "+%s@%s(%zu) ",
+	g_string_append_printf(((struct fake *)arg)->decisions, "+%s@%s(%zu) ",
 			       d->model, n->name, count);
 }
 
 static void unload(void *arg, const struct plan_replica *r, const char *why)
 {
 	(void)why;
-	g_string_append_printf(((struct fake *)arg)->did, "-%s ", r->model);
+	g_string_append_printf(((struct fake *)arg)->decisions, "-%s ",
+			       r->model);
 }
 
 static const struct plan_ops ops = { load, unload };
@@ -56,7 +58,7 @@
 	memset(f, 0, sizeof(*f));
 	assert_true(
 		preset_parse(&f->preset, "p", ss_str(preset_built_in), NULL));
-	f->did = g_string_new(NULL);
+	f->decisions = g_string_new(NULL);
 	f->tiers = g_hash_table_new(g_str_hash, g_str_equal);
 	pacer_init(&f->pacer, 0);
 	f->pacer.tokens = 100;
@@ -70,7 +72,7 @@
 static void stop(struct fake *f)
 {
 	preset_clear(&f->preset);
-	g_string_free(f->did, TRUE);
+	g_string_free(f->decisions, TRUE);
 	g_hash_table_unref(f->tiers);
 }
 
@@ -96,47 +98,48 @@
 	struct plan_node nodes[3];
 	struct plan_replica replicas[4];
 	struct plan_demand demands[4];
-	const char *near; /* "model@node" on disk */
+	const char *on_disk; /* "model@node" with the checkpoint on disk */
 	const char *pinned;
-	const char *want;
+	const char *want; /* decisions, in order */
 };
 
 static const struct plan_case cases[] = {
-	{ .label = "a cold model goes where room is",
+	{ .label = "an unloaded model is placed where memory is free",
 	  .nodes = { NODE("a", "x", 10 * GB, 8 * GB),
 		     NODE("b", "y", 10 * GB, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 1, 9000) },
 	  .want = "+m@b(0) " },
-	{ .label = "one wake for a herd",
+	{ .label = "a burst of calls for one model causes one load",
 	  .nodes = { NODE("a", "x", 10 * GB, 4 * GB),
 		     NODE("b", "y", 10 * GB, 0) },
 	  .replicas = { REPLICA(1, "m", 0, 4 * GB, REPLICA_LOADING, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 50, 900000) },
 	  .want = "" },
-	{ .label = "a second one when the deadlines call for it",
+	{ .label = "a second replica when the deadlines need it",
 	  .nodes = { NODE("a", "x", 10 * GB, 4 * GB),
 		     NODE("b", "y", 10 * GB, 0) },
 	  .replicas = { REPLICA(1, "m", 0, 4 * GB, REPLICA_READY, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 50, 10000) },
 	  .want = "+m@b(1) " },
-	{ .label = "the nearest checkpoint",
+	{ .label = "the node with the nearest checkpoint is preferred",
 	  .nodes = { NODE("a", "x", 10 * GB, 0), NODE("b", "y", 10 * GB, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 1, 9000) },
-	  .near = "m@b",
+	  .on_disk = "m@b",
 	  .want = "+m@b(0) " },
-	{ .label = "what is idle longest leaves, and the load waits for it",
+	{ .label = "the longest idle replica is evicted, and the load waits "
+		   "for it",
 	  .nodes = { NODE("a", "x", 10 * GB, 8 * GB) },
 	  .replicas = { REPLICA(1, "young", 0, 4 * GB, REPLICA_READY, 1000),
 			REPLICA(2, "old", 0, 4 * GB, REPLICA_READY, 4000) },
 	  .demands = { DEMAND("m", 4 * GB, 1, 9000) },
 	  .want = "-old " },
-	{ .label = "room that is being made is waited for",
+	{ .label = "an unload in progress is waited for",
 	  .nodes = { NODE("a", "x", 10 * GB, 8 * GB) },
 	  .replicas = { REPLICA(1, "young", 0, 4 * GB, REPLICA_READY, 1000),
 			REPLICA(2, "old", 0, 4 * GB, REPLICA_UNLOADING, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 1, 9000) },
 	  .want = "" },
-	{ .label = "nothing that is waited for or pinned leaves",
+	{ .label = "no replica with demand or pinned is evicted",
 	  .nodes = { NODE("a", "x", 10 * GB, 10 * GB) },
 	  .replicas = { REPLICA(1, "w", 0, 5 * GB, REPLICA_READY, 9000),
 			REPLICA(2, "pin", 0, 5 * GB, REPLICA_READY, 9000) },
@@ -144,7 +147,7 @@
 		       DEMAND("w", 5 * GB, 1, 9000) },
 	  .pinned = "pin",
 	  .want = "" },
-	{ .label = "a lost node doesn't serve: another is loaded elsewhere",
+	{ .label = "a replica on a lost node is replaced on another node",
 	  .nodes = { { .name = "a",
 		       .domain = "x",
 		       .pool = "p",
@@ -154,12 +157,12 @@
 	  .replicas = { REPLICA(1, "m", 0, 4 * GB, REPLICA_READY, 0) },
 	  .demands = { DEMAND("m", 4 * GB, 1, 9000) },
 	  .want = "+m@b(1) " },
-	{ .label = "the urgent ones get the store first",
+	{ .label = "models with earlier deadlines are loaded first",
 	  .nodes = { NODE("a", "x", 90 * GB, 0) },
 	  .demands = { DEMAND("late", GB, 1, 90000), DEMAND("soon", GB, 1, 900),
 		       DEMAND("mid", GB, 1, 9000) },
 	  .want = "+soon@a(0) +mid@a(0) +late@a(0) " },
-	{ .label = "an adapter's base first",
+	{ .label = "an adapter's base model is loaded first",
 	  .nodes = { NODE("a", "x", 90 * GB, 0) },
 	  .demands = { { .model = "ad",
 			 .base = "m",
@@ -170,11 +173,11 @@
 			 .slots = 1 },
 		       DEMAND("m", 4 * GB, 1, 900) },
 	  .want = "+m@a(0) " },
-	{ .label = "idle for long",
+	{ .label = "a replica idle for a day is unloaded",
 	  .nodes = { NODE("a", "x", 10 * GB, 4 * GB) },
 	  .replicas = { REPLICA(1, "m", 0, 4 * GB, REPLICA_READY, DAY_MS) },
 	  .want = "-m " },
-	{ .label = "a load that failed is given up",
+	{ .label = "a failed load is unloaded",
 	  .nodes = { NODE("a", "x", 10 * GB, 4 * GB) },
 	  .replicas = { { .id = 1,
 			  .model = "m",
@@ -185,7 +188,7 @@
 	  .want = "-m " },
 };
 
-static void decisions(void **state)
+static void plan_cases(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -202,23 +205,24 @@
 		f.v.nodes = c.nodes;
 		f.v.replicas = c.replicas;
 		f.v.demands = c.demands;
-		if (c.near)
-			g_hash_table_insert(f.tiers, (char *)c.near,
+		if (c.on_disk)
+			g_hash_table_insert(f.tiers, (char *)c.on_disk,
 					    GINT_TO_POINTER(TIER_DISK));
 		if (c.pinned)
 			g_ptr_array_add(f.preset.pinned, g_strdup(c.pinned));
 		plan_run(&f.v, &f.pacer, &ops, &f);
-		if (strcmp(f.did->str, c.want))
-			fail_msg("%s: %s, not %s", c.label, f.did->str, c.want);
+		if (strcmp(f.decisions->str, c.want))
+			fail_msg("%s: %s, not %s", c.label, f.decisions->str,
+				 c.want);
 		stop(&f);
 	}
 }
 
 /*
- * Symptom: the store chokes, all loads crawl. Sequence: twenty models are
- * asked for at eight. Cause: nobody paces the loads.
+ * Guards against an overloaded weight store, which slows all loads down:
+ * twenty models are requested at the same time, and their loads aren't limited.
  */
-static void store_is_paced(void **state)
+static void store_loads_are_limited(void **state)
 {
 	struct plan_node nodes[] = { NODE("a", "x", 90 * GB, 0) };
 	struct plan_demand d[6];
@@ -239,7 +243,8 @@
 	f.v.demands = d;
 	f.v.n_demands = 6;
 	plan_run(&f.v, &f.pacer, &ops, &f);
-	assert_string_equal(f.did->str, "+m0@a(0) +m1@a(0) +m2@a(0) +m3@a(0) ");
+	assert_string_equal(f.decisions->str,
+			    "+m0@a(0) +m1@a(0) +m2@a(0) +m3@a(0) ");
 	assert_string_equal(d[5].why, "waits for the weight store's pace");
 	stop(&f);
 }
@@ -249,7 +254,7 @@
 	return (struct ss_wall){ .ms = ms };
 }
 
-/* Arrivals every gap, the last at the end. */
+/* Returns n arrivals at equal gaps. */
 static struct ss_arrivals every(int64_t gap, int n)
 {
 	struct ss_arrivals a = { 0 };
@@ -264,19 +269,19 @@
 	int64_t gap;
 	int n;
 	double weight;
-	int64_t least, most;
+	int64_t least, most; /* bounds of the keep-alive time */
 };
 
 static const struct keep_case keeps[] = {
-	{ "used each minute: kept over the gap", 60000, 50, 0.5, 60000,
-	  120000 },
-	{ "used once a day, idle hours weigh most: gone at once", DAY_MS, 10,
-	  0.1, 1000, 1000 },
-	{ "used each ten minutes, cold starts weigh most: kept", 600000, 50,
+	{ "used every minute: kept for longer than the gap", 60000, 50, 0.5,
+	  60000, 120000 },
+	{ "used once a day, idle memory weighs most: unloaded at once", DAY_MS,
+	  10, 0.1, 1000, 1000 },
+	{ "used every ten minutes, cold starts weigh most: kept", 600000, 50,
 	  0.9, 600000, 1200000 },
-	{ "only idle hours count", 60000, 50, 0, 1000, 1000 },
+	{ "only idle memory counts", 60000, 50, 0, 1000, 1000 },
 	{ "only cold starts count", 60000, 50, 1, 60000, HOUR_MS },
-	{ "seen once", 0, 1, 0.5, 1000, 1000 },
+	{ "one arrival", 0, 1, 0.5, 1000, 1000 },
 };
 
 static void idle_time_follows_history(void **state)
@@ -297,7 +302,7 @@
 	}
 }
 
-/* One arrival on each of four days, so long after midnight. */
+/* One arrival on each of four days, at the same time after midnight. */
 static struct ss_arrivals four_days_at(int64_t ms)
 {
 	struct ss_arrivals a = { 0 };
@@ -307,8 +312,8 @@
 	return a;
 }
 
-/* Desks open at eight: known after some days, and only then. */
-static void habit_is_woken_ahead(void **state)
+/* A daily arrival at eight is predicted after some days, not after one. */
+static void daily_arrival_is_preloaded(void **state)
 {
 	struct ss_keep_costs c = { .cold_weight = 0.8,
 				   .load_ms = 10000,
@@ -328,11 +333,11 @@
 }
 
 /*
- * Symptom: after a change of leader a model is woken hours late. Sequence: one
- * history is asked on two VMs whose time zones differ. Cause: the decision
- * itself read the zone of its VM.
+ * Guards against a preload that is hours late after a change of leader: two VMs
+ * with different time zones evaluate the same history. The decision must not
+ * read the time zone of its process.
  */
-static void zone_of_the_process_decides_nothing(void **state)
+static void process_time_zone_is_ignored(void **state)
 {
 	static const char *const zones[] = { "UTC", "Pacific/Auckland",
 					     "XXX+7:30" };
@@ -344,40 +349,46 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(zones); i++) {
 		struct ss_arrivals a = four_days_at(8 * HOUR_MS + 60000);
-		bool woken;
+		bool preloaded;
 
 		setenv("TZ", zones[i], 1);
 		tzset();
-		woken = ss_wake_ahead(&a, fifth, &c);
+		preloaded = ss_wake_ahead(&a, fifth, &c);
 		setenv("TZ", "UTC", 1);
 		tzset();
-		if (!woken)
-			fail_msg("%s: not woken", zones[i]);
+		if (!preloaded)
+			fail_msg("%s: not preloaded", zones[i]);
 	}
 }
 
 struct local_case {
 	const char *label;
-	int64_t before_h, after_h; /* offsets from UTC, in hours */
-	int64_t asked_h;	   /* on the fifth day, in UTC */
-	bool woken;
+	/* UTC offsets of the history and of the decision, in hours. */
+	int64_t before_h, after_h;
+	int64_t now_h; /* time of the decision on the fifth day, in UTC */
+	bool preloaded;
 };
 
 static const struct local_case locals[] = {
-	{ "east: eight there is six here", 2, 2, 6, true },
-	{ "east: eight here is ten there", 2, 2, 8, false },
-	{ "west: eight there is thirteen here", -5, -5, 13, true },
-	{ "the clocks were put back: eight is an hour later", 2, 1, 7, true },
-	{ "and no longer at the old hour", 2, 1, 6, false },
-	{ "the clocks were put forward", 1, 2, 6, true },
-	{ "east of a day's end: a Friday there", 9, 9, -1, true },
-	{ "and a Saturday there, on our Friday", 9, 9, 23, false },
-	{ "a clock that was never set, west", -5, -5, -MONDAY_MS / HOUR_MS - 96,
-	  false },
+	{ "east, 08:00 local is 06:00 UTC: preloaded at 06:00", 2, 2, 6, true },
+	{ "east, 08:00 UTC is 10:00 local: not preloaded", 2, 2, 8, false },
+	{ "west, 08:00 local is 13:00 UTC: preloaded at 13:00", -5, -5, 13,
+	  true },
+	{ "after clocks go back: preloaded an hour later in UTC", 2, 1, 7,
+	  true },
+	{ "after clocks go back: not at the old hour", 2, 1, 6, false },
+	{ "after clocks go forward: preloaded an hour earlier in UTC", 1, 2, 6,
+	  true },
+	{ "east, 23:00 UTC on Thursday is a Friday there: preloaded", 9, 9, -1,
+	  true },
+	{ "east, 23:00 UTC on Friday is a Saturday there: not preloaded", 9, 9,
+	  23, false },
+	{ "west, a clock that was never set: not preloaded", -5, -5,
+	  -MONDAY_MS / HOUR_MS - 96, false },
 };
 
-/* Desks open at eight by their own clocks, also where those are changed. */
-static void habits_follow_the_local_hour(void **state)
+/* A daily arrival follows the local time, also when the UTC offset changes. */
+static void preload_follows_local_time(void **state)
 {
 	struct ss_keep_costs c = { .cold_weight = 0.8,
 				   .load_ms = 10000,
@@ -389,30 +400,30 @@
 		int64_t before = k->before_h * HOUR_MS;
 		struct ss_arrivals a = { 0 };
 		struct ss_wall at = { .utc_offset_ms = before };
-		bool woken;
+		bool preloaded;
 
 		for (int day = 0; day < 4; day++) {
 			at.ms = MONDAY_MS + day * DAY_MS + 8 * HOUR_MS + 60000 -
 				before;
 			ss_arrivals_add(&a, NULL, at);
 		}
-		at.ms = MONDAY_MS + 4 * DAY_MS + k->asked_h * HOUR_MS;
+		at.ms = MONDAY_MS + 4 * DAY_MS + k->now_h * HOUR_MS;
 		at.utc_offset_ms = k->after_h * HOUR_MS;
-		woken = ss_wake_ahead(&a, at, &c);
-		if (woken != k->woken)
-			fail_msg("%s: %d", k->label, woken);
+		preloaded = ss_wake_ahead(&a, at, &c);
+		if (preloaded != k->preloaded)
+			fail_msg("%s: %d", k->label, preloaded);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(decisions),
-		cmocka_unit_test(store_is_paced),
+		cmocka_unit_test(plan_cases),
+		cmocka_unit_test(store_loads_are_limited),
 		cmocka_unit_test(idle_time_follows_history),
-		cmocka_unit_test(habit_is_woken_ahead),
-		cmocka_unit_test(zone_of_the_process_decides_nothing),
-		cmocka_unit_test(habits_follow_the_local_hour),
+		cmocka_unit_test(daily_arrival_is_preloaded),
+		cmocka_unit_test(process_time_zone_is_ignored),
+		cmocka_unit_test(preload_follows_local_time),
 	};
 
 	return cmocka_run_group_tests_name("plan", tests, NULL, NULL);
