--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -9,7 +9,7 @@
 
 #include "msg.h"
 
-/* No load starts when no leader has been heard from for longer than this. */
+/* No load starts if the leader's last message is older than this. */
 #define LEDGER_LEASE_MS 5000
 /* Delay before a failed load is retried; doubled for each failure. */
 #define LEDGER_RETRY_MS 500
--- a/test/test_plan.c
+++ b/test/test_plan.c
@@ -222,7 +222,7 @@
  * Guards against an overloaded weight store, which slows all loads down:
  * twenty models are requested at the same time, and their loads aren't limited.
  */
-static void store_loads_are_limited(void **state)
+static void store_is_paced(void **state)
 {
 	struct plan_node nodes[] = { NODE("a", "x", 90 * GB, 0) };
 	struct plan_demand d[6];
@@ -419,7 +419,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(plan_cases),
-		cmocka_unit_test(store_loads_are_limited),
+		cmocka_unit_test(store_is_paced),
 		cmocka_unit_test(idle_time_follows_history),
 		cmocka_unit_test(daily_arrival_is_preloaded),
 		cmocka_unit_test(process_time_zone_is_ignored),
