--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -8,12 +8,13 @@
 
 #include "msg.h"
 
-/* How long a finished call that must not run twice, or another, is kept. */
+/* How long a finished call is kept that must not run twice. */
 #define CALLS_KEEP_ONCE_MS 600000
+/* How long any other finished call is kept. */
 #define CALLS_KEEP_MS 5000
 /* How long a refused id is kept, so that it stays refused. */
 #define CALLS_KEEP_REFUSED_MS 600000
-/* Limits of stored replies and calls; the oldest finished are evicted. */
+/* Limits of stored replies and calls; the oldest finished ones are evicted. */
 #define CALLS_BYTES_MAX (64u * 1024 * 1024)
 #define CALLS_COUNT_MAX 200000
 /* A repeatable call without a subscriber is cancelled after this time. */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -6,7 +6,7 @@
 #define MINUTE_MS 60000.0
 #define BYTES_PER_MS_INITIAL 1.0e6 /* 1 GB/s, until the first load */
 #define SPEED_ALPHA 0.3		   /* weight of the newest load's speed */
-/* Time for order, answer and report of a load: two ticks of the agent. */
+/* Order, answer and report of a load, besides its reading: two agent ticks. */
 #define LOAD_OVERHEAD_MS 50
 /* Duration of loads from disk and memory, relative to the store. */
 #define DISK_FACTOR 0.4
