--- a/src/core/discovery.c
+++ b/src/core/discovery.c
@@ -1,7 +1,7 @@
-/* Where the control group may be. */
+/* Discovery of the control group's leader. */
 #include "discovery.h"
 
-struct asked {
+struct query {
 	char *addr;
 	bool open;
 	int64_t at_ms;
@@ -9,18 +9,18 @@
 
 struct discovery {
 	const GPtrArray *settings;
-	GPtrArray *known;  /* char *, the newest last */
-	char *leader;	   /* said to lead, not asked yet; NULL: nobody */
-	GHashTable *asked; /* addr -> struct asked */
+	GPtrArray *known;    /* char *, most recently reported last */
+	char *leader_hint;   /* reported leader, not queried yet; or NULL */
+	GHashTable *queries; /* addr -> struct query */
 	uint64_t seed;
 };
 
-static void asked_free(void *p)
+static void query_free(void *p)
 {
-	struct asked *a = p;
+	struct query *q = p;
 
-	g_free(a->addr);
-	g_free(a);
+	g_free(q->addr);
+	g_free(q);
 }
 
 struct discovery *discovery_new(const GPtrArray *settings, uint64_t seed)
@@ -30,8 +30,8 @@
 	s->settings = settings;
 	s->seed = seed;
 	s->known = g_ptr_array_new_with_free_func(g_free);
-	s->asked = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					 asked_free);
+	s->queries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					   query_free);
 	return s;
 }
 
@@ -40,25 +40,25 @@
 	if (!s)
 		return;
 	g_ptr_array_unref(s->known);
-	g_hash_table_unref(s->asked);
-	g_free(s->leader);
+	g_hash_table_unref(s->queries);
+	g_free(s->leader_hint);
 	g_free(s);
 }
 
-static bool has(const GPtrArray *list, const char *addr, guint *at)
+static bool contains(const GPtrArray *list, const char *addr, guint *at)
 {
 	return g_ptr_array_find_with_equal_func((GPtrArray *)list, addr,
 						g_str_equal, at);
 }
 
-static void remember(struct discovery *s, struct ss_str addr)
+static void add_known(struct discovery *s, struct ss_str addr)
 {
 	char *copy = ss_str_dup(addr);
 	guint at;
 
-	if (has(s->known, copy, &at))
+	if (contains(s->known, copy, &at))
 		g_ptr_array_remove_index(s->known, at);
-	else if (s->known->len == DISCOVERY_KEPT)
+	else if (s->known->len == DISCOVERY_MAX_KNOWN)
 		g_ptr_array_remove_index(s->known, 0);
 	g_ptr_array_add(s->known, copy);
 }
@@ -67,88 +67,92 @@
 		    struct ss_str member)
 {
 	if (member.n)
-		remember(s, member);
+		add_known(s, member);
 	if (!leader.n)
 		return;
-	remember(s, leader);
-	g_free(s->leader);
-	s->leader = ss_str_dup(leader);
+	add_known(s, leader);
+	g_free(s->leader_hint);
+	s->leader_hint = ss_str_dup(leader);
 }
 
 static bool is_open(const struct discovery *s, const char *addr)
 {
-	const struct asked *a = g_hash_table_lookup(s->asked, addr);
+	const struct query *q = g_hash_table_lookup(s->queries, addr);
 
-	return a && a->open;
+	return q && q->open;
 }
 
-static const char *begin(struct discovery *s, const char *addr, int64_t now)
+static const char *begin_query(struct discovery *s, const char *addr,
+			       int64_t now)
 {
-	struct asked *a = g_hash_table_lookup(s->asked, addr);
+	struct query *q = g_hash_table_lookup(s->queries, addr);
 
-	if (!a) {
-		a = g_new0(struct asked, 1);
-		a->addr = g_strdup(addr);
-		g_hash_table_insert(s->asked, a->addr, a);
+	if (!q) {
+		q = g_new0(struct query, 1);
+		q->addr = g_strdup(addr);
+		g_hash_table_insert(s->queries, q->addr, q);
 	}
-	a->open = true;
-	a->at_ms = now;
-	return a->addr;
+	q->open = true;
+	q->at_ms = now;
+	return q->addr;
 }
 
-/* When it was last asked; INT64_MIN: never. */
-static int64_t asked_ms(const struct discovery *s, const char *addr)
+/* Time of the last query; INT64_MIN: none. */
+static int64_t last_query_ms(const struct discovery *s, const char *addr)
 {
-	const struct asked *a = g_hash_table_lookup(s->asked, addr);
+	const struct query *q = g_hash_table_lookup(s->queries, addr);
 
-	return a ? a->at_ms : INT64_MIN;
+	return q ? q->at_ms : INT64_MIN;
 }
 
 /*
- * The one that wasn't asked for the longest. Processes that start together
- * shall not all ask the same one, so each begins anywhere.
+ * Returns the least recently queried address. The random start keeps processes
+ * that start together from all querying the same one.
  */
-static const char *oldest_of(struct discovery *s, const GPtrArray *list,
-			     int64_t now)
+static const char *least_recent(struct discovery *s, const GPtrArray *list,
+				int64_t now)
 {
 	guint from = list->len ? (guint)(ss_random(&s->seed) % list->len) : 0;
 	const char *best = NULL;
 
 	for (guint i = 0; i < list->len; i++) {
 		const char *addr = list->pdata[(from + i) % list->len];
-		int64_t at = asked_ms(s, addr);
+		int64_t at = last_query_ms(s, addr);
 
 		if (is_open(s, addr) ||
-		    (at != INT64_MIN && now - at < DISCOVERY_AGAIN_MS))
+		    (at != INT64_MIN && now - at < DISCOVERY_RETRY_MS))
 			continue;
-		if (!best || at < asked_ms(s, best))
+		if (!best || at < last_query_ms(s, best))
 			best = addr;
 	}
 	return best;
 }
 
-/* What was asked once may be long gone from all lists. */
-static gboolean is_forgotten(gpointer key, gpointer value, gpointer arg)
+/* True for a queried address that is in neither list any more. */
+static gboolean is_obsolete(gpointer key, gpointer value, gpointer arg)
 {
 	const struct discovery *s = arg;
-	const struct asked *a = value;
+	const struct query *q = value;
 
-	return !a->open && !has(s->known, key, NULL) &&
-	       !has(s->settings, key, NULL);
+	return !q->open && !contains(s->known, key, NULL) &&
+	       !contains(s->settings, key, NULL);
 }
 
-/* The one said to lead, where it may be asked; kept where it is too soon. It is
- * remembered, so the name outlives the hint. */
-static const char *named(struct discovery *s, int64_t now)
+/*
+ * Takes the leader hint if it may be queried now; keeps it if it was queried
+ * too recently. The result is the copy in known, which outlives the hint.
+ */
+static const char *take_leader_hint(struct discovery *s, int64_t now)
 {
-	const char *addr = s->leader;
+	const char *addr = s->leader_hint;
 	guint at;
 
-	if (!addr || (asked_ms(s, addr) != INT64_MIN && !is_open(s, addr) &&
-		      now - asked_ms(s, addr) < DISCOVERY_NAMED_MS))
+	if (!addr ||
+	    (last_query_ms(s, addr) != INT64_MIN && !is_open(s, addr) &&
+	     now - last_query_ms(s, addr) < DISCOVERY_HINT_RETRY_MS))
 		return NULL;
-	addr = has(s->known, addr, &at) ? s->known->pdata[at] : NULL;
-	g_clear_pointer(&s->leader, g_free);
+	addr = contains(s->known, addr, &at) ? s->known->pdata[at] : NULL;
+	g_clear_pointer(&s->leader_hint, g_free);
 	return addr && !is_open(s, addr) ? addr : NULL;
 }
 
@@ -156,23 +160,24 @@
 {
 	const char *known, *addr;
 
-	g_hash_table_foreach_remove(s->asked, is_forgotten, s);
-	addr = named(s, now);
+	g_hash_table_foreach_remove(s->queries, is_obsolete, s);
+	addr = take_leader_hint(s, now);
 	if (addr)
-		return begin(s, addr, now);
-	addr = oldest_of(s, s->settings, now);
-	known = oldest_of(s, s->known, now);
-	if (!addr || (known && asked_ms(s, known) < asked_ms(s, addr)))
+		return begin_query(s, addr, now);
+	addr = least_recent(s, s->settings, now);
+	known = least_recent(s, s->known, now);
+	if (!addr ||
+	    (known && last_query_ms(s, known) < last_query_ms(s, addr)))
 		addr = known;
-	return addr ? begin(s, addr, now) : NULL;
+	return addr ? begin_query(s, addr, now) : NULL;
 }
 
 void discovery_ended(struct discovery *s, const char *addr)
 {
-	struct asked *a = g_hash_table_lookup(s->asked, addr);
+	struct query *q = g_hash_table_lookup(s->queries, addr);
 
-	if (a)
-		a->open = false;
+	if (q)
+		q->open = false;
 }
 
 const GPtrArray *discovery_known(const struct discovery *s)
--- a/test/prop_discovery.cc
+++ b/test/prop_discovery.cc
@@ -1,9 +1,10 @@
 /*
- * Every process finds the leader, however the addresses of the settings and
- * the members were exchanged before, in any order, with losses and starts.
+ * Property: every process finds the leader, whatever order of changed
+ * settings, replaced members, crashes and restarts came before.
  *
- * What is played beside the real decisions is what the programs do with them:
- * ask the next address each 100 ms, tell on what is known, announce.
+ * The decisions are those of core/discovery.c. The test models what the
+ * programs do with them: query the next address every 100 ms, pass on known
+ * addresses, and announce members.
  */
 #include <rapidcheck.h>
 
@@ -21,16 +22,16 @@
 
 const int kMembers = 3, kRelays = 4, kClients = 3;
 const int64_t kStepMs = 100;
-/* The bound: so long after the last link is there. */
-const int64_t kFoundMs = 1000;
-/* A connection to a VM that is down is given up after so long. */
-const int64_t kOpenMs = 300;
+/* Time limit to find the leader after the last event. */
+const int64_t kFindMs = 1000;
+/* Connect timeout to a VM that is down. */
+const int64_t kConnectTimeoutMs = 300;
 
 const struct ss_str kNone = { nullptr, 0 };
 
 enum Kind { MEMBER, RELAY, CLIENT };
 
-struct Open {
+struct Query {
 	std::string addr;
 	int64_t since;
 };
@@ -39,11 +40,11 @@
 	Kind kind;
 	std::string addr;
 	bool up = true;
-	bool wiped = false;		  /* a member without its log */
+	bool wiped = false;		  /* a member that lost its log */
 	bool found = false;
-	std::string hint;		  /* a wiped one's */
-	std::vector<std::string> members; /* of a member's log */
-	std::vector<Open> asks;
+	std::string hint;		  /* leader reported to a wiped member */
+	std::vector<std::string> members; /* according to its log */
+	std::vector<Query> queries;
 	discovery *s = nullptr;
 };
 
@@ -56,8 +57,8 @@
 
 struct World {
 	std::vector<Proc> procs;
-	std::vector<std::string> members; /* as the newest log has it */
-	std::vector<std::string> seeds;	  /* of all settings files */
+	std::vector<std::string> members; /* according to the newest log */
+	std::vector<std::string> seeds;	  /* the configured addresses */
 	GPtrArray *settings = g_ptr_array_new_with_free_func(g_free);
 	int64_t now = 0;
 	int addrs = 0;
@@ -82,7 +83,7 @@
 		return nullptr;
 	}
 
-	/* The first member that is up and has its log, with a majority. */
+	/* First member that is up with its log; needs a majority of such. */
 	Proc *leader()
 	{
 		Proc *first = nullptr;
@@ -107,7 +108,7 @@
 			g_ptr_array_add(settings, g_strdup(a.c_str()));
 	}
 
-	/* A start knows nothing but its settings and, with a disk, its log. */
+	/* A restart keeps only the settings and, on a member, the log. */
 	void start(Proc &p)
 	{
 		discovery_free(p.s);
@@ -117,11 +118,11 @@
 		p.up = true;
 		p.found = false;
 		p.hint.clear();
-		p.asks.clear();
+		p.queries.clear();
 	}
 
-	void told(Proc &p, const std::string &leader_addr,
-		  const std::vector<std::string> &known)
+	void report(Proc &p, const std::string &leader_addr,
+		    const std::vector<std::string> &known)
 	{
 		if (p.kind == MEMBER && p.wiped && !leader_addr.empty())
 			p.hint = leader_addr;
@@ -132,7 +133,7 @@
 		discovery_told(p.s, view(leader_addr), kNone);
 	}
 
-	/* What one who is asked answers. */
+	/* Delivers the answer of a queried process. */
 	void answer(Proc &from, Proc &to)
 	{
 		Proc *l = leader();
@@ -149,10 +150,10 @@
 				known.push_back((char *)all->pdata[i]);
 		}
 		if (from.kind != CLIENT)
-			told(to, knows(from, l) ? l->addr : "", known);
+			report(to, knows_leader(from, l) ? l->addr : "", known);
 	}
 
-	static bool knows(const Proc &p, const Proc *l)
+	static bool knows_leader(const Proc &p, const Proc *l)
 	{
 		return l && (p.kind == MEMBER ? !p.wiped : p.found);
 	}
@@ -165,34 +166,34 @@
 			Proc *q = at(a);
 
 			if (q && q != &p)
-				told(*q, l ? l->addr : "", p.members);
+				report(*q, l ? l->addr : "", p.members);
 		}
 	}
 
-	void ask(Proc &p)
+	void start_query(Proc &p)
 	{
 		const char *addr = discovery_next(p.s, now);
 
 		if (addr)
-			p.asks.push_back({ addr, now });
+			p.queries.push_back({ addr, now });
 	}
 
-	/* Those that it asked answer, and go on doing so. */
-	void hear(Proc &p)
+	/* Queried processes answer in every step until the query ends. */
+	void process_answers(Proc &p)
 	{
-		std::vector<Open> left;
+		std::vector<Query> left;
 
-		for (auto &o : p.asks) {
+		for (auto &o : p.queries) {
 			Proc *q = at(o.addr);
 
 			if (q && q->kind != CLIENT && q != &p)
 				answer(*q, p);
-			if (q || now - o.since < kOpenMs)
+			if (q || now - o.since < kConnectTimeoutMs)
 				left.push_back(o);
 			else
 				discovery_ended(p.s, o.addr.c_str());
 		}
-		p.asks = left;
+		p.queries = left;
 	}
 
 	void step()
@@ -203,7 +204,7 @@
 				continue;
 			if (p.kind == MEMBER && !p.wiped)
 				announce(p);
-			/* One that lost its disk asks its settings. */
+			/* A wiped member queries the configured addresses. */
 			for (auto &a : seeds) {
 				Proc *q = at(a);
 
@@ -215,8 +216,8 @@
 		for (auto &p : procs) {
 			if (!p.up || p.kind == MEMBER || p.found)
 				continue;
-			ask(p);
-			hear(p);
+			start_query(p);
+			process_answers(p);
 		}
 	}
 
@@ -227,7 +228,7 @@
 	}
 };
 
-void open_world(World &w)
+void init_world(World &w)
 {
 	std::vector<std::string> first;
 
@@ -250,7 +251,7 @@
 	}
 }
 
-std::vector<std::string> any_controls(World &w)
+std::vector<std::string> random_settings(World &w)
 {
 	std::vector<std::string> all, out;
 
@@ -265,8 +266,10 @@
 	return out;
 }
 
-/* A member is gone for good, another one comes at a new address; a relay may
- * start where it was. One that is down has the former list in its log. */
+/*
+ * Replaces a member by one at a new address; a relay may take over the old
+ * address. Members that are down keep the previous member list.
+ */
 void replace_member(World &w)
 {
 	int i = *rc::gen::inRange(0, kMembers);
@@ -290,19 +293,19 @@
 			w.procs[k].members = w.members;
 }
 
-/* The leader takes the change before anything else happens. */
+/* The model applies a member change at once, so there must be a leader. */
 bool has_leader(World &w)
 {
 	return w.leader() != nullptr;
 }
 
-void any_event(World &w)
+void random_event(World &w)
 {
 	int i = *rc::gen::inRange(0, (int)w.procs.size());
 
 	switch (*rc::gen::inRange(0, 6)) {
 	case 0:
-		w.set_seeds(any_controls(w));
+		w.set_seeds(random_settings(w));
 		break;
 	case 1:
 		w.procs[i].up = false;
@@ -319,8 +322,8 @@
 			replace_member(w);
 		break;
 	case 5:
-		/* A second lost disk before the first is back has no
-		 * majority, which nothing here can mend. */
+		/* Two lost disks at a time leave no majority, which discovery
+		 * can't repair. */
 		i %= kMembers;
 		for (int k = 0; k < kMembers; k++)
 			if (w.procs[k].wiped)
@@ -331,8 +334,8 @@
 	}
 }
 
-/* At the end all lose power, some seeds stay down. */
-void lose_power(World &w, unsigned int down)
+/* Final power loss: all processes restart, some seeds stay down. */
+void restart_all(World &w, unsigned int down)
 {
 	size_t left = w.seeds.size();
 
@@ -352,7 +355,7 @@
 	}
 }
 
-bool a_seed_is_up(World &w)
+bool has_live_seed(World &w)
 {
 	for (auto &a : w.seeds)
 		if (w.at(a) && w.at(a)->kind != CLIENT)
@@ -369,15 +372,15 @@
 		World w;
 		int events = *rc::gen::inRange(0, 12);
 
-		open_world(w);
-		w.run(kFoundMs);
+		init_world(w);
+		w.run(kFindMs);
 		for (int i = 0; i < events; i++) {
-			any_event(w);
+			random_event(w);
 			w.run(*rc::gen::element(100, 500, 2000));
 		}
-		lose_power(w, *rc::gen::inRange(0u, 8u));
-		RC_PRE(has_leader(w) && a_seed_is_up(w));
-		w.run(kFoundMs);
+		restart_all(w, *rc::gen::inRange(0u, 8u));
+		RC_PRE(has_leader(w) && has_live_seed(w));
+		w.run(kFindMs);
 		for (auto &p : w.procs) {
 			if (p.up && p.kind != MEMBER)
 				RC_ASSERT(p.found);
@@ -386,7 +389,7 @@
 		}
 	});
 
-	ok &= rc::check("no address is asked twice at a time", [] {
+	ok &= rc::check("no address has two open queries", [] {
 		GPtrArray *settings = g_ptr_array_new();
 		discovery *s;
 		std::set<std::string> open;
@@ -415,7 +418,7 @@
 				RC_ASSERT(open.count(addr) == 0);
 				open.insert(addr);
 			}
-			RC_ASSERT(discovery_known(s)->len <= DISCOVERY_KEPT);
+			RC_ASSERT(discovery_known(s)->len <= DISCOVERY_MAX_KNOWN);
 		}
 		discovery_free(s);
 		g_ptr_array_unref(settings);
