--- a/src/core/mend.c
+++ b/src/core/mend.c
@@ -1,4 +1,4 @@
-/* Keeping a control group whole without an operator. */
+/* Membership repair of the control group. */
 #include "mend.h"
 
 static bool is_dead(const struct mend_member *m)
@@ -6,13 +6,16 @@
 	return !m->self && m->quiet_ms > MEND_DEAD_MS;
 }
 
-static bool may_vote(const struct mend_member *m, uint64_t last)
+static bool is_promotable(const struct mend_member *m, uint64_t last)
 {
 	return !m->voter && !is_dead(m) && m->match &&
 	       m->match + MEND_CAUGHT_UP >= last;
 }
 
-/* A later member has taken its name or address over: its disk is lost. */
+/*
+ * True if a later member has the same name or address: this one lost its disk.
+ * by_voter: only a later voter counts.
+ */
 static bool is_replaced(const struct mend_member *m, size_t n, size_t i,
 			bool by_voter)
 {
@@ -24,15 +27,15 @@
 	return false;
 }
 
-/* A voter that won't come back, or only under another identity. */
+/* A voter that won't return, or only under a new id. */
 static bool is_lost(const struct mend_member *m, size_t n, size_t i)
 {
 	return m[i].voter && (is_dead(&m[i]) || is_replaced(m, n, i, false));
 }
 
 struct counts {
-	size_t sound; /* voters that aren't lost */
-	size_t ready; /* learners that may vote */
+	size_t healthy; /* voters that aren't lost */
+	size_t ready;	/* learners that can become voters */
 };
 
 static struct counts count(const struct mend_member *m, size_t n, uint64_t last)
@@ -40,34 +43,34 @@
 	struct counts c = { 0 };
 
 	for (size_t i = 0; i < n; i++) {
-		c.sound += m[i].voter && !is_lost(m, n, i);
-		c.ready += may_vote(&m[i], last);
+		c.healthy += m[i].voter && !is_lost(m, n, i);
+		c.ready += is_promotable(&m[i], last);
 	}
 	return c;
 }
 
 /*
- * An even number of voters bears no more losses than one less, and is without
- * a leader where a cut halves it. So a learner is kept as a spare rather than
- * promoted to make the number even. Lost voters don't count: they are dropped
- * once the spare has taken their place.
+ * An even number of voters tolerates no more losses than one voter less, and a
+ * partition into equal halves leaves it without a leader. So a learner stays a
+ * spare if promoting it would make the number even. Lost voters aren't counted:
+ * they are removed once the spare has replaced them.
  */
-static bool wants_voter(const struct counts *c)
+static bool needs_voter(const struct counts *c)
 {
-	return c->ready && (c->sound < MEND_VOTERS_MIN || c->sound % 2 == 0 ||
-			    c->ready > 1);
+	return c->ready && (c->healthy < MEND_VOTERS_MIN ||
+			    c->healthy % 2 == 0 || c->ready > 1);
 }
 
-/* Of those that can't be heard, learners go first: they cost no majority. */
-static bool find_gone(const struct mend_member *m, size_t n, size_t sound,
-		      size_t *at)
+/* Finds a member to remove; dead learners first, as they cost no majority. */
+static bool find_removable(const struct mend_member *m, size_t n,
+			   size_t healthy, size_t *at)
 {
 	for (size_t i = 0; i < n; i++) {
 		*at = i;
 		if (!m[i].voter && is_dead(&m[i]))
 			return true;
 	}
-	for (size_t i = 0; i < n && sound >= MEND_VOTERS_MIN; i++) {
+	for (size_t i = 0; i < n && healthy >= MEND_VOTERS_MIN; i++) {
 		*at = i;
 		if (is_lost(m, n, i))
 			return true;
@@ -78,15 +81,15 @@
 struct mend_step mend_next(const struct mend_member *m, size_t n, uint64_t last)
 {
 	struct counts c = count(m, n, last);
-	size_t gone = 0;
+	size_t removable = 0;
 
-	for (size_t i = 0; i < n && wants_voter(&c); i++)
-		if (may_vote(&m[i], last))
+	for (size_t i = 0; i < n && needs_voter(&c); i++)
+		if (is_promotable(&m[i], last))
 			return (struct mend_step){ MEND_PROMOTE, i };
 	for (size_t i = 0; i < n; i++)
 		if (is_replaced(m, n, i, true))
 			return (struct mend_step){ MEND_DROP, i };
-	if (find_gone(m, n, c.sound, &gone))
-		return (struct mend_step){ MEND_DROP, gone };
+	if (find_removable(m, n, c.healthy, &removable))
+		return (struct mend_step){ MEND_DROP, removable };
 	return (struct mend_step){ MEND_NOTHING, 0 };
 }
--- a/src/core/mend.h
+++ b/src/core/mend.h
@@ -1,22 +1,22 @@
 /*
- * Keeping a control group whole without an operator: whom the leader
- * promotes and whom it drops, one step at a time.
+ * Membership repair of the control group without an operator: which member
+ * the leader promotes or removes next, one change at a time.
  */
 #ifndef SS_MEND_H
 #define SS_MEND_H
 
 #include <sapphireshift/base.h>
 
-/* A learner this close to the end of the log may become a voter. */
+/* A learner at most this many entries behind may become a voter. */
 #define MEND_CAUGHT_UP 64
 /*
- * A member unheard for so long, in ms, is dropped, where enough others are
- * left. It is longer than a restart (some 2 s) and than a leader's change,
- * and short against the time until a second VM may be lost. One that comes
- * back joins again with its log.
+ * Silence in ms after which a member counts as dead and is removed if enough
+ * others are left. Longer than a restart (about 2 s) or an election, and short
+ * against the time until a second VM may be lost. A removed member that
+ * returns joins again with its log.
  */
 #define MEND_DEAD_MS 6000
-/* Fewer voters than this bear no loss. */
+/* Fewer voters than this tolerate no loss. */
 #define MEND_VOTERS_MIN 3
 
 struct mend_member {
@@ -24,18 +24,18 @@
 	struct ss_str name, addr;
 	bool voter;
 	bool self;
-	int64_t quiet_ms; /* since it was last heard */
-	uint64_t match;	  /* how much of the log it has */
+	int64_t quiet_ms; /* since its last reply to the leader */
+	uint64_t match;	  /* last log index known to be durable there */
 };
 
 enum mend_act { MEND_NOTHING, MEND_PROMOTE, MEND_DROP };
 
 struct mend_step {
 	enum mend_act act;
-	size_t member; /* index */
+	size_t member; /* index into the members */
 };
 
-/* Members in the order in which they joined; last: the log's end. */
+/* Takes members in the order they joined and the index of the last entry. */
 struct mend_step mend_next(const struct mend_member *m, size_t n,
 			   uint64_t last);
 
--- a/test/test_mend.c
+++ b/test/test_mend.c
@@ -1,4 +1,4 @@
-/* Keeping a control group whole: whom the leader promotes, whom it drops. */
+/* Membership repair: which member the leader promotes or removes next. */
 #include "unit.h"
 
 #include "../src/core/mend.h"
@@ -23,130 +23,130 @@
 	}
 #define DEAD (MEND_DEAD_MS + 1)
 
-/* The log's end is 1000; the first member is the leader. */
+/* The last log index is 1000; the first member is the leader. */
 static const struct mend_case cases[] = {
-	{ "all is well",
+	{ "all voters are healthy",
 	  { VOTER("a", 0), VOTER("b", 9), VOTER("c", 9) },
 	  3,
 	  MEND_NOTHING,
 	  0 },
-	{ "a learner that has caught up votes",
+	{ "a learner that has caught up is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 990) },
 	  3,
 	  MEND_PROMOTE,
 	  2 },
-	{ "one that hasn't doesn't",
+	{ "a learner that lags stays a learner",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 100) },
 	  3,
 	  MEND_NOTHING,
 	  0 },
-	{ "nor one that has been heard of never",
+	{ "a learner without any reply stays a learner",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 0) },
 	  3,
 	  MEND_NOTHING,
 	  0 },
 	/*
-	 * Symptom: no leader for as long as a cut halves the group. Sequence:
-	 * three voters, a learner becomes the fourth; a cut leaves two on
-	 * each side. Cause: an even number of voters needs one more for its
-	 * majority, and bears no more losses.
+	 * Guards against a group without a leader during a partition: with a
+	 * learner promoted to the fourth voter, a partition can leave two on
+	 * each side. An even number of voters needs one more for its majority
+	 * and tolerates no more losses.
 	 */
-	{ "beside three voters one learner is a spare",
+	{ "with three voters one learner stays a spare",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990) },
 	  4,
 	  MEND_NOTHING,
 	  0 },
-	{ "two of them make five voters, one after the other",
+	{ "of two learners beside three voters the first is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("e", 0, 990) },
 	  5,
 	  MEND_PROMOTE,
 	  3 },
-	{ "and the second",
+	{ "a learner beside four voters is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), VOTER("d", 0),
 	    LEARNER("e", 0, 990) },
 	  5,
 	  MEND_PROMOTE,
 	  4 },
-	{ "one that is far behind doesn't make two",
+	{ "a lagging learner doesn't count as the second",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("e", 0, 100) },
 	  5,
 	  MEND_NOTHING,
 	  0 },
-	{ "the spare votes in place of a lost disk, whose successor learns",
+	{ "the spare replaces a voter that lost its disk and relearns",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("b", 0, 100) },
 	  5,
 	  MEND_PROMOTE,
 	  3 },
-	{ "the lost one goes then, before its successor has caught up",
+	{ "a lost voter is removed before its successor catches up",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), LEARNER("b", 0, 100),
 	    VOTER("d", 0) },
 	  5,
 	  MEND_DROP,
 	  1 },
-	{ "and also where the successor was first, so that the spare stays one",
+	{ "a lost voter is removed after a faster successor, the spare stays",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), VOTER("b", 0),
 	    LEARNER("d", 0, 990) },
 	  5,
 	  MEND_DROP,
 	  1 },
-	{ "a sole voter takes any learner that has caught up",
+	{ "a single voter promotes any learner that has caught up",
 	  { VOTER("a", 0), LEARNER("b", 0, 990) },
 	  2,
 	  MEND_PROMOTE,
 	  1 },
-	{ "nor one that is gone: it is dropped",
+	{ "a dead learner is removed",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0),
 	    LEARNER("d", DEAD, 990) },
 	  4,
 	  MEND_DROP,
 	  3 },
-	{ "a voter is away for a restart",
+	{ "a voter that restarts stays",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), VOTER("d", 3000) },
 	  4,
 	  MEND_NOTHING,
 	  0 },
-	{ "a voter is gone, three others are left",
+	{ "a dead voter is removed if three others are left",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", 0) },
 	  4,
 	  MEND_DROP,
 	  1 },
-	{ "a voter is gone, and two are no group without it",
+	{ "a dead voter stays if only two others are left",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0) },
 	  3,
 	  MEND_NOTHING,
 	  0 },
-	{ "its successor votes first, then it goes",
+	{ "a dead voter's successor is promoted first",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0),
 	    LEARNER("e", 0, 1000) },
 	  4,
 	  MEND_PROMOTE,
 	  3 },
-	{ "and then",
+	{ "a dead voter is removed once its successor votes",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("e", 0) },
 	  4,
 	  MEND_DROP,
 	  1 },
-	{ "the address of a lost disk is taken over",
+	{ "a voter is removed when another voter has its address",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), VOTER("b", 0) },
 	  4,
 	  MEND_DROP,
 	  1 },
-	{ "by a learner it isn't",
+	{ "a voter stays while only a learner has its address",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0),
 	    LEARNER("b", 0, 100) },
 	  4,
 	  MEND_NOTHING,
 	  0 },
-	{ "of two that are gone the learner goes first",
+	{ "a dead learner is removed before a dead voter",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", 0),
 	    LEARNER("e", DEAD, 5) },
 	  5,
 	  MEND_DROP,
 	  4 },
-	{ "two of five are gone: one at a time",
+	{ "two dead voters of five are removed one at a time",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", DEAD),
 	    VOTER("e", 0) },
 	  5,
@@ -154,7 +154,7 @@
 	  1 },
 };
 
-static void one_step_at_a_time(void **state)
+static void next_step_of_each_case(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -171,10 +171,10 @@
 }
 
 /*
- * Symptom: the leader drops itself, and the group is without one. Sequence:
- * it can't hear itself over the network. Cause: its own silence counted.
+ * Guards against a leader that removes itself and leaves the group without
+ * one: it gets no messages from itself, so its own silence must not count.
  */
-static void the_leader_is_never_dropped(void **state)
+static void leader_is_never_removed(void **state)
 {
 	struct mend_member m[] = { VOTER("a", DEAD), VOTER("b", 0),
 				   VOTER("c", 0), VOTER("a", 0) };
@@ -187,8 +187,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(one_step_at_a_time),
-		cmocka_unit_test(the_leader_is_never_dropped),
+		cmocka_unit_test(next_step_of_each_case),
+		cmocka_unit_test(leader_is_never_removed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
