--- a/src/core/raft.c
+++ b/src/core/raft.c
@@ -1,22 +1,26 @@
-/* Replicated log. After Ongaro's Raft, with pre-vote and check-quorum. */
+/*
+ * Raft: public interface, timers and message dispatch. Follows Ongaro's Raft,
+ * with pre-vote and check-quorum.
+ */
 #include "raft_int.h"
 
-/* Defaults where the options give none. A campaign begins after one to two
- * times this without a word from the leader, in ms: six heartbeats, so that a
- * few lost ones cost no leader. */
+/* Default minimum election timeout in ms; a follower starts a campaign after
+ * one to two times this without a message from the leader. Six heartbeats, so
+ * that a few lost ones cause no election. */
 #define ELECTION_MS 600
-/* A hundred round trips between failure domains, in ms. */
+/* Default heartbeat interval in ms: a hundred round trips between failure
+ * domains. */
 #define HEARTBEAT_MS 100
-/* Entries in one message, in bytes: a sixty-fourth of the largest frame, so
- * that heartbeats behind it aren't late on a thin link. */
+/* Default limit of entries in one message, in bytes: 1/64 of the largest frame,
+ * so that a slow link doesn't delay the heartbeats behind it. */
 #define BATCH_BYTES (256 * 1024)
 
-static uint64_t value_heard(struct ss_raft *r, const struct peer *p)
+static uint64_t value_active(struct ss_raft *r, const struct peer *p)
 {
-	return p->id == r->o.self || r->now - p->heard_ms < r->o.election_ms;
+	return p->id == r->o.self || r->now - p->contact_ms < r->o.election_ms;
 }
 
-/* True where the message's term lets it be handled at all. */
+/* Applies Raft's term rules; false if the message must not be handled. */
 static bool check_term(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	bool from_leader = m->kind == SS_RAFT_APPEND ||
@@ -31,12 +35,12 @@
 		    (m->kind == SS_RAFT_PREVOTE_REPLY && m->ok))
 			return true;
 		if (m->kind == SS_RAFT_VOTE && !m->transfer &&
-		    raft_leader_is_fresh(r))
+		    raft_has_live_leader(r))
 			return false;
 		return raft_become_follower(r, m->term,
 					    from_leader ? m->from : 0);
 	}
-	/* A stale leader or candidate learns the term from the answer. */
+	/* The reply carries the current term to a stale leader or candidate. */
 	if (m->kind == SS_RAFT_PREVOTE)
 		reply.kind = SS_RAFT_PREVOTE_REPLY;
 	if (from_leader || m->kind == SS_RAFT_PREVOTE)
@@ -54,28 +58,28 @@
 	switch ((enum ss_raft_msg_kind)m->kind) {
 	case SS_RAFT_PREVOTE:
 	case SS_RAFT_VOTE:
-		raft_take_vote(r, m);
+		raft_handle_vote(r, m);
 		break;
 	case SS_RAFT_PREVOTE_REPLY:
 	case SS_RAFT_VOTE_REPLY:
-		raft_take_vote_reply(r, m);
+		raft_handle_vote_reply(r, m);
 		break;
 	case SS_RAFT_APPEND:
 		if (r->role != SS_RAFT_LEADER)
-			raft_take_append(r, m);
+			raft_handle_append(r, m);
 		break;
 	case SS_RAFT_APPEND_REPLY:
-		raft_take_append_reply(r, m);
+		raft_handle_append_reply(r, m);
 		break;
 	case SS_RAFT_SNAPSHOT:
 		if (r->role != SS_RAFT_LEADER)
-			raft_take_snapshot(r, m);
+			raft_handle_snapshot(r, m);
 		break;
 	case SS_RAFT_SNAPSHOT_REPLY:
-		raft_take_snapshot_reply(r, m);
+		raft_handle_snapshot_reply(r, m);
 		break;
 	case SS_RAFT_TIMEOUT_NOW:
-		raft_take_timeout_now(r);
+		raft_handle_timeout_now(r);
 		break;
 	}
 }
@@ -93,10 +97,10 @@
 		return;
 	}
 	/*
-	 * A leader that no majority answers may have been replaced without
-	 * knowing; it stops before it can decide on stale knowledge.
+	 * Check-quorum: a leader without replies from a majority may have been
+	 * replaced; it steps down before it acts on stale state.
 	 */
-	if (!raft_majority_value(r, value_heard)) {
+	if (!raft_majority_value(r, value_active)) {
 		raft_become_follower(r, r->term, 0);
 		return;
 	}
@@ -113,7 +117,7 @@
 		r->round++;
 		raft_broadcast(r);
 	}
-	/* Members write at the same time as this disk does. */
+	/* Sends before the local sync, so that all disks write at once. */
 	for (guint i = 0; i < r->peers->len && r->dirty; i++) {
 		struct peer *p = raft_peer_at(r, i);
 
@@ -142,8 +146,8 @@
 		r->durable = raft_log_last(&r->log);
 	}
 	if (r->role == SS_RAFT_LEADER) {
-		raft_maybe_commit(r);
-		raft_finish_reads(r);
+		raft_advance_commit(r);
+		raft_complete_reads(r);
 	} else if (r->ack) {
 		r->ack = false;
 		m.index = r->ack_index;
@@ -152,7 +156,7 @@
 	}
 }
 
-static bool must_lead(const struct ss_raft *r, GError **error)
+static bool require_leader(const struct ss_raft *r, GError **error)
 {
 	if (r->role == SS_RAFT_LEADER && !r->broken)
 		return true;
@@ -163,16 +167,16 @@
 bool ss_raft_propose(struct ss_raft *r, struct ss_str data, uint64_t *index,
 		     GError **error)
 {
-	if (!must_lead(r, error))
+	if (!require_leader(r, error))
 		return false;
 	return raft_append_local(r, SS_RAFT_DATA, data, index, error);
 }
 
 bool ss_raft_read(struct ss_raft *r, int64_t now, uint64_t ctx, GError **error)
 {
-	struct read rd = { ctx, r->round + 1 };
+	struct pending_read rd = { ctx, r->round + 1 };
 
-	if (!must_lead(r, error))
+	if (!require_leader(r, error))
 		return false;
 	if (raft_log_term(&r->log, r->commit) != r->term) {
 		g_set_error(error, SS_ERROR, SS_ERROR_NOT_LEADER,
@@ -185,13 +189,13 @@
 	return true;
 }
 
-static bool may_change_members(struct ss_raft *r, GError **error)
+static bool check_member_change(struct ss_raft *r, GError **error)
 {
-	if (!must_lead(r, error))
+	if (!require_leader(r, error))
 		return false;
 	/*
-	 * Two open changes, or one on top of an unconfirmed log, can make
-	 * two majorities that don't meet.
+	 * Two uncommitted changes, or one before this term has a committed
+	 * entry, could produce two majorities that don't overlap.
 	 */
 	if (r->members_index > r->commit ||
 	    raft_log_term(&r->log, r->commit) != r->term) {
@@ -220,7 +224,7 @@
 	size_t i = 0;
 	bool ok;
 
-	if (!may_change_members(r, error))
+	if (!check_member_change(r, error))
 		return false;
 	view.n = r->members.n;
 	view.m = g_new0(struct ss_raft_member, view.n + 1);
@@ -240,7 +244,7 @@
 	size_t voters = 0;
 	bool ok;
 
-	if (!may_change_members(r, error))
+	if (!check_member_change(r, error))
 		return false;
 	view.m = g_new0(struct ss_raft_member, r->members.n + 1);
 	for (size_t i = 0; i < r->members.n; i++) {
@@ -271,7 +275,7 @@
 	for (guint i = 0; i < r->peers->len; i++) {
 		struct peer *p = raft_peer_at(r, i);
 
-		if (p->voter && p->id != r->o.self && value_heard(r, p) &&
+		if (p->voter && p->id != r->o.self && value_active(r, p) &&
 		    (!best || p->match > best->match))
 			best = p;
 	}
@@ -287,13 +291,13 @@
 	for (size_t i = 0; i < o->n_entries; i++) {
 		if (o->entries[i].index != raft_log_last(&r->log) + 1) {
 			g_set_error(error, SS_ERROR, SS_ERROR_CORRUPT,
-				    "log has entry %" PRIu64 " where %" PRIu64
-				    " should be",
+				    "log entry has index %" PRIu64
+				    ", expected %" PRIu64,
 				    o->entries[i].index,
 				    raft_log_last(&r->log) + 1);
 			return false;
 		}
-		raft_log_add(&r->log, &o->entries[i]);
+		raft_log_append(&r->log, &o->entries[i]);
 	}
 	return true;
 }
@@ -310,7 +314,7 @@
 	r->term = o->term;
 	r->vote = o->vote;
 	r->now = now;
-	r->reads = g_array_new(FALSE, FALSE, sizeof(struct read));
+	r->reads = g_array_new(FALSE, FALSE, sizeof(struct pending_read));
 	r->incoming = g_string_new(NULL);
 	raft_log_init(&r->log);
 	if (!load_log(r, o, error)) {
@@ -409,5 +413,5 @@
 
 	if (!p || id == r->o.self || r->role != SS_RAFT_LEADER)
 		return 0;
-	return r->now - p->heard_ms;
+	return r->now - p->contact_ms;
 }
--- a/src/core/raft_append.c
+++ b/src/core/raft_append.c
@@ -1,10 +1,10 @@
-/* Replicated log: sending entries, taking them, committing them. */
+/* Raft: replication and commit of entries. */
 #include "raft_int.h"
 
-/* Entries in one message, at the most: bounds the work of one turn of the loop
- * where entries are small. */
+/* Limit of entries in one message: bounds the work of one event loop iteration
+ * if entries are small. */
 #define BATCH_ENTRIES 1024
-/* A snapshot chunk unanswered for this many heartbeats is sent again. */
+/* Heartbeat intervals until an unanswered snapshot chunk is sent again. */
 #define SNAPSHOT_RESEND_HEARTBEATS 3
 
 static uint64_t value_match(struct ss_raft *r, const struct peer *p)
@@ -20,7 +20,7 @@
 static void apply_committed(struct ss_raft *r)
 {
 	while (r->applied < r->commit && !r->broken) {
-		struct ss_raft_entry e = *raft_log_at(&r->log, r->applied + 1);
+		struct ss_raft_entry e = *raft_log_get(&r->log, r->applied + 1);
 
 		r->applied = e.index;
 		if (e.kind == SS_RAFT_DATA)
@@ -28,7 +28,7 @@
 	}
 }
 
-/* The next chunk, for a member that needs entries the log no longer has. */
+/* Sends the next chunk to a member that needs entries already compacted. */
 static void send_snapshot(struct ss_raft *r, struct peer *p)
 {
 	const struct ss_raft_snapshot *s = &r->log.snapshot;
@@ -71,7 +71,7 @@
 	m.round = r->round;
 	if (p->next <= last)
 		m.entries =
-			(struct ss_raft_entry *)raft_log_at(&r->log, p->next);
+			(struct ss_raft_entry *)raft_log_get(&r->log, p->next);
 	while (p->next + m.n_entries <= last && m.n_entries < BATCH_ENTRIES &&
 	       bytes < r->o.batch_bytes)
 		bytes += m.entries[m.n_entries++].data.n;
@@ -97,7 +97,7 @@
 
 	if (!r->o.ops->append(r->o.arg, &e, 1, error))
 		return false;
-	raft_log_add(&r->log, &e);
+	raft_log_append(&r->log, &e);
 	r->dirty = true;
 	if (index)
 		*index = e.index;
@@ -114,19 +114,22 @@
 				     .round = m->round };
 	uint64_t hint = MIN(last + 1, m->index);
 
-	/* Skip back over the whole term that differs, not entry by entry. */
+	/* Skips back over all entries of the conflicting term at once. */
 	if (m->index <= last) {
-		uint64_t bad = raft_log_term(&r->log, m->index);
+		uint64_t conflict = raft_log_term(&r->log, m->index);
 
 		while (hint > r->commit + 1 &&
-		       raft_log_term(&r->log, hint - 1) == bad)
+		       raft_log_term(&r->log, hint - 1) == conflict)
 			hint--;
 	}
 	reply.offset = MAX(hint, r->log.snapshot.index + 1);
 	raft_send(r, &reply, m->from);
 }
 
-/* Add the entries that aren't held yet; false where nothing may be acked. */
+/*
+ * Appends the missing entries and removes conflicting ones. False if the
+ * message must not be acknowledged.
+ */
 static bool append_entries(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	GError *error = NULL;
@@ -142,9 +145,10 @@
 		return true;
 	if (m->entries[skip].index <= raft_log_last(&r->log)) {
 		if (m->entries[skip].index <= r->commit) {
-			/* Two logs disagree on an accepted entry. */
+			/* Two logs disagree on a committed entry. */
 			g_set_error(&error, SS_ERROR, SS_ERROR_CORRUPT,
-				    "entry %" PRIu64 " differs after commit",
+				    "committed entry %" PRIu64
+				    " differs from the leader's",
 				    m->entries[skip].index);
 			raft_fail(r, error);
 			return false;
@@ -154,7 +158,7 @@
 			raft_fail(r, error);
 			return false;
 		}
-		raft_log_cut(&r->log, m->entries[skip].index);
+		raft_log_truncate(&r->log, m->entries[skip].index);
 		r->durable = MIN(r->durable, raft_log_last(&r->log));
 		members = true;
 	}
@@ -167,7 +171,7 @@
 	}
 	r->dirty = true;
 	for (size_t i = skip; i < m->n_entries; i++) {
-		raft_log_add(&r->log, &m->entries[i]);
+		raft_log_append(&r->log, &m->entries[i]);
 		members |= m->entries[i].kind == SS_RAFT_MEMBERS;
 	}
 	if (members)
@@ -188,10 +192,10 @@
 	r->ack_round = MAX(r->ack_round, m->round);
 }
 
-void raft_heard_leader(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_follow_leader(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	raft_become_follower(r, m->term, m->from);
-	r->leader_ms = r->now;
+	r->leader_contact_ms = r->now;
 	raft_reset_deadline(r);
 }
 
@@ -203,11 +207,11 @@
 	return true;
 }
 
-void raft_take_append(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_append(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	uint64_t last_new = m->index + m->n_entries;
 
-	raft_heard_leader(r, m);
+	raft_follow_leader(r, m);
 	if (!entries_follow(m))
 		return;
 	if (m->index > r->log.snapshot.index &&
@@ -228,7 +232,7 @@
 	}
 }
 
-void raft_maybe_commit(struct ss_raft *r)
+void raft_advance_commit(struct ss_raft *r)
 {
 	uint64_t n = raft_majority_value(r, value_match);
 
@@ -239,17 +243,18 @@
 	if (r->role == SS_RAFT_LEADER && !raft_peer_find(r, r->o.self) &&
 	    r->members_index <= r->commit)
 		raft_become_follower(r, r->term, 0);
-	/* Members hear of it at once, where no entries follow that tell it. */
+	/* Sends the new commit index at once if no further entries carry it. */
 	if (r->role == SS_RAFT_LEADER && r->commit == raft_log_last(&r->log))
 		raft_broadcast(r);
 }
 
-void raft_finish_reads(struct ss_raft *r)
+void raft_complete_reads(struct ss_raft *r)
 {
 	uint64_t round = raft_majority_value(r, value_round);
 
 	while (r->role == SS_RAFT_LEADER && r->reads->len) {
-		struct read rd = g_array_index(r->reads, struct read, 0);
+		struct pending_read rd =
+			g_array_index(r->reads, struct pending_read, 0);
 
 		if (rd.round > round)
 			return;
@@ -258,18 +263,18 @@
 	}
 }
 
-void raft_take_append_reply(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_append_reply(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	struct peer *p = raft_peer_find(r, m->from);
 
 	if (r->role != SS_RAFT_LEADER || !p)
 		return;
-	p->heard_ms = r->now;
+	p->contact_ms = r->now;
 	p->round = MAX(p->round, m->round);
 	if (m->ok) {
 		p->match = MAX(p->match, m->index);
 		p->next = MAX(p->next, p->match + 1);
-		raft_maybe_commit(r);
+		raft_advance_commit(r);
 	} else if (m->index > p->match) {
 		p->next = MAX(m->offset, p->match + 1);
 		raft_send_append(r, p);
@@ -280,5 +285,5 @@
 	if (p && p->next <= raft_log_last(&r->log) &&
 	    p->next > r->log.snapshot.index)
 		raft_send_append(r, p);
-	raft_finish_reads(r);
+	raft_complete_reads(r);
 }
--- a/src/core/raft_base.c
+++ b/src/core/raft_base.c
@@ -1,4 +1,4 @@
-/* Replicated log: members, term and role, which its other parts stand on. */
+/* Raft: members, term and role, the base of the other raft_*.c files. */
 #include "raft_int.h"
 
 struct peer *raft_peer_at(struct ss_raft *r, guint i)
@@ -38,7 +38,7 @@
 	for (size_t i = 0; i < r->members.n; i++) {
 		struct peer p = { .id = r->members.m[i].id,
 				  .next = raft_log_last(&r->log) + 1,
-				  .heard_ms = r->now };
+				  .contact_ms = r->now };
 
 		for (guint k = 0; old && k < old->len; k++)
 			if (g_array_index(old, struct peer, k).id == p.id)
@@ -54,11 +54,12 @@
 {
 	GArray *reads = r->reads;
 
-	r->reads = g_array_new(FALSE, FALSE, sizeof(struct read));
+	r->reads = g_array_new(FALSE, FALSE, sizeof(struct pending_read));
 	for (guint i = 0; i < reads->len; i++)
-		r->o.ops->read_done(r->o.arg,
-				    g_array_index(reads, struct read, i).ctx,
-				    false);
+		r->o.ops->read_done(
+			r->o.arg,
+			g_array_index(reads, struct pending_read, i).ctx,
+			false);
 	g_array_unref(reads);
 }
 
@@ -77,10 +78,10 @@
 	return true;
 }
 
-void raft_set_deadline(struct ss_raft *r, int64_t least)
+void raft_set_deadline(struct ss_raft *r, int64_t min_ms)
 {
-	r->deadline_ms = r->now + least +
-			 (int64_t)(ss_random(&r->o.seed) % (uint64_t)least);
+	r->deadline_ms = r->now + min_ms +
+			 (int64_t)(ss_random(&r->o.seed) % (uint64_t)min_ms);
 }
 
 void raft_reset_deadline(struct ss_raft *r)
--- a/src/core/raft_elect.c
+++ b/src/core/raft_elect.c
@@ -1,8 +1,8 @@
-/* Replicated log: elections. */
+/* Raft: elections. */
 #include "raft_int.h"
 
-/* A member whose disk is full can't vote for itself; it stays out of this many
- * campaigns, so that others come first. */
+/* A member whose disk is full can't lead. It waits this many election timeouts
+ * after it won an election, so that others are elected first. */
 #define DISK_FULL_ELECTIONS 10
 
 static uint64_t value_granted(struct ss_raft *r, const struct peer *p)
@@ -23,12 +23,12 @@
 		p->next = raft_log_last(&r->log) + 1;
 		p->match = 0;
 		p->round = 0;
-		p->heard_ms = r->now;
+		p->contact_ms = r->now;
 		p->snap_index = 0;
 	}
 	/*
-	 * Entries of earlier terms count as accepted only below one of this
-	 * term; without it a read could miss what was accepted before.
+	 * Entries of earlier terms are committed only through a later entry of
+	 * this term; without one a read could miss committed entries.
 	 */
 	if (!raft_append_local(r, SS_RAFT_NOOP, (struct ss_str){ 0 }, NULL,
 			       &error)) {
@@ -80,28 +80,28 @@
 	count_votes(r);
 }
 
-bool raft_leader_is_fresh(const struct ss_raft *r)
+bool raft_has_live_leader(const struct ss_raft *r)
 {
 	if (r->role == SS_RAFT_LEADER)
 		return true;
-	return r->leader && r->now - r->leader_ms < r->o.election_ms;
+	return r->leader && r->now - r->leader_contact_ms < r->o.election_ms;
 }
 
-void raft_take_vote(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_vote(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	bool pre = m->kind == SS_RAFT_PREVOTE;
 	uint64_t last = raft_log_last(&r->log);
 	uint64_t last_term = raft_log_term(&r->log, last);
 	struct ss_raft_msg reply = { .kind = pre ? SS_RAFT_PREVOTE_REPLY :
 						   SS_RAFT_VOTE_REPLY };
-	bool fresh = m->log_term > last_term ||
-		     (m->log_term == last_term && m->index >= last);
+	bool up_to_date = m->log_term > last_term ||
+			  (m->log_term == last_term && m->index >= last);
 
 	if (pre)
-		reply.ok = fresh && m->term > r->term &&
-			   !raft_leader_is_fresh(r);
+		reply.ok = up_to_date && m->term > r->term &&
+			   !raft_has_live_leader(r);
 	else
-		reply.ok = fresh && (!r->vote || r->vote == m->from) &&
+		reply.ok = up_to_date && (!r->vote || r->vote == m->from) &&
 			   raft_save_vote(r, r->term, m->from);
 	if (reply.ok && !pre)
 		raft_reset_deadline(r);
@@ -109,7 +109,7 @@
 	raft_send(r, &reply, m->from);
 }
 
-void raft_take_vote_reply(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_vote_reply(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	struct peer *p = raft_peer_find(r, m->from);
 	enum ss_raft_role wanted = m->kind == SS_RAFT_PREVOTE_REPLY ?
@@ -122,7 +122,7 @@
 	count_votes(r);
 }
 
-void raft_take_timeout_now(struct ss_raft *r)
+void raft_handle_timeout_now(struct ss_raft *r)
 {
 	if (r->role != SS_RAFT_FOLLOWER || !raft_is_voter(r))
 		return;
--- a/src/core/raft_log.c
+++ b/src/core/raft_log.c
@@ -1,4 +1,4 @@
-/* The replicated log's entries in memory. */
+/* Raft: the log's entries in memory. */
 #include "raft_log.h"
 
 #include "../base/wire.h"
@@ -98,8 +98,8 @@
 	return l->snapshot.index + l->entries->len;
 }
 
-const struct ss_raft_entry *raft_log_at(const struct raft_log *l,
-					uint64_t index)
+const struct ss_raft_entry *raft_log_get(const struct raft_log *l,
+					 uint64_t index)
 {
 	if (index <= l->snapshot.index || index > raft_log_last(l))
 		return NULL;
@@ -113,11 +113,11 @@
 
 	if (index == l->snapshot.index)
 		return l->snapshot.term;
-	e = raft_log_at(l, index);
+	e = raft_log_get(l, index);
 	return e ? e->term : 0;
 }
 
-void raft_log_add(struct raft_log *l, const struct ss_raft_entry *e)
+void raft_log_append(struct raft_log *l, const struct ss_raft_entry *e)
 {
 	struct ss_raft_entry copy = *e;
 
@@ -125,7 +125,7 @@
 	g_array_append_val(l->entries, copy);
 }
 
-void raft_log_cut(struct raft_log *l, uint64_t from)
+void raft_log_truncate(struct raft_log *l, uint64_t from)
 {
 	if (from > l->snapshot.index)
 		g_array_set_size(l->entries,
--- a/src/core/raft_snapshot.c
+++ b/src/core/raft_snapshot.c
@@ -1,4 +1,4 @@
-/* Replicated log: snapshots taken in, their answers, and compaction. */
+/* Raft: installing snapshots, their replies, and compaction. */
 #include "raft_int.h"
 
 static void install_snapshot(struct ss_raft *r, const struct ss_raft_msg *m)
@@ -9,7 +9,7 @@
 				      .data = ss_str_gs(r->incoming) };
 	bool keep = raft_log_term(&r->log, m->index) == m->log_term;
 	const struct ss_raft_entry *rest =
-		keep ? raft_log_at(&r->log, m->index + 1) : NULL;
+		keep ? raft_log_get(&r->log, m->index + 1) : NULL;
 	size_t n = rest ? raft_log_last(&r->log) - m->index : 0;
 	GError *error = NULL;
 
@@ -28,14 +28,14 @@
 	}
 }
 
-void raft_take_snapshot(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_snapshot(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	struct ss_raft_msg reply = { .kind = SS_RAFT_SNAPSHOT_REPLY,
 				     .index = m->index,
 				     .round = m->round,
 				     .ok = true };
 
-	raft_heard_leader(r, m);
+	raft_follow_leader(r, m);
 	if (m->index <= r->commit) {
 		raft_ack_later(r, m, m->index);
 		return;
@@ -58,40 +58,41 @@
 		raft_ack_later(r, m, m->index);
 }
 
-void raft_take_snapshot_reply(struct ss_raft *r, const struct ss_raft_msg *m)
+void raft_handle_snapshot_reply(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	struct peer *p = raft_peer_find(r, m->from);
 
 	if (r->role != SS_RAFT_LEADER || !p)
 		return;
-	p->heard_ms = r->now;
+	p->contact_ms = r->now;
 	p->round = MAX(p->round, m->round);
 	if (p->snap_index != m->index || m->offset > r->log.snapshot.data.n)
 		return;
 	p->snap_offset = m->offset;
 	p->snap_ms = 0;
 	raft_send_append(r, p);
-	raft_finish_reads(r);
+	raft_complete_reads(r);
 }
 
 bool ss_raft_compact(struct ss_raft *r, struct ss_str state, GError **error)
 {
 	struct ss_raft_snapshot s = { .index = r->applied, .data = state };
-	struct raft_log upto = r->log;
+	struct raft_log prefix = r->log;
 	uint64_t index;
 	bool ok;
 
 	if (r->broken || r->applied <= r->log.snapshot.index)
 		return true;
 	s.term = raft_log_term(&r->log, s.index);
-	/* The members as they stood at that index, not later ones. */
-	upto.entries = g_array_new(FALSE, FALSE, sizeof(struct ss_raft_entry));
-	g_array_append_vals(upto.entries, r->log.entries->data,
+	/* Finds the members in force at the snapshot's index, not later. */
+	prefix.entries =
+		g_array_new(FALSE, FALSE, sizeof(struct ss_raft_entry));
+	g_array_append_vals(prefix.entries, r->log.entries->data,
 			    (guint)(s.index - r->log.snapshot.index));
-	raft_log_members(&upto, &s.members, &index);
-	g_array_unref(upto.entries);
+	raft_log_members(&prefix, &s.members, &index);
+	g_array_unref(prefix.entries);
 	ok = r->o.ops->save_snapshot(r->o.arg, &s,
-				     raft_log_at(&r->log, s.index + 1),
+				     raft_log_get(&r->log, s.index + 1),
 				     raft_log_last(&r->log) - s.index, error);
 	if (ok) {
 		raft_log_set_snapshot(&r->log, &s);
--- a/test/prop_raft.cc
+++ b/test/prop_raft.cc
@@ -1,7 +1,7 @@
 /*
- * Properties of the replicated log under any order of drops, delays,
- * duplicates, crashes that lose unsynced writes, wiped disks, partitions,
- * snapshots and changes of members.
+ * Safety and liveness of the Raft log under random message loss, delay and
+ * duplication, crashes that lose unsynced writes, wiped disks, full disks,
+ * partitions, snapshots and membership changes.
  */
 #include <rapidcheck.h>
 #include <sapphireshift/raft.h>
@@ -25,7 +25,7 @@
 	std::string data;
 };
 
-/* What a disk holds; only what was synced outlives a crash. */
+/* Simulated disk; only synced entries are sure to survive a crash. */
 struct Disk {
 	uint64_t term = 0, vote = 0;
 	uint64_t snap_index = 0, snap_term = 0;
@@ -49,7 +49,7 @@
 	Disk disk;
 	ss_raft *raft = nullptr;
 	bool disk_full = false;
-	/* The state: all data applied, in order, as one string. */
+	/* The state machine: the data of all applied entries, in order. */
 	std::vector<std::string> state;
 	uint64_t applied = 0;
 };
@@ -57,13 +57,13 @@
 struct World {
 	std::vector<std::unique_ptr<Node>> nodes;
 	std::deque<Msg> net;
-	std::set<std::pair<int, int>> cut;
+	std::set<std::pair<int, int>> cut; /* links (from, to) that drop all */
 	int64_t now = 1000;
 	uint64_t next_id = 1, next_value = 1;
 	std::map<uint64_t, uint64_t> leader_of_term;
 	std::map<uint64_t, std::string> applied; /* index -> data */
-	std::set<std::string> accepted;
-	/* Reads under way: what had been accepted when each was asked. */
+	std::set<std::string> committed; /* data that a leader has applied */
+	/* Open reads: the number of committed entries at each request. */
 	std::map<uint64_t, size_t> reads;
 	uint64_t ctx = 0;
 };
@@ -89,21 +89,21 @@
 	return s;
 }
 
-Node *of(void *arg)
+Node *node_of(void *arg)
 {
 	return static_cast<Node *>(arg);
 }
 
 bool save_vote(void *arg, uint64_t term, uint64_t vote, GError **)
 {
-	of(arg)->disk.term = term;
-	of(arg)->disk.vote = vote;
+	node_of(arg)->disk.term = term;
+	node_of(arg)->disk.vote = vote;
 	return true;
 }
 
 bool append(void *arg, const ss_raft_entry *e, size_t n, GError **error)
 {
-	Node *d = of(arg);
+	Node *d = node_of(arg);
 
 	if (d->disk_full) {
 		g_set_error(error, SS_ERROR, SS_ERROR_DISK_FULL, "full");
@@ -117,7 +117,7 @@
 
 bool truncate(void *arg, uint64_t from, GError **)
 {
-	Disk &d = of(arg)->disk;
+	Disk &d = node_of(arg)->disk;
 
 	while (!d.log.empty() && d.log.back().index >= from)
 		d.log.pop_back();
@@ -127,14 +127,14 @@
 
 bool sync(void *arg, GError **)
 {
-	of(arg)->disk.synced = of(arg)->disk.log.size();
+	node_of(arg)->disk.synced = node_of(arg)->disk.log.size();
 	return true;
 }
 
 bool save_snapshot(void *arg, const ss_raft_snapshot *s,
 		   const ss_raft_entry *rest, size_t n, GError **)
 {
-	Disk &d = of(arg)->disk;
+	Disk &d = node_of(arg)->disk;
 
 	d.snap_index = s->index;
 	d.snap_term = s->term;
@@ -159,16 +159,16 @@
 			  m->entries[i].kind, text(m->entries[i].data) });
 	x.members = encode(&m->members);
 	x.data = text(m->data);
-	of(arg)->world->net.push_back(x);
+	node_of(arg)->world->net.push_back(x);
 }
 
 void apply(void *arg, const ss_raft_entry *e)
 {
-	Node *n = of(arg);
+	Node *n = node_of(arg);
 	std::string data = text(e->data);
 	auto known = n->world->applied.find(e->index);
 
-	/* Whoever applies an index applies the same there, for ever. */
+	/* All nodes apply the same data at an index, also after a restart. */
 	if (known == n->world->applied.end())
 		n->world->applied[e->index] = data;
 	else
@@ -177,12 +177,12 @@
 	n->applied = e->index;
 	n->state.push_back(data);
 	if (ss_raft_role(n->raft) == SS_RAFT_LEADER)
-		n->world->accepted.insert(data);
+		n->world->committed.insert(data);
 }
 
 bool restore(void *arg, struct ss_str data)
 {
-	Node *n = of(arg);
+	Node *n = node_of(arg);
 	std::string s = text(data);
 	size_t at = 0, end;
 
@@ -196,7 +196,7 @@
 
 void changed(void *arg)
 {
-	Node *n = of(arg);
+	Node *n = node_of(arg);
 
 	if (!n->raft || ss_raft_role(n->raft) != SS_RAFT_LEADER)
 		return;
@@ -210,12 +210,12 @@
 
 void read_done(void *arg, uint64_t ctx, bool ok)
 {
-	Node *n = of(arg);
-	size_t had = n->world->reads[ctx];
+	Node *n = node_of(arg);
+	size_t before = n->world->reads[ctx];
 
-	/* All that was accepted before the question is in the answer. */
+	/* A read sees all entries committed before it was requested. */
 	if (ok)
-		RC_ASSERT(n->state.size() >= had);
+		RC_ASSERT(n->state.size() >= before);
 	n->world->reads.erase(ctx);
 }
 
@@ -267,7 +267,7 @@
 
 	ss_raft_free(n->raft);
 	n->raft = nullptr;
-	/* Of what wasn't synced any first part may have reached the disk. */
+	/* Any prefix of the unsynced entries may have reached the disk. */
 	d.log.resize(d.synced + std::min(keep, d.log.size() - d.synced));
 	d.synced = d.log.size();
 }
@@ -322,8 +322,8 @@
 	ss_raft_clear_members(&x.m.members);
 }
 
-/* As the daemon does: take in the new, promote it, drop the lost. */
-void tend(World &w)
+/* Repairs membership as the daemon does: one add, promotion or removal. */
+void repair_members(World &w)
 {
 	Node *l = leader(w);
 
@@ -359,8 +359,8 @@
 	}
 }
 
-/* A disk may be lost while all others are whole members. */
-bool may_wipe(World &w)
+/* A disk may be wiped while all nodes are voters and all is committed. */
+bool can_wipe(World &w)
 {
 	Node *l = leader(w);
 
@@ -376,7 +376,7 @@
 	return true;
 }
 
-void settle(World &w, Node *n)
+void flush(World &w, Node *n)
 {
 	if (n->raft)
 		ss_raft_flush(n->raft, w.now);
@@ -390,13 +390,13 @@
 		ss_raft_propose(n->raft, str(v), nullptr, nullptr);
 }
 
-void ask(World &w, Node *n)
+void request_read(World &w, Node *n)
 {
 	uint64_t ctx = ++w.ctx;
 
 	if (!n->raft)
 		return;
-	w.reads[ctx] = w.accepted.size();
+	w.reads[ctx] = w.committed.size();
 	if (!ss_raft_read(n->raft, w.now, ctx, nullptr))
 		w.reads.erase(ctx);
 }
@@ -413,23 +413,23 @@
 		ss_raft_compact(n->raft, str(s), nullptr);
 }
 
-/* Time passes and messages arrive; one node may be frozen meanwhile. */
-void calm(World &w, int rounds, const Node *frozen)
+/* Runs without new faults; one node may be suspended meanwhile. */
+void run_network(World &w, int rounds, const Node *suspended)
 {
 	for (int round = 0; round < rounds; round++) {
 		w.now += 40;
 		for (auto &n : w.nodes)
-			if (n->raft && n.get() != frozen)
+			if (n->raft && n.get() != suspended)
 				ss_raft_tick(n->raft, w.now);
 		for (int k = 0; k < 60 && !w.net.empty(); k++) {
-			if (frozen && w.net[0].m.to == frozen->id)
+			if (suspended && w.net[0].m.to == suspended->id)
 				w.net.pop_front();
 			else
 				deliver(w, 0, false);
 		}
 		for (auto &n : w.nodes)
-			if (n.get() != frozen)
-				settle(w, n.get());
+			if (n.get() != suspended)
+				flush(w, n.get());
 	}
 }
 
@@ -467,7 +467,7 @@
 			propose(w, leader(w));
 		break;
 	case 6:
-		ask(w, n);
+		request_read(w, n);
 		break;
 	case 7:
 		if (!w.net.empty())
@@ -497,7 +497,7 @@
 		compact(n);
 		break;
 	case 16:
-		if (may_wipe(w) && (v >> 24) % 2) {
+		if (can_wipe(w) && (v >> 24) % 2) {
 			if (n->raft)
 				crash(n, 0);
 			n->disk = Disk();
@@ -505,18 +505,18 @@
 		}
 		break;
 	case 17:
-		tend(w);
+		repair_members(w);
 		break;
 	case 19:
 	case 20:
-		calm(w, (int)(v >> 16) % 30, nullptr);
+		run_network(w, (int)(v >> 16) % 30, nullptr);
 		break;
 	case 21:
-		calm(w, 30 + (int)(v >> 16) % 20, n);
-		/* It wakes, believes what it did, and is asked at once. */
+		run_network(w, 30 + (int)(v >> 16) % 20, n);
+		/* It resumes with its old state and gets requests at once. */
 		propose(w, n);
-		ask(w, n);
-		settle(w, n);
+		request_read(w, n);
+		flush(w, n);
 		break;
 	case 22:
 		isolate(w, n);
@@ -530,10 +530,10 @@
 		break;
 	}
 	if (v % 3 == 0)
-		settle(w, n);
+		flush(w, n);
 }
 
-void begin(World &w)
+void init_world(World &w)
 {
 	std::vector<struct ss_raft_member> all;
 
@@ -554,10 +554,10 @@
 	}
 }
 
-/* All faults end: a leader must come, and accept a change. */
-void heal(World &w)
+/* All faults end: a leader must be elected and commit a change. */
+void recover(World &w)
 {
-	size_t had = w.accepted.size();
+	size_t before = w.committed.size();
 
 	w.cut.clear();
 	for (auto &n : w.nodes) {
@@ -566,13 +566,13 @@
 			start(n.get());
 	}
 	for (int round = 0; round < 60; round++) {
-		calm(w, 5, nullptr);
-		tend(w);
+		run_network(w, 5, nullptr);
+		repair_members(w);
 		if (round % 4 == 2 && leader(w))
 			propose(w, leader(w));
 	}
-	calm(w, 5, nullptr);
-	RC_ASSERT(w.accepted.size() > had);
+	run_network(w, 5, nullptr);
+	RC_ASSERT(w.committed.size() > before);
 }
 
 void check_end(World &w)
@@ -580,11 +580,11 @@
 	Node *l = leader(w);
 
 	RC_ASSERT(bool(l));
-	/* Nothing accepted is lost, and nothing stands twice. */
+	/* No committed entry is lost or applied twice. */
 	std::set<std::string> have(l->state.begin(), l->state.end());
 
 	RC_ASSERT(have.size() == l->state.size());
-	for (const std::string &v : w.accepted)
+	for (const std::string &v : w.committed)
 		RC_ASSERT(have.count(v) == 1);
 	for (auto &n : w.nodes) {
 		size_t common = std::min(n->state.size(), l->state.size());
@@ -599,10 +599,10 @@
 {
 	World w;
 
-	begin(w);
+	init_world(w);
 	for (uint32_t v : ops)
 		step(w, v);
-	heal(w);
+	recover(w);
 	check_end(w);
 	for (auto &n : w.nodes)
 		ss_raft_free(n->raft);
@@ -612,12 +612,12 @@
 
 int main()
 {
-	/* The numbers have their whole range at any length of the list. */
+	/* Each number has its full range at any length of the list. */
 	auto number = rc::gen::resize(rc::kNominalSize,
 				      rc::gen::arbitrary<uint32_t>());
 	auto ops = rc::gen::scale(
 		12.0, rc::gen::container<std::vector<uint32_t>>(number));
-	bool ok = rc::check("accepted changes survive any order of faults",
+	bool ok = rc::check("committed changes survive any order of faults",
 			    [&] { run(*ops); });
 
 	return ok ? 0 : 1;
--- a/test/test_raft.c
+++ b/test/test_raft.c
@@ -1,4 +1,4 @@
-/* Rules of the replicated log that chance seldom reaches. */
+/* Raft rules that the random test in prop_raft.cc rarely exercises. */
 #include "unit.h"
 
 #include <sapphireshift/raft.h>
@@ -113,7 +113,7 @@
 	.failed = failed,
 };
 
-/* Member 1 of three voters, at term 3, with an entry of term 2. */
+/* Starts member 1 of three voters at term 3 with an entry of term 2. */
 static void start_with(struct fake *f, int64_t election_ms, int64_t first_ms)
 {
 	struct ss_raft_member m[] = {
@@ -172,12 +172,11 @@
 }
 
 /*
- * Symptom: an accepted change vanishes. Sequence: a leader finds an entry
- * of an earlier term on a majority and calls it accepted; a member with a
- * later entry in its place is elected next. Cause: counting copies of
- * another term's entry.
+ * Guards against the loss of a committed change. If a leader committed an entry
+ * of an earlier term by counting its copies, a member with a later entry at the
+ * same index could still be elected and overwrite it.
  */
-static void old_entries_commit_below_a_new_one(void **state)
+static void old_entries_commit_with_a_new_one(void **state)
 {
 	struct fake f;
 
@@ -195,10 +194,10 @@
 }
 
 /*
- * Symptom: two leaders of one term. Sequence: two changes of members are
- * open at once. Cause: majorities of the first and last set need not meet.
+ * Guards against two leaders in one term. With two uncommitted membership
+ * changes, majorities of the first and the last set need not overlap.
  */
-static void members_change_one_at_a_time(void **state)
+static void one_member_change_at_a_time(void **state)
 {
 	struct ss_raft_member four = { 4, SS_LIT("d"), SS_LIT("w"), false };
 	struct ss_raft_member five = { 5, SS_LIT("e"), SS_LIT("v"), false };
@@ -208,7 +207,7 @@
 	(void)state;
 	start(&f);
 	elect(&f);
-	/* Not before the leader's own first entry is accepted. */
+	/* Not before an entry of the leader's own term is committed. */
 	assert_false(ss_raft_set_member(f.r, &four, &error));
 	assert_int_equal(error->code, SS_ERROR_CONFLICT);
 	g_clear_error(&error);
@@ -223,8 +222,8 @@
 	ss_raft_free(f.r);
 }
 
-/* What this disk hasn't synced doesn't count, not even for its leader. */
-static void leader_counts_itself_after_its_sync(void **state)
+/* The leader's own unsynced entries don't count towards a commit. */
+static void leader_counts_itself_after_sync(void **state)
 {
 	struct ss_raft_msg m = { .kind = SS_RAFT_APPEND_REPLY,
 				 .from = 2,
@@ -246,7 +245,7 @@
 	ss_raft_free(f.r);
 }
 
-static void cut_off_leader_steps_down(void **state)
+static void partitioned_leader_steps_down(void **state)
 {
 	struct fake f;
 
@@ -260,8 +259,8 @@
 	ss_raft_free(f.r);
 }
 
-/* A member that was cut off can't unseat a leader that works. */
-static void working_leader_is_not_unseated(void **state)
+/* A member that was partitioned can't depose a working leader. */
+static void working_leader_is_not_deposed(void **state)
 {
 	struct fake f;
 
@@ -275,7 +274,7 @@
 	ss_raft_free(f.r);
 }
 
-/* With a full disk it refuses the change, and can't become leader anew. */
+/* A member with a full disk rejects changes and can't become leader. */
 static void full_disk_lets_others_lead(void **state)
 {
 	GError *error = NULL;
@@ -301,12 +300,12 @@
 }
 
 /*
- * Symptom: after a loss of power nobody serves for two seconds. Sequence:
- * all control VMs start together; each waits for a leader as long as one
- * that heard of it a moment ago. Cause: one timeout for both. The first
- * campaign comes early; the next ones take the usual time.
+ * Guards against two seconds without a leader after a power loss. All control
+ * VMs start together, and with one timeout for all cases each would wait as
+ * long as a follower that has just lost its leader. So the first campaign
+ * starts early and the next ones after the usual timeout.
  */
-static void first_campaign_comes_early(void **state)
+static void first_campaign_starts_early(void **state)
 {
 	struct fake f;
 
@@ -325,13 +324,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(old_entries_commit_below_a_new_one),
-		cmocka_unit_test(members_change_one_at_a_time),
-		cmocka_unit_test(leader_counts_itself_after_its_sync),
-		cmocka_unit_test(cut_off_leader_steps_down),
-		cmocka_unit_test(working_leader_is_not_unseated),
+		cmocka_unit_test(old_entries_commit_with_a_new_one),
+		cmocka_unit_test(one_member_change_at_a_time),
+		cmocka_unit_test(leader_counts_itself_after_sync),
+		cmocka_unit_test(partitioned_leader_steps_down),
+		cmocka_unit_test(working_leader_is_not_deposed),
 		cmocka_unit_test(full_disk_lets_others_lead),
-		cmocka_unit_test(first_campaign_comes_early),
+		cmocka_unit_test(first_campaign_starts_early),
 	};
 
 	return cmocka_run_group_tests_name("raft", tests, NULL, NULL);
