--- a/src/core/mend.c
+++ b/src/core/mend.c
@@ -3,13 +3,13 @@
 
 static bool is_dead(const struct mend_member *m)
 {
-	return !m->self && m->quiet_ms > MEND_DEAD_MS;
+	return !m->self && m->quiet_ms > REPAIR_DEAD_MS;
 }
 
 static bool is_promotable(const struct mend_member *m, uint64_t last)
 {
 	return !m->voter && !is_dead(m) && m->match &&
-	       m->match + MEND_CAUGHT_UP >= last;
+	       m->match + REPAIR_MAX_LAG >= last;
 }
 
 /*
@@ -57,7 +57,7 @@
  */
 static bool needs_voter(const struct counts *c)
 {
-	return c->ready && (c->healthy < MEND_VOTERS_MIN ||
+	return c->ready && (c->healthy < REPAIR_MIN_VOTERS ||
 			    c->healthy % 2 == 0 || c->ready > 1);
 }
 
@@ -70,7 +70,7 @@
 		if (!m[i].voter && is_dead(&m[i]))
 			return true;
 	}
-	for (size_t i = 0; i < n && healthy >= MEND_VOTERS_MIN; i++) {
+	for (size_t i = 0; i < n && healthy >= REPAIR_MIN_VOTERS; i++) {
 		*at = i;
 		if (is_lost(m, n, i))
 			return true;
--- a/src/core/mend.h
+++ b/src/core/mend.h
@@ -8,16 +8,16 @@
 #include <sapphireshift/base.h>
 
 /* A learner at most this many entries behind may become a voter. */
-#define MEND_CAUGHT_UP 64
+#define REPAIR_MAX_LAG 64
 /*
  * Silence in ms after which a member counts as dead and is removed if enough
  * others are left. Longer than a restart (about 2 s) or an election, and short
  * against the time until a second VM may be lost. A removed member that
  * returns joins again with its log.
  */
-#define MEND_DEAD_MS 6000
+#define REPAIR_DEAD_MS 6000
 /* Fewer voters than this tolerate no loss. */
-#define MEND_VOTERS_MIN 3
+#define REPAIR_MIN_VOTERS 3
 
 struct mend_member {
 	uint64_t id;
@@ -28,10 +28,10 @@
 	uint64_t match;	  /* last log index known to be durable there */
 };
 
-enum mend_act { MEND_NOTHING, MEND_PROMOTE, MEND_DROP };
+enum repair_action { MEND_NOTHING, MEND_PROMOTE, MEND_DROP };
 
 struct mend_step {
-	enum mend_act act;
+	enum repair_action act;
 	size_t member; /* index into the members */
 };
 
--- a/test/test_mend.c
+++ b/test/test_mend.c
@@ -3,11 +3,11 @@
 
 #include "../src/core/mend.h"
 
-struct mend_case {
+struct repair_case {
 	const char *label;
 	struct mend_member m[6];
 	size_t n;
-	enum mend_act act;
+	enum repair_action act;
 	size_t member;
 };
 
@@ -21,10 +21,10 @@
 		.name = SS_LIT(who), .addr = SS_LIT(who), .quiet_ms = (quiet), \
 		.match = (has)                                                 \
 	}
-#define DEAD (MEND_DEAD_MS + 1)
+#define DEAD (REPAIR_DEAD_MS + 1)
 
 /* The last log index is 1000; the first member is the leader. */
-static const struct mend_case cases[] = {
+static const struct repair_case cases[] = {
 	{ "all voters are healthy",
 	  { VOTER("a", 0), VOTER("b", 9), VOTER("c", 9) },
 	  3,
@@ -158,7 +158,7 @@
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct mend_case c = cases[i];
+		struct repair_case c = cases[i];
 		struct mend_step got;
 
 		c.m[0].self = true;
