--- a/src/customer/customer.c
+++ b/src/customer/customer.c
@@ -1,4 +1,4 @@
-/* Customers and their keys. */
+/* Table of customers, looked up by name and by the digest of an API key. */
 #include "customer.h"
 
 struct customer *customer_new(void)
@@ -27,7 +27,7 @@
 	g_free(c);
 }
 
-static struct customer_key key_of(struct ss_str text)
+static struct customer_key digest_key(struct ss_str text)
 {
 	struct customer_key k;
 	gsize n = sizeof(k.digest);
@@ -41,7 +41,7 @@
 
 void customer_add_key(struct customer *c, struct ss_str key)
 {
-	struct customer_key k = key_of(key);
+	struct customer_key k = digest_key(key);
 
 	g_array_append_val(c->keys, k);
 }
@@ -53,13 +53,11 @@
 	return tokens > 0 ? (double)tokens : c->limit.plain;
 }
 
-/* The table. */
-
 static guint key_hash(gconstpointer v)
 {
 	guint h;
 
-	/* Any part of a digest is as good as another. */
+	/* Any bytes of a digest are evenly distributed. */
 	memcpy(&h, v, sizeof(h));
 	return h;
 }
@@ -69,15 +67,15 @@
 	return memcmp(a, b, sizeof(struct customer_key)) == 0;
 }
 
-static void release(void *c)
+static void release_customer(void *c)
 {
 	customer_unref(c);
 }
 
 void customers_init(struct customers *t)
 {
-	t->by_name =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, release);
+	t->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					   release_customer);
 	t->by_key = g_hash_table_new(key_hash, key_equal);
 }
 
@@ -93,7 +91,7 @@
 
 	if (!key.n)
 		return NULL;
-	k = key_of(key);
+	k = digest_key(key);
 	return g_hash_table_lookup(t->by_key, &k);
 }
 
@@ -107,10 +105,11 @@
 	return &g_array_index(c->keys, struct customer_key, i);
 }
 
-/* Who holds a key beside the customer itself: of the table, or added. */
-static const struct customer *holder(const struct customers *t,
-				     GHashTable *added,
-				     const struct customer_key *k)
+/* Returns the customer that already has a key, either among those to be added
+ * or in the table and not removed. */
+static const struct customer *key_owner(const struct customers *t,
+					GHashTable *added,
+					const struct customer_key *k)
 {
 	const struct customer *c = g_hash_table_lookup(added, k);
 
@@ -141,8 +140,8 @@
 			clash = CUSTOMERS_NAME;
 		g_hash_table_insert(names, c->name, c);
 		for (guint i = 0; i < c->keys->len && !clash; i++) {
-			*other = holder(t, keys, key_at(c, i));
-			/* A key that one customer lists twice is harmless. */
+			*other = key_owner(t, keys, key_at(c, i));
+			/* A customer that lists a key twice is no conflict. */
 			if (*other && *other != c)
 				clash = CUSTOMERS_KEY;
 			g_hash_table_insert(keys, key_at(c, i), c);
@@ -157,7 +156,8 @@
 
 void customers_add(struct customers *t, struct customer *c)
 {
-	/* The key's memory is the customer's too, which another may replace. */
+	/* The hash table's key is part of the customer, so replace the key
+	 * along with the value. */
 	g_hash_table_replace(t->by_name, c->name, c);
 	for (guint i = 0; i < c->keys->len; i++)
 		g_hash_table_replace(t->by_key, key_at(c, i), c);
--- a/src/customer/customer.h
+++ b/src/customer/customer.h
@@ -1,35 +1,35 @@
 /*
- * Customers: who may send requests, how urgent these are, and how much each
- * may ask for. Operators tell them with the routing; a customer is immutable
- * and lives while a request holds it.
+ * Customers: who may send requests, at which priority, and how much each may
+ * request. Operators configure them with the routing. A customer is immutable
+ * and reference-counted: requests hold a reference.
  */
 #ifndef SS_CUSTOMER_H
 #define SS_CUSTOMER_H
 
 #include <sapphireshift/base.h>
 
-/* Of a key only this is kept where requests are taken, so that neither memory
- * nor a dump of it tells one. */
+/* Digest of an API key. Processes that accept requests keep nothing else of a
+ * key, so that neither their memory nor a core dump reveals one. */
 #define CUSTOMER_KEY_BYTES 32
 struct customer_key {
 	guint8 digest[CUSTOMER_KEY_BYTES]; /* SHA-256 */
 };
 
-/* How much a customer may ask for, over all entries. */
+/* A customer's limit over all entries together: a token bucket. */
 struct customer_limit {
 	double per_s; /* 0: no limit */
-	double burst; /* beside that, at any moment */
-	bool tokens;  /* counted in tokens, else in requests */
-	double plain; /* tokens that a request counts as that tells none */
+	double burst; /* size of the bucket */
+	bool tokens;  /* counted in tokens, otherwise in requests */
+	double plain; /* tokens of a request that states none */
 };
 
 struct customer {
 	int refs;
 	char *name;
-	GArray *keys;	  /* struct customer_key; empty: nobody may send */
-	int64_t priority; /* of its requests, 0 is first; -1: their route's */
+	GArray *keys;	  /* struct customer_key; empty: no access */
+	int64_t priority; /* of its requests, 0 is highest; -1: the route's */
 	struct customer_limit limit;
-	bool leaves; /* with a change that is being checked */
+	bool leaves; /* removed by the change that is being checked */
 };
 
 struct customer *customer_new(void);
@@ -37,10 +37,11 @@
 void customer_unref(struct customer *c);
 void customer_add_key(struct customer *c, struct ss_str key);
 
-/* What a request counts against the limit; 0 tokens: it told none. */
+/* Returns a request's cost against the limit; tokens is 0 where the request
+ * states none. */
 double customer_cost(const struct customer *c, int64_t tokens);
 
-/* Customers by name and by key. */
+/* The table of customers, by name and by key. */
 struct customers {
 	GHashTable *by_name; /* name -> struct customer */
 	GHashTable *by_key;  /* struct customer_key -> struct customer */
@@ -49,21 +50,22 @@
 void customers_init(struct customers *t);
 void customers_clear(struct customers *t);
 
-/* NULL where nobody holds the key. */
+/* Returns the customer that has the key, or NULL. */
 struct customer *customers_find(const struct customers *t, struct ss_str key);
 struct customer *customers_named(const struct customers *t, const char *name);
 
 /*
- * Whether customers may be added once those that leave are gone. The first
- * clash: added[*at] has the name or a key of *other, whether that stays or
- * comes before it.
+ * Checks whether customers can be added once those marked as removed are gone.
+ * On a conflict, added[*at] has the same name or a key as *other, which is
+ * either in the table and stays, or comes earlier in the list.
  */
 enum customers_clash { CUSTOMERS_FIT, CUSTOMERS_NAME, CUSTOMERS_KEY };
 enum customers_clash customers_check(const struct customers *t,
 				     const GPtrArray *added, guint *at,
 				     const struct customer **other);
 
-/* The table takes the reference; what fits is added after what leaves. */
+/* Adds a customer; the table takes over the reference. Customers that are
+ * marked as removed have to be removed before. */
 void customers_add(struct customers *t, struct customer *c);
 void customers_remove(struct customers *t, struct customer *c);
 
--- a/test/test_customer.c
+++ b/test/test_customer.c
@@ -1,4 +1,5 @@
-/* Customers by name and key, and what of a change fits. */
+/* The table of customers: look-up by name and key, and detection of
+ * conflicts. */
 #include "unit.h"
 
 #include "../src/customer/customer.h"
@@ -16,7 +17,7 @@
 #define KEYS(...) ((const char *const[]){ __VA_ARGS__, NULL })
 #define NO_KEYS ((const char *const[]){ NULL })
 
-static void keys_lead_to_their_customer(void **state)
+static void keys_identify_customers(void **state)
 {
 	static const struct {
 		const char *key, *name; /* NULL: nobody */
@@ -39,8 +40,8 @@
 	customers_clear(&t);
 }
 
-/* A process's memory or dump must not tell keys. */
-static void keys_are_kept_as_digests(void **state)
+/* Guards against keys in a process's memory or core dump. */
+static void keys_are_stored_as_digests(void **state)
 {
 	struct customer *c = customer("a", KEYS("a-very-secret-key"));
 
@@ -62,51 +63,55 @@
 	guint at;
 	const char *other;
 } changes[] = {
-	{ "a new one", { { "c", { "k9" } } }, CUSTOMERS_FIT, 0, NULL },
-	{ "without keys", { { "c", { NULL } } }, CUSTOMERS_FIT, 0, NULL },
-	{ "a key of one that stays",
+	{ "a new customer", { { "c", { "k9" } } }, CUSTOMERS_FIT, 0, NULL },
+	{ "a new customer without keys",
+	  { { "c", { NULL } } },
+	  CUSTOMERS_FIT,
+	  0,
+	  NULL },
+	{ "the key of a customer that stays",
 	  { { "c", { "k9", "k1" } } },
 	  CUSTOMERS_KEY,
 	  0,
 	  "a" },
-	{ "a key of one that leaves",
+	{ "the key of a removed customer",
 	  { { "c", { "k2" } } },
 	  CUSTOMERS_FIT,
 	  0,
 	  NULL },
-	{ "a key moves between two that change",
+	{ "a key moves between two changed customers",
 	  { { "b", { NULL } }, { "c", { "k2" } } },
 	  CUSTOMERS_FIT,
 	  0,
 	  NULL },
-	{ "two new ones with one key",
+	{ "two new customers with one key",
 	  { { "c", { "k8" } }, { "d", { "k8" } } },
 	  CUSTOMERS_KEY,
 	  1,
 	  "c" },
-	{ "one that names a key twice",
+	{ "a customer that lists a key twice",
 	  { { "c", { "k8", "k8" } } },
 	  CUSTOMERS_FIT,
 	  0,
 	  NULL },
-	{ "the name of one that stays",
+	{ "the name of a customer that stays",
 	  { { "a", { "k9" } } },
 	  CUSTOMERS_NAME,
 	  0,
 	  "a" },
-	{ "the name of one that leaves",
+	{ "the name of a removed customer",
 	  { { "b", { "k9" } } },
 	  CUSTOMERS_FIT,
 	  0,
 	  NULL },
-	{ "two new ones of one name",
+	{ "two new customers with one name",
 	  { { "c", { "k8" } }, { "c", { "k9" } } },
 	  CUSTOMERS_NAME,
 	  1,
 	  "c" },
 };
 
-static void clashes_are_found(void **state)
+static void conflicts_are_detected(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(changes); i++) {
@@ -136,8 +141,8 @@
 	}
 }
 
-/* A customer that goes takes another's key along with it. */
-static void removed_keys_lead_nowhere(void **state)
+/* Guards against a removed customer that takes another's key along with it. */
+static void removed_keys_identify_nobody(void **state)
 {
 	struct customer *a = customer("a", KEYS("k1"));
 	struct customers t;
@@ -153,13 +158,13 @@
 	assert_non_null(customers_find(&t, SS_LIT("k2")));
 	customers_add(&t, customer("a", NO_KEYS));
 	assert_null(customers_find(&t, SS_LIT("k1")));
-	/* A request that holds it goes on. */
+	/* A request with a reference may still use it. */
 	assert_string_equal(a->name, "a");
 	customer_unref(a);
 	customers_clear(&t);
 }
 
-static void requests_cost_what_they_tell(void **state)
+static void cost_follows_stated_tokens(void **state)
 {
 	struct customer *c = customer("a", NO_KEYS);
 
@@ -175,11 +180,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(keys_lead_to_their_customer),
-		cmocka_unit_test(keys_are_kept_as_digests),
-		cmocka_unit_test(clashes_are_found),
-		cmocka_unit_test(removed_keys_lead_nowhere),
-		cmocka_unit_test(requests_cost_what_they_tell),
+		cmocka_unit_test(keys_identify_customers),
+		cmocka_unit_test(keys_are_stored_as_digests),
+		cmocka_unit_test(conflicts_are_detected),
+		cmocka_unit_test(removed_keys_identify_nobody),
+		cmocka_unit_test(cost_follows_stated_tokens),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
