--- a/src/customer/queue.c
+++ b/src/customer/queue.c
@@ -1,31 +1,34 @@
-/* Admission queue. */
+/* Admission queue: weighted fair queueing between customers within a priority,
+ * and earliest deadline first within a customer. */
 #include <sapphireshift/queue.h>
 
-/* An item with less time left than this goes before its priority, in ms: a
- * common answer's time. Default of the option. */
-#define RAISE_MS 2000
-/* Virtual time that one item costs a customer with a share of one. */
-#define SHARE_UNIT 1000000000
+/* Default of the option raise_ms: an item with less time left than this goes
+ * ahead of its priority. About the time of a common answer. */
+#define PROMOTE_MS 2000
+/* Virtual time charged per item to a customer with a weight of 1. */
+#define VIRTUAL_TIME_UNIT 1000000000
+/* Number of flows of a priority above which empty ones are removed. */
+#define FLOWS_MAX 64
 
-/* One customer's items of one priority. */
-struct lane {
+/* A customer's items of one priority. */
+struct flow {
 	struct ss_str customer;
 	int priority;
-	GSequence *items; /* by deadline, then order of arrival */
-	uint64_t served;  /* virtual time: less goes first */
+	GSequence *items;      /* by deadline, then by arrival */
+	uint64_t virtual_time; /* the flow with the lowest is served first */
 };
 
 struct ss_queue {
 	struct ss_queue_options o;
-	GPtrArray *lanes[SS_QUEUE_PRIORITIES];
+	GPtrArray *flows[SS_QUEUE_PRIORITIES];
 	size_t counts[SS_QUEUE_PRIORITIES];
 	size_t length;
 	uint64_t order;
 };
 
-static void lane_free(void *p)
+static void flow_free(void *p)
 {
-	struct lane *l = p;
+	struct flow *l = p;
 
 	g_sequence_free(l->items);
 	g_free((char *)l->customer.p);
@@ -37,9 +40,9 @@
 	struct ss_queue *q = g_new0(struct ss_queue, 1);
 
 	q->o = *o;
-	q->o.raise_ms = o->raise_ms ? o->raise_ms : RAISE_MS;
+	q->o.raise_ms = o->raise_ms ? o->raise_ms : PROMOTE_MS;
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
-		q->lanes[p] = g_ptr_array_new_with_free_func(lane_free);
+		q->flows[p] = g_ptr_array_new_with_free_func(flow_free);
 	return q;
 }
 
@@ -48,7 +51,7 @@
 	if (!q)
 		return;
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
-		g_ptr_array_unref(q->lanes[p]);
+		g_ptr_array_unref(q->flows[p]);
 	g_free(q);
 }
 
@@ -62,43 +65,43 @@
 	return x->order < y->order ? -1 : x->order > y->order;
 }
 
-static struct ss_queue_item *first(const struct lane *l)
+static struct ss_queue_item *first_item(const struct flow *l)
 {
 	GSequenceIter *it = g_sequence_get_begin_iter(l->items);
 
 	return g_sequence_iter_is_end(it) ? NULL : g_sequence_get(it);
 }
 
-/* The virtual time of the lane that is served next at a priority. */
-static uint64_t least_served(GPtrArray *lanes)
+/* Lowest virtual time of all non-empty flows of a priority. */
+static uint64_t lowest_virtual_time(GPtrArray *flows)
 {
 	uint64_t least = UINT64_MAX;
 
-	for (guint i = 0; i < lanes->len; i++) {
-		const struct lane *l = lanes->pdata[i];
+	for (guint i = 0; i < flows->len; i++) {
+		const struct flow *l = flows->pdata[i];
 
-		if (first(l))
-			least = MIN(least, l->served);
+		if (first_item(l))
+			least = MIN(least, l->virtual_time);
 	}
 	return least == UINT64_MAX ? 0 : least;
 }
 
-static struct lane *lane_for(struct ss_queue *q, struct ss_str customer,
-			     int priority)
+static struct flow *find_or_add_flow(struct ss_queue *q, struct ss_str customer,
+				     int priority)
 {
-	GPtrArray *lanes = q->lanes[priority];
-	struct lane *l;
+	GPtrArray *flows = q->flows[priority];
+	struct flow *l;
 
-	for (guint i = 0; i < lanes->len; i++) {
-		l = lanes->pdata[i];
+	for (guint i = 0; i < flows->len; i++) {
+		l = flows->pdata[i];
 		if (ss_str_eq(l->customer, customer))
 			return l;
 	}
-	l = g_new0(struct lane, 1);
+	l = g_new0(struct flow, 1);
 	l->customer = (struct ss_str){ ss_str_dup(customer), customer.n };
 	l->priority = priority;
 	l->items = g_sequence_new(NULL);
-	g_ptr_array_add(lanes, l);
+	g_ptr_array_add(flows, l);
 	return l;
 }
 
@@ -107,8 +110,8 @@
 	size_t n = 0;
 
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
-		for (guint i = 0; i < q->lanes[p]->len; i++) {
-			const struct lane *l = q->lanes[p]->pdata[i];
+		for (guint i = 0; i < q->flows[p]->len; i++) {
+			const struct flow *l = q->flows[p]->pdata[i];
 
 			if (ss_str_eq(l->customer, customer))
 				n += (size_t)g_sequence_get_length(l->items);
@@ -121,17 +124,18 @@
 	int priority = CLAMP(i->priority, 0, SS_QUEUE_PRIORITIES - 1);
 	size_t limit = q->o.limit ? q->o.limit(q->o.arg, i->customer) :
 				    SIZE_MAX;
-	struct lane *l;
+	struct flow *l;
 
 	if (customer_count(q, i->customer) >= limit) {
 		g_set_error(error, SS_ERROR, SS_ERROR_OVERLOAD,
 			    "%zu calls of this customer wait already", limit);
 		return false;
 	}
-	l = lane_for(q, i->customer, priority);
-	/* A customer that was away gets no credit for the time. */
-	if (!first(l))
-		l->served = MAX(l->served, least_served(q->lanes[priority]));
+	l = find_or_add_flow(q, i->customer, priority);
+	/* An idle customer accumulates no credit. */
+	if (!first_item(l))
+		l->virtual_time = MAX(l->virtual_time,
+				      lowest_virtual_time(q->flows[priority]));
 	i->priority = priority;
 	i->order = ++q->order;
 	i->lane = l;
@@ -143,7 +147,7 @@
 
 void ss_queue_remove(struct ss_queue *q, struct ss_queue_item *i)
 {
-	struct lane *l = i->lane;
+	struct flow *l = i->lane;
 
 	if (!l)
 		return;
@@ -152,17 +156,18 @@
 	i->lane = NULL;
 	q->counts[l->priority]--;
 	q->length--;
-	/* A lane that stays empty would be walked for ever. */
-	if (!first(l) && q->lanes[l->priority]->len > 64)
-		g_ptr_array_remove_fast(q->lanes[l->priority], l);
+	/* Operations scan all flows, empty ones too: remove those once there
+	 * are many. */
+	if (!first_item(l) && q->flows[l->priority]->len > FLOWS_MAX)
+		g_ptr_array_remove_fast(q->flows[l->priority], l);
 }
 
-static struct ss_queue_item *earliest(GPtrArray *lanes)
+static struct ss_queue_item *earliest(GPtrArray *flows)
 {
 	struct ss_queue_item *best = NULL;
 
-	for (guint i = 0; i < lanes->len; i++) {
-		struct ss_queue_item *f = first(lanes->pdata[i]);
+	for (guint i = 0; i < flows->len; i++) {
+		struct ss_queue_item *f = first_item(flows->pdata[i]);
 
 		if (f && (!best || by_deadline(f, best, NULL) < 0))
 			best = f;
@@ -170,29 +175,30 @@
 	return best;
 }
 
-/* The item that fair shares give for a priority. */
-static struct ss_queue_item *fairest(GPtrArray *lanes)
+/* Next item of a priority by fair shares. */
+static struct ss_queue_item *fairest(GPtrArray *flows)
 {
-	struct lane *best = NULL;
+	struct flow *best = NULL;
 
-	for (guint i = 0; i < lanes->len; i++) {
-		struct lane *l = lanes->pdata[i];
+	for (guint i = 0; i < flows->len; i++) {
+		struct flow *l = flows->pdata[i];
 
-		if (first(l) && (!best || l->served < best->served))
+		if (first_item(l) &&
+		    (!best || l->virtual_time < best->virtual_time))
 			best = l;
 	}
-	return best ? first(best) : NULL;
+	return best ? first_item(best) : NULL;
 }
 
 static void charge(struct ss_queue *q, const struct ss_queue_item *i)
 {
-	struct lane *l = i->lane;
+	struct flow *l = i->lane;
 	unsigned int share = i->share;
 
 	if (!share)
 		share = q->o.share ? q->o.share(q->o.arg, l->customer) : 1;
 
-	l->served += SHARE_UNIT / MAX(share, 1);
+	l->virtual_time += VIRTUAL_TIME_UNIT / MAX(share, 1);
 }
 
 struct ss_queue_item *ss_queue_peek(const struct ss_queue *q, int64_t now,
@@ -207,10 +213,10 @@
 		if (q->counts[p] == 0)
 			continue;
 		if (!best) {
-			best = fairest(q->lanes[p]);
+			best = fairest(q->flows[p]);
 			continue;
 		}
-		e = earliest(q->lanes[p]);
+		e = earliest(q->flows[p]);
 		if (e->deadline_ms - now < q->o.raise_ms &&
 		    e->deadline_ms < best->deadline_ms)
 			best = e;
@@ -220,12 +226,12 @@
 
 struct ss_queue_item *ss_queue_fairest(const struct ss_queue *q, int priority)
 {
-	return q->counts[priority] ? fairest(q->lanes[priority]) : NULL;
+	return q->counts[priority] ? fairest(q->flows[priority]) : NULL;
 }
 
 struct ss_queue_item *ss_queue_earliest(const struct ss_queue *q, int priority)
 {
-	return q->counts[priority] ? earliest(q->lanes[priority]) : NULL;
+	return q->counts[priority] ? earliest(q->flows[priority]) : NULL;
 }
 
 void ss_queue_take(struct ss_queue *q, struct ss_queue_item *i)
@@ -247,7 +253,7 @@
 struct ss_queue_item *ss_queue_expired(struct ss_queue *q, int64_t now)
 {
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++) {
-		struct ss_queue_item *e = q->counts[p] ? earliest(q->lanes[p]) :
+		struct ss_queue_item *e = q->counts[p] ? earliest(q->flows[p]) :
 							 NULL;
 
 		if (e && e->deadline_ms <= now) {
@@ -263,7 +269,7 @@
 	int64_t least = SS_NEVER;
 
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++) {
-		struct ss_queue_item *e = q->counts[p] ? earliest(q->lanes[p]) :
+		struct ss_queue_item *e = q->counts[p] ? earliest(q->flows[p]) :
 							 NULL;
 
 		if (e)
@@ -292,8 +298,8 @@
 
 	for (int p = priority + 1; p < SS_QUEUE_PRIORITIES; p++)
 		n += q->counts[p];
-	for (guint i = 0; i < q->lanes[priority]->len; i++) {
-		const struct lane *l = q->lanes[priority]->pdata[i];
+	for (guint i = 0; i < q->flows[priority]->len; i++) {
+		const struct flow *l = q->flows[priority]->pdata[i];
 		struct ss_queue_item probe = { .deadline_ms = deadline_ms,
 					       .order = UINT64_MAX };
 		GSequenceIter *it =
--- a/test/test_queue.c
+++ b/test/test_queue.c
@@ -1,4 +1,5 @@
-/* The admission queue, the retry budget, the breaker, choosing. */
+/* The admission queue, the retry budget, the circuit breaker and the choice of
+ * a replica. */
 #include "unit.h"
 
 #include <sapphireshift/limit.h>
@@ -31,17 +32,17 @@
 	  0,
 	  0,
 	  "ab" },
-	{ "a person before a batch",
+	{ "an interactive request before a batch request",
 	  { { "a", "t", 1, 50000 }, { "b", "t", 5, 90000 } },
 	  0,
 	  0,
 	  "ba" },
-	{ "a batch that gets late before a person who can wait",
+	{ "a batch request near its deadline before an interactive one",
 	  { { "a", "t", 1, 11000 }, { "b", "t", 5, 90000 } },
 	  10000,
 	  0,
 	  "ab" },
-	{ "customers take turns",
+	{ "fair shares between customers",
 	  { { "a", "t", 4, 1000 },
 	    { "b", "t", 4, 2000 },
 	    { "c", "t", 4, 3000 },
@@ -49,7 +50,7 @@
 	  0,
 	  0,
 	  "adbc" },
-	{ "a share of three",
+	{ "a customer with a share of three",
 	  { { "a", "big", 4, 1000 },
 	    { "b", "big", 4, 2000 },
 	    { "c", "big", 4, 3000 },
@@ -58,7 +59,7 @@
 	  0,
 	  0,
 	  "adbce" },
-	{ "low ones stay while slots are kept",
+	{ "requests below the least priority stay",
 	  { { "a", "t", 1, 50000 }, { "b", "t", 5, 90000 } },
 	  0,
 	  3,
@@ -110,26 +111,27 @@
 	}
 }
 
-/* Customers that send so much, with these shares, where a server takes 100 a
- * second: what each has got after ten seconds. */
+/* Request rates and shares of customers, where a server takes 100 requests per
+ * second, and the least number of requests that each has served after ten
+ * seconds. */
 static const struct load_case {
 	const char *label;
 	struct {
 		const char *name;
 		unsigned int share;
-		int per_s, least; /* of 10 s, served in time */
+		int per_s, least; /* least number served in time within 10 s */
 	} c[4];
 } loads[] = {
-	{ "nobody asks for too much",
+	{ "no customer exceeds its share",
 	  { { "big", 50, 50, 495 },
 	    { "small", 5, 5, 49 },
 	    { "tiny", 1, 1, 9 } } },
-	{ "a hot one beside small ones",
+	{ "a hot customer beside small ones",
 	  { { "hot", 50, 600, 490 },
 	    { "big", 40, 40, 395 },
 	    { "small", 5, 5, 49 },
 	    { "tiny", 1, 1, 9 } } },
-	{ "two hot ones, and less room than all may ask for",
+	{ "two hot customers, and less capacity than all shares",
 	  { { "hot", 100, 1200, 420 },
 	    { "warm", 100, 300, 420 },
 	    { "small", 30, 10, 97 },
@@ -141,8 +143,9 @@
 	int customer;
 };
 
-/* A hot customer pushes out small ones, or all are served by who asks most. */
-static void hot_customer_pushes_nobody_out(void **state)
+/* Guards against a hot customer that starves small ones, or that gets most as
+ * it sends most. */
+static void hot_customer_starves_nobody(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(loads); i++) {
@@ -209,8 +212,8 @@
 	ss_queue_free(q);
 }
 
-/* When all fails, retries stay a tenth of what is fresh. */
-static void budget_bounds_a_storm(void **state)
+/* If all requests fail, retries stay at a tenth of the first attempts. */
+static void budget_bounds_retries(void **state)
 {
 	struct ss_budget b;
 	int retries = 0;
@@ -225,7 +228,7 @@
 	assert_in_range(retries, 100, 105);
 }
 
-static void breaker_opens_and_tries_again(void **state)
+static void breaker_opens_and_probes(void **state)
 {
 	struct ss_breaker b = { 0 };
 
@@ -253,15 +256,15 @@
 #define OLD CHOOSE_SLOW_START_MS
 
 static const struct choose_case choices[] = {
-	{ "none has room",
+	{ "no free slots",
 	  { { .slots = 2, .own = 2, .age_ms = OLD, .usable = true } },
 	  -1 },
 	{ "not connected", { { .slots = 2, .age_ms = OLD } }, -1 },
-	{ "the emptier one",
+	{ "the less loaded one",
 	  { { .slots = 8, .reported = 6, .age_ms = OLD, .usable = true },
 	    { .slots = 8, .reported = 1, .age_ms = OLD, .usable = true } },
 	  1 },
-	{ "a stale report is corrected by what was sent since",
+	{ "a stale report is corrected by the requests sent since",
 	  { { .slots = 8,
 	      .reported = 0,
 	      .sent_since = 7,
@@ -269,7 +272,7 @@
 	      .usable = true },
 	    { .slots = 8, .reported = 3, .age_ms = OLD, .usable = true } },
 	  1 },
-	{ "the near failure domain",
+	{ "the same failure domain",
 	  { { .slots = 8, .reported = 2, .age_ms = OLD, .usable = true },
 	    { .slots = 8,
 	      .reported = 3,
@@ -277,7 +280,7 @@
 	      .usable = true,
 	      .same_domain = true } },
 	  1 },
-	{ "where the prompt's start is cached",
+	{ "the one with a cached prompt prefix",
 	  { { .slots = 8, .reported = 1, .age_ms = OLD, .usable = true },
 	    { .slots = 8,
 	      .reported = 3,
@@ -293,7 +296,7 @@
 	      .usable = true,
 	      .prefix = true } },
 	  0 },
-	{ "a fresh one gets one call to begin with",
+	{ "a new one gets a single call at first",
 	  { { .slots = 8, .own = 1, .age_ms = 0, .usable = true } },
 	  -1 },
 };
@@ -317,10 +320,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(items_leave_in_order),
-		cmocka_unit_test(hot_customer_pushes_nobody_out),
+		cmocka_unit_test(hot_customer_starves_nobody),
 		cmocka_unit_test(limits_and_expiry),
-		cmocka_unit_test(budget_bounds_a_storm),
-		cmocka_unit_test(breaker_opens_and_tries_again),
+		cmocka_unit_test(budget_bounds_retries),
+		cmocka_unit_test(breaker_opens_and_probes),
 		cmocka_unit_test(replicas_are_chosen),
 	};
 
