--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -1,10 +1,10 @@
 /*
- * A customer's limit, kept by all entries together.
+ * A customer's limit, enforced by all entries together.
  *
- * An entry spends from an allotment that it holds, without asking anybody. Who
- * hands allotments out, and what an entry may spend alone, is a way: a table of
- * functions, one file each. All of it is pure: time, links and messages are the
- * caller's.
+ * An entry spends from a grant that it holds, without a message per request.
+ * Who hands out grants, and what an entry may spend while it is disconnected,
+ * depends on the scheme: a table of functions, one file per scheme. All of it
+ * is pure: the caller provides time, links and messages.
  */
 #ifndef SS_QUOTA_H
 #define SS_QUOTA_H
@@ -14,183 +14,189 @@
 #include "../base/wire.h"
 #include "customer.h"
 
-/* By how much a customer may exceed its limit in a window: room for what
- * entries hold and haven't spent. */
+/* By how much a customer may exceed its limit within a window. This covers the
+ * balances of entries. */
 struct quota_slack {
 	double window_s;
-	double ratio; /* of what the limit allows in a window */
-	double extra; /* beside that, as the limit is counted */
+	double ratio; /* of what the limit allows per window */
+	double extra; /* in addition, in the limit's unit */
 };
 
 struct quota_options {
 	struct quota_slack slack;
 };
 
-/* Classes of a customer's requests; what is less urgent counts as the last. */
+/* Classes of a customer's requests; less urgent ones count as the last. */
 #define QUOTA_CLASSES SS_QUEUE_PRIORITIES
 
-/* What an entry holds of a customer's limit. */
+/* State of an entry's quota client for a customer. */
 struct quota_view {
 	double held;
-	int64_t age_ms; /* of its place's last word; -1: none */
-	bool alone;	/* the place isn't reached, or says nothing */
-	/* Part of each class's demand of late that was served here; 1 where
+	int64_t age_ms; /* of the allocator's last reply; -1: none */
+	bool alone;	/* the allocator is unreachable or silent */
+	/* Fraction of each class's recent demand that was served here; 1 where
 	 * there was none. */
 	double share[QUOTA_CLASSES];
 };
 
-/* What a place knows of a customer, for those who look. */
+/* An allocator's account of a customer, for monitoring. */
 struct quota_sight {
-	double level;		 /* that it has to hand out; below 0: a debt */
-	double held;		 /* by entries, not spent by their last word */
-	double granted, refused; /* since the place began */
-	uint64_t entries;	 /* that hold some, or may */
+	double level; /* available for grants; below 0: a debt */
+	double held;  /* granted to entries and unspent by their last report */
+	double granted, refused; /* since the allocator started */
+	uint64_t entries;	 /* with a balance, or possibly with one */
 };
 
-/* What a request needs. */
+/* What a request needs from the limit. */
 struct quota_need {
 	double cost;
-	bool waits;	 /* it was told to wait before */
-	int64_t hold_ms; /* it waits only for what is expected within this */
+	bool waits;	 /* it was answered QUOTA_WAIT before */
+	int64_t hold_ms; /* longest expected wait that it accepts */
 };
 
 /*
- * Which of a customer's requests go first: those of a more urgent class, and
- * within a class those whose objective is earlier. The rank of zeros is that of
- * all requests of a limit that knows no classes.
+ * The order of a customer's requests: a more urgent class goes first, and
+ * within a class the earlier objective. A rank of zeros is that of all requests
+ * of a limit without classes.
  */
 struct quota_rank {
-	int class_id;  /* 0 is first */
-	int64_t by_ms; /* its objective, on the clock */
+	int class_id;  /* 0 is the most urgent */
+	int64_t by_ms; /* time of its objective */
 };
 
 enum quota_answer {
 	QUOTA_YES,
 	QUOTA_NO,
-	QUOTA_WAIT, /* for an allotment that is asked for */
+	QUOTA_WAIT, /* for a grant that is being requested */
 };
 
-/* Amounts travel in thousandths of what a limit counts. */
+/* Amounts in messages are in thousandths of the limit's unit. */
 #define QUOTA_MILLI 1000
 
 /*
- * One class of a customer's requests, in an ask or a word. Only classes in use
- * are listed, the most urgent first; with fewer than two there is no list, and
- * all requests are of one class.
+ * One class of a customer's requests, in a request or a reply. Only classes in
+ * use are listed, the most urgent first; with fewer than two there is no list,
+ * and all requests are of one class.
  */
 struct quota_part {
 	int64_t class_id;
-	/* In an ask. */
-	int64_t demand; /* of late, a second */
-	int64_t spent;	/* and of that, served */
-	int64_t want;	/* more, for those that wait and for the next ones */
-	int64_t first;	/* that the first request that waits lacks */
-	/* In a word. */
+	/* In a request. */
+	int64_t demand; /* recently, per second */
+	int64_t spent;	/* the part of the demand that was served */
+	int64_t want; /* additional amount, for waiting and expected requests */
+	int64_t first; /* shortfall of the first waiting request */
+	/* In a reply. */
 	int64_t grant;
-	int64_t wait_ms; /* where the first lacks more: when to ask again */
+	int64_t wait_ms; /* retry delay while a shortfall remains */
 };
 
-/* An entry's word to the place that hands out a customer's allotments. */
+/* An entry's request to the allocator of a customer. */
 struct quota_ask {
 	struct ss_str customer;
-	uint64_t number; /* echoed */
-	int64_t held;	 /* not spent yet; below 0: spent beyond, alone */
-	int64_t want;	 /* more */
-	int64_t first;	 /* that the first request that waits lacks */
-	int64_t demand;	 /* of late, a second */
-	int64_t usual;	 /* of one request */
-	int64_t alone;	 /* spent alone since the last ask */
-	int64_t rate;	 /* that it may go on at alone, a second, ... */
-	int64_t reserve; /* ... and spend beyond what it holds */
-	int64_t back;	 /* that it gives back */
-	int64_t refused; /* to callers since the last ask */
-	/* struct quota_part; lives until the entry's next call. The amounts
-	 * above are those of all classes together. */
+	uint64_t number; /* echoed in the reply */
+	int64_t held;	 /* balance; below 0: overdrawn while disconnected */
+	int64_t want;	 /* additional amount */
+	int64_t first;	 /* shortfall of the first waiting request */
+	int64_t demand;	 /* recently, per second */
+	int64_t usual;	 /* mean cost of a request */
+	int64_t alone;	 /* spent at the rate below since the last request */
+	int64_t rate;	 /* may be spent per second while disconnected, ... */
+	int64_t reserve; /* ... and this much beyond the balance */
+	int64_t back;	 /* returned balance */
+	int64_t refused; /* refused to callers since the last request */
+	/* struct quota_part; valid until the entry's next call. The amounts
+	 * above are totals of all classes. */
 	struct wire_list parts;
 };
 
-/* The answer. */
+/* The allocator's reply. */
 struct quota_word {
 	struct ss_str customer;
 	uint64_t number;
 	int64_t grant;
-	int64_t rate;	 /* that it may go on at alone, a second, ... */
-	int64_t reserve; /* ... and spend beyond what it holds */
-	int64_t wait_ms; /* where the first lacks more: when to ask again */
-	/* struct quota_part, which together have the grant; lives until the
-	 * place's next call for that customer. */
+	int64_t rate;	 /* may be spent per second while disconnected, ... */
+	int64_t reserve; /* ... and this much beyond the balance */
+	int64_t wait_ms; /* retry delay while a shortfall remains */
+	/* struct quota_part, whose grants add up to the grant above; valid
+	 * until the allocator's next call for that customer. */
 	struct wire_list parts;
 };
 
 struct quota_way {
 	const char *name;
 	/*
-	 * The member that hands out a customer's allotments, of those that can
-	 * be reached; NULL: nobody does. Ids are of any kind.
+	 * Returns the id of the member that allocates a customer's grants, out
+	 * of the reachable ones. NULL: there is no allocator. Ids are of any
+	 * kind.
 	 */
-	uint64_t (*home)(struct ss_str customer, uint64_t leader,
-			 const uint64_t *entries, size_t n);
+	uint64_t (*allocator_for)(struct ss_str customer, uint64_t leader,
+				  const uint64_t *entries, size_t n);
 
-	/* The entry's side. */
+	/* The entry's side: a quota client for each customer. */
 	void *(*entry_new)(const struct quota_options *o, int64_t now);
-	void (*entry_free)(void *entry);
-	/* Entries that share the limits; 0: not known. */
-	void (*entry_count)(void *entry, uint64_t n);
-	/* The place that hands out a customer's allotments is reached, or lost;
-	 * NULL: all customers'. */
-	void (*entry_link)(void *entry, const char *customer, bool up,
+	void (*entry_free)(void *clients);
+	/* Sets the number of entries that share the limits; 0: unknown. */
+	void (*clients_set_entries)(void *clients, uint64_t n);
+	/* A customer's allocator became reachable or unreachable; customer
+	 * NULL: the allocator of all customers. */
+	void (*entry_link)(void *clients, const char *customer, bool up,
 			   int64_t now);
 	/*
-	 * Whether a request may run: it is spent with QUOTA_YES. With
-	 * QUOTA_WAIT it is to be asked for again. With QUOTA_NO, *back_ms is
-	 * when it may.
+	 * Decides whether a request may run. With QUOTA_YES its cost is spent.
+	 * With QUOTA_WAIT it is to be tried again. With QUOTA_NO, *back_ms is
+	 * the time until a retry may succeed.
 	 */
-	enum quota_answer (*take)(void *entry, const struct customer *c,
+	enum quota_answer (*take)(void *clients, const struct customer *c,
 				  const struct quota_need *n, int64_t now,
 				  int64_t *back_ms);
 	/*
-	 * The same for a request of a rank. Callers ask first for the first of
-	 * each class, in the order of their ranks, and after it for those whose
-	 * hold_ms are over: these go as soon as there is enough for them.
+	 * The same for a request with a rank. Callers first try the first
+	 * request of each class, in the order of ranks, and then those whose
+	 * hold_ms have passed: these are admitted as soon as there is enough
+	 * for them.
 	 */
-	enum quota_answer (*take_ranked)(void *entry, const struct customer *c,
+	enum quota_answer (*take_ranked)(void *clients,
+					 const struct customer *c,
 					 const struct quota_need *n,
 					 const struct quota_rank *r,
 					 int64_t now, int64_t *back_ms);
-	/* One that waits has left. */
-	void (*leave)(void *entry, const struct customer *c, double cost);
-	void (*leave_ranked)(void *entry, const struct customer *c, double cost,
-			     const struct quota_rank *r);
-	/* One that was told YES wasn't run after all. */
-	void (*give_back)(void *entry, const struct customer *c, double cost,
+	/* A waiting request was cancelled. */
+	void (*leave)(void *clients, const struct customer *c, double cost);
+	void (*leave_ranked)(void *clients, const struct customer *c,
+			     double cost, const struct quota_rank *r);
+	/* Refunds a request that was admitted but wasn't run. */
+	void (*give_back)(void *clients, const struct customer *c, double cost,
 			  const struct quota_rank *r, int64_t now);
-	/* Asks that are due; their strings live until the entry's next call. */
-	void (*asks)(void *entry, int64_t now, GArray *out);
-	void (*word)(void *entry, const struct quota_word *w, int64_t now);
-	/* What is held for a customer, for those who look. */
-	struct quota_view (*look)(const void *entry, const char *customer,
+	/* Appends the requests to the allocator that are due, as struct
+	 * quota_ask; their strings are valid until the entry's next call. */
+	void (*asks)(void *clients, int64_t now, GArray *out);
+	void (*word)(void *clients, const struct quota_word *w, int64_t now);
+	/* Returns the state for a customer, for monitoring. */
+	struct quota_view (*look)(const void *clients, const char *customer,
 				  int64_t now);
 
-	/* The side of the place that hands allotments out. */
+	/* The allocator's side. */
 	void *(*place_new)(const struct quota_options *o, int64_t now);
-	void (*place_free)(void *place);
-	/* holder: the entry's incarnation. False: nothing is to be answered. */
-	bool (*place_ask)(void *place, uint64_t holder,
+	void (*place_free)(void *allocator);
+	/* Handles an entry's request and fills in the reply. holder is the
+	 * entry's incarnation. Returns false where no reply is to be sent. */
+	bool (*place_ask)(void *allocator, uint64_t holder,
 			  const struct customer *c, const struct quota_ask *a,
 			  int64_t now, struct quota_word *out);
-	void (*place_gone)(void *place, uint64_t holder, int64_t now);
-	/* False where nobody has asked for that customer. */
-	bool (*place_look)(void *place, const char *customer, int64_t now,
+	void (*place_gone)(void *allocator, uint64_t holder, int64_t now);
+	/* Returns false where no entry has requested anything for that
+	 * customer. */
+	bool (*place_look)(void *allocator, const char *customer, int64_t now,
 			   struct quota_sight *out);
-	/* Forget what no longer counts; now and then. */
-	void (*place_tidy)(void *place, int64_t now);
+	/* Drops accounts that no longer matter; to be called periodically. */
+	void (*place_tidy)(void *allocator, int64_t now);
 };
 
-/* Each entry has an even part of every limit for itself. */
+/* Each entry has an equal part of every limit, without messages. */
 extern const struct quota_way quota_even;
-/* The leader hands out allotments by demand. */
+/* The leader grants by demand. */
 extern const struct quota_way quota_lease;
-/* The entry that a customer's name leads to hands out its allotments. */
+/* Grants by demand, from the entry that a customer's name hashes to. */
 extern const struct quota_way quota_owner;
 
 #endif
--- a/src/customer/quota_classes.c
+++ b/src/customer/quota_classes.c
@@ -1,16 +1,16 @@
-/* A customer's tokens, divided between classes of requests. */
+/* Divides a customer's tokens between classes of requests. */
 #include "quota_classes.h"
 
-/* A class with less than this part of the demand isn't in use. */
-#define USED_RATIO 0.001
-/* The next moment, in s: a class keeps what its requests of that time take. */
-#define KEEP_S 0.4
-/* However little of the more urgent classes' demand was served, a class counts
- * with so much of its own. */
-#define WEIGHT_LEAST 0.25
-/* Parts of demands that differ by less are alike: one refusal in the memory of
- * a demand makes as much. */
-#define SHARE_NOISE 0.05
+/* A class with less than this fraction of the demand isn't in use. */
+#define USED_MIN_RATIO 0.001
+/* A class retains tokens for its requests of this time, in s. */
+#define RETAIN_S 0.4
+/* Lower bound of a class's weight, as a fraction of its demand, however little
+ * of the demand of more urgent classes was served. */
+#define WEIGHT_MIN 0.25
+/* Served ratios that differ by less count as equal: a single refusal changes
+ * the ratio of a recent demand by as much. */
+#define RATIO_TOLERANCE 0.05
 
 int quota_classes_clamp(int64_t class)
 {
@@ -19,21 +19,22 @@
 
 static double sum(const double *n)
 {
-	double all = 0;
+	double total = 0;
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		all += n[i];
-	return all;
+		total += n[i];
+	return total;
 }
 
-static bool used_of(const struct quota_classes *s, int class, double demand)
+static bool is_used(const struct quota_classes *s, int class, double demand)
 {
-	return s->waiting[class] > 0 || s->demand[class] > USED_RATIO * demand;
+	return s->waiting[class] > 0 ||
+	       s->demand[class] > USED_MIN_RATIO * demand;
 }
 
 bool quota_classes_used(const struct quota_classes *s, int class)
 {
-	return used_of(s, class, sum(s->demand));
+	return is_used(s, class, sum(s->demand));
 }
 
 bool quota_classes_several(const struct quota_classes *s)
@@ -42,80 +43,83 @@
 	int n = 0;
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		n += used_of(s, i, demand);
+		n += is_used(s, i, demand);
 	return n > 1;
 }
 
-double quota_classes_share(const struct quota_classes *s, int class)
+double quota_classes_served_ratio(const struct quota_classes *s, int class)
 {
-	return s->demand[class] > 0 ? s->spent[class] / s->demand[class] : 1;
+	return s->demand[class] > 0 ? s->served[class] / s->demand[class] : 1;
 }
 
-/* Its demand, less where its share is larger than that of a more urgent class.
- */
+/* Weight of a class: its demand, reduced where a larger fraction of it was
+ * served than of a more urgent class's. */
 static double weight(const struct quota_classes *s, int class, double demand)
 {
-	double share = quota_classes_share(s, class), least = share;
+	double ratio = quota_classes_served_ratio(s, class), least = ratio;
 
 	for (int i = 0; i < class; i++)
-		if (used_of(s, i, demand))
-			least = MIN(least, quota_classes_share(s, i));
+		if (is_used(s, i, demand))
+			least = MIN(least, quota_classes_served_ratio(s, i));
 	return s->demand[class] *
-	       (share > 0 ? MAX(least / share, WEIGHT_LEAST) : 1);
+	       (ratio > 0 ? MAX(least / ratio, WEIGHT_MIN) : 1);
 }
 
-static void divide(const struct quota_classes *s, double *ratios)
+static void compute_ratios(const struct quota_classes *s, double *ratios)
 {
-	double demand = sum(s->demand), all = 0;
+	double demand = sum(s->demand), total = 0;
 
 	for (int i = 0; i < QUOTA_CLASSES; i++) {
 		ratios[i] = s->demand[i] > 0 ? weight(s, i, demand) : 0;
-		all += ratios[i];
+		total += ratios[i];
 	}
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		ratios[i] = all > 0 ? ratios[i] / all : 0;
+		ratios[i] = total > 0 ? ratios[i] / total : 0;
 }
 
 double quota_classes_ratio(const struct quota_classes *s, int class)
 {
 	double ratios[QUOTA_CLASSES];
 
-	divide(s, ratios);
+	compute_ratios(s, ratios);
 	return ratios[class];
 }
 
-static double kept_most(const struct quota_classes *s, int class)
+static double max_retained(const struct quota_classes *s, int class)
 {
-	return s->demand[class] * KEEP_S + s->waiting[class];
+	return s->demand[class] * RETAIN_S + s->waiting[class];
 }
 
-void quota_classes_settle(struct quota_classes *s, double total)
+void quota_classes_divide(struct quota_classes *s, double total)
 {
-	double left = total - sum(s->part), ratios[QUOTA_CLASSES];
+	double left = total - sum(s->balance), ratios[QUOTA_CLASSES];
 
-	divide(s, ratios);
+	compute_ratios(s, ratios);
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		s->part[i] += left * ratios[i];
-	/* What is more than a class keeps goes to the most urgent. */
+		s->balance[i] += left * ratios[i];
+	/* The surplus over what a class retains goes to the most urgent
+	 * classes. */
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		s->part[i] = MIN(s->part[i], kept_most(s, i));
-	left = total - sum(s->part);
+		s->balance[i] = MIN(s->balance[i], max_retained(s, i));
+	left = total - sum(s->balance);
 	for (int i = 0; i < QUOTA_CLASSES && left > 0; i++) {
-		double n = MIN(kept_most(s, i) - s->part[i], left);
+		double n = MIN(max_retained(s, i) - s->balance[i], left);
 
-		s->part[i] += n;
+		s->balance[i] += n;
 		left -= n;
 	}
 }
 
-/* No other class is served a clearly smaller part of its demand. */
+/* Returns true if no other class is served a clearly smaller fraction of its
+ * demand. */
 static bool is_least_served(const struct quota_classes *s, int class)
 {
-	double demand = sum(s->demand), share = quota_classes_share(s, class);
+	double demand = sum(s->demand),
+	       ratio = quota_classes_served_ratio(s, class);
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		if (i != class && used_of(s, i, demand) &&
-		    quota_classes_share(s, i) < share - SHARE_NOISE)
+		if (i != class && is_used(s, i, demand) &&
+		    quota_classes_served_ratio(s, i) < ratio - RATIO_TOLERANCE)
 			return false;
 	return true;
 }
@@ -126,11 +130,11 @@
 }
 
 /*
- * A class whose request waits borrows what classes without one keep for the
- * next moment. A rare class's request would otherwise be refused before the
- * class's own part of what comes makes up one.
+ * A class with a waiting request borrows what classes without one retain.
+ * Otherwise a request of a rare class would be refused before the class's own
+ * fraction of new tokens adds up to its cost.
  */
-static double lent_to(const struct quota_classes *s, int class)
+static double borrowable(const struct quota_classes *s, int class)
 {
 	double n = 0;
 
@@ -138,27 +142,27 @@
 		return 0;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
 		if (s->waiting[i] <= 0)
-			n += MAX(s->part[i], 0);
+			n += MAX(s->balance[i], 0);
 	return n;
 }
 
 double quota_classes_available(const struct quota_classes *s, int class,
 			       double total)
 {
-	double free = total - sum(s->part);
+	double free = total - sum(s->balance);
 
 	if (!quota_classes_several(s) || is_least_served(s, class))
 		return total;
-	return MIN(s->part[class] + free + lent_to(s, class), total);
+	return MIN(s->balance[class] + free + borrowable(s, class), total);
 }
 
 void quota_classes_spend(struct quota_classes *s, int class, double n,
 			 double total)
 {
-	double left = MAX(total - sum(s->part), 0);
+	double left = MAX(total - sum(s->balance), 0);
 
-	/* Its own first, and then what is free for all. */
-	s->part[class] -= n;
-	if (s->part[class] < 0)
-		s->part[class] += MIN(left, -s->part[class]);
+	/* Spend the class's own balance first, then what no class retains. */
+	s->balance[class] -= n;
+	if (s->balance[class] < 0)
+		s->balance[class] += MIN(left, -s->balance[class]);
 }
--- a/src/customer/quota_classes.h
+++ b/src/customer/quota_classes.h
@@ -1,14 +1,16 @@
 /*
- * A customer's tokens, divided between classes of requests: the rule of both
- * sides of a limit, for the place's bucket and for an entry's purse.
+ * How a customer's tokens are divided between classes of requests. Both sides
+ * of a limit use it: the allocator for its bucket, and a quota client for its
+ * balance.
  *
- * Load: a customer sends several times its limit, in requests of different
- * priorities. First come, first served would give most to patient requests,
- * which may wait for longest. So what comes is divided by demand, less to a
- * class of whose demand more was served than of a more urgent one's; each class
- * keeps its part for the next moment, and what is more goes to the others, the
- * most urgent first. A request that waits borrows what is kept for classes of
- * which none does. With one class in use it has all.
+ * It matters when a customer sends several times its limit in requests of
+ * different priorities. First come, first served would give most tokens to
+ * patient requests, as they may wait longest. So new tokens are divided by
+ * demand, and a class of whose demand a larger fraction was served than of a
+ * more urgent class's gets less. Each class retains its part for its next
+ * requests; the surplus goes to the others, the most urgent first. A waiting
+ * request borrows what is retained for classes without a waiting request. If
+ * one class is in use it gets everything.
  */
 #ifndef SS_QUOTA_CLASSES_H
 #define SS_QUOTA_CLASSES_H
@@ -16,33 +18,34 @@
 #include "quota.h"
 
 struct quota_classes {
-	double demand[QUOTA_CLASSES];  /* of late, a second */
-	double spent[QUOTA_CLASSES];   /* and of that, served */
-	double waiting[QUOTA_CLASSES]; /* cost of requests that wait; what is
-					  kept for them isn't lent */
-	double part[QUOTA_CLASSES];    /* of the tokens; below 0: borrowed */
+	double demand[QUOTA_CLASSES];  /* recently, per second */
+	double served[QUOTA_CLASSES];  /* served part of the demand */
+	double waiting[QUOTA_CLASSES]; /* cost of waiting requests; a class with
+					  some lends nothing */
+	double balance[QUOTA_CLASSES]; /* of the total; below 0: borrowed */
 };
 
-/* Within the range that is kept apart. */
+/* Maps a class to the range of classes that are kept apart. */
 int quota_classes_clamp(int64_t class_id);
 bool quota_classes_used(const struct quota_classes *s, int class_id);
-/* More than one is in use. */
+/* Returns true if more than one class is in use. */
 bool quota_classes_several(const struct quota_classes *s);
-/* A class's part of what comes; 0 where there is no demand. */
+/* Returns a class's fraction of new tokens; 0 without demand. */
 double quota_classes_ratio(const struct quota_classes *s, int class_id);
-/* Part of what comes that its next request may have: all of it for the class
- * that is served least. */
+/* Returns the fraction of new tokens that is available to the class's next
+ * request: 1 for the class that is served least. */
 double quota_classes_next_ratio(const struct quota_classes *s, int class_id);
-/* Part of its demand of late that was served; 1 where there was none. */
-double quota_classes_share(const struct quota_classes *s, int class_id);
+/* Returns the fraction of a class's recent demand that was served; 1 without
+ * demand. */
+double quota_classes_served_ratio(const struct quota_classes *s, int class_id);
 
-/* Divide what has come, or has gone, since the last call: total is all that
- * there is now. */
-void quota_classes_settle(struct quota_classes *s, double total);
-/* Of the total: what a request of that class may spend. */
+/* Divides the change since the last call between the classes; total is the
+ * amount that there is now. */
+void quota_classes_divide(struct quota_classes *s, double total);
+/* Returns how much of the total a request of that class may spend. */
 double quota_classes_available(const struct quota_classes *s, int class_id,
 			       double total);
-/* It does; total is what there was before. */
+/* Spends n for a class; total is the amount before that. */
 void quota_classes_spend(struct quota_classes *s, int class_id, double n,
 			 double total);
 
--- a/src/customer/quota_owner.c
+++ b/src/customer/quota_owner.c
@@ -1,15 +1,16 @@
 /*
- * Allotments as quota_lease hands them out, but each customer's by the entry
- * that its name leads to: rendezvous hashing over those that are reached.
+ * Scheme "owner": grants as in quota_lease, but the allocator of a customer is
+ * the entry that its name hashes to, by rendezvous hashing over the reachable
+ * entries.
  */
 #include "quota_lease.h"
 
 #include <xxhash.h>
 
-static uint64_t owner_home(struct ss_str customer, uint64_t leader,
-			   const uint64_t *entries, size_t n)
+static uint64_t owner_allocator_for(struct ss_str customer, uint64_t leader,
+				    const uint64_t *entries, size_t n)
 {
-	uint64_t best = 0, home = 0;
+	uint64_t best = 0, owner = 0;
 
 	(void)leader;
 	for (size_t i = 0; i < n; i++) {
@@ -18,14 +19,14 @@
 
 		if (i == 0 || h > best) {
 			best = h;
-			home = entries[i];
+			owner = entries[i];
 		}
 	}
-	return home;
+	return owner;
 }
 
 const struct quota_way quota_owner = {
 	.name = "owner",
-	.home = owner_home,
-	QUOTA_LEASE_SIDES,
+	.allocator_for = owner_allocator_for,
+	QUOTA_LEASE_FUNCTIONS,
 };
--- a/src/customer/quota_purse.c
+++ b/src/customer/quota_purse.c
@@ -1,65 +1,67 @@
-/* Allotments at an entry: what requests may spend of them. */
+/* Quota clients, an entry's side of customers' limits: spending grants. */
 #include "quota_purse_int.h"
 
 #include <math.h>
 
-/* It is renewed when what is left is for less of the demand, in s. */
+/* More is requested when the balance covers less than this time of the demand,
+ * in s. */
 #define RENEW_S 0.2
-/* A place that takes longer to answer than it mostly does stands still, and the
- * entry goes on alone. Bounds of that time, in ms: a few turns of both loops,
- * and what is waited for until answers have come. */
-#define ANSWER_MIN_MS 30
-#define ANSWER_MAX_MS 300
-/* A request that takes more than a burst and the whole rate for so long, in s,
- * is a mistake: its customer would pay it off for as long. */
-#define LARGEST_S 4
-/* The usual cost is a mean of some so many requests. */
-#define MEAN_OF 8
-/* Where a request is expected within so long, in s, there is to be enough for
+/* A quota client continues as disconnected when the allocator's reply takes
+ * longer than its replies mostly do. Bounds of that timeout, in ms: a few
+ * iterations of both event loops, and the timeout before any reply was
+ * received. */
+#define REPLY_TIMEOUT_MIN_MS 30
+#define REPLY_TIMEOUT_MAX_MS 300
+/* A request larger than the burst and the refill of this time, in s, is refused
+ * as a mistake: its customer would be blocked for as long. */
+#define COST_MAX_S 4
+/* Number of requests over which the mean cost is averaged. */
+#define MEAN_REQUESTS 8
+/* If a request is expected within this time, in s, the balance is to cover
  * one. */
-#define NEXT_S 2.0
-/* A place that is lost is mostly replaced within this, in ms: requests wait for
- * the next. */
-#define AWAIT_MS 2000
-/* For as long after that, in ms, all wait for what is expected within the
- * other: what came meanwhile is served one after the other. */
-#define RETURN_HOLD_MS 1000
+#define NEXT_REQUEST_S 2.0
+/* An unreachable allocator is mostly replaced within this time, in ms: requests
+ * wait for the next one. */
+#define FAILOVER_MS 2000
+/* Within FAILOVER_MS after a reconnect, requests accept this expected wait, in
+ * ms: the backlog is served one request after the other. */
+#define RECONNECT_WAIT_MS 1000
 
-static void purse_free(void *p)
+static void client_free(void *p)
 {
-	g_free(((struct purse *)p)->name);
+	g_free(((struct quota_client *)p)->name);
 	g_free(p);
 }
 
-void *quota_lease_entry_new(const struct quota_options *o, int64_t now)
+void *quota_clients_new(const struct quota_options *o, int64_t now)
 {
-	struct entry *e = g_new0(struct entry, 1);
+	struct quota_clients *e = g_new0(struct quota_clients, 1);
 
 	(void)o;
-	e->lost_ms = now;
-	e->found_ms = INT64_MIN / 2;
-	e->purses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					  purse_free);
+	e->disconnected_ms = now;
+	e->connected_ms = INT64_MIN / 2;
+	e->by_name = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					   client_free);
 	e->due = g_ptr_array_new();
 	return e;
 }
 
-void quota_lease_entry_free(void *entry)
+void quota_clients_free(void *clients)
 {
-	struct entry *e = entry;
+	struct quota_clients *e = clients;
 
 	g_ptr_array_unref(e->due);
-	g_hash_table_unref(e->purses);
+	g_hash_table_unref(e->by_name);
 	g_free(e);
 }
 
-void quota_lease_entry_count(void *entry, uint64_t n)
+void quota_clients_set_entries(void *clients, uint64_t n)
 {
-	(void)entry;
+	(void)clients;
 	(void)n;
 }
 
-void purse_make_due(struct entry *e, struct purse *u)
+void quota_client_make_due(struct quota_clients *e, struct quota_client *u)
 {
 	if (u->due)
 		return;
@@ -67,248 +69,259 @@
 	g_ptr_array_add(e->due, u);
 }
 
-static struct purse *purse_of(struct entry *e, const char *name, int64_t now)
+static struct quota_client *get_client(struct quota_clients *e,
+				       const char *name, int64_t now)
 {
-	struct purse *u = g_hash_table_lookup(e->purses, name);
+	struct quota_client *u = g_hash_table_lookup(e->by_name, name);
 
 	if (u)
 		return u;
-	u = g_new0(struct purse, 1);
+	u = g_new0(struct quota_client, 1);
 	u->e = e;
 	u->name = g_strdup(name);
-	u->up = e->up;
-	u->lost_ms = e->lost_ms;
-	u->found_ms = e->found_ms;
-	u->demand_ms = u->alone_ms = now;
+	u->connected = e->connected;
+	u->disconnected_ms = e->disconnected_ms;
+	u->connected_ms = e->connected_ms;
+	u->demand_ms = u->accrued_ms = now;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		u->classes[i].by_ms = INT64_MAX;
-	g_hash_table_insert(e->purses, u->name, u);
+		u->classes[i].first_due_ms = INT64_MAX;
+	g_hash_table_insert(e->by_name, u->name, u);
 	return u;
 }
 
-/* Without an answer for so long a place stands still. */
-static int64_t answer_ms(const struct purse *u)
+/* Time without a reply after which an allocator counts as silent. */
+static int64_t reply_timeout_ms(const struct quota_client *u)
 {
-	const struct pace_estimate *a = &u->e->answers;
+	const struct pace_estimate *a = &u->e->reply_times;
 
-	return a->n ? CLAMP((int64_t)pace_bound(a), ANSWER_MIN_MS,
-			    ANSWER_MAX_MS) :
-		      ANSWER_MAX_MS;
+	return a->n ? CLAMP((int64_t)pace_bound(a), REPLY_TIMEOUT_MIN_MS,
+			    REPLY_TIMEOUT_MAX_MS) :
+		      REPLY_TIMEOUT_MAX_MS;
 }
 
-/* The place isn't reached, or says nothing. */
-static bool is_alone(const struct purse *u, int64_t now)
+/* The allocator is unreachable or silent. */
+static bool is_disconnected(const struct quota_client *u, int64_t now)
 {
-	return !u->up || (u->asked && now - u->silent_ms >= answer_ms(u));
+	return !u->connected ||
+	       (u->pending && now - u->unanswered_ms >= reply_timeout_ms(u));
 }
 
-static int64_t alone_since(const struct purse *u)
+static int64_t disconnected_since(const struct quota_client *u)
 {
-	return u->up ? u->silent_ms + answer_ms(u) : u->lost_ms;
+	return u->connected ? u->unanswered_ms + reply_timeout_ms(u) :
+			      u->disconnected_ms;
 }
 
-static void add_alone(struct purse *u, int64_t now)
+static void accrue_disconnected(struct quota_client *u, int64_t now)
 {
-	int64_t from = MAX(u->alone_ms, alone_since(u));
-	int64_t to = MIN(now, u->rate_ms);
+	int64_t from = MAX(u->accrued_ms, disconnected_since(u));
+	int64_t to = MIN(now, u->rate_until_ms);
 	double n;
 
-	if (is_alone(u, now) && to > from) {
+	if (is_disconnected(u, now) && to > from) {
 		n = u->rate * (double)(to - from) / 1000;
-		u->tokens += n;
-		u->alone += n;
-		if (u->tokens > 0)
-			u->until_ms = MAX(u->until_ms, u->rate_ms);
+		u->balance += n;
+		u->disconnected_spent += n;
+		if (u->balance > 0)
+			u->balance_until_ms =
+				MAX(u->balance_until_ms, u->rate_until_ms);
 	}
-	u->alone_ms = now;
+	u->accrued_ms = now;
 }
 
-void purse_settle(struct purse *u, int64_t now)
+void quota_client_update(struct quota_client *u, int64_t now)
 {
-	double fade;
+	double decay;
 
-	add_alone(u, now);
-	if (now >= u->until_ms)
-		u->tokens = MIN(u->tokens, 0);
+	accrue_disconnected(u, now);
+	if (now >= u->balance_until_ms)
+		u->balance = MIN(u->balance, 0);
 	if (now == u->demand_ms)
 		return;
-	fade = exp(-(double)(now - u->demand_ms) / PURSE_DEMAND_MS);
-	u->demand *= fade;
+	decay = exp(-(double)(now - u->demand_ms) / DEMAND_WINDOW_MS);
+	u->demand *= decay;
 	for (int i = 0; i < QUOTA_CLASSES; i++) {
-		u->shares.demand[i] *= fade;
-		u->shares.spent[i] *= fade;
-		u->classes[i].got *= fade;
+		u->shares.demand[i] *= decay;
+		u->shares.served[i] *= decay;
+		u->classes[i].grant_rate *= decay;
 	}
 	u->demand_ms = now;
 }
 
-void purse_clear_waits(struct purse *u)
+void quota_client_clear_waits(struct quota_client *u)
 {
-	u->none_ms = 0;
+	u->retry_at_ms = 0;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		u->classes[i].none_ms = 0;
+		u->classes[i].retry_at_ms = 0;
 }
 
-void quota_lease_entry_link(void *entry, const char *customer, bool up,
-			    int64_t now)
+void quota_clients_link(void *clients, const char *customer, bool up,
+			int64_t now)
 {
-	struct entry *e = entry;
+	struct quota_clients *e = clients;
 	GHashTableIter it;
 	void *p;
 
 	if (!customer) {
-		if (e->up && !up)
-			e->lost_ms = now;
+		if (e->connected && !up)
+			e->disconnected_ms = now;
 		if (up)
-			e->found_ms = now;
-		e->up = up;
+			e->connected_ms = now;
+		e->connected = up;
 	}
-	g_hash_table_iter_init(&it, e->purses);
+	g_hash_table_iter_init(&it, e->by_name);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct purse *u = p;
+		struct quota_client *u = p;
 
 		if (customer && strcmp(customer, u->name))
 			continue;
-		purse_settle(u, now);
-		if (u->up && !up)
-			u->lost_ms = now;
+		quota_client_update(u, now);
+		if (u->connected && !up)
+			u->disconnected_ms = now;
 		if (up)
-			u->found_ms = now;
-		u->up = up;
-		u->asked = u->told = false;
-		purse_clear_waits(u);
+			u->connected_ms = now;
+		u->connected = up;
+		u->pending = u->reported = false;
+		quota_client_clear_waits(u);
 		if (up)
-			purse_make_due(e, u);
+			quota_client_make_due(e, u);
 	}
 }
 
-static void note_mean(double *mean, double cost)
+static void update_mean(double *mean, double cost)
 {
-	*mean += (cost - *mean) / (*mean > 0 ? MEAN_OF : 1);
+	*mean += (cost - *mean) / (*mean > 0 ? MEAN_REQUESTS : 1);
 }
 
-static void note_demand(struct purse *u, int class, double cost, int64_t now)
+static void add_demand(struct quota_client *u, int class, double cost,
+		       int64_t now)
 {
-	u->demand += cost * 1000 / PURSE_DEMAND_MS;
-	u->shares.demand[class] += cost * 1000 / PURSE_DEMAND_MS;
-	note_mean(&u->mean, cost);
-	note_mean(&u->classes[class].mean, cost);
+	u->demand += cost * 1000 / DEMAND_WINDOW_MS;
+	u->shares.demand[class] += cost * 1000 / DEMAND_WINDOW_MS;
+	update_mean(&u->mean, cost);
+	update_mean(&u->classes[class].mean, cost);
 	u->used_ms = now;
 }
 
-/* What is to be held at the least for such demand. */
-static double least(double demand, double mean)
+/* Minimum balance for a demand. */
+static double min_balance(double demand, double mean)
 {
-	return MAX(demand * RENEW_S, demand * NEXT_S >= mean ? mean : 0);
+	return MAX(demand * RENEW_S,
+		   demand * NEXT_REQUEST_S >= mean ? mean : 0);
 }
 
-double purse_low(const struct purse *u)
+double quota_client_min_balance(const struct quota_client *u)
 {
-	return least(u->demand, u->mean);
+	return min_balance(u->demand, u->mean);
 }
 
-double purse_class_low(const struct purse *u, int class)
+double quota_client_class_min_balance(const struct quota_client *u, int class)
 {
 	return u->shares.demand[class] * RENEW_S;
 }
 
-bool purse_is_low(const struct purse *u)
+bool quota_client_is_low(const struct quota_client *u)
 {
 	if (!quota_classes_several(&u->shares))
-		return u->tokens < purse_low(u);
+		return u->balance < quota_client_min_balance(u);
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		if (u->shares.part[i] < purse_class_low(u, i))
+		if (u->shares.balance[i] < quota_client_class_min_balance(u, i))
 			return true;
-	return u->tokens < purse_low(u);
+	return u->balance < quota_client_min_balance(u);
 }
 
-static double may_spend(const struct purse *u, int64_t now)
+static double spendable(const struct quota_client *u, int64_t now)
 {
-	bool more = is_alone(u, now) && now < u->rate_ms;
+	bool may_overdraw = is_disconnected(u, now) && now < u->rate_until_ms;
 
-	return u->tokens + (more ? u->reserve : 0);
+	return u->balance + (may_overdraw ? u->overdraft : 0);
 }
 
-static enum quota_answer spend(struct purse *u, int class, double cost,
+static enum quota_answer spend(struct quota_client *u, int class, double cost,
 			       int64_t now)
 {
-	quota_classes_spend(&u->shares, class, cost, may_spend(u, now));
-	u->tokens -= cost;
-	u->classes[class].first = 0;
-	u->shares.spent[class] += cost * 1000 / PURSE_DEMAND_MS;
-	if (purse_is_low(u))
-		purse_make_due(u->e, u);
+	quota_classes_spend(&u->shares, class, cost, spendable(u, now));
+	u->balance -= cost;
+	u->classes[class].first_cost = 0;
+	u->shares.served[class] += cost * 1000 / DEMAND_WINDOW_MS;
+	if (quota_client_is_low(u))
+		quota_client_make_due(u->e, u);
 	return QUOTA_YES;
 }
 
-/* A request waits; with a cost below 0 it does no longer. */
-static void add_waiting(struct purse *u, int class, double cost)
+/* Adds the cost of a waiting request, or removes it with a cost below 0. */
+static void add_waiting(struct quota_client *u, int class, double cost)
 {
-	double *mine = &u->shares.waiting[class];
+	double *waiting = &u->shares.waiting[class];
 
-	*mine = MAX(*mine + cost, 0);
+	*waiting = MAX(*waiting + cost, 0);
 	u->waiting = 0;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
 		u->waiting += u->shares.waiting[i];
 }
 
-static void leave_line(struct purse *u, int class, double cost,
-		       const struct quota_rank *r)
+static void remove_waiting(struct quota_client *u, int class, double cost,
+			   const struct quota_rank *r)
 {
-	struct purse_class *k = &u->classes[class];
+	struct quota_client_class *k = &u->classes[class];
 
 	add_waiting(u, class, -cost);
-	if (r->by_ms <= k->by_ms)
-		k->by_ms = INT64_MAX;
+	if (r->by_ms <= k->first_due_ms)
+		k->first_due_ms = INT64_MAX;
 }
 
-/* What came of late, a second, of which a class may have its part. */
-static double got(const struct purse *u, int class)
+/* Recently granted amount per second that a class can expect: its fraction of
+ * all grants, or what it got itself. */
+static double grant_rate(const struct quota_client *u, int class)
 {
 	double all = 0;
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		all += u->classes[i].got;
+		all += u->classes[i].grant_rate;
 	return MAX(all * quota_classes_next_ratio(&u->shares, class),
-		   u->classes[class].got);
+		   u->classes[class].grant_rate);
 }
 
-/* Until there is enough for one more. */
-static int64_t none_for(const struct purse *u, int class, int64_t now)
+/* Expected time until there is enough for one more request. */
+static int64_t expected_wait_ms(const struct quota_client *u, int class,
+				int64_t now)
 {
-	const struct purse_class *k = &u->classes[class];
+	const struct quota_client_class *k = &u->classes[class];
 
-	if (now >= k->none_ms)
+	if (now >= k->retry_at_ms)
 		return 0;
-	return k->none_ms - now +
+	return k->retry_at_ms - now +
 	       (int64_t)(u->shares.waiting[class] * 1000 /
-			 MAX(got(u, class), 1));
+			 MAX(grant_rate(u, class), 1));
 }
 
-/* Where classes share, one that waits does so no longer than it was told to at
- * first. */
-static int64_t hold_ms(const struct purse *u, const struct quota_need *n,
-		       const struct quota_rank *r, int64_t now)
+/* Longest expected wait that a request accepts. Where classes share, that of a
+ * waiting request counts from its arrival. */
+static int64_t max_wait_ms(const struct quota_client *u,
+			   const struct quota_need *n,
+			   const struct quota_rank *r, int64_t now)
 {
 	int64_t ms = n->hold_ms;
 
-	if (now - u->found_ms < AWAIT_MS)
-		return MAX(ms, RETURN_HOLD_MS);
+	if (now - u->connected_ms < FAILOVER_MS)
+		return MAX(ms, RECONNECT_WAIT_MS);
 	if (n->waits && quota_classes_several(&u->shares))
 		ms = MIN(ms, r->by_ms - n->hold_ms - now);
 	return ms;
 }
 
-/* Than the first that waits; while that isn't known a new one isn't. */
-static bool is_earlier(const struct purse_class *k, const struct quota_need *n,
-		       const struct quota_rank *r)
+/* Returns true if the objective is earlier than that of the first waiting
+ * request. While that one is unknown, a new request is not earlier. */
+static bool is_earlier(const struct quota_client_class *k,
+		       const struct quota_need *n, const struct quota_rank *r)
 {
-	return r->by_ms < k->by_ms && (n->waits || k->by_ms != INT64_MAX);
+	return r->by_ms < k->first_due_ms &&
+	       (n->waits || k->first_due_ms != INT64_MAX);
 }
 
-/* Whether its turn has come: nobody goes before those of its class who wait,
- * but by an earlier objective, or when it can't wait for them any longer. */
-static bool is_next(const struct purse *u, int class,
+/* Returns true if no waiting request of the class goes first: none waits, this
+ * one's objective is earlier, or it can wait no longer. */
+static bool is_next(const struct quota_client *u, int class,
 		    const struct quota_need *n, const struct quota_rank *r,
 		    int64_t now)
 {
@@ -318,141 +331,148 @@
 	return n->waits && now >= r->by_ms - n->hold_ms;
 }
 
-/* It is the first, or it is overdue and needs less. */
-static void add_first(struct purse_class *k, const struct quota_need *n,
-		      const struct quota_rank *r, bool nobody_waits)
+/* Updates the first waiting request: this one is first, or it is overdue and
+ * smaller. */
+static void update_first(struct quota_client_class *k,
+			 const struct quota_need *n, const struct quota_rank *r,
+			 bool queue_empty)
 {
-	if (nobody_waits || is_earlier(k, n, r)) {
-		k->first = n->cost;
-		k->by_ms = r->by_ms;
+	if (queue_empty || is_earlier(k, n, r)) {
+		k->first_cost = n->cost;
+		k->first_due_ms = r->by_ms;
 	} else if (n->waits) {
-		k->first = MIN(k->first, n->cost);
+		k->first_cost = MIN(k->first_cost, n->cost);
 	}
 }
 
-static bool is_enough(const struct purse *u, int class, double cost,
-		      int64_t now)
+static bool has_enough(const struct quota_client *u, int class, double cost,
+		       int64_t now)
 {
-	return quota_classes_available(&u->shares, class, may_spend(u, now)) >=
+	return quota_classes_available(&u->shares, class, spendable(u, now)) >=
 	       cost;
 }
 
-/* Of one that can't be served now: it isn't to wait here, but to return after
- * *back. */
-static bool is_refused(const struct purse *u, int class,
-		       const struct quota_need *n, const struct quota_rank *r,
-		       int64_t now, int64_t *back)
+/* Returns true if a request that can't be served now is to be refused rather
+ * than queued; *retry_after_ms is when it may return. */
+static bool must_refuse(const struct quota_client *u, int class,
+			const struct quota_need *n, const struct quota_rank *r,
+			int64_t now, int64_t *retry_after_ms)
 {
-	double rate = now < u->rate_ms ? u->rate : 0, lacks;
+	double rate = now < u->rate_until_ms ? u->rate : 0, shortfall;
 
-	if (is_alone(u, now) && now - alone_since(u) >= AWAIT_MS) {
-		*back = quota_back_ms(n->cost - u->tokens, rate);
+	if (is_disconnected(u, now) &&
+	    now - disconnected_since(u) >= FAILOVER_MS) {
+		*retry_after_ms = quota_retry_ms(n->cost - u->balance, rate);
 		return true;
 	}
-	*back = none_for(u, class, now);
-	if (*back <= hold_ms(u, n, r, now))
+	*retry_after_ms = expected_wait_ms(u, class, now);
+	if (*retry_after_ms <= max_wait_ms(u, n, r, now))
 		return false;
-	/* It may wait no longer, and nobody has said when there is more. */
-	lacks = n->cost -
-		quota_classes_available(&u->shares, class, may_spend(u, now));
-	if (!*back)
-		*back = quota_back_ms(lacks, got(u, class));
+	/* Its wait is over, and no retry time was received. */
+	shortfall = n->cost - quota_classes_available(&u->shares, class,
+						      spendable(u, now));
+	if (!*retry_after_ms)
+		*retry_after_ms =
+			quota_retry_ms(shortfall, grant_rate(u, class));
 	return true;
 }
 
-static void wait_for(struct purse *u, int class, const struct quota_need *n,
-		     const struct quota_rank *r)
+static void enqueue(struct quota_client *u, int class,
+		    const struct quota_need *n, const struct quota_rank *r)
 {
-	bool nobody_waits = u->shares.waiting[class] <= 0;
+	bool queue_empty = u->shares.waiting[class] <= 0;
 
-	add_first(&u->classes[class], n, r, nobody_waits);
+	update_first(&u->classes[class], n, r, queue_empty);
 	add_waiting(u, class, n->cost);
-	purse_make_due(u->e, u);
+	quota_client_make_due(u->e, u);
 }
 
-enum quota_answer quota_lease_take_ranked(void *entry, const struct customer *c,
-					  const struct quota_need *n,
-					  const struct quota_rank *r,
-					  int64_t now, int64_t *back)
+enum quota_answer quota_clients_take_ranked(
+	void *clients, const struct customer *c, const struct quota_need *n,
+	const struct quota_rank *r, int64_t now, int64_t *retry_after_ms)
 {
 	int class = quota_classes_clamp(r->class_id);
-	struct purse *u = purse_of(entry, c->name, now);
+	struct quota_client *u = get_client(clients, c->name, now);
 
-	purse_settle(u, now);
-	if (n->cost > c->limit.burst + c->limit.per_s * LARGEST_S) {
-		*back = quota_back_ms(n->cost, c->limit.per_s);
+	quota_client_update(u, now);
+	if (n->cost > c->limit.burst + c->limit.per_s * COST_MAX_S) {
+		*retry_after_ms = quota_retry_ms(n->cost, c->limit.per_s);
 		return QUOTA_NO;
 	}
-	/* Before it counts as waiting no more: that is what it is kept some
-	 * for. */
-	quota_classes_settle(&u->shares, may_spend(u, now));
+	/* Divide while it still counts as waiting: its class retains tokens for
+	 * it. */
+	quota_classes_divide(&u->shares, spendable(u, now));
 	if (n->waits)
-		leave_line(u, class, n->cost, r);
+		remove_waiting(u, class, n->cost, r);
 	else
-		note_demand(u, class, n->cost, now);
-	if (is_enough(u, class, n->cost, now) && is_next(u, class, n, r, now))
+		add_demand(u, class, n->cost, now);
+	if (has_enough(u, class, n->cost, now) && is_next(u, class, n, r, now))
 		return spend(u, class, n->cost, now);
-	if (is_refused(u, class, n, r, now, back)) {
+	if (must_refuse(u, class, n, r, now, retry_after_ms)) {
 		u->refused += n->cost;
 		return QUOTA_NO;
 	}
-	wait_for(u, class, n, r);
+	enqueue(u, class, n, r);
 	return QUOTA_WAIT;
 }
 
-static const struct quota_rank only_rank;
+static const struct quota_rank default_rank;
 
-enum quota_answer quota_lease_take(void *entry, const struct customer *c,
-				   const struct quota_need *n, int64_t now,
-				   int64_t *back)
+enum quota_answer quota_clients_take(void *clients, const struct customer *c,
+				     const struct quota_need *n, int64_t now,
+				     int64_t *retry_after_ms)
 {
-	return quota_lease_take_ranked(entry, c, n, &only_rank, now, back);
+	return quota_clients_take_ranked(clients, c, n, &default_rank, now,
+					 retry_after_ms);
 }
 
-void quota_lease_leave_ranked(void *entry, const struct customer *c,
-			      double cost, const struct quota_rank *r)
+void quota_clients_cancel_ranked(void *clients, const struct customer *c,
+				 double cost, const struct quota_rank *r)
 {
-	struct entry *e = entry;
-	struct purse *u = g_hash_table_lookup(e->purses, c->name);
+	struct quota_clients *e = clients;
+	struct quota_client *u = g_hash_table_lookup(e->by_name, c->name);
 
 	if (u)
-		leave_line(u, quota_classes_clamp(r->class_id), cost, r);
+		remove_waiting(u, quota_classes_clamp(r->class_id), cost, r);
 }
 
-void quota_lease_leave(void *entry, const struct customer *c, double cost)
+void quota_clients_cancel(void *clients, const struct customer *c, double cost)
 {
-	quota_lease_leave_ranked(entry, c, cost, &only_rank);
+	quota_clients_cancel_ranked(clients, c, cost, &default_rank);
 }
 
-void quota_lease_give_back(void *entry, const struct customer *c, double cost,
-			   const struct quota_rank *r, int64_t now)
+void quota_clients_refund(void *clients, const struct customer *c, double cost,
+			  const struct quota_rank *r, int64_t now)
 {
-	struct purse *u = purse_of(entry, c->name, now);
+	struct quota_client *u = get_client(clients, c->name, now);
 
-	purse_settle(u, now);
-	/* No more than would be asked for: the rest would be held for long. */
-	if (u->tokens + cost > MAX(u->demand * PURSE_AHEAD_S, purse_low(u)))
+	quota_client_update(u, now);
+	/* Don't exceed what would be requested: the surplus would be unused for
+	 * long. */
+	if (u->balance + cost >
+	    MAX(u->demand * GRANT_DEMAND_S, quota_client_min_balance(u)))
 		return;
-	u->tokens += cost;
-	u->shares.part[quota_classes_clamp(r->class_id)] += cost;
+	u->balance += cost;
+	u->shares.balance[quota_classes_clamp(r->class_id)] += cost;
 }
 
-struct quota_view quota_lease_look(const void *entry, const char *customer,
-				   int64_t now)
+struct quota_view quota_clients_view(const void *clients, const char *customer,
+				     int64_t now)
 {
-	const struct entry *e = entry;
-	const struct purse *u = g_hash_table_lookup(e->purses, customer);
-	struct quota_view v = { .age_ms = -1, .alone = !e->up };
+	const struct quota_clients *e = clients;
+	const struct quota_client *u =
+		g_hash_table_lookup(e->by_name, customer);
+	struct quota_view v = { .age_ms = -1, .alone = !e->connected };
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
 		v.share[i] = 1;
 	if (!u)
 		return v;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		v.share[i] = quota_classes_share(&u->shares, i);
-	v.held = u->tokens;
-	v.alone = is_alone(u, now);
-	if (u->until_ms)
-		v.age_ms = now - (u->until_ms - QUOTA_LEASE_MS);
+		v.share[i] = quota_classes_served_ratio(&u->shares, i);
+	v.held = u->balance;
+	v.alone = is_disconnected(u, now);
+	if (u->balance_until_ms)
+		v.age_ms = now - (u->balance_until_ms - QUOTA_LEASE_MS);
 	return v;
 }
--- a/src/customer/quota_purse_int.h
+++ b/src/customer/quota_purse_int.h
@@ -1,6 +1,7 @@
 /*
- * Allotments at an entry: what spending them (quota_purse.c) and asking for
- * them (quota_purse_ask.c) share. For these files only.
+ * Quota clients, an entry's side of customers' limits: what spending grants
+ * (quota_purse.c) and requesting them (quota_purse_ask.c) share. Private to
+ * these files.
  */
 #ifndef SS_QUOTA_PURSE_INT_H
 #define SS_QUOTA_PURSE_INT_H
@@ -9,80 +10,84 @@
 #include "quota_classes.h"
 #include "quota_lease.h"
 
-/* An allotment is for so long of an entry's demand, in s: several answers'
- * time, so that mostly no request waits. */
-#define PURSE_AHEAD_S 0.4
-/* Demand is the mean of the last seconds, in ms: one request alone says that
- * no other will come while an allotment lasts. */
-#define PURSE_DEMAND_MS 3000
-/* A customer that sends nothing here for so long, in ms, gets its allotment
- * back. */
-#define PURSE_IDLE_MS 4000
+/* A grant covers an entry's demand for this time, in s: several round trips to
+ * the allocator, so that most requests needn't wait. */
+#define GRANT_DEMAND_S 0.4
+/* Window over which the demand is averaged, in ms: long enough that after a
+ * single request no other is expected while a grant lasts. */
+#define DEMAND_WINDOW_MS 3000
+/* After this time without requests of a customer, in ms, its balance is
+ * returned to the allocator. */
+#define IDLE_MS 4000
 
-/* Requests of one class. */
-struct purse_class {
-	double mean;	 /* cost of one */
-	double got;	 /* by the place, a second */
-	double first;	 /* cost of the first that waits, or that is overdue */
-	int64_t by_ms;	 /* objective of the first that waits */
-	int64_t none_ms; /* the place has none before then */
+/* State of one class of requests. */
+struct quota_client_class {
+	double mean;	   /* mean cost of a request */
+	double grant_rate; /* recently granted, per second */
+	double first_cost; /* cost of the first waiting request, or of a smaller
+			      overdue one */
+	int64_t first_due_ms; /* its objective */
+	int64_t retry_at_ms;  /* the allocator has none before */
 };
 
-struct purse {
-	struct entry *e; /* that it belongs to */
+struct quota_client {
+	struct quota_clients *e; /* the set that it is part of */
 	char *name;
-	double tokens;
-	int64_t until_ms; /* that they may be spent */
-	/* Alone it may go on at a rate a second, and spend so much beyond the
-	 * tokens, which are then below 0; until a time. */
-	double rate, reserve;
-	int64_t rate_ms;
-	double alone;	  /* of the tokens, not told yet */
-	int64_t alone_ms; /* until when they were added up */
-	double demand;	  /* a second */
+	double balance;
+	int64_t balance_until_ms; /* when the balance expires */
+	/* While disconnected it may spend at this rate per second, and overdraw
+	 * the balance by this amount, until a time. */
+	double rate, overdraft;
+	int64_t rate_until_ms;
+	double disconnected_spent; /* spent at that rate and not reported */
+	int64_t accrued_ms;	   /* time up to which the rate is accrued */
+	double demand;		   /* per second */
 	int64_t demand_ms;
-	double mean;	/* cost of a request */
-	double waiting; /* cost of all requests that wait */
-	double wanted;	/* when it was asked for last */
-	double refused; /* since then */
+	double mean;	/* mean cost of a request */
+	double waiting; /* cost of all waiting requests */
+	double wanted;	/* amount of the last request */
+	double refused; /* since the last request */
 	uint64_t number;
-	bool up;	  /* its place is reached, ... */
-	int64_t lost_ms;  /* ... or not, since then */
-	int64_t found_ms; /* when it was found last */
-	bool told;	  /* that place knows what is held here */
-	bool asked;	  /* and hasn't answered yet, ... */
-	int64_t asked_ms;
-	int64_t silent_ms; /* ... since then */
-	int64_t none_ms;   /* the place has none for any class before then */
-	int64_t next_ms; /* it had less than was wanted: no sooner than then */
+	bool connected;		 /* the allocator is reachable, ... */
+	int64_t disconnected_ms; /* ... or unreachable since then */
+	int64_t connected_ms;	 /* last time that it became reachable */
+	bool reported;		 /* this allocator has got a report */
+	bool pending;		 /* a request is unanswered, ... */
+	int64_t requested_ms;
+	int64_t unanswered_ms;	 /* ... since then */
+	int64_t retry_at_ms;	 /* same for all classes */
+	int64_t scarce_until_ms; /* after a partial grant: no request before
+				    then */
 	int64_t used_ms;
-	bool due; /* in the list of those that have something to ask */
-	struct quota_classes shares;		   /* of the tokens */
-	struct purse_class classes[QUOTA_CLASSES]; /* of requests */
-	struct quota_part parts[QUOTA_CLASSES];	   /* of the last ask */
+	bool due; /* in the list of clients with a request due */
+	struct quota_classes shares; /* division of the balance */
+	struct quota_client_class classes[QUOTA_CLASSES];
+	struct quota_part parts[QUOTA_CLASSES]; /* of the last request */
 };
 
-struct entry {
-	GHashTable *purses;	      /* name -> struct purse */
-	GPtrArray *due;		      /* struct purse */
-	struct pace_estimate answers; /* time that places take to */
-	bool up;
-	int64_t lost_ms, found_ms; /* as of a purse */
+struct quota_clients {
+	GHashTable *by_name;		  /* name -> struct quota_client */
+	GPtrArray *due;			  /* struct quota_client */
+	struct pace_estimate reply_times; /* of allocators */
+	bool connected;
+	int64_t disconnected_ms, connected_ms; /* as in struct quota_client */
 	int64_t sweep_ms;
 };
 
-/* Brings the tokens and the demand up to now. */
-void purse_settle(struct purse *u, int64_t now);
-/* It has something to ask. */
-void purse_make_due(struct entry *e, struct purse *u);
-/* The place may have some again, for any class. */
-void purse_clear_waits(struct purse *u);
-/* What is to be held at the least before more is asked for. */
-double purse_low(const struct purse *u);
-/* The same for a class: no whole request, which it may have of the others'
- * tokens. */
-double purse_class_low(const struct purse *u, int class_id);
-/* Less is held, in all or for a class. */
-bool purse_is_low(const struct purse *u);
+/* Updates balance and demand to the present time. */
+void quota_client_update(struct quota_client *u, int64_t now);
+/* Adds a client to the list of those with a request due. */
+void quota_client_make_due(struct quota_clients *e, struct quota_client *u);
+/* Clears the retry times of all classes: the allocator may have tokens
+ * again. */
+void quota_client_clear_waits(struct quota_client *u);
+/* Returns the balance below which more is requested. */
+double quota_client_min_balance(const struct quota_client *u);
+/* The same for a class. It needn't cover a whole request, as the class may use
+ * tokens of others for that. */
+double quota_client_class_min_balance(const struct quota_client *u,
+				      int class_id);
+/* Returns true if the balance is too low, in total or for a class. */
+bool quota_client_is_low(const struct quota_client *u);
 
 #endif
--- a/test/prop_quota.cc
+++ b/test/prop_quota.cc
@@ -1,5 +1,5 @@
-// Any interleaving of faults, hot customers and changes: no window of any
-// customer has more than its limit and the slack allow.
+// Property: under any sequence of faults, hot customers and changed limits, no
+// window of any customer exceeds its limit and the permitted overage.
 #include <rapidcheck.h>
 
 extern "C" {
@@ -12,12 +12,12 @@
 constexpr int kCustomers = 5;
 constexpr int64_t kLengthMs = 26000;
 
-// Many of the runs have faults that overlap.
+// Draws up to nine events; in many runs some overlap.
 std::vector<world_event> DrawEvents(uint64_t *seed)
 {
 	std::vector<world_event> out;
 	int n = 1 + static_cast<int>(ss_random(seed) % 9);
-	auto upto = [&](uint64_t most) {
+	auto below = [&](uint64_t most) {
 		return static_cast<int64_t>(ss_random(seed) % most);
 	};
 
@@ -29,20 +29,20 @@
 		};
 		world_event e = {};
 
-		e.kind = kinds[upto(G_N_ELEMENTS(kinds))];
-		e.at_ms = 3000 + upto(16000);
-		e.for_ms = 200 + upto(e.kind == WORLD_LEADER ? 3000 : 7000);
-		e.first = static_cast<int>(upto(kEntries));
-		e.count = 1 + static_cast<int>(upto(kEntries));
-		e.x = 2 + static_cast<double>(upto(11));
+		e.kind = kinds[below(G_N_ELEMENTS(kinds))];
+		e.at_ms = 3000 + below(16000);
+		e.for_ms = 200 + below(e.kind == WORLD_LEADER ? 3000 : 7000);
+		e.first = static_cast<int>(below(kEntries));
+		e.count = 1 + static_cast<int>(below(kEntries));
+		e.x = 2 + static_cast<double>(below(11));
 		if (e.kind == WORLD_HOT || e.kind == WORLD_LIMIT) {
-			e.first = static_cast<int>(upto(kCustomers));
+			e.first = static_cast<int>(below(kCustomers));
 			e.count = 1;
 		}
 		if (e.kind == WORLD_LIMIT) {
 			static const double steps[] = { 0.05, 0.3, 2, 4 };
 
-			e.x = steps[upto(4)];
+			e.x = steps[below(4)];
 			e.for_ms = 0;
 		}
 		if (e.kind == WORLD_JOIN) {
@@ -91,7 +91,7 @@
 
 int main()
 {
-	bool ok = rc::check("leased allotments keep every window", [] {
+	bool ok = rc::check("leased grants keep every window", [] {
 		NoWindowExceeds(&quota_lease);
 	});
 
--- a/test/quota_world.c
+++ b/test/quota_world.c
@@ -1,4 +1,4 @@
-/* Entries that keep customers' limits together, in simulated time. */
+/* Simulation of entries that enforce customers' limits together. */
 #include "quota_world.h"
 
 #include "../src/node/frame.h"
@@ -8,28 +8,32 @@
 #include <time.h>
 
 #define TICK_MS 10
-/* Callers come once all has started, in ms. */
-#define CALLERS_MS 7000
-#define SLOW_TURNS 5
-/* A silent peer is given up after so long, and found again, in ms. */
-#define SILENT_MS 900
-#define FOUND_MS 100
-/* Entries hear of members that came or went within this, in ms. */
+/* Requests start once all processes have started, in ms. */
+#define CALLERS_START_MS 7000
+#define SLOWDOWN 5
+/* Time until a silent peer counts as lost, and until a reachable one is
+ * connected, in ms. */
+#define PEER_TIMEOUT_MS 900
+#define RECONNECT_MS 100
+/* Changes of members reach entries within this, in ms. */
 #define SPREAD_MS 200
-/* A request waits no longer for an allotment, in ms. */
+/* A request waits no longer than this for a grant, in ms. */
 #define WAIT_MS 2500
-/* It waits for tokens that are expected within this, in ms. */
+/* It accepts this expected wait for tokens, in ms. */
 #define HOLD_MS 300
-/* After a change of limits a window is judged once it has been in force for a
- * window's length and the time that a change takes, in ms. */
+/* After a change of limits, a window is checked against the new one once that
+ * has been in force for the length of a window and this time, which a change
+ * takes, in ms. */
 #define APPLY_MS 2500
-/* Cost of a request: most are near the mean, some several times as large. */
+/* Cost of a request: most are near the mean, some are several times as
+ * large. */
 #define COST_MEAN 1500
 #define COST_MAX 9000
-/* Only the largest customers become hot. */
-#define HOT_MOST 16
-/* Above the customers of any world: line_of() counts classes in these. */
-#define CUSTOMERS_MOST 1000000
+/* Number of customers, by size, that may become hot. */
+#define HOT_MAX 16
+/* Exceeds the number of customers in any run: queue_key() multiplies classes by
+ * it. */
+#define CUSTOMERS_MAX 1000000
 
 const struct world_class world_two_classes[WORLD_TWO_CLASSES] = {
 	{ 0, 500, 0.6, 600 },
@@ -46,25 +50,25 @@
 	int64_t at_ms;
 	int customer;
 	double cost;
-	int kind; /* of the options' classes */
+	int kind; /* index into the options' classes */
 	int64_t hold_ms;
 	struct quota_rank rank;
 };
 
 struct node {
 	void *entry;
-	void *place;	   /* of a way with owners */
-	GHashTable *taken; /* customers that it owns -> their own place */
-	uint64_t id;	   /* a new one at each start */
+	void *allocator;   /* unused with quota_lease */
+	GHashTable *owned; /* customer -> its allocator */
+	uint64_t id;	   /* incarnation */
 	int domain;
-	bool there, running, frozen, cut;
-	bool link;	    /* as it believes */
-	bool held_by_place; /* as the place believes */
-	int slow;
-	double clock; /* of the true time */
+	bool joined, running, frozen, cut;
+	bool link;		 /* connected, in its own view */
+	bool known_to_allocator; /* connected, in the allocator's view */
+	int slowdown;
+	double clock_rate; /* speed relative to the true time */
 	int64_t offset;
-	int64_t busy_us;   /* a place is busy until then */
-	GHashTable *waits; /* line_of() -> GQueue of struct request */
+	int64_t busy_us;    /* the allocator is busy until then */
+	GHashTable *queues; /* queue_key() -> GQueue of struct request */
 	int64_t next_ms;
 };
 
@@ -73,15 +77,15 @@
 	double cost;
 };
 
-struct person {
+struct sim_customer {
 	struct customer *c;
-	GArray *admitted;     /* struct admitted */
-	double rate;	      /* requests a second */
-	double weight, up_to; /* of all, in order */
-	double bucket;	      /* of one place that sees all */
+	GArray *admitted;	   /* struct admitted */
+	double rate;		   /* requests per second */
+	double weight, cumulative; /* of all customers up to this one */
+	double bucket; /* of an ideal limiter that sees all requests */
 	int64_t bucket_ms;
-	double owed, served, asked;
-	int home_shift;
+	double entitled, served, requested;
+	int entry_offset;
 	double hot;
 	int hot_domain;
 	GArray *limits; /* struct limit_at */
@@ -92,44 +96,45 @@
 	struct customer_limit limit;
 };
 
-enum deed {
-	DEED_ASK,
-	DEED_WORD,
-	DEED_DOWN,
-	DEED_UP,
-	DEED_GONE,
-	DEED_BACK,
-	DEED_LEADER,
-	DEED_EVENT
+enum action_kind {
+	ACTION_REQUEST,
+	ACTION_REPLY,
+	ACTION_LINK_DOWN,
+	ACTION_LINK_UP,
+	ACTION_CLIENT_LOST,
+	ACTION_EVENT_END,
+	ACTION_NEW_LEADER,
+	ACTION_EVENT_START
 };
 
 struct action {
 	int64_t at_us;
 	uint64_t order;
-	enum deed deed;
-	int node;	   /* who acts */
-	uint64_t id, peer; /* incarnations that it is for */
+	enum action_kind kind;
+	int node;	   /* the node that acts */
+	uint64_t id, peer; /* incarnations of the sender and the receiver */
 	const struct world_event *event;
 	char *customer;
-	struct quota_ask ask;
-	struct quota_word word;
-	void *parts; /* of either */
+	struct quota_ask request;
+	struct quota_word reply;
+	void *parts; /* classes, of either */
 };
 
 struct world {
 	const struct world_options *o;
 	struct node *n;
-	struct person *p;
-	void *leader; /* the place, of ways with one; NULL: none leads */
+	struct sim_customer *p;
+	void *leader; /* allocator of quota_lease; NULL: no leader */
 	uint64_t leader_id;
 	int64_t leader_busy_us;
 	GSequence *actions;
 	uint64_t order, ids, seed;
 	int64_t now;
-	uint64_t messages, bytes, far, asks, waited, late, requests, served;
+	uint64_t messages, bytes, far, allocator_requests, waited, late,
+		requests, served;
 	double waited_ms;
-	GHashTable *asked_at; /* place -> asks */
-	double place_s;
+	GHashTable *requests_by_allocator; /* allocator -> number of requests */
+	double allocator_s;
 	struct world_share shares[QUOTA_CLASSES]; /* in tokens */
 };
 
@@ -157,7 +162,7 @@
 	g_free(a);
 }
 
-/* A copy of the list, which the action frees. */
+/* Copies the list; the action frees the copy. */
 static struct wire_list copy_parts(struct action *a,
 				   const struct wire_list *parts)
 {
@@ -168,14 +173,14 @@
 	return (struct wire_list){ a->parts, parts->n };
 }
 
-static struct action *plan(struct world *w, int64_t at_us, enum deed deed,
-			   int node)
+static struct action *plan(struct world *w, int64_t at_us,
+			   enum action_kind kind, int node)
 {
 	struct action *a = g_new0(struct action, 1);
 
 	a->at_us = at_us;
 	a->order = ++w->order;
-	a->deed = deed;
+	a->kind = kind;
 	a->node = node;
 	a->id = node >= 0 ? w->n[node].id : 0;
 	return a;
@@ -188,58 +193,59 @@
 
 static int64_t clock_of(const struct world *w, const struct node *n)
 {
-	return n->offset + (int64_t)((double)w->now * n->clock);
+	return n->offset + (int64_t)((double)w->now * n->clock_rate);
 }
 
-static bool reaches(const struct node *n)
+static bool is_reachable(const struct node *n)
 {
-	return n->there && n->running && !n->frozen && !n->cut;
+	return n->joined && n->running && !n->frozen && !n->cut;
 }
 
-/* Places. */
+/* Allocators. */
 
-/* The index of the node that hands out a customer's allotments; -1: the
- * leader; -2: nobody. */
-static int home_of(struct world *w, const struct person *p)
+/* Returns the index of the node that allocates a customer's grants; -1: the
+ * leader; -2: none. */
+static int allocator_index(struct world *w, const struct sim_customer *p)
 {
 	uint64_t ids[512];
 	int at[512];
 	size_t n = 0;
-	uint64_t home;
+	uint64_t owner;
 
-	if (!w->o->way->home)
+	if (!w->o->way->allocator_for)
 		return -2;
 	if (w->o->way == &quota_lease)
 		return -1;
 	for (int i = 0; i < w->o->entries; i++)
-		/* Members are told of those that went after a second. */
-		if (w->n[i].there && w->n[i].held_by_place) {
+		/* Members learn of lost ones within a second. */
+		if (w->n[i].joined && w->n[i].known_to_allocator) {
 			ids[n] = (uint64_t)i + 1;
 			at[n++] = i;
 		}
 	if (!n)
 		return -2;
-	home = w->o->way->home(ss_str(p->c->name), 0, ids, n);
+	owner = w->o->way->allocator_for(ss_str(p->c->name), 0, ids, n);
 	for (size_t i = 0; i < n; i++)
-		if (ids[i] == home)
+		if (ids[i] == owner)
 			return at[i];
 	return -2;
 }
 
-static void *place_at(struct world *w, int home, const char *customer)
+static void *get_allocator(struct world *w, int owner, const char *customer)
 {
 	struct quota_options qo = { w->o->slack };
-	void *place;
+	void *allocator;
 
-	if (home == -1)
+	if (owner == -1)
 		return w->leader;
-	place = g_hash_table_lookup(w->n[home].taken, customer);
-	if (!place) {
-		place = w->o->way->place_new(&qo, clock_of(w, &w->n[home]));
-		g_hash_table_insert(w->n[home].taken, g_strdup(customer),
-				    place);
+	allocator = g_hash_table_lookup(w->n[owner].owned, customer);
+	if (!allocator) {
+		allocator =
+			w->o->way->place_new(&qo, clock_of(w, &w->n[owner]));
+		g_hash_table_insert(w->n[owner].owned, g_strdup(customer),
+				    allocator);
 	}
-	return place;
+	return allocator;
 }
 
 static void count_message(struct world *w, enum msg_kind kind, const void *one,
@@ -265,7 +271,7 @@
 	return (double)t.tv_sec + (double)t.tv_nsec / 1e9;
 }
 
-static struct person *person_of(struct world *w, struct ss_str name)
+static struct sim_customer *find_customer(struct world *w, struct ss_str name)
 {
 	char *s = ss_str_dup(name);
 	int i = atoi(s + 1);
@@ -281,57 +287,61 @@
 	return (int64_t)(1000 * ms * (1 + draw(w)));
 }
 
-static void on_ask(struct world *w, struct action *a)
+static void on_quota_request(struct world *w, struct action *a)
 {
-	struct person *p = person_of(w, a->ask.customer);
-	int home = home_of(w, p);
+	struct sim_customer *p = find_customer(w, a->request.customer);
+	int owner = allocator_index(w, p);
 	struct node *from = &w->n[a->node],
-		    *at = home >= 0 ? &w->n[home] : NULL;
-	struct quota_word word = { 0 };
+		    *at = owner >= 0 ? &w->n[owner] : NULL;
+	struct quota_word reply = { 0 };
 	int64_t *busy = at ? &at->busy_us : &w->leader_busy_us;
 	int64_t work_us, now;
-	struct action *back;
-	gint64 *asked;
+	struct action *sent;
+	gint64 *count;
 	bool answers;
-	void *place;
+	void *allocator;
 	double t;
 
-	if (home == -2 || (home == -1 && !w->leader) || (at && !reaches(at)) ||
-	    !reaches(from) || from->id != a->id ||
-	    (home == -1 && a->peer != w->leader_id))
+	if (owner == -2 || (owner == -1 && !w->leader) ||
+	    (at && !is_reachable(at)) || !is_reachable(from) ||
+	    from->id != a->id || (owner == -1 && a->peer != w->leader_id))
 		return;
-	place = place_at(w, home, p->c->name);
+	allocator = get_allocator(w, owner, p->c->name);
 	now = at ? clock_of(w, at) : w->now;
 	t = cpu_s();
-	answers = w->o->way->place_ask(place, a->id, p->c, &a->ask, now, &word);
-	w->place_s += cpu_s() - t;
-	w->asks++;
-	asked = g_hash_table_lookup(w->asked_at, GINT_TO_POINTER(home + 2));
-	if (!asked) {
-		asked = g_new0(gint64, 1);
-		g_hash_table_insert(w->asked_at, GINT_TO_POINTER(home + 2),
-				    asked);
+	answers = w->o->way->place_ask(allocator, a->id, p->c, &a->request, now,
+				       &reply);
+	w->allocator_s += cpu_s() - t;
+	w->allocator_requests++;
+	count = g_hash_table_lookup(w->requests_by_allocator,
+				    GINT_TO_POINTER(owner + 2));
+	if (!count) {
+		count = g_new0(gint64, 1);
+		g_hash_table_insert(w->requests_by_allocator,
+				    GINT_TO_POINTER(owner + 2), count);
 	}
-	(*asked)++;
+	(*count)++;
 	if (!answers)
 		return;
-	/* Some 10 us of a core, of which the place has a share. */
+	/* A request takes some 10 us of a core, of which the allocator has a
+	 * fraction. */
 	work_us = (int64_t)(10 / w->o->cpu_share);
 	*busy = MAX(*busy, a->at_us) + work_us;
-	back = plan(w, *busy + delay_us(w, !at || at->domain != from->domain),
-		    DEED_WORD, a->node);
-	back->customer = g_strdup(p->c->name);
-	back->word = word;
-	back->word.customer = ss_str(back->customer);
-	back->word.parts = copy_parts(back, &word.parts);
-	count_message(w, MSG_QUOTA_WORD, &word,
+	sent = plan(w, *busy + delay_us(w, !at || at->domain != from->domain),
+		    ACTION_REPLY, a->node);
+	sent->customer = g_strdup(p->c->name);
+	sent->reply = reply;
+	sent->reply.customer = ss_str(sent->customer);
+	sent->reply.parts = copy_parts(sent, &reply.parts);
+	count_message(w, MSG_QUOTA_WORD, &reply,
 		      !at || at->domain != from->domain);
-	add(w, back);
+	add(w, sent);
 }
 
 /* Requests. */
 
-static void admit(struct world *w, struct person *p, const struct request *q)
+static void admit(struct world *w, struct sim_customer *p,
+		  const struct request *q)
 {
 	struct admitted a = { w->now, q->cost };
 
@@ -348,21 +358,22 @@
 	}
 }
 
-/* A customer's line of a class. */
-static void *line_of(int customer, int class)
+/* Key of a customer's queue of a class. */
+static void *queue_key(int customer, int class)
 {
-	return GINT_TO_POINTER(class * CUSTOMERS_MOST + customer);
+	return GINT_TO_POINTER(class * CUSTOMERS_MAX + customer);
 }
 
-/* True where it waits on. */
-static bool waits_on(struct world *w, struct node *n, const struct request *q)
+/* Returns true if the request keeps waiting. */
+static bool keeps_waiting(struct world *w, struct node *n,
+			  const struct request *q)
 {
 	struct quota_need need = { q->cost, true, q->hold_ms };
-	struct person *p = &w->p[q->customer];
-	int64_t back;
+	struct sim_customer *p = &w->p[q->customer];
+	int64_t retry_after_ms;
 
 	switch (w->o->way->take_ranked(n->entry, p->c, &need, &q->rank,
-				       clock_of(w, n), &back)) {
+				       clock_of(w, n), &retry_after_ms)) {
 	case QUOTA_YES:
 		admit(w, p, q);
 		return false;
@@ -377,13 +388,14 @@
 	return false;
 }
 
-/* The first of a line, and after it those whose hold is over. */
-static void try_line(struct world *w, struct node *n, void *line)
+/* Tries the first request of a queue, and then those whose hold time has
+ * passed. */
+static void try_queue(struct world *w, struct node *n, void *key)
 {
-	GQueue *all = g_hash_table_lookup(n->waits, line);
+	GQueue *all = g_hash_table_lookup(n->queues, key);
 	GList *next;
 
-	while (all && all->head && !waits_on(w, n, all->head->data))
+	while (all && all->head && !keeps_waiting(w, n, all->head->data))
 		g_free(g_queue_pop_head(all));
 	for (GList *l = all && all->head ? all->head->next : NULL; l;
 	     l = next) {
@@ -391,19 +403,19 @@
 
 		next = l->next;
 		if (!q->rank.by_ms || w->now - q->at_ms < q->hold_ms ||
-		    waits_on(w, n, q))
+		    keeps_waiting(w, n, q))
 			continue;
 		g_free(l->data);
 		g_queue_delete_link(all, l);
 	}
 	if (all && !all->head)
-		g_hash_table_remove(n->waits, line);
+		g_hash_table_remove(n->queues, key);
 }
 
 static void try_waiting(struct world *w, struct node *n, int customer)
 {
 	for (int k = 0; k < QUOTA_CLASSES; k++)
-		try_line(w, n, line_of(customer, k));
+		try_queue(w, n, queue_key(customer, k));
 }
 
 static gint by_objective(gconstpointer a, gconstpointer b, gpointer data)
@@ -411,43 +423,43 @@
 	const struct request *x = a, *y = b;
 
 	(void)data;
-	/* Of those that have the same the first stays first. */
+	/* Equal objectives stay in the order of arrival. */
 	return x->rank.by_ms <= y->rank.by_ms ? -1 : 1;
 }
 
 static void add_waiting(struct node *n, const struct request *q)
 {
-	void *line = line_of(q->customer, q->rank.class_id);
-	GQueue *all = g_hash_table_lookup(n->waits, line);
+	void *key = queue_key(q->customer, q->rank.class_id);
+	GQueue *all = g_hash_table_lookup(n->queues, key);
 
 	if (!all) {
 		all = g_queue_new();
-		g_hash_table_insert(n->waits, line, all);
+		g_hash_table_insert(n->queues, key, all);
 	}
 	g_queue_insert_sorted(all, g_memdup2(q, sizeof(*q)), by_objective,
 			      NULL);
 }
 
-static void waits_free(void *all)
+static void queue_free(void *all)
 {
 	g_queue_free_full(all, g_free);
 }
 
-static void owe(struct world *w, struct person *p, double cost)
+static void add_entitled(struct world *w, struct sim_customer *p, double cost)
 {
 	const struct customer_limit *l = &p->c->limit;
 
 	p->bucket += l->per_s * (double)(w->now - p->bucket_ms) / 1000;
 	p->bucket = MIN(p->bucket, l->burst);
 	p->bucket_ms = w->now;
-	p->asked += cost;
+	p->requested += cost;
 	if (p->bucket < MIN(cost, l->burst))
 		return;
 	p->bucket -= cost;
-	p->owed += cost;
+	p->entitled += cost;
 }
 
-/* Make it one of the classes. */
+/* Draws the kind of a request. */
 static void draw_class(struct world *w, const struct node *n, struct request *q)
 {
 	const struct world_class *k = w->o->classes;
@@ -466,29 +478,30 @@
 					     clock_of(w, n) + k->objective_ms };
 }
 
-static void on_request(struct world *w, int customer, int entry, double cost)
+static void on_caller_request(struct world *w, int customer, int entry,
+			      double cost)
 {
-	struct person *p = &w->p[customer];
+	struct sim_customer *p = &w->p[customer];
 	struct node *n = &w->n[entry];
 	struct request q = { .at_ms = w->now,
 			     .customer = customer,
 			     .cost = cost,
 			     .hold_ms = HOLD_MS };
 	struct quota_need need = { 0 };
-	int64_t back;
+	int64_t retry_after_ms;
 
-	/* Callers don't reach it: nobody's quota is at fault. */
-	if (!n->there || !n->running || n->frozen)
+	/* Callers can't reach the entry, which is no fault of the limits. */
+	if (!n->joined || !n->running || n->frozen)
 		return;
 	w->requests++;
 	if (w->o->n_classes)
 		draw_class(w, n, &q);
-	owe(w, p, q.cost);
-	w->shares[q.kind].asked += q.cost;
+	add_entitled(w, p, q.cost);
+	w->shares[q.kind].requested += q.cost;
 	need.cost = q.cost;
 	need.hold_ms = q.hold_ms;
 	switch (w->o->way->take_ranked(n->entry, p->c, &need, &q.rank,
-				       clock_of(w, n), &back)) {
+				       clock_of(w, n), &retry_after_ms)) {
 	case QUOTA_YES:
 		admit(w, p, &q);
 		break;
@@ -500,19 +513,19 @@
 	}
 }
 
-static void on_word(struct world *w, struct action *a)
+static void on_quota_reply(struct world *w, struct action *a)
 {
 	struct node *n = &w->n[a->node];
 
-	if (!reaches(n) || n->id != a->id || !n->link)
+	if (!is_reachable(n) || n->id != a->id || !n->link)
 		return;
-	w->o->way->word(n->entry, &a->word, clock_of(w, n));
-	try_waiting(w, n, (int)(person_of(w, a->word.customer) - w->p));
+	w->o->way->word(n->entry, &a->reply, clock_of(w, n));
+	try_waiting(w, n, (int)(find_customer(w, a->reply.customer) - w->p));
 }
 
 /* Links. */
 
-static void tell_link(struct world *w, struct node *n, bool up)
+static void set_link(struct world *w, struct node *n, bool up)
 {
 	if (!n->entry || n->link == up)
 		return;
@@ -520,43 +533,45 @@
 	w->o->way->entry_link(n->entry, NULL, up, clock_of(w, n));
 }
 
-/* A place that isn't a customer's any more begins anew if it is again. */
-static void drop_former(struct world *w)
+/* A node that stops being a customer's allocator starts with a new one if it
+ * becomes that again. */
+static void drop_former_allocators(struct world *w)
 {
 	for (int k = 0; k < w->o->entries && w->o->way == &quota_owner; k++) {
 		GHashTableIter it;
 		void *name;
 
-		g_hash_table_iter_init(&it, w->n[k].taken);
+		g_hash_table_iter_init(&it, w->n[k].owned);
 		while (g_hash_table_iter_next(&it, &name, NULL))
-			if (home_of(w, person_of(w, ss_str(name))) != k)
+			if (allocator_index(
+				    w, find_customer(w, ss_str(name))) != k)
 				g_hash_table_iter_remove(&it);
 	}
 }
 
-static void places_lose(struct world *w, int i)
+static void lose_client(struct world *w, int i)
 {
 	struct node *n = &w->n[i];
 	GHashTableIter it;
-	void *place;
+	void *allocator;
 
-	if (!n->held_by_place)
+	if (!n->known_to_allocator)
 		return;
-	n->held_by_place = false;
+	n->known_to_allocator = false;
 	if (w->leader)
 		w->o->way->place_gone(w->leader, n->id, w->now);
 	for (int k = 0; k < w->o->entries && w->o->way == &quota_owner; k++) {
-		g_hash_table_iter_init(&it, w->n[k].taken);
-		while (g_hash_table_iter_next(&it, NULL, &place))
-			w->o->way->place_gone(place, n->id,
+		g_hash_table_iter_init(&it, w->n[k].owned);
+		while (g_hash_table_iter_next(&it, NULL, &allocator))
+			w->o->way->place_gone(allocator, n->id,
 					      clock_of(w, &w->n[k]));
 	}
-	/* What it owned is another's. */
-	g_hash_table_remove_all(n->taken);
-	drop_former(w);
+	/* Its customers have another owner. */
+	g_hash_table_remove_all(n->owned);
+	drop_former_allocators(w);
 }
 
-static bool place_stands(const struct world *w)
+static bool has_allocator(const struct world *w)
 {
 	return w->o->way == &quota_owner || w->leader;
 }
@@ -567,16 +582,16 @@
 	struct quota_options qo = { w->o->slack };
 
 	n->id = ++w->ids;
-	n->there = n->running = true;
+	n->joined = n->running = true;
 	n->frozen = false;
 	n->link = false;
 	n->entry = w->o->way->entry_new(&qo, clock_of(w, n));
-	w->o->way->entry_count(n->entry, (uint64_t)w->o->entries);
+	w->o->way->clients_set_entries(n->entry, (uint64_t)w->o->entries);
 	n->next_ms = w->now + (int64_t)(draw(w) * TICK_MS);
 	add(w, plan(w,
-		    (w->now + FOUND_MS) * 1000 +
+		    (w->now + RECONNECT_MS) * 1000 +
 			    (int64_t)(draw(w) * SPREAD_MS * 1000),
-		    DEED_UP, i));
+		    ACTION_LINK_UP, i));
 }
 
 static void stop_node(struct world *w, int i)
@@ -584,8 +599,8 @@
 	struct node *n = &w->n[i];
 
 	n->running = false;
-	places_lose(w, i);
-	g_hash_table_remove_all(n->waits);
+	lose_client(w, i);
+	g_hash_table_remove_all(n->queues);
 	if (n->entry)
 		w->o->way->entry_free(n->entry);
 	n->entry = NULL;
@@ -593,7 +608,8 @@
 
 static void lose_leader(struct world *w, int64_t for_ms)
 {
-	struct action *a = plan(w, (w->now + for_ms) * 1000, DEED_LEADER, -1);
+	struct action *a =
+		plan(w, (w->now + for_ms) * 1000, ACTION_NEW_LEADER, -1);
 
 	if (w->o->way != &quota_lease) {
 		g_free(a);
@@ -603,12 +619,13 @@
 		w->o->way->place_free(w->leader);
 	w->leader = NULL;
 	for (int i = 0; i < w->o->entries; i++) {
-		w->n[i].held_by_place = false;
+		w->n[i].known_to_allocator = false;
 		if (w->n[i].running)
 			add(w, plan(w,
-				    (w->now + (int64_t)(draw(w) * SILENT_MS)) *
+				    (w->now +
+				     (int64_t)(draw(w) * PEER_TIMEOUT_MS)) *
 					    1000,
-				    DEED_DOWN, i));
+				    ACTION_LINK_DOWN, i));
 	}
 	add(w, a);
 }
@@ -625,16 +642,16 @@
 		if (w->n[i].running)
 			add(w,
 			    plan(w,
-				 (w->now + FOUND_MS) * 1000 +
+				 (w->now + RECONNECT_MS) * 1000 +
 					 (int64_t)(draw(w) * SPREAD_MS * 1000),
-				 DEED_UP, i));
+				 ACTION_LINK_UP, i));
 }
 
 static void begin_event(struct world *w, const struct world_event *e)
 {
 	for (int i = e->first; i < e->first + e->count; i++) {
 		struct node *n = &w->n[i % w->o->entries];
-		struct person *p = &w->p[i % w->o->customers];
+		struct sim_customer *p = &w->p[i % w->o->customers];
 		struct limit_at l;
 		struct customer *c;
 		int at = i % w->o->entries;
@@ -642,25 +659,25 @@
 		switch (e->kind) {
 		case WORLD_CUT:
 			n->cut = true;
-			add(w, plan(w, (w->now + SILENT_MS) * 1000, DEED_DOWN,
-				    at));
-			add(w, plan(w, (w->now + SILENT_MS) * 1000, DEED_GONE,
-				    at));
+			add(w, plan(w, (w->now + PEER_TIMEOUT_MS) * 1000,
+				    ACTION_LINK_DOWN, at));
+			add(w, plan(w, (w->now + PEER_TIMEOUT_MS) * 1000,
+				    ACTION_CLIENT_LOST, at));
 			break;
 		case WORLD_FREEZE:
 			n->frozen = true;
-			add(w, plan(w, (w->now + SILENT_MS) * 1000, DEED_GONE,
-				    at));
+			add(w, plan(w, (w->now + PEER_TIMEOUT_MS) * 1000,
+				    ACTION_CLIENT_LOST, at));
 			break;
 		case WORLD_RESTART:
 			if (n->running)
 				stop_node(w, at);
 			break;
 		case WORLD_SLOW:
-			n->slow = SLOW_TURNS;
+			n->slowdown = SLOWDOWN;
 			break;
 		case WORLD_JOIN:
-			if (!n->there)
+			if (!n->joined)
 				start_node(w, at);
 			break;
 		case WORLD_HOT:
@@ -698,25 +715,26 @@
 		switch (e->kind) {
 		case WORLD_CUT:
 			n->cut = false;
-			add(w,
-			    plan(w, (w->now + FOUND_MS) * 1000, DEED_UP, at));
+			add(w, plan(w, (w->now + RECONNECT_MS) * 1000,
+				    ACTION_LINK_UP, at));
 			break;
 		case WORLD_FREEZE:
 			n->frozen = false;
-			/* Its loop sees that everybody was silent. */
-			if (e->for_ms >= SILENT_MS) {
-				add(w, plan(w, w->now * 1000 + 5000, DEED_DOWN,
-					    at));
-				add(w, plan(w, (w->now + FOUND_MS) * 1000,
-					    DEED_UP, at));
+			/* When it resumes, it sees that all peers were
+			 * silent. */
+			if (e->for_ms >= PEER_TIMEOUT_MS) {
+				add(w, plan(w, w->now * 1000 + 5000,
+					    ACTION_LINK_DOWN, at));
+				add(w, plan(w, (w->now + RECONNECT_MS) * 1000,
+					    ACTION_LINK_UP, at));
 			}
 			break;
 		case WORLD_RESTART:
-			if (!n->running && n->there)
+			if (!n->running && n->joined)
 				start_node(w, at);
 			break;
 		case WORLD_SLOW:
-			n->slow = 1;
+			n->slowdown = 1;
 			break;
 		case WORLD_HOT:
 			w->p[i % w->o->customers].hot = 1;
@@ -726,50 +744,51 @@
 		}
 	}
 	for (int i = 0; i < w->o->entries && e->kind == WORLD_POWER; i++)
-		if (!w->n[i].running && w->n[i].there)
+		if (!w->n[i].running && w->n[i].joined)
 			start_node(w, i);
 }
 
-static void act(struct world *w, struct action *a)
+static void run_action(struct world *w, struct action *a)
 {
 	struct node *n = a->node >= 0 ? &w->n[a->node] : NULL;
 
-	switch (a->deed) {
-	case DEED_ASK:
-		on_ask(w, a);
+	switch (a->kind) {
+	case ACTION_REQUEST:
+		on_quota_request(w, a);
 		break;
-	case DEED_WORD:
-		on_word(w, a);
+	case ACTION_REPLY:
+		on_quota_reply(w, a);
 		break;
-	case DEED_DOWN:
+	case ACTION_LINK_DOWN:
 		if (n->id == a->id && n->running && !n->frozen &&
-		    (n->cut || !place_stands(w) || n->held_by_place == false))
-			tell_link(w, n, false);
+		    (n->cut || !has_allocator(w) ||
+		     n->known_to_allocator == false))
+			set_link(w, n, false);
 		break;
-	case DEED_GONE:
+	case ACTION_CLIENT_LOST:
 		if (n->id == a->id && (n->cut || n->frozen))
-			places_lose(w, a->node);
+			lose_client(w, a->node);
 		break;
-	case DEED_UP:
-		if (n->id == a->id && reaches(n) && place_stands(w)) {
-			n->held_by_place = true;
-			drop_former(w);
-			tell_link(w, n, true);
+	case ACTION_LINK_UP:
+		if (n->id == a->id && is_reachable(n) && has_allocator(w)) {
+			n->known_to_allocator = true;
+			drop_former_allocators(w);
+			set_link(w, n, true);
 		}
 		break;
-	case DEED_LEADER:
+	case ACTION_NEW_LEADER:
 		on_leader(w);
 		break;
-	case DEED_EVENT:
+	case ACTION_EVENT_START:
 		begin_event(w, a->event);
 		break;
-	case DEED_BACK:
+	case ACTION_EVENT_END:
 		end_event(w, a->event);
 		break;
 	}
 }
 
-static void turn(struct world *w, int i)
+static void run_entry(struct world *w, int i)
 {
 	struct node *n = &w->n[i];
 	GList *waiting;
@@ -777,31 +796,31 @@
 
 	if (!n->running || n->frozen || w->now < n->next_ms)
 		return;
-	n->next_ms = w->now + TICK_MS * MAX(n->slow, 1);
-	waiting = g_hash_table_get_keys(n->waits);
+	n->next_ms = w->now + TICK_MS * MAX(n->slowdown, 1);
+	waiting = g_hash_table_get_keys(n->queues);
 	for (GList *l = waiting; l; l = l->next)
-		try_line(w, n, l->data);
+		try_queue(w, n, l->data);
 	g_list_free(waiting);
 	out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 	w->o->way->asks(n->entry, clock_of(w, n), out);
 	for (guint k = 0; k < out->len; k++) {
 		const struct quota_ask *q =
 			&g_array_index(out, struct quota_ask, k);
-		struct person *p = person_of(w, q->customer);
-		int home = home_of(w, p);
-		bool far = home < 0 || w->n[home].domain != n->domain;
-		struct action *a =
-			plan(w, w->now * 1000 + delay_us(w, far), DEED_ASK, i);
+		struct sim_customer *p = find_customer(w, q->customer);
+		int owner = allocator_index(w, p);
+		bool far = owner < 0 || w->n[owner].domain != n->domain;
+		struct action *a = plan(w, w->now * 1000 + delay_us(w, far),
+					ACTION_REQUEST, i);
 
-		a->ask = *q;
+		a->request = *q;
 		a->peer = w->leader_id;
 		a->customer = g_strdup(p->c->name);
-		a->ask.customer = ss_str(a->customer);
+		a->request.customer = ss_str(a->customer);
 		if (w->o->sharing == WORLD_BY_CLASS)
-			a->ask.parts = copy_parts(a, &q->parts);
+			a->request.parts = copy_parts(a, &q->parts);
 		else
-			a->ask.parts = (struct wire_list){ 0 };
-		count_message(w, MSG_QUOTA_ASK, &a->ask, far);
+			a->request.parts = (struct wire_list){ 0 };
+		count_message(w, MSG_QUOTA_ASK, &a->request, far);
 		add(w, a);
 	}
 	g_array_unref(out);
@@ -811,14 +830,14 @@
 
 static double cost_of(struct world *w)
 {
-	/* Of two draws one is often small: a mean of COST_MEAN, a long tail. */
+	/* Exponentially distributed: a mean of COST_MEAN and a long tail. */
 	double u = MAX(draw(w), 1e-6);
 
 	return CLAMP(-log(u) * COST_MEAN, 50, COST_MAX);
 }
 
-/* Each customer's callers come to a few entries more than to others. */
-static int entry_for(struct world *w, struct person *p, bool hot)
+/* A customer's requests reach a few entries more often than others. */
+static int entry_for(struct world *w, struct sim_customer *p, bool hot)
 {
 	int n = w->o->entries;
 
@@ -827,18 +846,18 @@
 
 		return (k * w->o->domains + p->hot_domain) % n;
 	}
-	return (p->home_shift + (int)(draw(w) * draw(w) * n)) % n;
+	return (p->entry_offset + (int)(draw(w) * draw(w) * n)) % n;
 }
 
 static int customer_for(struct world *w)
 {
-	double at = draw(w) * w->p[w->o->customers - 1].up_to;
+	double at = draw(w) * w->p[w->o->customers - 1].cumulative;
 	int low = 0, high = w->o->customers - 1;
 
 	while (low < high) {
 		int mid = (low + high) / 2;
 
-		if (w->p[mid].up_to < at)
+		if (w->p[mid].cumulative < at)
 			low = mid + 1;
 		else
 			high = mid;
@@ -846,7 +865,8 @@
 	return low;
 }
 
-/* How many come in a millisecond, of so many a second. */
+/* Draws the number of arrivals in a millisecond, Poisson distributed, at a rate
+ * per second. */
 static int arrivals(struct world *w, double per_s)
 {
 	double most = exp(-per_s / 1000), p = draw(w);
@@ -862,26 +882,28 @@
 	for (int n = arrivals(w, w->o->requests_per_s); n > 0; n--) {
 		int c = customer_for(w);
 
-		on_request(w, c, entry_for(w, &w->p[c], false), cost_of(w));
+		on_caller_request(w, c, entry_for(w, &w->p[c], false),
+				  cost_of(w));
 	}
-	for (int c = 0; c < MIN(w->o->customers, HOT_MOST); c++) {
-		struct person *p = &w->p[c];
+	for (int c = 0; c < MIN(w->o->customers, HOT_MAX); c++) {
+		struct sim_customer *p = &w->p[c];
 		int n = p->hot > 1 ? arrivals(w, p->rate * (p->hot - 1)) : 0;
 
 		for (; n > 0; n--)
-			on_request(w, c, entry_for(w, p, true), cost_of(w));
+			on_caller_request(w, c, entry_for(w, p, true),
+					  cost_of(w));
 	}
 }
 
-/* Judging. */
+/* Results. */
 
-static const struct limit_at *limit_for(const struct person *p, int64_t from,
-					int64_t window)
+static const struct limit_at *limit_for(const struct sim_customer *p,
+					int64_t from, int64_t window)
 {
 	const struct limit_at *best =
 		&g_array_index(p->limits, struct limit_at, 0);
 
-	/* The highest that may count for a window that begins there. */
+	/* The highest limit that may apply to a window that begins there. */
 	for (guint i = 1; i < p->limits->len; i++) {
 		const struct limit_at *l =
 			&g_array_index(p->limits, struct limit_at, i);
@@ -895,8 +917,8 @@
 	return best;
 }
 
-static void judge(const struct world *w, struct person *p,
-		  struct world_result *r)
+static void check_windows(const struct world *w, struct sim_customer *p,
+			  struct world_result *r)
 {
 	const struct quota_slack *s = &w->o->slack;
 	int64_t window = (int64_t)(s->window_s * 1000);
@@ -928,26 +950,27 @@
 	}
 }
 
-static void sum_up(const struct world *w, struct world_result *r)
+static void summarize(const struct world *w, struct world_result *r)
 {
-	double owed = 0, lacks = 0, s = (double)w->o->length_ms / 1000;
+	double entitled = 0, refused_sum = 0,
+	       s = (double)w->o->length_ms / 1000;
 	GHashTableIter it;
 	void *n;
 
 	memset(r, 0, sizeof(*r));
 	for (int c = 0; c < w->o->customers; c++) {
-		struct person *p = &w->p[c];
-		double lack = MAX(p->owed - p->served, 0);
-
-		judge(w, p, r);
-		owed += p->owed;
-		lacks += lack;
-		/* Single requests of a rare customer say little. */
-		if (p->owed > 50 * COST_MEAN)
+		struct sim_customer *p = &w->p[c];
+		double refused = MAX(p->entitled - p->served, 0);
+
+		check_windows(w, p, r);
+		entitled += p->entitled;
+		refused_sum += refused;
+		/* A customer with few requests isn't representative. */
+		if (p->entitled > 50 * COST_MEAN)
 			r->worst_refused =
-				MAX(r->worst_refused, lack / p->owed);
+				MAX(r->worst_refused, refused / p->entitled);
 	}
-	r->refused = owed > 0 ? lacks / owed : 0;
+	r->refused = entitled > 0 ? refused_sum / entitled : 0;
 	r->served = w->requests ? (double)w->served / (double)w->requests : 1;
 	r->waited = w->requests ? (double)w->waited / (double)w->requests : 0;
 	r->late = w->requests ? (double)w->late / (double)w->requests : 0;
@@ -955,20 +978,23 @@
 	r->messages = (double)w->messages / s;
 	r->bytes = (double)w->bytes / s;
 	r->far_bytes = (double)w->far / s;
-	r->place_us = w->asks ? w->place_s * 1e6 / (double)w->asks : 0;
+	r->place_us =
+		w->allocator_requests ?
+			w->allocator_s * 1e6 / (double)w->allocator_requests :
+			0;
 	for (int k = 0; k < QUOTA_CLASSES; k++) {
 		const struct world_share *x = &w->shares[k];
 
-		r->classes[k].asked = x->asked;
-		r->classes[k].served = x->served / MAX(x->asked, 1);
-		r->classes[k].in_time = x->in_time / MAX(x->asked, 1);
+		r->classes[k].requested = x->requested;
+		r->classes[k].served = x->served / MAX(x->requested, 1);
+		r->classes[k].in_time = x->in_time / MAX(x->requested, 1);
 	}
-	g_hash_table_iter_init(&it, w->asked_at);
+	g_hash_table_iter_init(&it, w->requests_by_allocator);
 	while (g_hash_table_iter_next(&it, NULL, &n))
 		r->place_asks = MAX(r->place_asks, (double)*(gint64 *)n / s);
 }
 
-/* Making it. */
+/* Setup. */
 
 static double mean_cost(const struct world *w)
 {
@@ -979,23 +1005,23 @@
 	return w->o->n_classes ? sum : COST_MEAN;
 }
 
-static void make_people(struct world *w)
+static void create_customers(struct world *w)
 {
 	double all = 0;
 
-	w->p = g_new0(struct person, (gsize)w->o->customers);
+	w->p = g_new0(struct sim_customer, (gsize)w->o->customers);
 	for (int c = 0; c < w->o->customers; c++) {
 		w->p[c].weight = 1 / pow(c + 1, 1.1);
 		all += w->p[c].weight;
-		w->p[c].up_to = all;
+		w->p[c].cumulative = all;
 	}
 	for (int c = 0; c < w->o->customers; c++) {
-		struct person *p = &w->p[c];
+		struct sim_customer *p = &w->p[c];
 		struct limit_at l = { 0 };
 
 		p->rate = w->o->requests_per_s * p->weight / all;
 		p->hot = 1;
-		p->home_shift = (int)(draw(w) * w->o->entries);
+		p->entry_offset = (int)(draw(w) * w->o->entries);
 		p->c = customer_new();
 		p->c->name = g_strdup_printf("c%d", c);
 		p->c->limit.tokens = true;
@@ -1011,18 +1037,18 @@
 	}
 }
 
-static void make_nodes(struct world *w)
+static void create_nodes(struct world *w)
 {
 	w->n = g_new0(struct node, (gsize)w->o->entries);
 	for (int i = 0; i < w->o->entries; i++) {
 		struct node *n = &w->n[i];
 
 		n->domain = i % w->o->domains;
-		n->slow = 1;
-		n->clock = 1 + w->o->drift * (2 * draw(w) - 1);
+		n->slowdown = 1;
+		n->clock_rate = 1 + w->o->drift * (2 * draw(w) - 1);
 		n->offset = (int64_t)(draw(w) * 100000);
-		n->waits = g_hash_table_new_full(NULL, NULL, NULL, waits_free);
-		n->taken = g_hash_table_new_full(g_str_hash, g_str_equal,
+		n->queues = g_hash_table_new_full(NULL, NULL, NULL, queue_free);
+		n->owned = g_hash_table_new_full(g_str_hash, g_str_equal,
 						 g_free, w->o->way->place_free);
 	}
 	if (w->o->way == &quota_lease)
@@ -1041,14 +1067,14 @@
 	}
 }
 
-static void end_world(struct world *w)
+static void free_world(struct world *w)
 {
 	for (int i = 0; i < w->o->entries; i++)
 		if (w->n[i].entry)
 			stop_node(w, i);
 	for (int i = 0; i < w->o->entries; i++) {
-		g_hash_table_unref(w->n[i].taken);
-		g_hash_table_unref(w->n[i].waits);
+		g_hash_table_unref(w->n[i].owned);
+		g_hash_table_unref(w->n[i].queues);
 	}
 	if (w->leader)
 		w->o->way->place_free(w->leader);
@@ -1058,12 +1084,12 @@
 		g_array_unref(w->p[c].admitted);
 	}
 	g_sequence_free(w->actions);
-	g_hash_table_unref(w->asked_at);
+	g_hash_table_unref(w->requests_by_allocator);
 	g_free(w->n);
 	g_free(w->p);
 }
 
-static void due_actions(struct world *w)
+static void run_due_actions(struct world *w)
 {
 	GSequenceIter *it;
 
@@ -1077,7 +1103,7 @@
 		a->customer = NULL;
 		a->parts = NULL;
 		g_sequence_remove(it);
-		act(w, &copy);
+		run_action(w, &copy);
 		g_free(copy.customer);
 		g_free(copy.parts);
 	}
@@ -1088,31 +1114,33 @@
 	struct world w = { .o = o, .seed = o->seed, .now = 0 };
 
 	w.actions = g_sequence_new(action_free);
-	w.asked_at = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	make_people(&w);
-	make_nodes(&w);
+	w.requests_by_allocator =
+		g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	create_customers(&w);
+	create_nodes(&w);
 	for (size_t k = 0; k < o->n_events; k++) {
 		const struct world_event *e = &o->events[k];
-		struct action *a = plan(&w, (CALLERS_MS + e->at_ms) * 1000,
-					DEED_EVENT, -1);
+		struct action *a = plan(&w,
+					(CALLERS_START_MS + e->at_ms) * 1000,
+					ACTION_EVENT_START, -1);
 
 		a->event = e;
 		add(&w, a);
-		a = plan(&w, (CALLERS_MS + e->at_ms + e->for_ms) * 1000,
-			 DEED_BACK, -1);
+		a = plan(&w, (CALLERS_START_MS + e->at_ms + e->for_ms) * 1000,
+			 ACTION_EVENT_END, -1);
 		a->event = e;
 		if (e->for_ms)
 			add(&w, a);
 		else
 			action_free(a);
 	}
-	for (; w.now < CALLERS_MS + o->length_ms; w.now++) {
-		due_actions(&w);
-		if (w.now >= CALLERS_MS)
+	for (; w.now < CALLERS_START_MS + o->length_ms; w.now++) {
+		run_due_actions(&w);
+		if (w.now >= CALLERS_START_MS)
 			traffic(&w);
 		for (int i = 0; i < o->entries; i++)
-			turn(&w, i);
+			run_entry(&w, i);
 	}
-	sum_up(&w, r);
-	end_world(&w);
+	summarize(&w, r);
+	free_world(&w);
 }
--- a/test/quota_world.h
+++ b/test/quota_world.h
@@ -1,7 +1,8 @@
 /*
- * Entries that keep customers' limits together, in simulated time: the real
- * decisions, with delays, cuts, freezes, restarts, slow VMs and lost places
- * between them. What it shows is what callers and operators would see.
+ * Simulation of entries that enforce customers' limits together. It runs the
+ * real code in simulated time, with message delays, partitions, freezes,
+ * restarts, slow VMs and lost allocators. Its results are what callers and
+ * operators would see.
  */
 #ifndef SS_QUOTA_WORLD_H
 #define SS_QUOTA_WORLD_H
@@ -9,88 +10,92 @@
 #include "../src/customer/quota.h"
 
 enum world_kind {
-	WORLD_CUT,     /* entries are cut off from all others */
-	WORLD_FREEZE,  /* they stand still */
-	WORLD_RESTART, /* they start anew, for_ms later */
-	WORLD_SLOW,    /* their loop turns five times slower */
-	WORLD_LEADER,  /* the leader is lost, another comes for_ms later */
-	WORLD_POWER,   /* all processes are lost, and come for_ms later */
-	WORLD_LIMIT,   /* limits are x times what they were */
-	WORLD_HOT,     /* a customer sends x times as much, from one domain */
-	WORLD_JOIN,    /* entries that weren't there before come */
+	WORLD_CUT,     /* entries are partitioned from all others */
+	WORLD_FREEZE,  /* entries are suspended */
+	WORLD_RESTART, /* entries stop and start again for_ms later */
+	WORLD_SLOW,    /* event loops of entries are five times slower */
+	WORLD_LEADER,  /* the leader is lost, and replaced for_ms later */
+	WORLD_POWER,   /* all processes are lost, and restart for_ms later */
+	WORLD_LIMIT,   /* limits are multiplied by x */
+	WORLD_HOT,     /* a customer sends x times as much, in one domain */
+	WORLD_JOIN,    /* new entries start */
 };
 
 struct world_event {
-	int64_t at_ms; /* from the first callers on */
+	int64_t at_ms; /* since the first requests */
 	enum world_kind kind;
 	int64_t for_ms;
 	int first, count; /* entries; of WORLD_HOT and WORLD_LIMIT: customers */
 	double x;
 };
 
-/* Requests of one class. */
+/* A kind of requests. */
 struct world_class {
-	int class_id; /* 0 is first */
+	int class_id; /* 0 is the most urgent */
 	int64_t objective_ms;
 	double share; /* of the requests */
-	double cost;  /* in the mean */
+	double cost;  /* mean */
 };
 
-/* Urgent requests, and patient ones that may wait for tokens for long. */
+/* Urgent requests, and patient ones that may wait long for tokens. */
 #define WORLD_TWO_CLASSES 2
 extern const struct world_class world_two_classes[WORLD_TWO_CLASSES];
-/* Three classes, one of them of two kinds. */
+/* Three classes, one of which has two kinds of requests. */
 #define WORLD_THREE_CLASSES 4
 extern const struct world_class world_three_classes[WORLD_THREE_CLASSES];
 
-/* What is told of classes. */
+/* How far classes are taken into account. */
 enum world_sharing {
-	WORLD_BY_CLASS, /* all: entries ask, and the place grants, by class */
-	WORLD_AT_ENTRY, /* the place isn't told */
-	WORLD_IN_ORDER, /* nothing: first come, first served */
+	WORLD_BY_CLASS, /* requests and grants are by class */
+	WORLD_AT_ENTRY, /* by entries only */
+	WORLD_IN_ORDER, /* not at all: first in, first out */
 };
 
 struct world_options {
 	const struct quota_way *way;
 	int entries, customers, domains;
 	int64_t length_ms;
-	double requests_per_s; /* of all customers together */
-	double limit_x;	       /* limits against what customers send */
-	double floor_per_s;    /* the least limit */
+	double requests_per_s; /* of all customers */
+	double limit_x; /* limits relative to the rate that customers send */
+	double floor_per_s; /* lower bound of limits */
 	struct quota_slack slack;
 	double delay_ms;  /* one way, between failure domains */
-	double cpu_share; /* of a place */
-	double drift;	  /* of clocks, at most */
+	double cpu_share; /* fraction of a core for an allocator */
+	double drift;	  /* maximum drift of clocks */
 	uint64_t seed;
 	const struct world_event *events;
 	size_t n_events;
-	const struct world_class *classes; /* NULL: all are alike */
+	const struct world_class
+		*classes; /* NULL: all requests are of one class */
 	size_t n_classes;
 	enum world_sharing sharing;
 };
 
-/* A caller of plain requests wants an answer within this, in ms. */
+/* A request that waited longer than this counts as late, in ms. */
 #define WORLD_LATE_MS 100
 
 struct world_share {
-	double asked;	/* tokens */
-	double served;	/* part of that */
-	double in_time; /* part that waited half of its objective at most */
+	double requested; /* tokens */
+	double served;	  /* fraction of the requested tokens */
+	double in_time; /* fraction that waited at most half of its objective */
 };
 
 struct world_result {
-	double worst;	      /* of all windows, against what is allowed */
-	char worst_at[96];    /* where and when that was */
-	double refused;	      /* share of what was owed and wasn't admitted */
-	double worst_refused; /* of one customer with some traffic */
-	double served;	      /* share of the requests */
-	double waited;	      /* share of the requests that waited ... */
-	double waited_ms;     /* ... for so long in the mean */
-	double late;	      /* share that waited longer than WORLD_LATE_MS */
-	double messages, bytes, far_bytes; /* a second, over all links */
-	double place_asks;		   /* a second, at the busiest place */
-	double place_us;		   /* processor time of one ask there */
-	struct world_share classes[QUOTA_CLASSES]; /* as in the options */
+	double worst;	   /* highest use of a window, relative to its bound */
+	char worst_at[96]; /* customer and time of that window */
+	double refused; /* fraction of the tokens within the limit that wasn't
+			   admitted */
+	double worst_refused; /* the same of the worst customer with some
+				 traffic */
+	double served;	      /* fraction of the requests */
+	double waited;	      /* fraction of the requests that waited */
+	double waited_ms;     /* their mean wait */
+	double late; /* fraction that waited longer than WORLD_LATE_MS */
+	double messages, bytes, far_bytes; /* per second, over all links */
+	double place_asks; /* per second, at the busiest allocator */
+	double place_us;   /* CPU time per request to an allocator */
+	struct world_share
+		classes[QUOTA_CLASSES]; /* in the order of the options */
 };
 
 void world_run(const struct world_options *o, struct world_result *r);
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -1,12 +1,13 @@
-/* Customers' limits under single faults, and what entries may do alone. */
+/* Customers' limits under single faults, and what disconnected entries may
+ * spend. */
 #include "unit.h"
 
 #include "quota_world.h"
 
-/* Of the tokens that are owed, refused at most: on a calm day, and on one with
- * trouble. */
+/* Highest fraction of the tokens within the limit that may be refused, without
+ * faults and with one. */
 #define CALM_REFUSED 0.005
-#define TROUBLE_REFUSED 0.02
+#define FAULT_REFUSED 0.02
 
 #define LEADERS(at, every)                                                     \
 	{ at, WORLD_LEADER, 1200, 0, 0, 0 },                                   \
@@ -19,26 +20,26 @@
 
 static const struct fault {
 	const char *label;
-	double limit_x; /* against what customers send */
-	double refused; /* of what is owed, at most */
+	double limit_x; /* relative to the rate that customers send */
+	double refused; /* highest fraction of tokens within the limit */
 	struct world_event events[8];
 } faults[] = {
-	{ "nothing happens", 1.8, CALM_REFUSED, { { 0 } } },
-	{ "all send more than they may", 0.4, TROUBLE_REFUSED, { { 0 } } },
+	{ "no fault", 1.8, CALM_REFUSED, { { 0 } } },
+	{ "all customers exceed their limits", 0.4, FAULT_REFUSED, { { 0 } } },
 	{ "an entry is cut off",
 	  1.8,
-	  TROUBLE_REFUSED,
+	  FAULT_REFUSED,
 	  { { 6000, WORLD_CUT, 4000, 3, 1, 0 } } },
 	{ "a third of the entries is cut off",
 	  0.4,
 	  1,
 	  { { 6000, WORLD_CUT, 9000, 3, 4, 0 } } },
-	{ "entries freeze over their lease and wake",
+	{ "entries freeze for longer than their lease",
 	  0.4,
 	  1,
 	  { { 6000, WORLD_FREEZE, 6000, 0, 6, 0 },
 	    { 14000, WORLD_FREEZE, 6000, 6, 6, 0 } } },
-	{ "entries restart in a row: no fresh burst",
+	{ "rolling restarts of entries grant no new burst",
 	  0.4,
 	  1,
 	  { { 5000, WORLD_RESTART, 300, 0, 6, 0 },
@@ -53,14 +54,14 @@
 	  { { 8000, WORLD_JOIN, 0, 8, 4, 0 } } },
 	{ "entries are five times slower",
 	  1.8,
-	  TROUBLE_REFUSED,
+	  FAULT_REFUSED,
 	  { { 6000, WORLD_SLOW, 10000, 0, 4, 0 } } },
-	{ "the place is lost once",
+	{ "the allocator is lost once",
 	  1.8,
-	  TROUBLE_REFUSED,
+	  FAULT_REFUSED,
 	  { { 10000, WORLD_LEADER, 1200, 0, 0, 0 } } },
-	{ "the place is lost in series", 0.3, 1, { LEADERS(4000, 2000) } },
-	{ "the place is lost in quick series",
+	{ "the allocator is lost repeatedly", 0.3, 1, { LEADERS(4000, 2000) } },
+	{ "the allocator is lost in quick succession",
 	  0.3,
 	  1,
 	  { LEADERS(6000, 1400) } },
@@ -69,18 +70,18 @@
 	  1,
 	  { { 6000, WORLD_POWER, 1200, 0, 0, 0 },
 	    { 9000, WORLD_POWER, 1200, 0, 0, 0 } } },
-	{ "limits fall far below what is sent, in series",
+	{ "limits fall repeatedly, far below the load",
 	  1.8,
 	  1,
 	  { { 5000, WORLD_LIMIT, 0, 0, 1, 0.3 },
 	    { 7000, WORLD_LIMIT, 0, 0, 1, 0.3 },
 	    { 9000, WORLD_LIMIT, 0, 0, 1, 0.5 },
 	    { 5000, WORLD_LIMIT, 0, 1, 1, 0.05 } } },
-	{ "one sends twelve times as much, from one failure domain",
+	{ "a customer sends twelve times as much, from one failure domain",
 	  1.8,
 	  CALM_REFUSED,
 	  { { 6000, WORLD_HOT, 12000, 0, 1, 12 } } },
-	{ "the same while the place is lost",
+	{ "the same while the allocator is lost",
 	  1.8,
 	  1,
 	  { { 6000, WORLD_HOT, 14000, 0, 1, 12 },
@@ -111,7 +112,8 @@
 	world_run(&o, r);
 }
 
-/* A customer gets more than its limit, or is refused what it is owed. */
+/* Guards against a customer that gets more than its limit, or is refused tokens
+ * within it. */
 static void limits_hold_under_faults(void **state)
 {
 	(void)state;
@@ -125,14 +127,15 @@
 					 faults[i].label, seed, r.worst_at);
 			if (r.refused > faults[i].refused)
 				fail_msg("%s, seed %" PRIu64
-					 ": %.2f%% of what is owed refused",
+					 ": %.2f%% of tokens within the limit "
+					 "refused",
 					 faults[i].label, seed,
 					 100 * r.refused);
 		}
 }
 
-/* Even parts keep each limit, and refuse much of what is owed. */
-static void even_parts_refuse_what_is_owed(void **state)
+/* The even scheme keeps each limit, but refuses much of what is within it. */
+static void even_scheme_refuses_within_limits(void **state)
 {
 	struct world_result r;
 
@@ -151,9 +154,9 @@
 	return c;
 }
 
-/* One entry and its place, without a network between. */
+/* An entry and its allocator, without a network between them. */
 struct pair {
-	void *entry, *place;
+	void *entry, *allocator;
 	struct customer *c;
 	int64_t now;
 };
@@ -165,21 +168,22 @@
 	p->now = 10000;
 	p->c = customer(per_s);
 	p->entry = quota_lease.entry_new(&o, p->now);
-	p->place = quota_lease.place_new(&o, p->now);
+	p->allocator = quota_lease.place_new(&o, p->now);
 	quota_lease.entry_link(p->entry, NULL, true, p->now);
-	/* It no longer counts what others may spend that it doesn't hear. */
+	/* After this the allocator no longer reserves for entries that haven't
+	 * reported. */
 	p->now += 6000;
 }
 
 static void pair_close(struct pair *p)
 {
 	quota_lease.entry_free(p->entry);
-	quota_lease.place_free(p->place);
+	quota_lease.place_free(p->allocator);
 	customer_unref(p->c);
 }
 
-/* All that is asked is answered at once. */
-static void talk(struct pair *p)
+/* Delivers all requests that are due, and their replies, at once. */
+static void exchange(struct pair *p)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 
@@ -187,7 +191,7 @@
 	for (guint i = 0; i < out->len; i++) {
 		struct quota_word w;
 
-		if (quota_lease.place_ask(p->place, 1, p->c,
+		if (quota_lease.place_ask(p->allocator, 1, p->c,
 					  &g_array_index(out, struct quota_ask,
 							 i),
 					  p->now, &w))
@@ -196,8 +200,8 @@
 	g_array_unref(out);
 }
 
-/* What is asked is lost. */
-static void ask_in_vain(struct pair *p)
+/* Loses all requests that are due. */
+static void lose_requests(struct pair *p)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 
@@ -205,17 +209,18 @@
 	g_array_unref(out);
 }
 
-static enum quota_answer ask(struct pair *p, double cost, bool waits)
+static enum quota_answer try_request(struct pair *p, double cost, bool waits)
 {
-	int64_t back;
+	int64_t retry_after_ms;
 
 	struct quota_need n = { cost, waits, 300 };
 
-	return quota_lease.take(p->entry, p->c, &n, p->now, &back);
+	return quota_lease.take(p->entry, p->c, &n, p->now, &retry_after_ms);
 }
 
-/* Each request waits for the place, though its entry could hold enough. */
-static void no_request_waits_where_enough_is_held(void **state)
+/* Guards against requests that wait for the allocator although the entry could
+ * hold a sufficient balance. */
+static void no_request_waits_within_balance(void **state)
 {
 	struct pair p;
 	int waited = 0;
@@ -224,83 +229,87 @@
 	pair_open(&p, 100000);
 	for (int i = 0; i < 200; i++) {
 		p.now += 10;
-		if (ask(&p, 500, false) == QUOTA_WAIT) {
+		if (try_request(&p, 500, false) == QUOTA_WAIT) {
 			waited++;
-			talk(&p);
-			assert_int_equal(ask(&p, 500, true), QUOTA_YES);
+			exchange(&p);
+			assert_int_equal(try_request(&p, 500, true), QUOTA_YES);
 		}
-		talk(&p);
+		exchange(&p);
 	}
 	assert_true(waited <= 3);
 	pair_close(&p);
 }
 
-/* A request that is larger than the burst is refused for ever. */
+/* Guards against the permanent refusal of a request larger than the burst. */
 static void large_request_is_served(void **state)
 {
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 4200);
-	assert_int_equal(ask(&p, 9000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 9000, true), QUOTA_YES);
-	/* It counts whole: nothing is left for a while. */
-	assert_int_equal(ask(&p, 1000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 1000, true), QUOTA_NO);
+	assert_int_equal(try_request(&p, 9000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 9000, true), QUOTA_YES);
+	/* It is charged in full: nothing is left for a while. */
+	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_NO);
 	p.now += 2500;
-	assert_int_equal(ask(&p, 1000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 1000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_YES);
 	pair_close(&p);
 }
 
-/* A request that tells millions of tokens is a debt of hours. */
-static void absurd_request_blocks_nobody(void **state)
+/* Guards against a debt of hours by a request that states millions of
+ * tokens. */
+static void oversized_request_blocks_nobody(void **state)
 {
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 4200);
-	assert_int_equal(ask(&p, 1e8, false), QUOTA_NO);
+	assert_int_equal(try_request(&p, 1e8, false), QUOTA_NO);
 	for (int i = 0; i < 5; i++) {
 		p.now += 500;
-		assert_int_equal(ask(&p, 1e8, false), QUOTA_NO);
-		if (ask(&p, 1000, false) == QUOTA_WAIT) {
-			talk(&p);
-			assert_int_equal(ask(&p, 1000, true), QUOTA_YES);
+		assert_int_equal(try_request(&p, 1e8, false), QUOTA_NO);
+		if (try_request(&p, 1000, false) == QUOTA_WAIT) {
+			exchange(&p);
+			assert_int_equal(try_request(&p, 1000, true),
+					 QUOTA_YES);
 		}
 	}
 	pair_close(&p);
 }
 
-/* A refused caller is told a time at which it is refused again. */
-static void refused_are_told_when_it_is_there(void **state)
+/* Guards against a retry time at which the caller is refused again. */
+static void refusal_states_when_to_retry(void **state)
 {
 	struct quota_need need = { 1000, true, 300 };
 	struct pair p;
-	int64_t back;
+	int64_t retry_after_ms;
 
 	(void)state;
 	pair_open(&p, 1000);
-	assert_int_equal(ask(&p, 3000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 3000, true), QUOTA_YES);
-	assert_int_equal(ask(&p, 1000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(quota_lease.take(p.entry, p.c, &need, p.now, &back),
+	assert_int_equal(try_request(&p, 3000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 3000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(quota_lease.take(p.entry, p.c, &need, p.now,
+					  &retry_after_ms),
 			 QUOTA_NO);
-	assert_in_range(back, 2500, 3500);
-	p.now += back + 100;
-	assert_int_equal(ask(&p, 1000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 1000, true), QUOTA_YES);
+	assert_in_range(retry_after_ms, 2500, 3500);
+	p.now += retry_after_ms + 100;
+	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_YES);
 	pair_close(&p);
 }
 
-/* An entry whose place is gone waits for it for ever, or spends without end. */
-static void entry_alone_goes_on_for_its_lease(void **state)
+/* Guards against an entry that waits for its lost allocator for ever, or spends
+ * without bound. */
+static void disconnected_entry_spends_for_its_lease(void **state)
 {
 	double spent = 0;
 	struct pair p;
@@ -309,28 +318,30 @@
 	pair_open(&p, 20000);
 	for (int i = 0; i < 300; i++) {
 		p.now += 10;
-		if (ask(&p, 100, false) == QUOTA_WAIT) {
-			talk(&p);
-			ask(&p, 100, true);
+		if (try_request(&p, 100, false) == QUOTA_WAIT) {
+			exchange(&p);
+			try_request(&p, 100, true);
 		}
-		talk(&p);
+		exchange(&p);
 	}
 	quota_lease.entry_link(p.entry, NULL, false, p.now);
 	for (int i = 0; i < 2000; i++) {
 		p.now += 10;
-		if (ask(&p, 100, false) == QUOTA_YES)
+		if (try_request(&p, 100, false) == QUOTA_YES)
 			spent += 100;
 		else
 			quota_lease.leave(p.entry, p.c, 100);
 	}
-	/* Its part of the limit for its lease, and no more. */
+	/* It spends its part of the limit for the length of its lease, and no
+	 * more. */
 	assert_true(spent > 0.3 * 20000 * 5);
 	assert_true(spent < 20000 * 5);
-	assert_int_equal(ask(&p, 100, false), QUOTA_NO);
+	assert_int_equal(try_request(&p, 100, false), QUOTA_NO);
 	pair_close(&p);
 }
 
-/* All that a place has for an entry. */
+/* Requests grants for an entry until the allocator has no more; returns their
+ * sum. */
 static double drain(struct pair *p, uint64_t id)
 {
 	struct quota_ask a = { .customer = SS_LIT("a"),
@@ -342,14 +353,14 @@
 	double sum = 0;
 
 	do {
-		quota_lease.place_ask(p->place, id, p->c, &a, p->now, &w);
+		quota_lease.place_ask(p->allocator, id, p->c, &a, p->now, &w);
 		sum += (double)w.grant / QUOTA_MILLI;
 	} while (w.grant > 0);
 	return sum;
 }
 
-/* What an entry that is gone spends alone is handed out once more. */
-static void place_counts_what_is_spent_alone(void **state)
+/* Guards against granting again what a lost entry spends while disconnected. */
+static void allocator_charges_lost_entries(void **state)
 {
 	struct pair p;
 	double all;
@@ -361,18 +372,19 @@
 	p.now += 500;
 	all = drain(&p, 2);
 	assert_true(all > 4990 && all < 5010);
-	quota_lease.place_gone(p.place, 1, p.now);
+	quota_lease.place_gone(p.allocator, 1, p.now);
 	p.now += 500;
 	assert_true(drain(&p, 2) < 0.9 * all);
-	/* It is heard again, and has spent nothing. */
+	/* It reconnects, and has spent nothing. */
 	drain(&p, 1);
 	p.now += 500;
 	assert_true(drain(&p, 2) >= 0.99 * all);
 	pair_close(&p);
 }
 
-/* A place that has just begun hands out what was handed out already. */
-static void new_place_begins_with_slack_only(void **state)
+/* Guards against a new allocator that grants what the previous one has granted
+ * already. */
+static void new_allocator_starts_with_overage(void **state)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
 	double slack = 0.1 * 9 * 10000 + 1000;
@@ -380,17 +392,18 @@
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_free(p.place);
-	p.place = quota_lease.place_new(&o, p.now);
+	quota_lease.place_free(p.allocator);
+	p.allocator = quota_lease.place_new(&o, p.now);
 	assert_true(drain(&p, 1) <= 0.25 * slack);
 	p.now += 1000;
-	/* Others that it hasn't heard may be spending their part. */
+	/* Entries that haven't reported may be spending their part. */
 	assert_true(drain(&p, 1) < 0.7 * 10000);
 	pair_close(&p);
 }
 
-/* What an entry spent alone, or beyond what it held, isn't taken out. */
-static void what_was_spent_alone_is_taken_out(void **state)
+/* Guards against spending while disconnected, or an overdraft, that isn't
+ * charged to the bucket. */
+static void disconnected_spending_is_charged(void **state)
 {
 	static const struct {
 		int64_t alone, held;
@@ -407,19 +420,19 @@
 		p.now += 500;
 		a.alone = rows[i].alone * QUOTA_MILLI;
 		a.held = rows[i].held * QUOTA_MILLI;
-		quota_lease.place_ask(p.place, 1, p.c, &a, p.now, &w);
+		quota_lease.place_ask(p.allocator, 1, p.c, &a, p.now, &w);
 		assert_true(drain(&p, 1) < 1100);
 		pair_close(&p);
 	}
 }
 
-/* Each request waits for as long as a lost place is looked for, though its
- * customer is far below its limit. */
-static void full_bucket_serves_while_the_place_is_lost(void **state)
+/* Guards against requests that all wait for the replacement of a lost allocator
+ * although their customer is far below its limit. */
+static void full_bucket_serves_during_failover(void **state)
 {
 	static const struct {
 		const char *label;
-		bool cut; /* or it is silent, for longer than it ever was */
+		bool cut; /* otherwise silent, for longer than any reply took */
 		int64_t ms;
 	} rows[] = { { "cut off", true, 10 }, { "silent", false, 60 } };
 
@@ -435,24 +448,25 @@
 		pair_open(&p, 20000);
 		for (int k = 0; k < 20; k++) {
 			p.now += 1000;
-			if (ask(&p, 1000, false) == QUOTA_WAIT) {
+			if (try_request(&p, 1000, false) == QUOTA_WAIT) {
 				p.now += 10;
-				talk(&p);
-				ask(&p, 1000, true);
+				exchange(&p);
+				try_request(&p, 1000, true);
 			}
-			talk(&p);
-			quota_lease.place_ask(p.place, 2, p.c, &other, p.now,
-					      &w);
+			exchange(&p);
+			quota_lease.place_ask(p.allocator, 2, p.c, &other,
+					      p.now, &w);
 		}
 		if (rows[i].cut)
 			quota_lease.entry_link(p.entry, NULL, false, p.now);
-		while (!rows[i].cut && ask(&p, 1000, false) == QUOTA_YES)
+		while (!rows[i].cut &&
+		       try_request(&p, 1000, false) == QUOTA_YES)
 			;
-		ask_in_vain(&p);
+		lose_requests(&p);
 		p.now += rows[i].ms;
 		if (!rows[i].cut)
-			served += ask(&p, 1000, true) == QUOTA_YES;
-		while (ask(&p, 1000, false) == QUOTA_YES)
+			served += try_request(&p, 1000, true) == QUOTA_YES;
+		while (try_request(&p, 1000, false) == QUOTA_YES)
 			served++;
 		if (served < 2 || served > 12)
 			fail_msg("%s: %d served", rows[i].label, served);
@@ -460,9 +474,10 @@
 	}
 }
 
-/* What a lost place had pledged is a debt at the next, which begins without
- * what that one had: all wait until it is paid. */
-static void pledge_of_a_lost_place_is_no_debt_at_the_next(void **state)
+/* Guards against an overdraft granted by a lost allocator that counts as a debt
+ * at the next one, which starts without the previous level: all would wait
+ * until it is paid. */
+static void overdraft_is_no_debt_after_failover(void **state)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
 	struct quota_ask a = { .customer = SS_LIT("a"),
@@ -474,19 +489,18 @@
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_free(p.place);
-	p.place = quota_lease.place_new(&o, p.now);
+	quota_lease.place_free(p.allocator);
+	p.allocator = quota_lease.place_new(&o, p.now);
 	fresh = drain(&p, 1);
-	quota_lease.place_free(p.place);
-	p.place = quota_lease.place_new(&o, p.now);
-	quota_lease.place_ask(p.place, 2, p.c, &a, p.now, &w);
+	quota_lease.place_free(p.allocator);
+	p.allocator = quota_lease.place_new(&o, p.now);
+	quota_lease.place_ask(p.allocator, 2, p.c, &a, p.now, &w);
 	assert_true(drain(&p, 1) >= 0.99 * fresh);
 	pair_close(&p);
 }
 
-/* An entry that is cut off spends what was pledged to it, and the place hands
- * it out once more. */
-static void pledge_to_an_entry_that_is_gone_is_taken_out(void **state)
+/* Guards against granting again what a disconnected entry may overdraw. */
+static void overdraft_of_lost_entry_is_charged(void **state)
 {
 	struct quota_ask a = { .customer = SS_LIT("a"),
 			       .demand = 5000 * QUOTA_MILLI,
@@ -497,18 +511,18 @@
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_ask(p.place, 1, p.c, &a, p.now, &w);
-	quota_lease.place_look(p.place, "a", p.now, &before);
-	quota_lease.place_gone(p.place, 1, p.now);
-	quota_lease.place_look(p.place, "a", p.now, &after);
+	quota_lease.place_ask(p.allocator, 1, p.c, &a, p.now, &w);
+	quota_lease.place_look(p.allocator, "a", p.now, &before);
+	quota_lease.place_gone(p.allocator, 1, p.now);
+	quota_lease.place_look(p.allocator, "a", p.now, &after);
 	assert_true(w.reserve >= 2000 * QUOTA_MILLI);
 	assert_true(after.level <=
 		    before.level - (double)w.reserve / QUOTA_MILLI + 1);
 	pair_close(&p);
 }
 
-/* What operators are told of a customer. */
-static void sides_tell_what_they_know(void **state)
+/* What operators see of a customer. */
+static void views_report_grants_and_refusals(void **state)
 {
 	struct quota_sight s;
 	struct quota_view v;
@@ -516,33 +530,34 @@
 
 	(void)state;
 	pair_open(&p, 1000);
-	assert_false(quota_lease.place_look(p.place, "a", p.now, &s));
+	assert_false(quota_lease.place_look(p.allocator, "a", p.now, &s));
 	assert_int_equal(quota_lease.look(p.entry, "a", p.now).age_ms, -1);
-	assert_int_equal(ask(&p, 2000, false), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask(&p, 2000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 2000, false), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 2000, true), QUOTA_YES);
 	p.now += 50;
 	v = quota_lease.look(p.entry, "a", p.now);
 	assert_int_equal(v.age_ms, 50);
 	assert_false(v.alone);
-	/* It lacks more than a request waits for: refused, and told. */
-	ask(&p, 2000, false);
-	talk(&p);
-	assert_int_equal(ask(&p, 2000, true), QUOTA_NO);
+	/* Its shortfall is more than it may wait for: refused, and reported. */
+	try_request(&p, 2000, false);
+	exchange(&p);
+	assert_int_equal(try_request(&p, 2000, true), QUOTA_NO);
 	p.now += 5000;
-	ask(&p, 100, false);
-	talk(&p);
-	assert_true(quota_lease.place_look(p.place, "a", p.now, &s));
+	try_request(&p, 100, false);
+	exchange(&p);
+	assert_true(quota_lease.place_look(p.allocator, "a", p.now, &s));
 	assert_true(s.granted >= 2000);
 	assert_true(s.refused >= 1999 && s.refused <= 2000);
 	assert_int_equal(s.entries, 1);
 	pair_close(&p);
 }
 
-/* Part of its demand by which a class may have more than one before it, and
- * part of the share of all that each class gets at the least. */
-#define SHARE_NOISE 0.03
-#define SHARE_LEAST 0.5
+/* Tolerance by which the served fraction of a class may exceed that of a more
+ * urgent one, and the least fraction that each class gets, relative to that of
+ * all. */
+#define SHARE_TOLERANCE 0.03
+#define SHARE_MIN 0.5
 
 static const struct {
 	const char *label;
@@ -561,12 +576,12 @@
 	  WORLD_THREE_CLASSES,
 	  WORLD_BY_CLASS,
 	  { { 0 } } },
-	{ "a place of an older version",
+	{ "an allocator of an older version",
 	  world_two_classes,
 	  WORLD_TWO_CLASSES,
 	  WORLD_AT_ENTRY,
 	  { { 0 } } },
-	{ "the place is lost",
+	{ "the allocator is lost",
 	  world_two_classes,
 	  WORLD_TWO_CLASSES,
 	  WORLD_BY_CLASS,
@@ -581,19 +596,20 @@
 static double class_share(const struct world_result *r,
 			  const struct world_class *k, size_t n, int class)
 {
-	double asked = 0, served = 0;
+	double requested = 0, served = 0;
 
 	for (size_t i = 0; i < n; i++) {
 		if (k[i].class_id != class)
 			continue;
-		asked += r->classes[i].asked;
-		served += r->classes[i].asked * r->classes[i].served;
+		requested += r->classes[i].requested;
+		served += r->classes[i].requested * r->classes[i].served;
 	}
-	return asked > 0 ? served / asked : -1;
+	return requested > 0 ? served / requested : -1;
 }
 
-/* Under a limit that is a third of what is sent, patient requests, which wait
- * for longer, get the tokens of urgent ones; or one class gets all. */
+/* Guards against patient requests, which wait longer, that get the tokens of
+ * urgent ones under a limit of a third of the load, and against one class that
+ * gets everything. */
 static void urgent_requests_get_no_smaller_share(void **state)
 {
 	(void)state;
@@ -630,11 +646,11 @@
 				continue;
 			print_message("%s, seed %zu: class %d %.3f\n",
 				      overloads[k].label, i, c, share);
-			if (share > before + SHARE_NOISE)
-				fail_msg("%s: class %d has %.3f, one before it "
-					 "%.3f",
+			if (share > before + SHARE_TOLERANCE)
+				fail_msg("%s: class %d has %.3f, a more "
+					 "urgent one %.3f",
 					 overloads[k].label, c, share, before);
-			if (share < SHARE_LEAST * o.limit_x)
+			if (share < SHARE_MIN * o.limit_x)
 				fail_msg("%s: class %d has %.3f",
 					 overloads[k].label, c, share);
 			before = share;
@@ -642,11 +658,12 @@
 	}
 }
 
-/* Part of the requests within a limit that may be refused all the same. */
+/* Highest fraction of requests within a limit that may be refused. */
 #define WITHIN_REFUSED 0.01
 
-/* A customer that sends four fifths of its limit has requests of a rare class
- * refused, as what others don't use is kept for them. */
+/* Guards against refusing requests of a rare class of a customer that sends
+ * four fifths of its limit, because tokens are retained for other classes that
+ * don't use them. */
 static void rare_class_within_the_limit_is_served(void **state)
 {
 	struct world_options o = { .way = &quota_lease,
@@ -675,75 +692,77 @@
 	}
 }
 
-static enum quota_answer ask_ranked(struct pair *p, double cost, bool waits,
+static enum quota_answer try_ranked(struct pair *p, double cost, bool waits,
 				    int class_id, int64_t by_ms,
 				    int64_t hold_ms)
 {
 	struct quota_need n = { cost, waits, hold_ms };
 	struct quota_rank r = { class_id, by_ms };
-	int64_t back;
+	int64_t retry_after_ms;
 
-	return quota_lease.take_ranked(p->entry, p->c, &n, &r, p->now, &back);
+	return quota_lease.take_ranked(p->entry, p->c, &n, &r, p->now,
+				       &retry_after_ms);
 }
 
-/* A large request that is first in its class holds back a small one for longer
- * than that may wait. */
-static void first_that_lacks_some_blocks_nobody_for_long(void **state)
+/* Guards against a large first request of a class that delays a small one for
+ * longer than that may wait. */
+static void large_first_request_blocks_nobody_for_long(void **state)
 {
 	struct pair p;
 	int64_t by;
 
 	(void)state;
 	pair_open(&p, 1000);
-	/* All that is there, and more. */
-	assert_int_equal(ask_ranked(&p, 1400, false, 2, p.now + 600, 2000),
+	/* More than the bucket has. */
+	assert_int_equal(try_ranked(&p, 1400, false, 2, p.now + 600, 2000),
 			 QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask_ranked(&p, 1400, true, 2, p.now + 600, 2000),
+	exchange(&p);
+	assert_int_equal(try_ranked(&p, 1400, true, 2, p.now + 600, 2000),
 			 QUOTA_YES);
 	p.now += 900;
 	by = p.now + 600;
-	assert_int_equal(ask_ranked(&p, 250, false, 2, by - 100, 2000),
+	assert_int_equal(try_ranked(&p, 250, false, 2, by - 100, 2000),
 			 QUOTA_WAIT);
-	assert_int_equal(ask_ranked(&p, 50, false, 2, by, 300), QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask_ranked(&p, 250, true, 2, by - 100, 2000),
+	assert_int_equal(try_ranked(&p, 50, false, 2, by, 300), QUOTA_WAIT);
+	exchange(&p);
+	assert_int_equal(try_ranked(&p, 250, true, 2, by - 100, 2000),
 			 QUOTA_WAIT);
-	/* There is enough for it, and it can wait no longer. */
+	/* There is enough for the small request, and it can wait no longer. */
 	p.now = by - 300;
-	assert_int_equal(ask_ranked(&p, 50, true, 2, by, 300), QUOTA_YES);
+	assert_int_equal(try_ranked(&p, 50, true, 2, by, 300), QUOTA_YES);
 	pair_close(&p);
 }
 
-/* Guards against a refusal without a time to return: the request has waited for
- * as long as it may, and nobody has said when there will be more. */
-static void overdue_request_is_told_when_to_return(void **state)
+/* Guards against a refusal without a retry time: the request has waited for as
+ * long as it may, and no reply stated when there is more. */
+static void overdue_refusal_states_when_to_retry(void **state)
 {
 	struct quota_need need = { 800, true, 300 };
 	struct quota_rank rank = { 2, 0 };
-	int64_t back = 0;
+	int64_t retry_after_ms = 0;
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 1000);
 	rank.by_ms = p.now + 600;
-	assert_int_equal(ask_ranked(&p, 1000, false, 0, p.now + 600, 300),
+	assert_int_equal(try_ranked(&p, 1000, false, 0, p.now + 600, 300),
 			 QUOTA_WAIT);
-	talk(&p);
-	assert_int_equal(ask_ranked(&p, 1000, true, 0, p.now + 600, 300),
+	exchange(&p);
+	assert_int_equal(try_ranked(&p, 1000, true, 0, p.now + 600, 300),
 			 QUOTA_YES);
-	assert_int_equal(ask_ranked(&p, 800, false, 2, rank.by_ms, 300),
+	assert_int_equal(try_ranked(&p, 800, false, 2, rank.by_ms, 300),
 			 QUOTA_WAIT);
 	p.now = rank.by_ms;
 	assert_int_equal(quota_lease.take_ranked(p.entry, p.c, &need, &rank,
-						 p.now, &back),
+						 p.now, &retry_after_ms),
 			 QUOTA_NO);
-	assert_in_range(back, 1, 4000);
+	assert_in_range(retry_after_ms, 1, 4000);
 	pair_close(&p);
 }
 
-/* A customer of one class is served otherwise than without classes. */
-static void one_class_is_served_as_none(void **state)
+/* Guards against a difference between requests of a single class and requests
+ * without classes. */
+static void single_class_behaves_as_no_classes(void **state)
 {
 	struct pair p[2];
 
@@ -757,13 +776,13 @@
 
 		p[0].now += 10;
 		p[1].now += 10;
-		a[0] = ask(&p[0], cost, waits);
-		a[1] = ask_ranked(&p[1], cost, waits, 2, 0, 300);
+		a[0] = try_request(&p[0], cost, waits);
+		a[1] = try_ranked(&p[1], cost, waits, 2, 0, 300);
 		assert_int_equal(a[0], a[1]);
 		if (i % 2)
-			talk(&p[0]);
+			exchange(&p[0]);
 		if (i % 2)
-			talk(&p[1]);
+			exchange(&p[1]);
 		assert_true(quota_lease.look(p[0].entry, "a", p[0].now).held ==
 			    quota_lease.look(p[1].entry, "a", p[1].now).held);
 	}
@@ -771,19 +790,20 @@
 		pair_close(&p[k]);
 }
 
-static int64_t grant_of(void *place, int64_t now, const struct quota_ask *ask)
+static int64_t grant_of(void *allocator, int64_t now,
+			const struct quota_ask *request)
 {
 	struct customer c = { .name = "a",
 			      .limit = { .per_s = 1000, .burst = 1000 } };
 	struct quota_word w;
 
-	assert_true(quota_lease.place_ask(place, 1, &c, ask, now, &w));
+	assert_true(quota_lease.place_ask(allocator, 1, &c, request, now, &w));
 	return w.grant;
 }
 
-/* A class whose requests have left goes on to take from the others what was
- * kept for the one that waited. */
-static void class_that_has_left_keeps_nothing(void **state)
+/* Guards against a class without waiting requests for which tokens are still
+ * retained at the expense of the others. */
+static void idle_class_retains_nothing(void **state)
 {
 	struct quota_options o = { .slack = { 8, 0.1, 4000 } };
 	struct quota_part parts[] = {
@@ -797,26 +817,26 @@
 	struct quota_ask after = { .customer = SS_LIT("a"),
 				   .want = 400000,
 				   .demand = 2000000 };
-	void *place[2];
+	void *allocator[2];
 
 	(void)state;
 	before[1].parts = (struct wire_list){ parts, G_N_ELEMENTS(parts) };
 	for (int k = 0; k < 2; k++) {
-		place[k] = quota_lease.place_new(&o, 0);
-		grant_of(place[k], 20000, &before[k]);
-		/* Until what was granted before makes no difference. */
+		allocator[k] = quota_lease.place_new(&o, 0);
+		grant_of(allocator[k], 20000, &before[k]);
+		/* Repeat until the earlier grants make no difference. */
 		for (int64_t now = 20200; now < 23000; now += 200)
-			grant_of(place[k], now, &after);
+			grant_of(allocator[k], now, &after);
 	}
 	for (int64_t now = 23000; now < 25000; now += 200)
-		assert_int_equal(grant_of(place[0], now, &after),
-				 grant_of(place[1], now, &after));
+		assert_int_equal(grant_of(allocator[0], now, &after),
+				 grant_of(allocator[1], now, &after));
 	for (int k = 0; k < 2; k++)
-		quota_lease.place_free(place[k]);
+		quota_lease.place_free(allocator[k]);
 }
 
-/* A word on a customer that nobody here asked for. */
-static void words_of_others_change_nothing(void **state)
+/* A reply for a customer that nobody here requested a grant for. */
+static void reply_for_unknown_customer_is_ignored(void **state)
 {
 	struct quota_word w = { .customer = SS_LIT("nobody"),
 				.number = 7,
@@ -834,26 +854,26 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(limits_hold_under_faults),
-		cmocka_unit_test(even_parts_refuse_what_is_owed),
-		cmocka_unit_test(no_request_waits_where_enough_is_held),
+		cmocka_unit_test(even_scheme_refuses_within_limits),
+		cmocka_unit_test(no_request_waits_within_balance),
 		cmocka_unit_test(large_request_is_served),
-		cmocka_unit_test(absurd_request_blocks_nobody),
-		cmocka_unit_test(refused_are_told_when_it_is_there),
-		cmocka_unit_test(entry_alone_goes_on_for_its_lease),
-		cmocka_unit_test(place_counts_what_is_spent_alone),
-		cmocka_unit_test(new_place_begins_with_slack_only),
-		cmocka_unit_test(what_was_spent_alone_is_taken_out),
-		cmocka_unit_test(full_bucket_serves_while_the_place_is_lost),
-		cmocka_unit_test(pledge_of_a_lost_place_is_no_debt_at_the_next),
-		cmocka_unit_test(pledge_to_an_entry_that_is_gone_is_taken_out),
-		cmocka_unit_test(sides_tell_what_they_know),
+		cmocka_unit_test(oversized_request_blocks_nobody),
+		cmocka_unit_test(refusal_states_when_to_retry),
+		cmocka_unit_test(disconnected_entry_spends_for_its_lease),
+		cmocka_unit_test(allocator_charges_lost_entries),
+		cmocka_unit_test(new_allocator_starts_with_overage),
+		cmocka_unit_test(disconnected_spending_is_charged),
+		cmocka_unit_test(full_bucket_serves_during_failover),
+		cmocka_unit_test(overdraft_is_no_debt_after_failover),
+		cmocka_unit_test(overdraft_of_lost_entry_is_charged),
+		cmocka_unit_test(views_report_grants_and_refusals),
 		cmocka_unit_test(urgent_requests_get_no_smaller_share),
 		cmocka_unit_test(rare_class_within_the_limit_is_served),
-		cmocka_unit_test(first_that_lacks_some_blocks_nobody_for_long),
-		cmocka_unit_test(overdue_request_is_told_when_to_return),
-		cmocka_unit_test(one_class_is_served_as_none),
-		cmocka_unit_test(class_that_has_left_keeps_nothing),
-		cmocka_unit_test(words_of_others_change_nothing),
+		cmocka_unit_test(large_first_request_blocks_nobody_for_long),
+		cmocka_unit_test(overdue_refusal_states_when_to_retry),
+		cmocka_unit_test(single_class_behaves_as_no_classes),
+		cmocka_unit_test(idle_class_retains_nothing),
+		cmocka_unit_test(reply_for_unknown_customer_is_ignored),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
