--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -143,12 +143,12 @@
 			   int64_t now);
 	/*
 	 * Decides whether a request may run. With QUOTA_YES its cost is spent.
-	 * With QUOTA_WAIT it is to be tried again. With QUOTA_NO, *back_ms is
-	 * the time until a retry may succeed.
+	 * With QUOTA_WAIT it is to be tried again. With QUOTA_NO,
+	 * *retry_after_ms is the time until a retry may succeed.
 	 */
 	enum quota_answer (*take)(void *clients, const struct customer *c,
 				  const struct quota_need *n, int64_t now,
-				  int64_t *back_ms);
+				  int64_t *retry_after_ms);
 	/*
 	 * The same for a request with a rank. Callers first try the first
 	 * request of each class, in the order of ranks, and then those whose
@@ -159,7 +159,7 @@
 					 const struct customer *c,
 					 const struct quota_need *n,
 					 const struct quota_rank *r,
-					 int64_t now, int64_t *back_ms);
+					 int64_t now, int64_t *retry_after_ms);
 	/* A waiting request was cancelled. */
 	void (*leave)(void *clients, const struct customer *c, double cost);
 	void (*leave_ranked)(void *clients, const struct customer *c,
--- a/src/customer/quota_even.c
+++ b/src/customer/quota_even.c
@@ -72,7 +72,7 @@
 
 static enum quota_answer even_take(void *clients, const struct customer *c,
 				   const struct quota_need *n, int64_t now,
-				   int64_t *back_ms)
+				   int64_t *retry_after_ms)
 {
 	struct even *e = clients;
 	struct bucket *b = refill_bucket(e, c, now);
@@ -83,8 +83,8 @@
 		b->tokens -= n->cost;
 		return QUOTA_YES;
 	}
-	*back_ms = (int64_t)((need - b->tokens) * 1000 /
-			     (c->limit.per_s * fraction));
+	*retry_after_ms = (int64_t)((need - b->tokens) * 1000 /
+				    (c->limit.per_s * fraction));
 	return QUOTA_NO;
 }
 
@@ -92,10 +92,10 @@
 					  const struct customer *c,
 					  const struct quota_need *n,
 					  const struct quota_rank *r,
-					  int64_t now, int64_t *back_ms)
+					  int64_t now, int64_t *retry_after_ms)
 {
 	(void)r;
-	return even_take(clients, c, n, now, back_ms);
+	return even_take(clients, c, n, now, retry_after_ms);
 }
 
 static void even_cancel(void *clients, const struct customer *c, double cost)
