--- a/src/proxy/gate_retries.c
+++ b/src/proxy/gate_retries.c
@@ -1,24 +1,25 @@
-/* Which requests an entry may send again. */
+/* The retry budgets of an entry, one for each service. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* Part of the allowed ratio that is spent: some sends reach their endpoint
- * late, in one window with those that were sent after them. */
-#define RATIO_SHARE 0.85
-/* Refusals of a service are logged this often at most, in ms. */
-#define REFUSED_LOG_MS 1000
+/* Part of the allowed ratio that is used. Some sends are delayed and reach
+ * their endpoint in one window with those that were sent after them. */
+#define RETRY_RATIO_SHARE 0.85
+/* Least time between two log lines about refused retries of a service. */
+#define REFUSAL_LOG_INTERVAL_MS 1000
 
 struct service_retries {
 	struct retry_budget budget;
-	int64_t logged_ms; /* when a refusal was; 0: never */
+	int64_t logged_ms; /* when a refusal was logged; 0: never */
 };
 
 static struct service_retries *retries_of(struct gate *g, const char *service)
 {
 	struct service_retries *s = g_hash_table_lookup(g->retries, service);
 	struct retry_options o = { .window_ms = g->o.retry_window_ms,
-				   .ratio = g->o.retry_ratio * RATIO_SHARE,
+				   .ratio =
+					   g->o.retry_ratio * RETRY_RATIO_SHARE,
 				   .since_ms = g->since_ms };
 
 	if (s)
@@ -29,8 +30,8 @@
 	return s;
 }
 
-/* Those that were once there may be cut off and spend their part: the number
- * only grows. */
+/* The number only grows: an entry that is no longer counted may be partitioned
+ * and still use its part of the slack. */
 void gate_note_entries(struct gate *g, uint64_t entries)
 {
 	g->entries = MAX(g->entries, entries);
@@ -49,7 +50,7 @@
 	int64_t now = gate_now(g);
 	struct retry_counts n = retry_budget_counts(&s->budget, now);
 
-	if (s->logged_ms && now - s->logged_ms < REFUSED_LOG_MS)
+	if (s->logged_ms && now - s->logged_ms < REFUSAL_LOG_INTERVAL_MS)
 		return;
 	s->logged_ms = now;
 	log_info("retries_refused",
