--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -1,23 +1,24 @@
-/* Prompts of this entry that engines read, and what waits for them. */
+/* Limits how many prompts of this entry an engine prefills at a time, and how
+ * long other requests wait for that. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* Part of its route's objective that a request waits at most: most of the time
- * is left to read its own prompt. */
-#define WAIT_SHARE 0.25
-/* Between two log lines of one endpoint, in ms. */
-#define LOG_MS 1000
+/* Part of its route's objective that a request waits at most, so that most of
+ * the time is left to prefill its own prompt. */
+#define START_WAIT_SHARE 0.25
+/* Least time between two log lines about one endpoint. */
+#define LOG_INTERVAL_MS 1000
 
-static bool is_prompt(const struct forward *f)
+static bool needs_prefill(const struct forward *f)
 {
 	return f->service->engine && f->route->kind == ROUTE_STREAM;
 }
 
-/* Only routes that state a pause limit are held to one. */
+/* The start limit applies only to routes that state a pause limit. */
 static bool is_limited(const struct forward *f)
 {
-	return is_prompt(f) && f->route->pause_ms > 0;
+	return needs_prefill(f) && f->route->pause_ms > 0;
 }
 
 void gate_starts_reset(struct gate_ep *ep)
@@ -31,7 +32,7 @@
 {
 	struct start_limit *l = &ep->start_limit;
 
-	if (!is_prompt(f))
+	if (!needs_prefill(f))
 		return;
 	f->starting = true;
 	ep->starts++;
@@ -49,12 +50,12 @@
 	f->starting = false;
 }
 
-static void note_cut(struct gate *g, struct gate_ep *ep, const char *why)
+static void record_cut(struct gate *g, struct gate_ep *ep, const char *why)
 {
 	int64_t now = gate_now(g);
 
 	(*g->n_start_cuts)++;
-	if (ep->start_logged_ms && now - ep->start_logged_ms < LOG_MS)
+	if (ep->start_logged_ms && now - ep->start_logged_ms < LOG_INTERVAL_MS)
 		return;
 	ep->start_logged_ms = now;
 	log_info("start_limit", "addr=%s most=%.1f why=%s", ep->addr,
@@ -69,7 +70,7 @@
 	if (ep && is_limited(f) &&
 	    start_limit_first(&ep->start_limit, ms, f->route->objective_ms,
 			      gate_now(f->g)))
-		note_cut(f->g, ep, "first");
+		record_cut(f->g, ep, "first");
 }
 
 void gate_start_pause(struct forward *f, int64_t ms)
@@ -79,7 +80,7 @@
 	if (ep && is_limited(f) &&
 	    start_limit_pause(&ep->start_limit, ms, f->route->pause_ms,
 			      gate_now(f->g)))
-		note_cut(f->g, ep, "pause");
+		record_cut(f->g, ep, "pause");
 }
 
 bool gate_start_admits(const struct forward *f, const struct gate_ep *ep)
@@ -88,13 +89,14 @@
 	       start_limit_allows(&ep->start_limit, ep->starts);
 }
 
-/* When a request in a lane that waits for starts is sent all the same: early
- * enough to begin within its objective. */
-static int64_t wait_until(const struct forward *f)
+/* When a request of a model queue that waits for start limits is sent despite
+ * them: early enough for its answer to begin within its objective. */
+static int64_t wait_deadline_ms(const struct forward *f)
 {
 	const struct lane *l = f->lane;
 	int64_t since = MAX(f->lane_ms, l->starts_ms);
-	int64_t share = (int64_t)((double)f->route->objective_ms * WAIT_SHARE);
+	int64_t share =
+		(int64_t)((double)f->route->objective_ms * START_WAIT_SHARE);
 
 	if (!is_limited(f))
 		return since;
@@ -111,7 +113,7 @@
 	if (!l->starts_ms)
 		l->starts_ms = now;
 	l->starts_first_ms = first_ms;
-	if (now >= wait_until(f))
+	if (now >= wait_deadline_ms(f))
 		return false;
 	if (!f->start_waited)
 		(*f->g->n_start_waits)++;
@@ -128,5 +130,5 @@
 
 bool gate_start_wait_over(const struct forward *f, int64_t now)
 {
-	return f->lane && f->lane->starts_ms && now >= wait_until(f);
+	return f->lane && f->lane->starts_ms && now >= wait_deadline_ms(f);
 }
