--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -1,28 +1,28 @@
 /*
- * What endpoints say of themselves in answers: a limit, for which a request
- * needs a permit, a rest, or that they leave. An endpoint that isn't heeded
- * fails those who are served there, and turns away whoever is sent all the
- * same.
+ * Signals of endpoints: what they state in their answers. These are a rate
+ * limit, for which each request needs a grant, a backoff, and draining. An
+ * endpoint whose signals are ignored fails the requests that it is serving and
+ * rejects new ones.
  */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* A word that the leader doesn't have is told again this often, in ms: it may
- * not know the endpoint yet. */
-#define AGAIN_MS 1000
-/* A limit that answers go on naming is told this often, in ms: the leader takes
- * a word of ten seconds ago for over. */
-#define REPEAT_MS 4000
-/* An endpoint that is no longer listed is remembered with its word for so
- * long, in ms: a leader may just have begun with a list in parts. */
-#define UNLISTED_MS 60000
-/* The first after a rest is waited for so long, in ms: longer than an engine
- * that isn't at its end takes to begin. */
-#define TRIAL_MS 1000
-/* Whoever asked for a permit and isn't heard of for so long, in ms, has found
- * another endpoint, or left. */
-#define SEAT_MS 300
+/* A signal that the leader doesn't have is reported again at this interval, as
+ * the leader may not know the endpoint yet. */
+#define RESEND_INTERVAL_MS 1000
+/* A limit that answers keep stating is reported at this interval, as it
+ * expires at the leader ten seconds after the last report. */
+#define REFRESH_INTERVAL_MS 4000
+/* The signals of an endpoint that is no longer listed are kept this long, as a
+ * new leader may have sent only a part of its list. */
+#define UNLISTED_KEEP_MS 60000
+/* The answer to the first request after a backoff is awaited this long, which
+ * is longer than an engine with spare capacity takes to begin one. */
+#define PROBE_TIMEOUT_MS 1000
+/* A reservation that no request has renewed for this long is released: its
+ * request has found another endpoint, or its caller has left. */
+#define RESERVATION_TTL_MS 300
 
 static void log_limit(const struct gate_ep *ep, double before, const char *by)
 {
@@ -30,14 +30,15 @@
 		 ep->addr, ep->self.id, ep->words.limit.per_s, before, by);
 }
 
-static void hear_limit(struct forward *f, struct gate_ep *ep,
-		       const struct platform_answer *a)
+static void receive_limit(struct forward *f, struct gate_ep *ep,
+			  const struct platform_answer *a)
 {
 	double before = ep->words.limit.per_s;
 	struct gate *g = f->g;
 
-	/* Only a signed answer to what was sent in spite of a limit says that
-	 * it is over: others may be of before, or not the endpoint's own. */
+	/* A missing limit means that it is over only in a signed answer to a
+	 * request that was sent under the limit. Other answers may be older, or
+	 * not the endpoint's own. */
 	if (a->limit_per_s < 0 && (f->limit_per_s < 0 || !a->authentic))
 		return;
 	ep->words.limit_heard_ms = gate_now(g);
@@ -50,8 +51,9 @@
 }
 
 /*
- * Where the leader says something else than is known here, it hasn't heard of
- * it yet, or has just begun: whoever told the one before may have ended.
+ * If the leader states another limit than is known here, it hasn't received
+ * that one yet, or is new: the entry that reported it to the previous leader
+ * may have stopped. Then it is reported again.
  */
 void gate_limit_told(struct gate *g, struct gate_ep *ep, int64_t limit,
 		     int64_t age)
@@ -63,8 +65,8 @@
 	ep->words.limit_owed = endpoint_limit_wire(&ep->words.limit) != limit;
 }
 
-static void hear_rest(struct gate *g, struct gate_ep *ep,
-		      const struct platform_answer *a)
+static void receive_backoff(struct gate *g, struct gate_ep *ep,
+			    const struct platform_answer *a)
 {
 	int64_t now = gate_now(g);
 
@@ -85,8 +87,8 @@
 	g->o.ops->demand(g->o.arg);
 }
 
-/* What leaves doesn't stay after all: only another incarnation is called. */
-static void hear_leaving(struct gate *g, struct gate_ep *ep)
+/* Draining isn't revoked: only another incarnation is called again. */
+static void receive_draining(struct gate *g, struct gate_ep *ep)
 {
 	if (ep->words.leaving_ms)
 		return;
@@ -99,10 +101,10 @@
 void gate_words_heard(struct forward *f, struct gate_ep *ep,
 		      const struct platform_answer *a)
 {
-	hear_limit(f, ep, a);
-	hear_rest(f->g, ep, a);
+	receive_limit(f, ep, a);
+	receive_backoff(f->g, ep, a);
 	if (a->leaving)
-		hear_leaving(f->g, ep);
+		receive_draining(f->g, ep);
 }
 
 bool gate_words_hold(const struct gate *g, const struct gate_ep *ep)
@@ -111,9 +113,9 @@
 
 	return now < ep->words.rest_until_ms ||
 	       (ep->words.leaving_ms &&
-		now - ep->words.leaving_ms < UNLISTED_MS) ||
+		now - ep->words.leaving_ms < UNLISTED_KEEP_MS) ||
 	       (ep->words.limit.per_s >= 0 &&
-		now - ep->words.limit.said_ms < UNLISTED_MS);
+		now - ep->words.limit.said_ms < UNLISTED_KEEP_MS);
 }
 
 bool gate_words_admit(const struct gate *g, const struct gate_ep *ep)
@@ -122,11 +124,12 @@
 	int64_t now = gate_now(g);
 
 	return !w->leaving_ms && now >= w->rest_until_ms &&
-	       (!w->trial_ms || now - w->trial_ms >= TRIAL_MS);
+	       (!w->trial_ms || now - w->trial_ms >= PROBE_TIMEOUT_MS);
 }
 
-/* After a rest one goes first: those that waited for its end would be turned
- * away together, at a retry each. */
+/* After a backoff one request goes first as a probe. If all the
+ * waiting ones were sent, they would be rejected together, at the cost of a
+ * retry each. */
 void gate_words_sent(struct gate *g, struct gate_ep *ep, int64_t now)
 {
 	*g->n_limited += ep->words.limit.per_s >= 0;
@@ -136,7 +139,7 @@
 		ep->words.trial_ms = now;
 }
 
-static void leave_seat(struct gate *g, struct gate_ep *ep)
+static void release_reservation(struct gate *g, struct gate_ep *ep)
 {
 	struct customer c = endpoint_limit_account(&ep->words.limit, ep->addr);
 
@@ -147,29 +150,29 @@
 
 void gate_words_reset(struct gate *g, struct gate_ep *ep)
 {
-	leave_seat(g, ep);
+	release_reservation(g, ep);
 	ep->words = (struct gate_words){
 		.limit = { .per_s = ENDPOINT_LIMIT_NONE }
 	};
 }
 
-/* An adapter that has to be loaded first is one request more. */
-static double cost_of(const struct forward *f, const struct gate_ep *ep)
+/* An adapter that has to be loaded first costs a second request. */
+static double request_cost(const struct forward *f, const struct gate_ep *ep)
 {
-	bool asks = *f->adapter &&
-		    !gate_ep_has_adapter(ep, f->model, f->adapter);
+	bool loads_adapter = *f->adapter &&
+			     !gate_ep_has_adapter(ep, f->model, f->adapter);
 
-	return asks ? 2 : 1;
+	return loads_adapter ? 2 : 1;
 }
 
 /*
- * One seat for all that wait here: they are of several lanes, and whoever is
- * first when a permit comes takes it.
+ * All requests that wait for the endpoint share one reservation: they are of
+ * several model queues, and the first to ask after a grant has come uses it.
  */
 bool gate_limit_admits(struct forward *f, struct gate_ep *ep)
 {
 	struct gate *g = f->g;
-	int64_t now = gate_now(g), back_ms = 0;
+	int64_t now = gate_now(g), retry_after_ms = 0;
 	struct quota_need need = { .hold_ms = f->begin_by_ms - now };
 	struct customer c;
 
@@ -177,14 +180,14 @@
 		return true;
 	if (now < ep->words.permit_ms)
 		return false;
-	need.cost = cost_of(f, ep);
-	/* Seats are of one size; this one may need another. */
+	need.cost = request_cost(f, ep);
+	/* A reservation has a fixed cost; this request may need another. */
 	if (ep->words.seat > 0 && ep->words.seat != need.cost)
-		leave_seat(g, ep);
+		release_reservation(g, ep);
 	need.waits = ep->words.seat > 0;
 	ep->words.seat = 0;
 	c = endpoint_limit_account(&ep->words.limit, ep->addr);
-	switch (quota_lease.take(g->limits, &c, &need, now, &back_ms)) {
+	switch (quota_lease.take(g->limits, &c, &need, now, &retry_after_ms)) {
 	case QUOTA_YES:
 		f->permits = need.cost;
 		return true;
@@ -195,7 +198,7 @@
 	case QUOTA_NO:
 		break;
 	}
-	ep->words.permit_ms = now + back_ms;
+	ep->words.permit_ms = now + retry_after_ms;
 	return false;
 }
 
@@ -215,52 +218,53 @@
 	GHashTableIter it;
 	void *p;
 
-	if (now - g->seats_ms < SEAT_MS)
+	if (now - g->seats_ms < RESERVATION_TTL_MS)
 		return;
 	g->seats_ms = now;
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct gate_ep *ep = p;
 
-		if (ep->words.seat > 0 && now - ep->words.seat_ms > SEAT_MS)
-			leave_seat(g, ep);
+		if (ep->words.seat > 0 &&
+		    now - ep->words.seat_ms > RESERVATION_TTL_MS)
+			release_reservation(g, ep);
 	}
 }
 
-static bool is_due(int64_t told_ms, int64_t now)
+static bool resend_is_due(int64_t reported_ms, int64_t now)
 {
-	return !told_ms || now - told_ms >= AGAIN_MS;
+	return !reported_ms || now - reported_ms >= RESEND_INTERVAL_MS;
 }
 
-static bool limit_is_due(const struct gate_ep *ep, int64_t now)
+static bool limit_report_is_due(const struct gate_ep *ep, int64_t now)
 {
-	bool repeat = ep->words.limit.per_s >= 0 &&
-		      ep->words.limit_heard_ms > ep->words.limit_told_ms &&
-		      now - ep->words.limit_told_ms >= REPEAT_MS;
+	bool refresh = ep->words.limit.per_s >= 0 &&
+		       ep->words.limit_heard_ms > ep->words.limit_told_ms &&
+		       now - ep->words.limit_told_ms >= REFRESH_INTERVAL_MS;
 
-	return repeat ||
-	       (ep->words.limit_owed && is_due(ep->words.limit_told_ms, now));
+	return refresh || (ep->words.limit_owed &&
+			   resend_is_due(ep->words.limit_told_ms, now));
 }
 
-void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *words)
+void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *signals)
 {
 	int64_t now = gate_now(g);
 	struct gate_words *x = &ep->words;
-	bool limit = limit_is_due(ep, now);
-	bool rest = now < x->rest_until_ms && !x->rest_told;
-	/* Until the leader counts it as leaving, too. */
-	bool leaving = x->leaving_ms && ep->known && !ep->leaving &&
-		       is_due(x->leaving_told_ms, now);
+	bool limit = limit_report_is_due(ep, now);
+	bool backoff = now < x->rest_until_ms && !x->rest_told;
+	/* Until the leader lists it as draining, too. */
+	bool draining = x->leaving_ms && ep->known && !ep->leaving &&
+			resend_is_due(x->leaving_told_ms, now);
 	struct endpoint_word w = { 0 };
 
-	if (!limit && !rest && !leaving)
+	if (!limit && !backoff && !draining)
 		return;
 	w.addr = ss_str(ep->addr);
 	w.id = ss_str(ep->self.id);
 	w.started_ms = ep->self.started_ms;
 	w.rest_ms = MAX(x->rest_until_ms - now, 0);
 	x->rest_told = true;
-	if (leaving) {
+	if (draining) {
 		w.leaving = true;
 		x->leaving_told_ms = now;
 	}
@@ -269,7 +273,7 @@
 		w.limit_age = endpoint_limit_age(&x->limit, now);
 		x->limit_told_ms = now;
 	}
-	g_array_append_val(words, w);
+	g_array_append_val(signals, w);
 }
 
 void gate_limit_asks(struct gate *g, GArray *out)
