--- a/test/test_gate_customers.c
+++ b/test/test_gate_customers.c
@@ -1,4 +1,5 @@
-/* Whose request is taken, by which key, and what goes on to an endpoint. */
+/* Which customer a request belongs to by its key, and what of that an endpoint
+ * receives. */
 #include "gate_fix.h"
 
 #include "../src/core/freshness.h"
@@ -21,13 +22,14 @@
 					 "\"models\":[{\"name\":\"m\","        \
 					 "\"weightsMb\":30,\"loadS\":6}]}}],"  \
 					 "\"tenants\":[" customers "]}"
-#define TWO CUSTOMER("acme", "\"key-1\"") "," CUSTOMER("beta", "\"key-2\"")
+#define TWO_CUSTOMERS                                                          \
+	CUSTOMER("acme", "\"key-1\"") "," CUSTOMER("beta", "\"key-2\"")
 #define KEY(k) "Authorization: Bearer " k "\r\n"
 #define GET_WITH(headers) REQ("GET", "/safe/x") headers "\r\n"
 #define NIGHT(key)                                                             \
 	REQ("POST", "/night/x") key "X-Model: m\r\nContent-Length: 0\r\n\r\n"
 
-static void take(struct fix *f, const char *text)
+static void apply_config(struct fix *f, const char *text)
 {
 	struct routing *r =
 		routing_read(users_platform.routing, ss_str(text), NULL);
@@ -37,17 +39,17 @@
 	routing_unref(r);
 }
 
-/* Both endpoints answer for as long as it takes. */
-static void open_keyed(struct fix *f, const char *service, const char *model,
-		       const char *answer)
+/* Both endpoints give the same answer to every request. */
+static void open_with_keys(struct fix *f, const char *service,
+			   const char *model, const char *answer)
 {
 	fix_open(f, service, model);
-	take(f, CONFIG("2", TWO));
+	apply_config(f, CONFIG("2", TWO_CUSTOMERS));
 	script(f, 0, answer, false, false);
 	script(f, 1, answer, false, false);
 }
 
-static bool anyone_saw(const struct fix *f, const char *text)
+static bool any_endpoint_saw(const struct fix *f, const char *text)
 {
 	return strstr(f->eps[0].seen->str, text) ||
 	       strstr(f->eps[1].seen->str, text);
@@ -55,35 +57,36 @@
 
 static const struct {
 	const char *label, *request, *status;
-	const char *customer; /* that the endpoint is told; NULL: none */
+	const char *customer; /* sent to the endpoint; NULL: no request is */
 } requests[] = {
 	{ "a key", GET_WITH(KEY("key-1")), "200", "acme" },
-	{ "another's key", GET_WITH(KEY("key-2")), "200", "beta" },
+	{ "another customer's key", GET_WITH(KEY("key-2")), "200", "beta" },
 	{ "a scheme in capitals", GET_WITH("authorization: BEARER  key-2 \r\n"),
 	  "200", "beta" },
-	{ "a caller that says who it is",
+	{ "a caller that names a customer",
 	  GET_WITH(KEY("key-1") "X-Tenant: beta\r\n"), "200", "acme" },
 	{ "no key", GET_WITH(""), "401", NULL },
 	{ "an unknown key", GET_WITH(KEY("key-3")), "401", NULL },
-	{ "a key's beginning", GET_WITH(KEY("key-")), "401", NULL },
+	{ "a prefix of a key", GET_WITH(KEY("key-")), "401", NULL },
 	{ "another scheme", GET_WITH("Authorization: Basic key-1\r\n"), "401",
 	  NULL },
 	{ "a scheme without a key", GET_WITH("Authorization: Bearer\r\n"),
 	  "401", NULL },
-	{ "no ASCII", GET_WITH("Authorization: Bearer k\xc3\xa9y-1\r\n"), "401",
-	  NULL },
+	{ "a key that isn't ASCII",
+	  GET_WITH("Authorization: Bearer k\xc3\xa9y-1\r\n"), "401", NULL },
 	{ "two keys", GET_WITH(KEY("key-1") KEY("key-2")), "400", NULL },
 	{ "one key twice", GET_WITH(KEY("key-1") KEY("key-1")), "400", NULL },
 	{ "a public route", REQ("GET", "/free/x") "\r\n", "200", "" },
-	{ "a public route, by somebody known",
+	{ "a public route, by a known customer",
 	  REQ("GET", "/free/x") KEY("key-1") "\r\n", "200", "acme" },
-	{ "a public route, with a key of nobody",
+	{ "a public route, with an unknown key",
 	  REQ("GET", "/free/x") KEY("key-3") "X-Tenant: acme\r\n\r\n", "200",
 	  "" },
 };
 
-/* A key that reaches an endpoint, or a caller that names its customer. */
-static void endpoint_is_told_whose_it_is(void **state)
+/* Guards against a key that is passed on to an endpoint, and against a customer
+ * name that the caller chose itself. */
+static void endpoint_gets_customer_name_but_no_key(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
@@ -93,47 +96,52 @@
 		struct caller *c;
 		struct fix f;
 
-		open_keyed(&f, "web", "", OK_TEXT);
+		open_with_keys(&f, "web", "", OK_TEXT);
 		c = call(&f, requests[i].request);
 		UNTIL(&f, got(c, "\r\n\r\n"));
 		if (!got(c, status))
 			fail_msg("%s: %s", requests[i].label, c->got->str);
-		if (anyone_saw(&f, "key-") || anyone_saw(&f, "uthorization"))
-			fail_msg("%s: the key went on", requests[i].label);
+		if (any_endpoint_saw(&f, "key-") ||
+		    any_endpoint_saw(&f, "uthorization"))
+			fail_msg("%s: the key was passed on",
+				 requests[i].label);
 		if (!customer || !*customer) {
-			if (anyone_saw(&f, "X-Tenant"))
-				fail_msg("%s: a name", requests[i].label);
+			if (any_endpoint_saw(&f, "X-Tenant"))
+				fail_msg("%s: a customer name was sent",
+					 requests[i].label);
 		} else {
 			char *line = g_strdup_printf("\r\nX-Tenant: %s\r\n",
 						     customer);
 
-			if (!anyone_saw(&f, line))
-				fail_msg("%s: not told", requests[i].label);
+			if (!any_endpoint_saw(&f, line))
+				fail_msg("%s: no customer name was sent",
+					 requests[i].label);
 			g_free(line);
 		}
 		if (!customer && f.eps[0].requests + f.eps[1].requests)
-			fail_msg("%s: it ran", requests[i].label);
+			fail_msg("%s: the request was sent", requests[i].label);
 		g_free(status);
 		fix_close(&f);
 	}
 }
 
-/* The first key of a kept connection stands for all that come on it. */
+/* Guards against the first key on a persistent connection being used for the
+ * later requests on it. */
 static void each_request_has_its_own_key(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_keyed(&f, "web", "", OK_TEXT);
+	open_with_keys(&f, "web", "", OK_TEXT);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, ends(c, "hello"));
-	assert_true(anyone_saw(&f, "X-Tenant: acme"));
+	assert_true(any_endpoint_saw(&f, "X-Tenant: acme"));
 	g_string_truncate(c->got, 0);
 	bufferevent_write(c->bev, GET_WITH(KEY("key-2")),
 			  strlen(GET_WITH(KEY("key-2"))));
 	UNTIL(&f, ends(c, "hello"));
-	assert_true(anyone_saw(&f, "X-Tenant: beta"));
+	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
 	g_string_truncate(c->got, 0);
 	bufferevent_write(c->bev, GET_WITH(KEY("key-9")),
 			  strlen(GET_WITH(KEY("key-9"))));
@@ -141,7 +149,7 @@
 	fix_close(&f);
 }
 
-/* The key goes on with the second try of a request. */
+/* Guards against a key that is passed on when a stream is resumed. */
 static void resumed_stream_carries_no_key(void **state)
 {
 	struct caller *c;
@@ -149,7 +157,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	take(&f, CONFIG("2", TWO));
+	apply_config(&f, CONFIG("2", TWO_CUSTOMERS));
 	script(&f, 0, EVENTS, false, false);
 	script(&f, 1, EVENTS, false, false);
 	c = call(&f, NIGHT(KEY("key-1")));
@@ -159,37 +167,38 @@
 	UNTIL(&f, f.eps[1].requests == 1);
 	assert_non_null(strstr(f.eps[1].seen->str, "Last-Event-Id: 2"));
 	assert_non_null(strstr(f.eps[1].seen->str, "X-Tenant: acme"));
-	assert_false(anyone_saw(&f, "key-1"));
+	assert_false(any_endpoint_saw(&f, "key-1"));
 	fix_close(&f);
 }
 
-/* A key that was taken away goes on working, or one that moved. */
-static void change_of_keys_is_in_force_at_once(void **state)
+/* Guards against a key that still works after it was revoked, or that still
+ * counts for its former customer after it was moved. */
+static void key_changes_apply_immediately(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_keyed(&f, "web", "", OK_TEXT);
-	take(&f, CONFIG("3", CUSTOMER("acme", "") "," CUSTOMER(
-				     "beta", "\"key-2\",\"key-4\"")));
+	open_with_keys(&f, "web", "", OK_TEXT);
+	apply_config(&f, CONFIG("3", CUSTOMER("acme", "") "," CUSTOMER(
+					     "beta", "\"key-2\",\"key-4\"")));
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, got(c, "HTTP/1.1 401 "));
 	c = call(&f, GET_WITH(KEY("key-4")));
 	UNTIL(&f, ends(c, "hello"));
-	assert_true(anyone_saw(&f, "X-Tenant: beta"));
-	take(&f, CONFIG("4", CUSTOMER("acme", "\"key-4\"")));
+	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
+	apply_config(&f, CONFIG("4", CUSTOMER("acme", "\"key-4\"")));
 	c = call(&f, GET_WITH(KEY("key-4")));
 	UNTIL(&f, ends(c, "hello"));
-	assert_true(anyone_saw(&f, "X-Tenant: acme"));
-	/* Nobody is left: that isn't "anybody may". */
-	take(&f, CONFIG("5", ""));
+	assert_true(any_endpoint_saw(&f, "X-Tenant: acme"));
+	/* No customers doesn't mean that every caller is accepted. */
+	apply_config(&f, CONFIG("5", ""));
 	c = call(&f, GET_WITH(KEY("key-4")));
 	UNTIL(&f, got(c, "HTTP/1.1 401 "));
 	fix_close(&f);
 }
 
-static uint64_t waiting(struct fix *f)
+static uint64_t count_waiting(struct fix *f)
 {
 	const struct model_demand *d;
 	struct gate_report r;
@@ -203,31 +212,32 @@
 	return n;
 }
 
-/* A stream is cut, or a request that waits refused, when its key goes. */
-static void what_was_taken_outlives_its_key(void **state)
+/* Guards against a stream that is cut, or a waiting request that is refused,
+ * when its key is revoked. */
+static void accepted_request_outlives_its_key(void **state)
 {
 	struct caller *runs, *waits;
 	struct fix f;
 
 	(void)state;
-	open_keyed(&f, "lm", "m", EVENTS);
+	open_with_keys(&f, "lm", "m", EVENTS);
 	runs = call(&f, NIGHT(KEY("key-1")));
 	UNTIL(&f, f.eps[f.at].requests == 1);
 	say_events(&f, runs, 1, 1, 10);
 	tell_fleet(&f, "lm", "");
 	waits = call(&f, NIGHT(KEY("key-2")));
-	UNTIL(&f, waiting(&f) == 1);
-	take(&f, CONFIG("3", CUSTOMER("acme", "")));
+	UNTIL(&f, count_waiting(&f) == 1);
+	apply_config(&f, CONFIG("3", CUSTOMER("acme", "")));
 	say_events(&f, runs, 2, 2, 10);
 	say_end(&f, runs);
 	tell_fleet(&f, "lm", "m");
 	UNTIL(&f, f.eps[f.at].requests == 2);
-	assert_true(anyone_saw(&f, "X-Tenant: beta"));
+	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
 	leave(waits);
 	fix_close(&f);
 }
 
-static void pass(struct fix *f, int64_t ms)
+static void advance_clock(struct fix *f, int64_t ms)
 {
 	for (; ms > 0; ms -= 100) {
 		f->clock.fake_ms += MIN(ms, 100);
@@ -235,44 +245,47 @@
 	}
 }
 
-/* 401 for a new key, by an entry that was told of a newer version. */
-static void entry_that_is_behind_denies_no_key(void **state)
+/* Guards against a 401 for a new key by an entry that knows of a newer routing
+ * version but doesn't have it yet. */
+static void outdated_entry_rejects_no_key(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_keyed(&f, "web", "", OK_TEXT);
+	open_with_keys(&f, "web", "", OK_TEXT);
 	gate_routing_told(f.gate, 3);
 	c = call(&f, GET_WITH(KEY("key-5")));
-	pass(&f, 300);
+	advance_clock(&f, 300);
 	assert_int_equal(c->got->len, 0);
-	take(&f, CONFIG("3", CUSTOMER("acme", "\"key-5\"")));
+	apply_config(&f, CONFIG("3", CUSTOMER("acme", "\"key-5\"")));
 	UNTIL(&f, ends(c, "hello"));
-	/* Now it is known. */
+	/* The entry is up to date, so an unknown key is rejected. */
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, got(c, "HTTP/1.1 401 "));
 	fix_close(&f);
 }
 
-/* A key that was taken away works for ever at an entry that is behind. */
-static void entry_that_stays_behind_takes_no_key(void **state)
+/* Guards against a revoked key that works without end at an entry whose routing
+ * is outdated. */
+static void entry_that_stays_outdated_accepts_no_key(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_keyed(&f, "web", "", OK_TEXT);
+	open_with_keys(&f, "web", "", OK_TEXT);
 	gate_routing_told(f.gate, 3);
-	pass(&f, FRESHNESS_TAKE_MS + FRESHNESS_HOLD_MS + 100);
+	advance_clock(&f, FRESHNESS_TAKE_MS + FRESHNESS_HOLD_MS + 100);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, got(c, "HTTP/1.1 503 "));
 	assert_true(got(c, "not_run"));
 	fix_close(&f);
 }
 
-/* A key that was taken away works at an entry that is cut off. */
-static void keys_are_trusted_for_so_long(void **state)
+/* Guards against a revoked key that works without end at a disconnected entry:
+ * keys are trusted only for keys_trust_ms after the last contact. */
+static void disconnected_entry_stops_trusting_keys(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -280,15 +293,15 @@
 	(void)state;
 	fix_open_with(&f, &(struct fix_options){ .keys_trust_ms = 2000 });
 	tell_fleet(&f, "web", "");
-	take(&f, CONFIG("2", TWO));
+	apply_config(&f, CONFIG("2", TWO_CUSTOMERS));
 	script(&f, 0, OK_TEXT, false, false);
 	script(&f, 1, OK_TEXT, false, false);
 	gate_routing_told(f.gate, 2);
 	gate_leader_lost(f.gate);
-	pass(&f, 1500);
+	advance_clock(&f, 1500);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, ends(c, "hello"));
-	pass(&f, 1000);
+	advance_clock(&f, 1000);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, got(c, "HTTP/1.1 503 "));
 	c = call(&f, REQ("GET", "/free/x") "\r\n");
@@ -302,14 +315,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(endpoint_is_told_whose_it_is),
+		cmocka_unit_test(endpoint_gets_customer_name_but_no_key),
 		cmocka_unit_test(each_request_has_its_own_key),
 		cmocka_unit_test(resumed_stream_carries_no_key),
-		cmocka_unit_test(change_of_keys_is_in_force_at_once),
-		cmocka_unit_test(what_was_taken_outlives_its_key),
-		cmocka_unit_test(entry_that_is_behind_denies_no_key),
-		cmocka_unit_test(entry_that_stays_behind_takes_no_key),
-		cmocka_unit_test(keys_are_trusted_for_so_long),
+		cmocka_unit_test(key_changes_apply_immediately),
+		cmocka_unit_test(accepted_request_outlives_its_key),
+		cmocka_unit_test(outdated_entry_rejects_no_key),
+		cmocka_unit_test(entry_that_stays_outdated_accepts_no_key),
+		cmocka_unit_test(disconnected_entry_stops_trusting_keys),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -1,4 +1,4 @@
-/* What callers get of a customer's limit at a gate. */
+/* How a gate applies a customer's limit to its callers. */
 #include "gate_fix.h"
 
 #define CONFIG(customers) CONFIG_HEAD customers "]}"
@@ -23,7 +23,7 @@
 	"Authorization: Bearer key-1\r\nX-Model: m\r\nX-Token-Usage: " tokens  \
 	"\r\nContent-Length: 0\r\n\r\n"
 
-/* Routes of an urgent class and of a patient one. */
+/* A route of an urgent class, and one of a class with a long objective. */
 #define CLASSES(customers)                                                     \
 	"{\"version\":2,\"routes\":["                                          \
 	"{\"name\":\"safe\",\"host\":\"h\",\"prefix\":\"/safe/\","             \
@@ -37,16 +37,16 @@
 	REQ("GET", path)                                                       \
 	"Authorization: Bearer key-1\r\nX-Token-Usage: " tokens "\r\n\r\n"
 
-/* A gate with the place that hands out its customers' allotments. */
-struct limited {
+/* A gate with the allocator of its customers' limits. */
+struct quota_fix {
 	struct fix f;
-	void *place;
+	void *allocator;
 	struct routing *r;
-	int asks;
+	int requests;
 };
 
-static void limited_open(struct limited *l, const char *config,
-			 const char *service, const char *model)
+static void quota_fix_open(struct quota_fix *l, const char *config,
+			   const char *service, const char *model)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
 
@@ -54,9 +54,10 @@
 	l->r = routing_read(users_platform.routing, ss_str(config), NULL);
 	assert_non_null(l->r);
 	gate_set_routing(l->f.gate, l->r);
-	l->place = quota_lease.place_new(&o, l->f.clock.fake_ms);
-	l->asks = 0;
-	/* It counts no more what others may spend, and has a whole burst. */
+	l->allocator = quota_lease.place_new(&o, l->f.clock.fake_ms);
+	l->requests = 0;
+	/* The allocator no longer reserves what others may have been granted
+	 * before, and a whole burst is available. */
 	for (int i = 0; i < 70; i++) {
 		l->f.clock.fake_ms += 100;
 		turn(&l->f);
@@ -65,104 +66,106 @@
 	gate_leader_found(l->f.gate);
 }
 
-static void limited_close(struct limited *l)
+static void quota_fix_close(struct quota_fix *l)
 {
-	quota_lease.place_free(l->place);
+	quota_lease.place_free(l->allocator);
 	routing_unref(l->r);
 	fix_close(&l->f);
 }
 
-static void talk(struct limited *l)
+static void exchange_grants(struct quota_fix *l)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
+	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
 	struct msg_quota_word m;
 
-	gate_quota_asks(l->f.gate, asks);
-	for (guint i = 0; i < asks->len; i++) {
+	gate_quota_asks(l->f.gate, requests);
+	for (guint i = 0; i < requests->len; i++) {
 		const struct quota_ask *a =
-			&g_array_index(asks, struct quota_ask, i);
+			&g_array_index(requests, struct quota_ask, i);
 		char *name = ss_str_dup(a->customer);
 		struct quota_word w;
 
-		quota_lease.place_ask(l->place, 1,
+		quota_lease.place_ask(l->allocator, 1,
 				      customers_named(&l->r->customers, name),
 				      a, l->f.clock.fake_ms, &w);
-		g_array_append_val(words, w);
+		g_array_append_val(replies, w);
 		g_free(name);
-		l->asks++;
+		l->requests++;
 	}
-	m.words = (struct wire_list){ words->data, words->len };
+	m.words = (struct wire_list){ replies->data, replies->len };
 	gate_take_quota(l->f.gate, &m);
-	g_array_unref(asks);
-	g_array_unref(words);
+	g_array_unref(requests);
+	g_array_unref(replies);
 }
 
-/* Run until the condition holds, while the place answers. */
-#define TALK_UNTIL(l, cond) UNTIL(&(l)->f, (talk(l), cond))
+/* Runs until the condition holds, while the allocator replies. */
+#define EXCHANGE_UNTIL(l, cond) UNTIL(&(l)->f, (exchange_grants(l), cond))
 
-static void script_both(struct limited *l, const char *text)
+static void script_both(struct quota_fix *l, const char *text)
 {
 	script(&l->f, 0, text, false, false);
 	script(&l->f, 1, text, false, false);
 }
 
-static int ran(const struct limited *l)
+static int count_run(const struct quota_fix *l)
 {
 	return l->f.eps[0].requests + l->f.eps[1].requests;
 }
 
-/* A customer without a limit waits for an allotment. */
-static void customer_without_a_limit_asks_for_nothing(void **state)
+/* Guards against a customer without a limit that waits for a grant. */
+static void unlimited_customer_requests_no_grants(void **state)
 {
-	struct limited l;
+	struct quota_fix l;
 	struct caller *c;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000") "," FREE), "web", "");
+	quota_fix_open(&l, CONFIG(ACME("1000") "," FREE), "web", "");
 	script_both(&l, OK_TEXT);
 	c = call(&l.f, GET_KEY("key-2"));
 	UNTIL(&l.f, ends(c, "hello"));
-	talk(&l);
-	assert_int_equal(l.asks, 0);
-	limited_close(&l);
+	exchange_grants(&l);
+	assert_int_equal(l.requests, 0);
+	quota_fix_close(&l);
 }
 
-/* A request runs before there is an allotment, or is refused for want of it. */
-static void request_waits_for_its_allotment(void **state)
+/* Guards against a request that runs before it is granted, or is refused
+ * because the grant hasn't come yet. */
+static void request_waits_for_its_grant(void **state)
 {
-	struct limited l;
+	struct quota_fix l;
 	struct caller *c;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000")), "web", "");
+	quota_fix_open(&l, CONFIG(ACME("1000")), "web", "");
 	script_both(&l, OK_TEXT);
 	c = call(&l.f, GET_KEY("key-1"));
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
 	for (int i = 0; i < 20; i++)
 		turn(&l.f);
-	assert_int_equal(ran(&l), 0);
-	TALK_UNTIL(&l, ends(c, "hello"));
-	limited_close(&l);
+	assert_int_equal(count_run(&l), 0);
+	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	quota_fix_close(&l);
 }
 
-/* Beyond the limit a request runs, or waits until its deadline. */
-static void refused_at_once_with_a_time(void **state)
+/* Guards against a request beyond the limit that runs, or waits until its
+ * deadline. */
+static void refused_immediately_with_retry_after(void **state)
 {
-	struct limited l;
+	struct quota_fix l;
 	struct caller *c;
 	const char *at;
 	double s;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000")), "web", "");
+	quota_fix_open(&l, CONFIG(ACME("1000")), "web", "");
 	script_both(&l, OK_TEXT);
-	/* More than the burst, which is there whole: a debt of two seconds. */
+	/* Costs more than the whole burst: a debt of two seconds. */
 	c = call(&l.f, REQ("GET", "/safe/x") "Authorization: Bearer key-1\r\n"
 					     "X-Token-Usage: 2000,400\r\n\r\n");
-	TALK_UNTIL(&l, ends(c, "hello"));
+	EXCHANGE_UNTIL(&l, ends(c, "hello"));
 	c = call(&l.f, GET_KEY("key-1"));
-	TALK_UNTIL(&l, got(c, "\r\n\r\n"));
+	EXCHANGE_UNTIL(&l, got(c, "\r\n\r\n"));
 	assert_true(got(c, "HTTP/1.1 429 "));
 	assert_true(got(c, "\"type\":\"quota\""));
 	assert_true(got(c, "\"outcome\":\"not_run\""));
@@ -170,41 +173,42 @@
 	assert_non_null(at);
 	s = g_ascii_strtod(at + strlen("Retry-After: "), NULL);
 	assert_true(s >= 1.5 && s <= 2.5);
-	assert_int_equal(ran(&l), 1);
-	/* Then it is true. */
+	assert_int_equal(count_run(&l), 1);
+	/* A caller that returns after that time is served. */
 	l.f.clock.fake_ms += 2500;
 	c = call(&l.f, GET_KEY("key-1"));
-	TALK_UNTIL(&l, ends(c, "hello"));
-	limited_close(&l);
+	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	quota_fix_close(&l);
 }
 
-/* The tokens of a request that hasn't run are gone. */
-static void refused_request_gets_its_tokens_back(void **state)
+/* Guards against tokens that are lost with a request that hasn't run. */
+static void refused_request_is_refunded(void **state)
 {
 	struct caller *c;
-	struct limited l;
+	struct quota_fix l;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000")), "lm", "");
+	quota_fix_open(&l, CONFIG(ACME("1000")), "lm", "");
 	script_both(&l, OK_TEXT);
-	/* Nobody has the model: it is taken, waits, and its stop refuses it. */
+	/* No endpoint has the model: the request is charged, waits, and is
+	 * refused when the gate stops. */
 	c = call(&l.f, NIGHT_COST("300,100"));
 	for (int i = 0; i < 50; i++) {
-		talk(&l);
+		exchange_grants(&l);
 		turn(&l.f);
 	}
 	assert_int_equal(c->got->len, 0);
 	gate_drain(l.f.gate, l.f.clock.fake_ms + 1);
 	UNTIL(&l.f, got(c, "HTTP/1.1 503 "));
-	assert_int_equal(ran(&l), 0);
-	limited_close(&l);
+	assert_int_equal(count_run(&l), 0);
+	quota_fix_close(&l);
 }
 
-/* Hundreds of customers make thousands of metrics. */
+/* Guards against thousands of metrics for hundreds of customers. */
 static void metrics_by_customer_are_bounded(void **state)
 {
 	GString *config = g_string_new(ACME("1000")), *text;
-	struct limited l;
+	struct quota_fix l;
 	char *all;
 
 	(void)state;
@@ -212,7 +216,7 @@
 		g_string_append_printf(
 			config, ",{\"name\":\"c%d\",\"keys\":[\"k%d\"]}", i, i);
 	all = g_strdup_printf("%s%s]}", CONFIG_HEAD, config->str);
-	limited_open(&l, all, "web", "");
+	quota_fix_open(&l, all, "web", "");
 	script_both(&l, OK_TEXT);
 	for (int i = 0; i < 230; i++) {
 		char *q = g_strdup_printf(REQ("GET", "/safe/x") "Authorization:"
@@ -234,17 +238,17 @@
 	g_string_free(text, TRUE);
 	g_string_free(config, TRUE);
 	g_free(all);
-	limited_close(&l);
+	quota_fix_close(&l);
 }
 
-/* A caller who leaves blocks those behind it for ever. */
-static void those_behind_one_who_left_go_on(void **state)
+/* Guards against a cancelled request that blocks those behind it. */
+static void cancelled_request_does_not_block_others(void **state)
 {
 	struct caller *first, *second;
-	struct limited l;
+	struct quota_fix l;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000")), "web", "");
+	quota_fix_open(&l, CONFIG(ACME("1000")), "web", "");
 	script_both(&l, OK_TEXT);
 	first = call(&l.f, GET_KEY("key-1"));
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
@@ -254,19 +258,20 @@
 	leave(first);
 	for (int i = 0; i < 20; i++)
 		turn(&l.f);
-	TALK_UNTIL(&l, ends(second, "hello"));
-	assert_int_equal(ran(&l), 1);
-	limited_close(&l);
+	EXCHANGE_UNTIL(&l, ends(second, "hello"));
+	assert_int_equal(count_run(&l), 1);
+	quota_fix_close(&l);
 }
 
-/* An entry without a leader holds a request until its caller leaves. */
-static void entry_alone_says_so_in_time(void **state)
+/* Guards against a disconnected entry that holds a request until its caller
+ * leaves. */
+static void disconnected_entry_refuses_in_time(void **state)
 {
 	struct caller *c;
-	struct limited l;
+	struct quota_fix l;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("1000")), "web", "");
+	quota_fix_open(&l, CONFIG(ACME("1000")), "web", "");
 	script_both(&l, OK_TEXT);
 	gate_leader_lost(l.f.gate);
 	c = call(&l.f, GET_KEY("key-1"));
@@ -276,52 +281,54 @@
 	}
 	UNTIL(&l.f, got(c, "HTTP/1.1 429 "));
 	assert_true(got(c, "Retry-After: "));
-	/* The next is told at once. */
+	/* The next one is refused immediately. */
 	c = call(&l.f, GET_KEY("key-1"));
 	UNTIL(&l.f, got(c, "HTTP/1.1 429 "));
-	assert_int_equal(ran(&l), 0);
+	assert_int_equal(count_run(&l), 0);
 	gate_leader_found(l.f.gate);
 	c = call(&l.f, GET_KEY("key-1"));
-	TALK_UNTIL(&l, ends(c, "hello"));
-	limited_close(&l);
+	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	quota_fix_close(&l);
 }
 
-/* A stream that is resumed at another endpoint is charged once more. */
-static void second_try_costs_nothing(void **state)
+/* Guards against a second charge for a stream that is resumed at another
+ * endpoint. */
+static void resumed_stream_is_charged_once(void **state)
 {
 	struct caller *c;
-	struct limited l;
-	double held;
+	struct quota_fix l;
+	double requests_before;
 
 	(void)state;
-	limited_open(&l, CONFIG(ACME("100000")), "lm", "m");
+	quota_fix_open(&l, CONFIG(ACME("100000")), "lm", "m");
 	script_both(&l, EVENTS);
 	c = call(&l.f, NIGHT_COST("300,100"));
-	TALK_UNTIL(&l, l.f.eps[l.f.at].requests == 1);
+	EXCHANGE_UNTIL(&l, l.f.eps[l.f.at].requests == 1);
 	say_events(&l.f, c, 1, 2, 10);
-	talk(&l);
-	held = l.asks;
+	exchange_grants(&l);
+	requests_before = l.requests;
 	end_endpoint(&l.f, 0);
 	UNTIL(&l.f, l.f.eps[1].requests == 1);
-	talk(&l);
-	assert_true(l.asks - held <= 1);
-	limited_close(&l);
+	exchange_grants(&l);
+	assert_true(l.requests - requests_before <= 1);
+	quota_fix_close(&l);
 }
 
-/* Patient requests that wait take what is granted for an urgent one that came
- * later, and operators can't see what each class has spent. */
-static void urgent_request_goes_before_patient_ones(void **state)
+/* Guards against waiting requests with a long objective that use what is
+ * granted for an urgent one that came later, and against missing metrics of
+ * what each class has spent. */
+static void urgent_class_is_served_first(void **state)
 {
 	struct caller *large, *patient, *urgent;
-	struct limited l;
+	struct quota_fix l;
 	GString *text;
 
 	(void)state;
-	limited_open(&l, CLASSES(ACME("1000")), "web", "");
+	quota_fix_open(&l, CLASSES(ACME("1000")), "web", "");
 	script_both(&l, OK_TEXT);
-	/* More than is there at once: a debt of some 0.3 s. */
+	/* Costs more than is available: a debt of about 0.3 s. */
 	large = call(&l.f, GET_COST("/safe/x", "800,0"));
-	TALK_UNTIL(&l, ends(large, "hello"));
+	EXCHANGE_UNTIL(&l, ends(large, "hello"));
 	patient = call(&l.f, GET_COST("/late/x", "300,0"));
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
 	for (int i = 0; i < 20; i++)
@@ -329,14 +336,14 @@
 	urgent = call(&l.f, GET_COST("/safe/x", "100,0"));
 	for (int i = 0; i < 100 && !ends(urgent, "hello"); i++) {
 		l.f.clock.fake_ms += 10;
-		talk(&l);
+		exchange_grants(&l);
 		turn(&l.f);
 	}
 	assert_true(ends(urgent, "hello"));
 	assert_int_equal(patient->got->len, 0);
 	for (int i = 0; i < 500 && !ends(patient, "hello"); i++) {
 		l.f.clock.fake_ms += 10;
-		talk(&l);
+		exchange_grants(&l);
 		turn(&l.f);
 	}
 	assert_true(ends(patient, "hello"));
@@ -347,21 +354,21 @@
 	assert_non_null(strstr(
 		text->str, "ss_gate_quota_class_spent_total{class=\"2\"} 300"));
 	g_string_free(text, TRUE);
-	limited_close(&l);
+	quota_fix_close(&l);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(customer_without_a_limit_asks_for_nothing),
-		cmocka_unit_test(request_waits_for_its_allotment),
-		cmocka_unit_test(refused_at_once_with_a_time),
-		cmocka_unit_test(refused_request_gets_its_tokens_back),
+		cmocka_unit_test(unlimited_customer_requests_no_grants),
+		cmocka_unit_test(request_waits_for_its_grant),
+		cmocka_unit_test(refused_immediately_with_retry_after),
+		cmocka_unit_test(refused_request_is_refunded),
 		cmocka_unit_test(metrics_by_customer_are_bounded),
-		cmocka_unit_test(those_behind_one_who_left_go_on),
-		cmocka_unit_test(entry_alone_says_so_in_time),
-		cmocka_unit_test(second_try_costs_nothing),
-		cmocka_unit_test(urgent_request_goes_before_patient_ones),
+		cmocka_unit_test(cancelled_request_does_not_block_others),
+		cmocka_unit_test(disconnected_entry_refuses_in_time),
+		cmocka_unit_test(resumed_stream_is_charged_once),
+		cmocka_unit_test(urgent_class_is_served_first),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
