--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -1,14 +1,15 @@
-/* Many gates before endpoints that name a limit of their own. */
+/* Several gates that share the rate limit which an endpoint states itself. */
 #include "gate_fix.h"
 
 #define GATES 9
-/* Of the promise: from so long after a limit was first named on, an endpoint
- * gets in any window no more than the ratio of what it allows, and some. */
+/* The guarantee under test: from CONTACT_MS after the first request on, an
+ * endpoint gets in any window of WINDOW_MS at most RATIO times what its limit
+ * allows, and EXTRA requests more. */
 #define CONTACT_MS 3000
 #define WINDOW_MS 4000
 #define RATIO 1.5
 #define EXTRA 5.0
-/* A leader that doesn't know of a limit says so. */
+/* The wait that a leader replies with if it doesn't know of a limit. */
 #define UNKNOWN_WAIT_MS 200
 
 #define LIMIT(per_s) "Server-Limit: " per_s "\r\n"
@@ -20,47 +21,47 @@
 #define SHED_LIMIT(per_s)                                                      \
 	"HTTP/1.1 503 No\r\nX-Request-Id: q1\r\nX-Not-Executed: 1\r\n" LIMIT(  \
 		per_s) "Content-Length: 0\r\n\r\n"
-/* Its second event never comes. */
+/* A stream that ends after its first event. */
 #define CUT_LIMIT(per_s)                                                       \
 	"HTTP/1.1 200 OK\r\n" HEAD LIMIT(                                      \
 		per_s) "Content-Type: text/event-stream\r\n\r\nid: 0\ndata: "  \
 		       "x\n\n"
 
-enum trouble {
-	NO_TROUBLE,
-	ENTRY_STARTS_ANEW,
-	LEADER_LOST, /* and another comes */
+enum fault {
+	NO_FAULT,
+	ENTRY_RESTARTS,
+	LEADER_LOST, /* and replaced by another */
 };
 
 struct limit_case {
 	const char *label, *request, *answer, *service, *model;
-	bool close; /* after the answer */
+	bool close; /* the connection, after the answer */
 	double per_s;
 	int gap_ms; /* between two requests */
-	enum trouble trouble;
+	enum fault fault;
 };
 
-struct crowd {
+struct cluster {
 	struct fix f;
 	struct gate *gates[GATES];
-	uint64_t holders[GATES]; /* their incarnations, as the leader sees */
-	uint64_t incarnations;
-	void *place; /* the leader's, of permits; NULL: there is no leader */
+	uint64_t holders[GATES]; /* incarnation numbers at the leader */
+	uint64_t last_incarnation;
+	void *allocator; /* the leader's, of grants; NULL: there is no leader */
 	const struct limit_case *x;
-	int asks;
-	GArray *arrivals[ENDPOINTS]; /* int64_t, when each request came */
-	int64_t named_ms;	     /* when the first one came */
+	int grant_requests;
+	GArray *arrivals[ENDPOINTS]; /* int64_t, time of each request */
+	int64_t first_request_ms;    /* time of the first request */
 };
 
-static void with_gate(struct crowd *c, int i)
+static void select_gate(struct cluster *c, int i)
 {
 	c->f.gate = c->gates[i];
 }
 
-static void know_all(struct crowd *c, int i, const struct limit_case *x)
+static void introduce_gate(struct cluster *c, int i, const struct limit_case *x)
 {
-	with_gate(c, i);
-	c->holders[i] = ++c->incarnations;
+	select_gate(c, i);
+	c->holders[i] = ++c->last_incarnation;
 	tell_routing(&c->f);
 	tell_fleet(&c->f, x->service, x->model);
 	gate_leader_found(c->gates[i]);
@@ -68,7 +69,7 @@
 
 /* The leader. */
 
-static int endpoint_at(const struct crowd *c, struct ss_str addr)
+static int endpoint_at(const struct cluster *c, struct ss_str addr)
 {
 	for (int i = 0; i < ENDPOINTS; i++)
 		if (ss_str_eq(addr, ss_str(c->f.eps[i].addr)))
@@ -76,34 +77,36 @@
 	return -1;
 }
 
-static bool hear_words(struct crowd *c, struct gate *g)
+static bool receive_signals(struct cluster *c, struct gate *g)
 {
 	const struct endpoint_word *w;
 	struct gate_report r;
-	bool news = false;
+	bool changed = false;
 
 	gate_report(g, &r);
 	w = r.m.words.items;
 	for (size_t k = 0; k < r.m.words.n; k++) {
 		int at = endpoint_at(c, w[k].addr);
 
-		news |= endpoint_limit_told(&c->f.limits[at], w[k].limit,
-					    w[k].limit_age, c->f.clock.fake_ms);
+		changed |= endpoint_limit_told(&c->f.limits[at], w[k].limit,
+					       w[k].limit_age,
+					       c->f.clock.fake_ms);
 	}
 	gate_report_done(&r);
-	return news;
+	return changed;
 }
 
-static void answer_asks(struct crowd *c, int i)
+static void reply_to_grant_requests(struct cluster *c, int i)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
+	GArray *grant_requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
 	struct msg_quota_word m;
 
-	gate_limit_asks(c->gates[i], asks);
-	for (guint k = 0; k < asks->len; k++) {
+	gate_limit_asks(c->gates[i], grant_requests);
+	for (guint k = 0; k < grant_requests->len; k++) {
 		const struct quota_ask *a =
-			&g_array_index(asks, struct quota_ask, k);
+			&g_array_index(grant_requests, struct quota_ask, k);
 		int at = endpoint_at(c, a->customer);
 		struct customer who = endpoint_limit_account(&c->f.limits[at],
 							     c->f.eps[at].addr);
@@ -112,51 +115,51 @@
 					.wait_ms = UNKNOWN_WAIT_MS };
 
 		if (c->f.limits[at].per_s >= 0)
-			quota_lease.place_ask(c->place, c->holders[i], &who, a,
-					      c->f.clock.fake_ms, &w);
-		g_array_append_val(words, w);
+			quota_lease.place_ask(c->allocator, c->holders[i], &who,
+					      a, c->f.clock.fake_ms, &w);
+		g_array_append_val(replies, w);
 	}
-	c->asks += (int)asks->len;
-	m.words = (struct wire_list){ words->data, words->len };
-	if (words->len)
+	c->grant_requests += (int)grant_requests->len;
+	m.words = (struct wire_list){ replies->data, replies->len };
+	if (replies->len)
 		gate_take_limit(c->gates[i], &m);
-	g_array_unref(asks);
-	g_array_unref(words);
+	g_array_unref(grant_requests);
+	g_array_unref(replies);
 }
 
-static void lead(struct crowd *c)
+static void run_leader(struct cluster *c)
 {
-	bool news = false;
+	bool changed = false;
 
-	if (!c->place)
+	if (!c->allocator)
 		return;
 	for (int i = 0; i < GATES; i++)
-		news |= hear_words(c, c->gates[i]);
-	for (int i = 0; news && i < GATES; i++) {
-		with_gate(c, i);
+		changed |= receive_signals(c, c->gates[i]);
+	for (int i = 0; changed && i < GATES; i++) {
+		select_gate(c, i);
 		tell_fleet(&c->f, c->x->service, c->x->model);
 	}
 	for (int i = 0; i < GATES; i++)
-		answer_asks(c, i);
+		reply_to_grant_requests(c, i);
 }
 
-static void begin_to_lead(struct crowd *c)
+static void start_leader(struct cluster *c)
 {
-	c->place = quota_lease.place_new(&endpoint_limit_quota,
-					 c->f.clock.fake_ms);
+	c->allocator = quota_lease.place_new(&endpoint_limit_quota,
+					     c->f.clock.fake_ms);
 	for (int i = 0; i < ENDPOINTS; i++)
 		c->f.limits[i] =
 			(struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
 }
 
-static void crowd_open(struct crowd *c, const struct limit_case *x)
+static void cluster_open(struct cluster *c, const struct limit_case *x)
 {
 	fix_open_fresh(&c->f);
-	c->named_ms = 0;
+	c->first_request_ms = 0;
 	c->x = x;
-	c->asks = 0;
-	c->incarnations = 0;
-	begin_to_lead(c);
+	c->grant_requests = 0;
+	c->last_incarnation = 0;
+	start_leader(c);
 	for (int i = 0; i < ENDPOINTS; i++) {
 		c->arrivals[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
 		script(&c->f, i, x->answer, x->close, false);
@@ -164,73 +167,74 @@
 	for (int i = 0; i < GATES; i++) {
 		c->f.options.seed = (uint64_t)i + 1;
 		c->gates[i] = i ? gate_new(&c->f.options, NULL) : c->f.gate;
-		know_all(c, i, x);
+		introduce_gate(c, i, x);
 	}
 }
 
-static void crowd_close(struct crowd *c)
+static void cluster_close(struct cluster *c)
 {
 	for (int i = 1; i < GATES; i++)
 		gate_free(c->gates[i]);
-	with_gate(c, 0);
+	select_gate(c, 0);
 	fix_close(&c->f);
-	quota_lease.place_free(c->place);
+	quota_lease.place_free(c->allocator);
 	for (int i = 0; i < ENDPOINTS; i++)
 		g_array_unref(c->arrivals[i]);
 }
 
-static void note_arrivals(struct crowd *c)
+static void record_arrivals(struct cluster *c)
 {
 	int64_t now = c->f.clock.fake_ms;
 
 	for (int i = 0; i < ENDPOINTS; i++)
 		while (c->arrivals[i]->len < (guint)c->f.eps[i].requests)
 			g_array_append_val(c->arrivals[i], now);
-	if (!c->named_ms && c->arrivals[0]->len + c->arrivals[1]->len)
-		c->named_ms = now;
+	if (!c->first_request_ms && c->arrivals[0]->len + c->arrivals[1]->len)
+		c->first_request_ms = now;
 }
 
-/* A tick of all, in simulated time, and whatever is on its way. */
-static void crowd_turn(struct crowd *c)
+/* A tick of all gates in simulated time; delivers what is in flight. */
+static void cluster_tick(struct cluster *c)
 {
 	c->f.clock.fake_ms += 10;
 	for (int i = 0; i < GATES; i++)
 		gate_tick(c->gates[i]);
 	for (int k = 0; k < 4; k++)
 		event_base_loop(c->f.base, EVLOOP_NONBLOCK);
-	lead(c);
-	note_arrivals(c);
+	run_leader(c);
+	record_arrivals(c);
 }
 
-static void strike(struct crowd *c, const struct limit_case *x, int64_t at)
+static void inject_fault(struct cluster *c, const struct limit_case *x,
+			 int64_t at)
 {
-	if (x->trouble == ENTRY_STARTS_ANEW && at % 2000 == 0) {
+	if (x->fault == ENTRY_RESTARTS && at % 2000 == 0) {
 		int i = 1 + (int)(at / 2000) % (GATES - 1);
 
 		gate_free(c->gates[i]);
-		quota_lease.place_gone(c->place, c->holders[i],
+		quota_lease.place_gone(c->allocator, c->holders[i],
 				       c->f.clock.fake_ms);
 		c->gates[i] = gate_new(&c->f.options, NULL);
-		know_all(c, i, x);
+		introduce_gate(c, i, x);
 	}
-	if (x->trouble == LEADER_LOST && at == 5000) {
-		quota_lease.place_free(c->place);
-		c->place = NULL;
+	if (x->fault == LEADER_LOST && at == 5000) {
+		quota_lease.place_free(c->allocator);
+		c->allocator = NULL;
 		for (int i = 0; i < GATES; i++)
 			gate_leader_lost(c->gates[i]);
 	}
-	if (x->trouble == LEADER_LOST && at == 6500) {
-		begin_to_lead(c);
+	if (x->fault == LEADER_LOST && at == 6500) {
+		start_leader(c);
 		for (int i = 0; i < GATES; i++) {
 			gate_leader_found(c->gates[i]);
-			with_gate(c, i);
+			select_gate(c, i);
 			tell_fleet(&c->f, x->service, x->model);
 		}
 	}
 }
 
-/* The most that came in a window, from when the promise holds. */
-static double most_in_a_window(const struct crowd *c, int endpoint)
+/* The most requests in a window, from when the guarantee holds. */
+static double max_in_window(const struct cluster *c, int endpoint)
 {
 	const GArray *a = c->arrivals[endpoint];
 	guint most = 0, n;
@@ -238,7 +242,7 @@
 	for (guint i = 0; i < a->len; i++) {
 		int64_t from = g_array_index(a, int64_t, i);
 
-		if (from < c->named_ms + CONTACT_MS)
+		if (from < c->first_request_ms + CONTACT_MS)
 			continue;
 		for (n = i; n < a->len &&
 			    g_array_index(a, int64_t, n) < from + WINDOW_MS;)
@@ -250,58 +254,58 @@
 
 static const struct limit_case cases[] = {
 	{ "first tries", POST_ONCE, OK_LIMIT("1"), "web", "", false, 1, 50,
-	  NO_TROUBLE },
+	  NO_FAULT },
 	{ "a limit with a fraction", POST_ONCE, OK_LIMIT("2.5"), "web", "",
-	  false, 2.5, 20, NO_TROUBLE },
+	  false, 2.5, 20, NO_FAULT },
 	{ "fewer than one in a window", POST_ONCE, OK_LIMIT("0.1"), "web", "",
-	  false, 0.1, 50, NO_TROUBLE },
+	  false, 0.1, 50, NO_FAULT },
 	{ "repeats", GET_SAFE, FAILS_LIMIT("1"), "web", "", false, 1, 50,
-	  NO_TROUBLE },
+	  NO_FAULT },
 	{ "refusals", GET_SAFE, SHED_LIMIT("1"), "web", "", false, 1, 50,
-	  NO_TROUBLE },
+	  NO_FAULT },
 	{ "streams that are resumed", POST_NIGHT, CUT_LIMIT("1"), "lm", "m",
-	  true, 1, 50, NO_TROUBLE },
-	{ "entries that start anew", POST_ONCE, OK_LIMIT("1"), "web", "", false,
-	  1, 50, ENTRY_STARTS_ANEW },
+	  true, 1, 50, NO_FAULT },
+	{ "entries that restart", POST_ONCE, OK_LIMIT("1"), "web", "", false, 1,
+	  50, ENTRY_RESTARTS },
 	{ "a lost leader", POST_ONCE, OK_LIMIT("1"), "web", "", false, 1, 50,
 	  LEADER_LOST },
 };
 
-/* Symptom: each of nine entries keeps an endpoint's limit for itself, or not
- * at all, and the endpoint gets several times as much. */
-static void limit_of_an_endpoint_holds_over_all_entries(void **state)
+/* Guards against entries that apply an endpoint's limit each on their own, or
+ * not at all, so that the endpoint gets several times its limit. */
+static void endpoint_limit_holds_over_all_entries(void **state)
 {
 	(void)state;
 	for (size_t k = 0; k < G_N_ELEMENTS(cases); k++) {
 		const struct limit_case *x = &cases[k];
-		double may = RATIO * x->per_s * WINDOW_MS / 1000 + EXTRA;
-		struct crowd c;
+		double allowed = RATIO * x->per_s * WINDOW_MS / 1000 + EXTRA;
+		struct cluster c;
 
-		crowd_open(&c, x);
+		cluster_open(&c, x);
 		for (int64_t at = 0; at < 16000; at += 10) {
-			strike(&c, x, at);
+			inject_fault(&c, x, at);
 			if (at % x->gap_ms == 0) {
-				with_gate(&c, (int)(at / x->gap_ms) % GATES);
+				select_gate(&c, (int)(at / x->gap_ms) % GATES);
 				call(&c.f, x->request);
 			}
-			crowd_turn(&c);
+			cluster_tick(&c);
 		}
 		for (int i = 0; i < ENDPOINTS; i++) {
-			double most = most_in_a_window(&c, i);
+			double most = max_in_window(&c, i);
 
-			if (most > may)
+			if (most > allowed)
 				fail_msg("%s: %.0f in a window, allowed %.1f",
-					 x->label, most, may);
-			/* It isn't starved either. */
+					 x->label, most, allowed);
+			/* The endpoint must get at least half its limit. */
 			if (c.arrivals[i]->len < x->per_s * 16 / 2)
-				fail_msg("%s: %u in all", x->label,
+				fail_msg("%s: %u requests in total", x->label,
 					 c.arrivals[i]->len);
 		}
-		crowd_close(&c);
+		cluster_close(&c);
 	}
 }
 
-/* The limit in the only word that the gate reports; -1: it reports none. */
+/* The limit in the only signal that the gate reports; -1: it reports none. */
 static int64_t reported_limit(struct fix *f)
 {
 	struct gate_report r;
@@ -314,9 +318,10 @@
 	return limit;
 }
 
-/* Symptom: the entry that heard of a limit first has ended, and the next
- * leader knows of none: it grants nothing, and nobody calls the endpoint. */
-static void next_leader_is_told_what_the_last_one_told(void **state)
+/* Guards against a new leader that never learns of a limit because the entry
+ * that received it first has stopped: it grants nothing, and the endpoint gets
+ * no requests. */
+static void limit_is_reported_to_the_next_leader(void **state)
 {
 	struct fix f;
 
@@ -325,12 +330,12 @@
 	f.limits[0] = (struct endpoint_limit){ 2, f.clock.fake_ms };
 	tell_fleet(&f, "web", "");
 	f.clock.fake_ms += 5000;
-	/* That leader told it. */
+	/* The leader has it already. */
 	assert_int_equal(reported_limit(&f), -1);
 	f.limits[0] = (struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
 	tell_fleet(&f, "web", "");
 	assert_int_equal(reported_limit(&f), 2 * QUOTA_MILLI + 1);
-	/* Again after a while, until the leader has it. */
+	/* Repeated at an interval until the leader has it. */
 	assert_int_equal(reported_limit(&f), -1);
 	f.clock.fake_ms += 1000;
 	assert_int_equal(reported_limit(&f), 2 * QUOTA_MILLI + 1);
@@ -341,15 +346,16 @@
 	fix_close(&f);
 }
 
-/* The leader's answer to what the gate asks for: as much as it wants. */
-static void grant(struct fix *f)
+/* Replies to the gate's grant requests with all that it wants. */
+static void grant_all(struct fix *f)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *grant_requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 
-	gate_limit_asks(f->gate, asks);
-	for (guint i = 0; i < asks->len; i++) {
+	gate_limit_asks(f->gate, grant_requests);
+	for (guint i = 0; i < grant_requests->len; i++) {
 		const struct quota_ask *a =
-			&g_array_index(asks, struct quota_ask, i);
+			&g_array_index(grant_requests, struct quota_ask, i);
 		struct quota_word w = { .customer = a->customer,
 					.number = a->number,
 					.grant = a->want };
@@ -357,12 +363,12 @@
 
 		gate_take_limit(f->gate, &m);
 	}
-	g_array_unref(asks);
+	g_array_unref(grant_requests);
 }
 
-/* Symptom: the leader takes a limit for over that goes on, and loads models
- * there again. */
-static void word_is_repeated_while_answers_come(void **state)
+/* Guards against a limit that expires at the leader although it is still in
+ * force, so that the leader loads models there again. */
+static void limit_is_reported_again_while_answers_come(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -377,10 +383,10 @@
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(reported_limit(&f), -1);
 		f.clock.fake_ms += 5000;
-		/* Nobody was answered meanwhile. */
+		/* No answer has come meanwhile. */
 		assert_int_equal(reported_limit(&f), -1);
 		c = call(&f, POST_ONCE);
-		UNTIL(&f, (grant(&f), ends(c, "hello")));
+		UNTIL(&f, (grant_all(&f), ends(c, "hello")));
 		assert_int_equal(reported_limit(&f), 500 * QUOTA_MILLI + 1);
 	}
 	fix_close(&f);
@@ -389,9 +395,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(limit_of_an_endpoint_holds_over_all_entries),
-		cmocka_unit_test(next_leader_is_told_what_the_last_one_told),
-		cmocka_unit_test(word_is_repeated_while_answers_come),
+		cmocka_unit_test(endpoint_limit_holds_over_all_entries),
+		cmocka_unit_test(limit_is_reported_to_the_next_leader),
+		cmocka_unit_test(limit_is_reported_again_while_answers_come),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
