--- a/test/test_gate_retries.c
+++ b/test/test_gate_retries.c
@@ -1,9 +1,9 @@
-/* What a gate sends again, in the process's first seconds and later. */
+/* Retry budgets of a gate, in the process's first seconds and later. */
 #include "gate_fix.h"
 
 #define WINDOW_MS 10000
 #define REQUESTS 40
-#define FAILS "HTTP/1.1 500 No\r\n" HEAD "Content-Length: 0\r\n\r\n"
+#define FAILURE "HTTP/1.1 500 No\r\n" HEAD "Content-Length: 0\r\n\r\n"
 #define ENTRIES 20
 
 struct retries_case {
@@ -15,23 +15,23 @@
 
 static const struct retries_case cases[] = {
 	{ "a process that has just started", 0, ENTRIES, 3 },
-	{ "one that starts, and isn't told of others", 0, 0, 3 },
+	{ "a new one that doesn't know the number of entries", 0, 0, 3 },
 	{ "one that has run for less than a window", WINDOW_MS - 1, ENTRIES,
 	  3 },
 	{ "one that has run for a window", WINDOW_MS + 500, ENTRIES, 6 },
-	{ "the same, and it isn't told of others", WINDOW_MS + 500, 0, 3 },
+	{ "the same, without the number of entries", WINDOW_MS + 500, 0, 3 },
 };
 
-/* A fifth of the requests, and some more. */
-static const struct fix_options bound = { .retry_ratio = 0.2,
-					  .retry_slack = 60 };
+/* A fifth of the requests, plus the slack that all entries share. */
+static const struct fix_options budget = { .retry_ratio = 0.2,
+					   .retry_slack = 60 };
 
 static int arrivals(const struct fix *f)
 {
 	return f->eps[0].requests + f->eps[1].requests;
 }
 
-static void fail_all(struct fix *f, const struct retries_case *x)
+static void send_failing_requests(struct fix *f, const struct retries_case *x)
 {
 	struct msg_fleet m = { .fence = 1, .entries = x->entries };
 
@@ -39,7 +39,7 @@
 	tell_fleet(f, "web", "");
 	gate_take_fleet(f->gate, &m);
 	for (int i = 0; i < ENDPOINTS; i++)
-		script(f, i, FAILS, false, false);
+		script(f, i, FAILURE, false, false);
 	f->clock.fake_ms += x->age_ms;
 	for (int i = 0; i < REQUESTS; i++) {
 		struct caller *c = call(f, GET_SAFE);
@@ -48,38 +48,38 @@
 	}
 }
 
-/* Guards against a process that starts with retries that the one before it on
- * its VM may have spent. */
-static void started_process_earns_its_retries(void **state)
+/* Guards against a process that starts with a full budget although its
+ * predecessor on the VM may have used it already. */
+static void new_process_builds_up_its_budget(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct fix f;
 
-		fix_open_with(&f, &bound);
-		fail_all(&f, &cases[i]);
+		fix_open_with(&f, &budget);
+		send_failing_requests(&f, &cases[i]);
 		if (arrivals(&f) - REQUESTS != cases[i].retries)
-			fail_msg("%s: %d", cases[i].label,
+			fail_msg("%s: %d retries", cases[i].label,
 				 arrivals(&f) - REQUESTS);
 		fix_close(&f);
 	}
 }
 
-/* Guards against retries that are used up by connections that aren't made. */
-static void send_that_never_left_costs_no_retry(void **state)
+/* Guards against failed connections that use up retries. */
+static void failed_connection_costs_no_retry(void **state)
 {
 	const struct retries_case x = { "", WINDOW_MS + 500, ENTRIES, 0 };
 	struct fix f;
 
 	(void)state;
-	fix_open_with(&f, &bound);
+	fix_open_with(&f, &budget);
 	stop_listening(&f, 1);
-	fail_all(&f, &x);
+	send_failing_requests(&f, &x);
 	assert_int_equal(arrivals(&f) - REQUESTS, 6);
 	fix_close(&f);
 }
 
-/* Guards against refusals that don't tell a spent budget from a new one. */
+/* Guards against log lines that don't tell a spent budget from a new one. */
 static void refused_retries_are_logged(void **state)
 {
 	const struct retries_case x = { "", 2000, ENTRIES, 0 };
@@ -88,9 +88,9 @@
 	char *text;
 
 	(void)state;
-	fix_open_with(&f, &bound);
+	fix_open_with(&f, &budget);
 	log_capture_begin(&log);
-	fail_all(&f, &x);
+	send_failing_requests(&f, &x);
 	text = log_capture_end(&log);
 	assert_non_null(strstr(text, "event=retries_refused service=web "
 				     "retries=0 requests=1 slack=3 entries=20 "
@@ -102,8 +102,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(started_process_earns_its_retries),
-		cmocka_unit_test(send_that_never_left_costs_no_retry),
+		cmocka_unit_test(new_process_builds_up_its_budget),
+		cmocka_unit_test(failed_connection_costs_no_retry),
 		cmocka_unit_test(refused_retries_are_logged),
 	};
 
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -1,109 +1,110 @@
-/* A gate between endpoints of different speed. */
+/* How a gate chooses between endpoints of different speed. */
 #include "gate_fix.h"
 
 #define SLOW_MS 1500
 #define FAST_MS 20
-#define STARTS 5 /* fewer than the other endpoint has calls */
-#define LOADED(figures)                                                        \
+#define REQUESTS 5 /* fewer than the other endpoint has served */
+#define OK_WITH_LOAD(figures)                                                  \
 	"HTTP/1.1 200 OK\r\n" HEAD "X-Server-Load: " figures                   \
 	"\r\nContent-Length: 5\r\n\r\nhello"
-#define POST_BRIEF_NOW STREAM("/brief/x", "100")
+#define POST_URGENT STREAM("/brief/x", "100")
 
-static uint64_t rests(struct fix *f)
+static uint64_t count_ejections(struct fix *f)
 {
 	return *metrics_value(f->metrics, "ss_gate_slow_rests_total", "");
 }
 
-/* Streams on the one endpoint that take so long to begin. */
-static void show(struct fix *f, int at, int64_t first_ms)
+/* Runs streams on an endpoint, each with this time to its first event. */
+static void run_streams(struct fix *f, int at, int64_t first_ms)
 {
 	f->at = at;
 	for (int i = 0; i < 3; i++)
 		carry_stream(f, first_ms, 1);
 }
 
-/* Endpoint 0 is fast, endpoint 1 slow; the latter is the emptier. */
-static void open_uneven(struct fix *f)
+/* Endpoint 0 is fast; endpoint 1 is slow and less loaded. */
+static void open_with_slow_endpoint(struct fix *f)
 {
 	fix_open(f, "lm", "m");
 	script(f, 0, EVENTS, false, false);
 	script(f, 1, EVENTS, false, false);
-	show(f, 1, SLOW_MS);
-	show(f, 0, FAST_MS);
+	run_streams(f, 1, SLOW_MS);
+	run_streams(f, 0, FAST_MS);
 	f->at = 1;
-	/* Medians are taken anew. */
+	/* The medians are recomputed. */
 	f->clock.fake_ms += 100;
 }
 
-/* Where a request goes while the slow one is known to be the emptier, and is
- * answered. */
-static int goes_to(struct fix *f, const char *text, int64_t slow_ms)
+/* The endpoint that gets a request while the slow one is less loaded. The
+ * request is answered. */
+static int chosen_endpoint(struct fix *f, const char *text, int64_t slow_ms)
 {
 	const int64_t first_ms[] = { FAST_MS, slow_ms };
 
 	return carry_event(f, text, first_ms);
 }
 
-/* Guards against callers with an objective who are late on a slow engine while
- * a fast one has room. Those without are served as before. */
-static void slow_engines_rest_from_callers_in_a_hurry(void **state)
+/* Guards against requests with an objective that are late on a slow engine
+ * while a fast one has room. Requests without one still go there. */
+static void slow_engine_is_ejected_for_urgent_requests(void **state)
 {
 	struct fix f;
 
 	(void)state;
-	open_uneven(&f);
-	assert_int_equal(goes_to(&f, STREAM("/chat/x", "100"), SLOW_MS), 1);
-	assert_int_equal(rests(&f), 0);
+	open_with_slow_endpoint(&f);
+	assert_int_equal(chosen_endpoint(&f, STREAM("/chat/x", "100"), SLOW_MS),
+			 1);
+	assert_int_equal(count_ejections(&f), 0);
 	f.clock.fake_ms += 100;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 0);
-	assert_int_equal(rests(&f), 1);
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 0);
-	assert_int_equal(rests(&f), 1);
-	/* It is used again before long, and rests no more once it is fast. */
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
+	assert_int_equal(count_ejections(&f), 1);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
+	assert_int_equal(count_ejections(&f), 1);
+	/* It is probed after a while, and not ejected once it is fast. */
 	f.clock.fake_ms += 8000;
-	show(&f, 1, FAST_MS);
+	run_streams(&f, 1, FAST_MS);
 	f.clock.fake_ms += 100;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, FAST_MS), 1);
-	assert_int_equal(rests(&f), 1);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, FAST_MS), 1);
+	assert_int_equal(count_ejections(&f), 1);
 	fix_close(&f);
 }
 
-/* Guards against a request that waits, or is refused, beside an idle engine:
- * one that rests is called where no other has room. */
-static void resting_engine_is_called_where_others_are_full(void **state)
+/* Guards against a request that waits or is refused while an engine is idle: an
+ * ejected one is used if no other has room. */
+static void ejected_engine_is_used_if_others_are_full(void **state)
 {
 	struct fix f;
 	int before;
 
 	(void)state;
-	open_uneven(&f);
+	open_with_slow_endpoint(&f);
 	f.clock.fake_ms += 100;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 0);
-	assert_int_equal(rests(&f), 1);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
+	assert_int_equal(count_ejections(&f), 1);
 	before = f.eps[1].requests;
-	/* The fast one has places for two. */
+	/* The fast one has room for two. */
 	for (int i = 0; i < 3; i++)
-		call(&f, POST_BRIEF_NOW);
+		call(&f, POST_URGENT);
 	UNTIL(&f, f.eps[1].requests == before + 1);
 	fix_close(&f);
 }
 
-/* Guards against a rest of the only endpoint that can be called. */
-static void the_last_engine_does_not_rest(void **state)
+/* Guards against the ejection of the only usable endpoint. */
+static void last_engine_is_not_ejected(void **state)
 {
 	struct fix f;
 
 	(void)state;
-	open_uneven(&f);
+	open_with_slow_endpoint(&f);
 	f.eps[0].leaving = true;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 1);
-	assert_int_equal(rests(&f), 0);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 1);
+	assert_int_equal(count_ejections(&f), 0);
 	fix_close(&f);
 }
 
-/* Guards against an engine that stands still and gets more calls, as it has
- * answered fast until now. */
-static void a_stall_is_seen_before_any_answer(void **state)
+/* Guards against a stalled engine that gets more requests because its answers
+ * so far were fast. */
+static void stall_is_detected_before_any_answer(void **state)
 {
 	struct fix f;
 	int before;
@@ -112,8 +113,8 @@
 	fix_open(&f, "lm", "m");
 	script(&f, 0, EVENTS, false, false);
 	script(&f, 1, EVENTS, false, false);
-	show(&f, 1, FAST_MS);
-	show(&f, 0, FAST_MS);
+	run_streams(&f, 1, FAST_MS);
+	run_streams(&f, 0, FAST_MS);
 	f.at = 1;
 	before = f.eps[1].requests;
 	for (int i = 0; i < 5; i++) {
@@ -121,57 +122,57 @@
 		UNTIL(&f, f.eps[1].requests == before + i + 1);
 	}
 	f.clock.fake_ms += SLOW_MS;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 0);
-	assert_int_equal(rests(&f), 1);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
+	assert_int_equal(count_ejections(&f), 1);
 	fix_close(&f);
 }
 
-/* Guards against what was learned of a former incarnation, and against a burst
- * to one that has just started. */
-static void restart_begins_slowly_and_unknown(void **state)
+/* Guards against times of a former incarnation that count for the new one, and
+ * against a burst of requests to an engine that has just started. */
+static void restarted_engine_gets_a_slow_start(void **state)
 {
 	struct fix f;
 	int before;
 
 	(void)state;
-	open_uneven(&f);
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 0);
-	assert_int_equal(rests(&f), 1);
+	open_with_slow_endpoint(&f);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
+	assert_int_equal(count_ejections(&f), 1);
 	g_strlcpy(f.eps[1].id, "i-next", sizeof(f.eps[1].id));
 	before = f.eps[0].requests + f.eps[1].requests;
-	for (int i = 1; i <= STARTS; i++) {
-		ask(&f, "m", POST_BRIEF_NOW);
+	for (int i = 1; i <= REQUESTS; i++) {
+		ask(&f, "m", POST_URGENT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests == before + i);
 	}
-	/* One in some twenty, by chance. */
-	assert_in_range(f.eps[1].requests, 3, 3 + STARTS - 2);
+	/* It gets about one in twenty, at random. */
+	assert_in_range(f.eps[1].requests, 3, 3 + REQUESTS - 2);
 	f.clock.fake_ms += 3000;
-	assert_int_equal(goes_to(&f, POST_BRIEF_NOW, SLOW_MS), 1);
-	assert_int_equal(rests(&f), 1);
+	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 1);
+	assert_int_equal(count_ejections(&f), 1);
 	fix_close(&f);
 }
 
-struct figure_case {
+struct work_time_case {
 	const char *label, *answer;
 	int64_t later_ms;
-	bool shifts; /* most calls go to the other one */
+	bool shifts; /* most requests go to the other endpoint */
 };
 
-/* Guards against an endpoint's word for its speed that isn't heeded, and one
- * that is heeded though it is nonsense, or old. */
-static void reported_work_shifts_plain_calls(void **state)
+/* Guards against a work time reported by an endpoint that is ignored, and one
+ * that is used although it is out of bounds or old. */
+static void reported_work_time_shifts_requests(void **state)
 {
-	static const struct figure_case cases[] = {
-		{ "none", LOADED("0,0,8"), 0, false },
-		{ "usual", LOADED("0,0,8,100"), 0, false },
-		{ "ten times slower", LOADED("0,0,8,1000"), 0, true },
-		{ "absurd", LOADED("0,0,8,90000"), 0, false },
-		{ "old", LOADED("0,0,8,1000"), 250, false },
+	static const struct work_time_case cases[] = {
+		{ "none", OK_WITH_LOAD("0,0,8"), 0, false },
+		{ "usual", OK_WITH_LOAD("0,0,8,100"), 0, false },
+		{ "ten times slower", OK_WITH_LOAD("0,0,8,1000"), 0, true },
+		{ "absurd", OK_WITH_LOAD("0,0,8,90000"), 0, false },
+		{ "old", OK_WITH_LOAD("0,0,8,1000"), 250, false },
 	};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		const struct figure_case *x = &cases[i];
+		const struct work_time_case *x = &cases[i];
 		int first = 0;
 		struct fix f;
 
@@ -179,7 +180,7 @@
 		script(&f, 0, x->answer, false, false);
 		script(&f, 1, OK_TEXT, false, false);
 		f.at = 0;
-		for (int k = 0; k <= STARTS; k++) {
+		for (int k = 0; k <= REQUESTS; k++) {
 			struct caller *c;
 
 			tell_fleet(&f, "web", "");
@@ -188,8 +189,8 @@
 			first = f.eps[0].requests - 1;
 			f.clock.fake_ms += x->later_ms;
 		}
-		if (x->shifts ? first > STARTS - 2 : first < STARTS)
-			fail_msg("%s: %d", x->label, first);
+		if (x->shifts ? first > REQUESTS - 2 : first < REQUESTS)
+			fail_msg("%s: %d requests", x->label, first);
 		fix_close(&f);
 	}
 }
@@ -197,13 +198,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(slow_engines_rest_from_callers_in_a_hurry),
-		cmocka_unit_test(
-			resting_engine_is_called_where_others_are_full),
-		cmocka_unit_test(the_last_engine_does_not_rest),
-		cmocka_unit_test(a_stall_is_seen_before_any_answer),
-		cmocka_unit_test(restart_begins_slowly_and_unknown),
-		cmocka_unit_test(reported_work_shifts_plain_calls),
+		cmocka_unit_test(slow_engine_is_ejected_for_urgent_requests),
+		cmocka_unit_test(ejected_engine_is_used_if_others_are_full),
+		cmocka_unit_test(last_engine_is_not_ejected),
+		cmocka_unit_test(stall_is_detected_before_any_answer),
+		cmocka_unit_test(restarted_engine_gets_a_slow_start),
+		cmocka_unit_test(reported_work_time_shifts_requests),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_gate_told.c
+++ b/test/test_gate_told.c
@@ -1,15 +1,15 @@
-/* A gate that is told which endpoints are slow, and tells what it sees. */
+/* The exchange of endpoint slowness between a gate and the leader. */
 #include "gate_fix.h"
 
 #define FAST_MS 20
 #define SLOW 20000 /* thousandths: later than the route's objective */
 
-static uint64_t rests(struct fix *f)
+static uint64_t count_ejections(struct fix *f)
 {
 	return *metrics_value(f->metrics, "ss_gate_slow_rests_total", "");
 }
 
-static void tell_slow(struct fix *f, int i, int64_t ratio)
+static void send_slow_ratio(struct fix *f, int i, int64_t ratio)
 {
 	struct fleet_load x = { .addr = ss_str(f->eps[i].addr), .slow = ratio };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
@@ -17,8 +17,8 @@
 	gate_take_fleet(f->gate, &m);
 }
 
-/* Both endpoints are fast, and endpoint 1 is the emptier. */
-static void open_even(struct fix *f)
+/* Both endpoints are fast, and endpoint 1 is less loaded. */
+static void open_equal(struct fix *f)
 {
 	fix_open(f, "lm", "m");
 	for (int i = 0; i < ENDPOINTS; i++) {
@@ -30,16 +30,16 @@
 	f->clock.fake_ms += 100;
 }
 
-/* Where a request goes that is in a hurry. */
-static int goes_to(struct fix *f)
+/* The endpoint that gets a request with a short objective. */
+static int chosen_endpoint(struct fix *f)
 {
 	static const int64_t first_ms[] = { FAST_MS, FAST_MS };
 
 	return carry_event(f, STREAM("/brief/x", "100"), first_ms);
 }
 
-/* Answers that are reported of an endpoint. */
-static uint64_t reported(struct fix *f, int i, int64_t *sum_ln)
+/* The number of answers of an endpoint in the gate's report. */
+static uint64_t reported_answers(struct fix *f, int i, int64_t *sum_ln)
 {
 	const struct endpoint_ends *e;
 	struct gate_report r;
@@ -58,68 +58,68 @@
 	return n;
 }
 
-/* Guards against callers who are late on a slow engine that this entry hasn't
- * called of late, and against a word that outlives the slowness. */
-static void told_slowness_turns_callers_away(void **state)
+/* Guards against requests that are late on a slow engine to which this entry
+ * has sent none recently, and against a reported ratio that never expires. */
+static void reported_slowness_ejects_endpoint(void **state)
 {
 	struct fix f;
 
 	(void)state;
-	open_even(&f);
-	assert_int_equal(goes_to(&f), 1);
-	tell_slow(&f, 1, SLOW);
+	open_equal(&f);
+	assert_int_equal(chosen_endpoint(&f), 1);
+	send_slow_ratio(&f, 1, SLOW);
 	f.clock.fake_ms += 100;
 	for (int i = 0; i < 5; i++)
-		assert_int_equal(goes_to(&f), 0);
+		assert_int_equal(chosen_endpoint(&f), 0);
 	assert_int_equal(
 		*metrics_value(f.metrics, "ss_gate_told_slow_total", ""), 1);
-	assert_int_equal(rests(&f), 1);
+	assert_int_equal(count_ejections(&f), 1);
 	f.clock.fake_ms += 3000;
-	assert_int_equal(goes_to(&f), 1);
-	/* And it isn't rested where nobody is faster. */
-	tell_slow(&f, 1, SLOW);
+	assert_int_equal(chosen_endpoint(&f), 1);
+	/* It isn't ejected if no other is faster. */
+	send_slow_ratio(&f, 1, SLOW);
 	f.eps[0].leaving = true;
 	f.clock.fake_ms += 100;
-	assert_int_equal(goes_to(&f), 1);
+	assert_int_equal(chosen_endpoint(&f), 1);
 	fix_close(&f);
 }
 
-/* Guards against reports of even endpoints, and against a slow one that the
- * entries whose calls are fast again say nothing of; and against a former
+/* Guards against reports of endpoints of usual speed, against entries that
+ * don't report that a slow endpoint is fast again, and against a former
  * incarnation's ratio. */
-static void answers_of_uneven_endpoints_are_reported(void **state)
+static void unusual_endpoints_are_reported(void **state)
 {
 	int64_t sum_ln;
 	struct fix f;
 
 	(void)state;
-	open_even(&f);
-	assert_int_equal(reported(&f, 1, &sum_ln), 0);
+	open_equal(&f);
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
 	carry_stream(&f, FAST_MS, 1);
-	assert_int_equal(reported(&f, 1, &sum_ln), 0);
-	tell_slow(&f, 1, 2000);
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
+	send_slow_ratio(&f, 1, 2000);
 	carry_stream(&f, FAST_MS, 1);
-	assert_int_equal(reported(&f, 1, &sum_ln), 1);
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 1);
 	assert_in_range(sum_ln + 100, 0, 200);
-	assert_int_equal(reported(&f, 1, &sum_ln), 0);
-	tell_slow(&f, 1, 2000);
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
+	send_slow_ratio(&f, 1, 2000);
 	g_strlcpy(f.eps[1].id, "i-next", sizeof(f.eps[1].id));
 	f.eps[0].leaving = true;
 	for (int i = 0; i < 3; i++) {
 		f.clock.fake_ms += 100;
 		carry_stream(&f, FAST_MS, 1);
 	}
-	assert_int_equal(reported(&f, 1, &sum_ln), 0);
-	/* Ten times the median, by what it sees itself. */
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
+	/* Ten times the median, by the gate's own measurement. */
 	carry_stream(&f, 10 * FAST_MS, 1);
-	assert_int_equal(reported(&f, 1, &sum_ln), 1);
+	assert_int_equal(reported_answers(&f, 1, &sum_ln), 1);
 	assert_in_range(sum_ln, 2000, 2600);
 	fix_close(&f);
 }
 
-/* Guards against a stall that other entries hear of when it is over; a call
- * under way isn't told of at each report. */
-static void stalled_calls_are_reported(void **state)
+/* Guards against a stall that is reported only when it is over. A pending
+ * request isn't counted in each report. */
+static void stalled_requests_are_reported(void **state)
 {
 	int64_t sum_ln;
 	uint64_t n = 0;
@@ -127,17 +127,17 @@
 	int before;
 
 	(void)state;
-	open_even(&f);
+	open_equal(&f);
 	before = f.eps[1].requests;
 	ask(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[1].requests == before + 1);
 	f.at = 0;
 	for (int i = 0; i < 10; i++) {
 		f.clock.fake_ms += 100;
-		assert_int_equal(goes_to(&f), 0);
-		n += reported(&f, 1, &sum_ln);
+		assert_int_equal(chosen_endpoint(&f), 0);
+		n += reported_answers(&f, 1, &sum_ln);
 	}
-	/* At each doubling, of a second. */
+	/* Counted at each doubling of its age, within one second. */
 	assert_in_range(n, 3, 5);
 	fix_close(&f);
 }
@@ -145,9 +145,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(told_slowness_turns_callers_away),
-		cmocka_unit_test(answers_of_uneven_endpoints_are_reported),
-		cmocka_unit_test(stalled_calls_are_reported),
+		cmocka_unit_test(reported_slowness_ejects_endpoint),
+		cmocka_unit_test(unusual_endpoints_are_reported),
+		cmocka_unit_test(stalled_requests_are_reported),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
