--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -314,8 +314,8 @@
 			  (double)f->route->objective_ms;
 }
 
-/* Too slow for this request, by what entries have seen: an endpoint's own word
- * brings no rest. */
+/* Whether the endpoint is too slow for this request by the ratio that entries
+ * measure. A work time that it reports itself never ejects it. */
 static bool is_too_slow(const struct forward *f, const struct gate_ep *ep,
 			double median_ms)
 {
