--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -1,31 +1,34 @@
-/* An endpoint's answer on its way to the caller. */
+/* Relays an endpoint's answer to the caller. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* A plain answer up to this size is held until it is whole, so that one
- * that breaks off can still be asked for again; in bytes. */
-#define HOLD_MAX (256 << 10)
+/* A plain answer up to this size is buffered until it is complete, so that the
+ * request can still be retried if the answer breaks off. */
+#define BUFFER_MAX_BYTES (256 << 10)
 
-static void note(const struct forward *f, bool failed)
+/* Counts the result of a send for its endpoint. */
+static void note_result(const struct forward *f, bool failed)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
 	if (!ep)
 		return;
 	gate_ep_note(f->g, ep, failed);
-	/* The endpoint has answered so itself. What never reached it, or found
-	 * no answer, may be this VM's own trouble and is told to nobody. */
+	/* These counts are reported to the leader. Requests that never reached
+	 * the endpoint, or whose callers left without an answer, aren't among
+	 * them: this VM may be at fault. */
 	if (failed)
 		ep->failed++;
 	else
 		ep->answered++;
 }
 
-/* What came can't be the answer to this request. */
-static void spoiled(struct forward *f, const char *why)
+/* Ends a send whose answer is corrupt, incomplete or a failure, and retries the
+ * request if possible. f may be freed. */
+static void fail_send(struct forward *f, const char *why)
 {
-	note(f, true);
+	note_result(f, true);
 	if (f->is_events)
 		events_resume(&f->events);
 	forward_again(f, false, why);
@@ -40,7 +43,7 @@
 	       !g_ascii_strncasecmp(v.p, type, sizeof(type) - 1);
 }
 
-static void keep_headers(struct forward *f, const struct http1_head *h)
+static void copy_headers(struct forward *f, const struct http1_head *h)
 {
 	if (!f->headers)
 		f->headers = g_string_sized_new(256);
@@ -57,8 +60,8 @@
 	}
 }
 
-/* The endpoint vouches that it didn't run it. */
-static void not_run(struct forward *f, const struct http1_head *h)
+/* Handles an answer which states that the endpoint didn't run the request. */
+static void handle_not_run(struct forward *f, const struct http1_head *h)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 	const char *why = "the endpoint is full";
@@ -70,28 +73,30 @@
 		if (ep && !*f->model)
 			gate_ep_note(f->g, ep, true);
 	} else if (ep) {
-		/* It is fuller than its last report said. */
+		/* The endpoint has more load than it last reported. */
 		ep->reported = MAX(ep->reported, ep->slots);
 		ep->reported_ms = gate_now(f->g);
 	}
 	forward_again(f, true, why);
 }
 
-/* A status that promises "not run" must not be passed on unfounded. */
-static bool false_promise(const struct forward *f, int status)
+/* Callers take these statuses to mean that the request didn't run. True where
+ * the endpoint hasn't stated so: such an answer isn't passed on. */
+static bool wrongly_implies_not_run(const struct forward *f, int status)
 {
 	return f->route->kind != ROUTE_SAFE &&
 	       (status == 503 || status == 429 || status == 408);
 }
 
-static bool ask_again(const struct forward *f, int status)
+static bool should_retry(const struct forward *f, int status)
 {
 	return status >= 500 && f->route->kind == ROUTE_SAFE &&
 	       f->tried->len < (guint)f->route->attempts;
 }
 
-/* An answer to another request, or one that isn't the endpoint's own. */
-static const char *why_spoiled(const struct forward *f,
+/* Why the answer is corrupt: it belongs to another request, or doesn't come
+ * from the endpoint itself; NULL: it isn't. */
+static const char *why_corrupt(const struct forward *f,
 			       const struct http1_head *h,
 			       const struct platform_answer *a)
 {
@@ -104,13 +109,13 @@
 	return NULL;
 }
 
-static void take_answer(struct forward *f, const struct http1_head *h)
+static void accept_answer(struct forward *f, const struct http1_head *h)
 {
 	f->state = FORWARD_ANSWERS;
 	if (f->started)
 		return;
 	f->status = h->status;
-	keep_headers(f, h);
+	copy_headers(f, h);
 	f->length = h->length;
 	f->is_events = is_event_stream(h) && h->status == 200;
 	if (f->is_events && !f->events.part)
@@ -134,22 +139,22 @@
 		gate_ep_load(f->g, ep, &a);
 		gate_words_heard(f, ep, &a);
 	}
-	why = why_spoiled(f, h, &a);
+	why = why_corrupt(f, h, &a);
 	if (why)
-		spoiled(f, why);
+		fail_send(f, why);
 	else if (a.not_run)
-		not_run(f, h);
+		handle_not_run(f, h);
 	else if (f->started && h->status != 200)
-		spoiled(f, "it can't be resumed there");
-	else if (ask_again(f, h->status))
-		spoiled(f, "the endpoint failed");
-	else if (false_promise(f, h->status))
-		spoiled(f, "the endpoint failed, and it may have run");
+		fail_send(f, "it can't be resumed there");
+	else if (should_retry(f, h->status))
+		fail_send(f, "the endpoint failed");
+	else if (wrongly_implies_not_run(f, h->status))
+		fail_send(f, "the endpoint failed, and it may have run");
 	else
-		take_answer(f, h);
+		accept_answer(f, h);
 }
 
-static void start(struct forward *f, int64_t length)
+static void start_answer(struct forward *f, int64_t length)
 {
 	f->started = true;
 	go_on_begins(f);
@@ -157,7 +162,8 @@
 	caller_call_start(f->caller, f->status, f->headers, length);
 }
 
-static void slow_down(struct forward *f)
+/* Stops reading from the endpoint while the caller reads too slowly. */
+static void pause_if_caller_full(struct forward *f)
 {
 	if (f->paused || !caller_call_is_full(f->caller))
 		return;
@@ -174,47 +180,49 @@
 		upstream_pause(f->up, false);
 }
 
-static void pass_events(struct forward *f, struct ss_str piece)
+/* Passes complete events on; the rest of the piece stays in f->events. */
+static void relay_events(struct forward *f, struct ss_str piece)
 {
-	/* Of a stream nothing else is held. */
-	GString *whole = f->held;
+	/* A stream uses the buffer for nothing else. */
+	GString *complete = f->held;
 
-	g_string_truncate(whole, 0);
-	if (!events_add(&f->events, piece, whole)) {
-		spoiled(f, "the stream has a gap");
+	g_string_truncate(complete, 0);
+	if (!events_add(&f->events, piece, complete)) {
+		fail_send(f, "the stream has a gap");
 		return;
 	}
-	if (whole->len == 0)
+	if (complete->len == 0)
 		return;
 	if (!f->started)
-		start(f, -1);
+		start_answer(f, -1);
 	times_note_events(f);
-	caller_call_write(f->caller, ss_str_gs(whole));
+	caller_call_write(f->caller, ss_str_gs(complete));
 }
 
 static void on_body(void *arg, struct ss_str piece)
 {
 	struct forward *f = arg;
 
-	/* The answer was dropped while its head was read. */
+	/* The send was given up when the answer's head was read. */
 	if (f->state != FORWARD_ANSWERS)
 		return;
 	if (f->is_events) {
-		pass_events(f, piece);
+		relay_events(f, piece);
 		return;
 	}
-	if (!f->started && f->held->len + piece.n <= HOLD_MAX) {
+	if (!f->started && f->held->len + piece.n <= BUFFER_MAX_BYTES) {
 		g_string_append_len(f->held, piece.p, (gssize)piece.n);
 		return;
 	}
 	if (!f->started) {
-		start(f, f->length);
+		start_answer(f, f->length);
 		caller_call_write(f->caller, ss_str_gs(f->held));
 	}
 	caller_call_write(f->caller, piece);
 }
 
-/* Once for all that was read together, so that it is sent together. */
+/* Called once after all pieces that were read together, so that they are sent
+ * together. */
 static void on_flush(void *arg)
 {
 	struct forward *f = arg;
@@ -222,7 +230,7 @@
 	if (!f->started)
 		return;
 	caller_call_flush(f->caller);
-	slow_down(f);
+	pause_if_caller_full(f);
 }
 
 static void on_done(void *arg)
@@ -231,16 +239,16 @@
 
 	f->up = NULL;
 	if (f->is_events && !events_at_end(&f->events)) {
-		spoiled(f, "the stream ended inside an event");
+		fail_send(f, "the stream ended inside an event");
 		return;
 	}
-	note(f, f->status >= 500);
+	note_result(f, f->status >= 500);
 	times_note_end(f);
 	quarantine_answered(f);
 	if (!f->started && f->is_events) {
-		start(f, -1);
+		start_answer(f, -1);
 	} else if (!f->started) {
-		start(f, (int64_t)f->held->len);
+		start_answer(f, (int64_t)f->held->len);
 		caller_call_write(f->caller, ss_str_gs(f->held));
 	}
 	forward_end(f, true, "");
@@ -258,7 +266,7 @@
 	times_note_left(f);
 	if (closed)
 		endings_note(f);
-	spoiled(f, upstream_end_name(end));
+	fail_send(f, upstream_end_name(end));
 }
 
 const struct upstream_ops forward_upstream_ops = { on_head, on_body, on_flush,
