--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -1,17 +1,21 @@
-/* A request as it comes: where it leads, and whether it can be taken. */
+/* Receives a request: finds its route, customer and service, and queues or
+ * refuses it. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
 #include <xxhash.h>
 
-/* A route's own timeout is answered before callers give up waiting; in ms. */
-#define TIMEOUT_EARLY_MS 20
-/* Another entry may serve a request that this one can't place, in ms. */
-#define BEHIND_BACK_MS 200
-/* Beyond so much a second customers' shares of turns are alike; those without a
- * limit count as large ones. */
-#define SHARE_MOST 1e9
+/* A request is answered this long before its route's timeout, while its caller
+ * still waits; in ms. */
+#define TIMEOUT_MARGIN_MS 20
+/* Retry-After of a request that this entry can't route as its routing may be
+ * stale, in ms: another entry may serve it. */
+#define STALE_RETRY_AFTER_MS 200
+#define NOT_READY_RETRY_AFTER_MS 500
+/* A customer's share of the sends is its limit per second, up to this. */
+#define SHARE_MAX 1e9
+/* Share of a customer without a limit: that of a large one. */
 #define SHARE_UNLIMITED 1000000u
 
 static struct ss_str path_of(struct ss_str target)
@@ -24,7 +28,8 @@
 }
 
 static void refuse_call(struct gate *g, struct caller_call *c, int status,
-			const char *type, const char *why, int64_t back_ms)
+			const char *type, const char *why,
+			int64_t retry_after_ms)
 {
 	GString *headers = g_string_new("Content-Type: application/json\r\n");
 	char *body = g_strdup_printf("{\"error\":{\"type\":\"%s\",\"message\":"
@@ -32,9 +37,9 @@
 				     type, why);
 	struct ss_str id = http1_value(caller_call_head(c), "X-Request-Id");
 
-	if (back_ms)
+	if (retry_after_ms)
 		g_string_append_printf(headers, "Retry-After: %.3f\r\n",
-				       (double)back_ms / 1000.0);
+				       (double)retry_after_ms / 1000.0);
 	(*g->n_bad)++;
 	log_info("request",
 		 "request=%.*s outcome=not_run status=%d routing=%" PRIu64
@@ -45,8 +50,8 @@
 	g_free(body);
 }
 
-/* By what the routing in force says of it. */
-static void refuse_unfit(struct gate *g, struct caller_call *c, int status)
+/* Refuses a request with the status that routing or identify() gave it. */
+static void refuse_status(struct gate *g, struct caller_call *c, int status)
 {
 	if (status == 404)
 		refuse_call(g, c, 404, "not_found", "no route", 0);
@@ -55,14 +60,16 @@
 			    "no customer holds the key that it carries", 0);
 	else if (status == 503)
 		refuse_call(g, c, 503, "unavailable",
-			    "the key may have been taken away", BEHIND_BACK_MS);
+			    "the key may have been taken away",
+			    STALE_RETRY_AFTER_MS);
 	else
 		refuse_call(g, c, 400, "bad_request", "a header is unreadable",
 			    0);
 }
 
-/* The part of the prompt that requests of one kind share decides where its
- * cache is warm: all parts but the last, which is the request's own. */
+/* Hashes what decides at which endpoint the prompt cache is warm: the model,
+ * the adapter and all parts of the prompt but the last, which is the request's
+ * own. */
 static uint64_t affinity_of(const struct platform_call *c)
 {
 	struct ss_str shared = c->prompt;
@@ -75,8 +82,9 @@
 							c->model.n));
 }
 
-/* A request that can't be begun before its caller leaves is refused while the
- * caller is still there to be told when to come back. */
+/* How long the caller of a stream waits for its first event, in ms. A request
+ * that can't be started by then is refused before, while its caller can still
+ * receive a retry time. */
 static int64_t patience_ms(const struct gate *g, const struct routing_route *rt)
 {
 	const struct gate_patience *p = &g->o.patience;
@@ -85,40 +93,43 @@
 	return MAX(ms, p->pauses * rt->pause_ms);
 }
 
-static bool may_be_revoked(const struct gate *g)
+/* A key may have been revoked while no leader could report it. */
+static bool keys_may_be_revoked(const struct gate *g)
 {
 	return g->o.keys_trust_ms &&
 	       freshness_alone_ms(&g->freshness, gate_now(g)) >
 		       g->o.keys_trust_ms;
 }
 
-/* Whose request it is: 0, or the status that refuses it. */
+/* Finds the customer of a request; returns 0, or the status to refuse it
+ * with. */
 static int identify(const struct gate *g, const struct routing_route *rt,
-		    const struct platform_call *call, struct customer **who)
+		    const struct platform_call *call,
+		    struct customer **customer)
 {
-	*who = NULL;
+	*customer = NULL;
 	if (!g->routing->keyed)
 		return 0;
 	if (call->keys_clash)
 		return 400;
-	*who = customers_find(&g->routing->customers, call->key);
+	*customer = customers_find(&g->routing->customers, call->key);
 	if (rt->open)
 		return 0;
-	if (!*who)
+	if (!*customer)
 		return 401;
-	return may_be_revoked(g) ? 503 : 0;
+	return keys_may_be_revoked(g) ? 503 : 0;
 }
 
-/* Who goes first where not all can: urgent requests, and then customers in
- * proportion to what they may ask for, so that none pushes out another by
- * asking for more than that. */
-static void set_turn(struct forward *f)
+/* Sets the request's order in its queue: by priority, and then customers in
+ * proportion to their limits, so that none displaces another by exceeding its
+ * own. */
+static void set_queue_order(struct forward *f)
 {
 	const struct customer *c = f->customer;
 	int64_t last = SS_QUEUE_PRIORITIES - 1;
 
-	/* The least time to a first event is the same for all streams of a
-	 * lane, so that this is also the order of their latest starts. */
+	/* The minimum time to a first event is the same for all streams of a
+	 * model queue, so this is also the order of their latest starts. */
 	f->item.deadline_ms = f->begin_by_ms;
 	f->item.priority = (int)(last - CLAMP(forward_priority(f), 0, last));
 	f->item.share = SHARE_UNLIMITED;
@@ -126,7 +137,7 @@
 		f->item.customer = ss_str(c->name);
 	if (c && c->limit.per_s > 0)
 		f->item.share =
-			(unsigned int)CLAMP(c->limit.per_s, 1, SHARE_MOST);
+			(unsigned int)CLAMP(c->limit.per_s, 1, SHARE_MAX);
 }
 
 void forward_set_service(struct forward *f, struct routing_service *s)
@@ -143,11 +154,11 @@
 static struct forward *forward_new(struct gate *g, struct caller_call *c,
 				   struct routing_route *rt,
 				   const struct platform_call *call,
-				   struct customer *who, struct ss_str body,
-				   int64_t now)
+				   struct customer *customer,
+				   struct ss_str body, int64_t now)
 {
 	struct forward *f = g_new0(struct forward, 1);
-	int64_t wait = rt->timeout_ms - TIMEOUT_EARLY_MS;
+	int64_t wait = rt->timeout_ms - TIMEOUT_MARGIN_MS;
 
 	if (call->deadline_ms)
 		wait = MIN(wait, call->deadline_ms);
@@ -156,7 +167,7 @@
 	f->body = body;
 	f->routing = g->routing->version;
 	f->route = routing_route_ref(rt);
-	f->customer = customer_ref(who);
+	f->customer = customer_ref(customer);
 	f->keyed = g->routing->keyed;
 	f->call = *call;
 	f->id = ss_str_dup(call->id);
@@ -173,7 +184,7 @@
 	f->begin_by_ms = f->deadline_ms;
 	if (rt->kind == ROUTE_STREAM)
 		f->begin_by_ms = MIN(f->deadline_ms, now + patience_ms(g, rt));
-	set_turn(f);
+	set_queue_order(f);
 	f->tried = g_ptr_array_new_with_free_func(fleet_incarnation_free);
 	f->events.last_id = call->after_event;
 	caller_call_set_data(c, f);
@@ -188,20 +199,20 @@
 	if (go_on_looks(f))
 		return;
 	forward_wait(f);
-	/* Nobody goes ahead of those who wait for the same. */
+	/* A request doesn't overtake others that wait for the same model. */
 	if (ss_queue_length(f->lane->waits) == 1)
 		forward_try(f);
 }
 
 void forward_begin(struct gate *g, struct caller_call *c, struct ss_str body,
-		   int64_t came_ms)
+		   int64_t received_ms)
 {
 	const struct http1_head *h = caller_call_head(c);
 	struct ss_str host = http1_value(h, "Host");
 	enum freshness_level fresh;
 	struct routing_route *rt;
 	struct platform_call call;
-	struct customer *who = NULL;
+	struct customer *customer = NULL;
 	GError *error = NULL;
 	struct forward *f;
 	bool readable;
@@ -209,35 +220,37 @@
 	int status;
 
 	if (!g->routing || !g->fleet_known) {
-		if (early_hold(g, c, body, came_ms))
+		if (early_hold(g, c, body, received_ms))
 			return;
 		(*g->n_requests)++;
-		refuse_call(g, c, 503, "unavailable", "not ready yet", 500);
+		refuse_call(g, c, 503, "unavailable", "not ready yet",
+			    NOT_READY_RETRY_AFTER_MS);
 		return;
 	}
 	rt = routing_match(g->routing, host, path_of(h->target));
 	readable = g->o.platform->read_call(h, &call, &error);
-	status = !rt ? 404 : readable ? identify(g, rt, &call, &who) : 400;
+	status = !rt ? 404 : readable ? identify(g, rt, &call, &customer) : 400;
 	fresh = freshness_level(&g->freshness, gate_now(g), &until);
 	if (fresh == FRESHNESS_STALE ||
 	    (fresh == FRESHNESS_UNSURE && (status == 404 || status == 401))) {
 		g_clear_error(&error);
-		if (early_hold_until(g, c, body, came_ms, until))
+		if (early_hold_until(g, c, body, received_ms, until))
 			return;
 		(*g->n_requests)++;
 		refuse_call(g, c, 503, "unavailable",
-			    "the routing here may be behind", BEHIND_BACK_MS);
+			    "the routing here may be behind",
+			    STALE_RETRY_AFTER_MS);
 		return;
 	}
 	(*g->n_requests)++;
 	if (status) {
-		refuse_unfit(g, c, status);
+		refuse_status(g, c, status);
 		g_clear_error(&error);
 		return;
 	}
-	f = forward_new(g, c, rt, &call, who, body, came_ms);
-	if (who)
-		(*gate_customer_counts(g, who->name)->requests)++;
+	f = forward_new(g, c, rt, &call, customer, body, received_ms);
+	if (customer)
+		(*gate_customer_counts(g, customer->name)->requests)++;
 	forward_count_request(f);
 	if (*f->model && !routing_model(f->service, f->model)) {
 		forward_refuse(f, 503, "unknown_model",
