--- a/src/proxy/endings.c
+++ b/src/proxy/endings.c
@@ -1,11 +1,11 @@
 /*
- * Requests under which an endpoint has ended.
+ * Detects endpoints that crashed, and the requests that they were running.
  *
- * A connection that the endpoint's VM closes before the answer is whole says
- * little: the answer may have broken off, the connection may have been reset,
- * or the endpoint has ended with all that it ran. It has ended where nobody
- * listens at its address just after that, and no other connection to it is
- * left when those that its end closed have been looked at.
+ * An endpoint's VM may close a connection before the answer is complete
+ * because the answer broke off, the connection was reset, or the endpoint
+ * crashed. It counts as a crash where nothing listens at the endpoint's address
+ * right after the close, and no other connection to it remains once those that
+ * a crash has closed were handled.
  */
 #include "gate_int.h"
 
@@ -14,117 +14,123 @@
 
 #include <xxhash.h>
 
-/* The endpoint's VM answers by then, in ms, also where the first packet was
- * lost; an endpoint takes longer to start again. */
+/* The endpoint's VM answers within this time, in ms, also where the first
+ * packet was lost; an endpoint takes longer to restart. */
 #define PROBE_WAIT_MS 1500
-/* A process that is short of time has looked at all closed connections by then,
- * in ms; calls that go on without a listener are under way for longer. */
+/* Time in which also a process short of CPU has handled all closed connections,
+ * in ms; calls that continue without a listener run for longer. */
 #define CLOSED_WAIT_MS 200
-/* Requests kept of one end: more than any endpoint runs at a time. */
-#define PRINTS_MAX 512
+/* Fingerprints kept for one crash: more than any endpoint runs at a time. */
+#define FINGERPRINTS_MAX 512
 
-struct ending {
+/* An endpoint that may have crashed. */
+struct crash_check {
 	struct gate *g;
 	char *addr, *id;
-	uint64_t life;	       /* the gate's number of that incarnation */
-	uint64_t global_life;  /* the same in all processes */
-	struct probe *probe;   /* NULL: nobody listens */
-	int64_t wait_until_ms; /* for other connections to be closed, then */
-	GArray *prints;	       /* struct fingerprint, each once */
+	uint64_t incarnation_no;   /* this gate's number of it */
+	uint64_t incarnation_hash; /* the same in all processes */
+	struct probe *probe;	   /* NULL: done, nothing listens there */
+	int64_t wait_until_ms;	   /* for other connections to close, then */
+	GArray *fingerprints;	   /* struct fingerprint, each once */
 };
 
 void ending_free(void *p)
 {
-	struct ending *e = p;
-
-	if (e->probe)
-		probe_cancel(e->probe);
-	g_array_unref(e->prints);
-	g_free(e->addr);
-	g_free(e->id);
-	g_free(e);
+	struct crash_check *c = p;
+
+	if (c->probe)
+		probe_cancel(c->probe);
+	g_array_unref(c->fingerprints);
+	g_free(c->addr);
+	g_free(c->id);
+	g_free(c);
 }
 
-static void confirm(const struct ending *e)
+/* Reports the crash with the requests that were running. */
+static void confirm(const struct crash_check *c)
 {
-	log_warn("endpoint_ended", "addr=%s id=%s requests=%u", e->addr, e->id,
-		 e->prints->len);
-	(*e->g->n_ended)++;
-	for (guint i = 0; i < e->prints->len; i++)
-		quarantine_end(e->g,
-			       &g_array_index(e->prints, struct fingerprint, i),
-			       e->global_life);
+	log_warn("endpoint_ended", "addr=%s id=%s requests=%u", c->addr, c->id,
+		 c->fingerprints->len);
+	(*c->g->n_ended)++;
+	for (guint i = 0; i < c->fingerprints->len; i++)
+		quarantine_end(c->g,
+			       &g_array_index(c->fingerprints,
+					      struct fingerprint, i),
+			       c->incarnation_hash);
 }
 
 static void on_probe(void *arg, enum probe_result r)
 {
-	struct ending *e = arg;
-	struct gate *g = e->g;
+	struct crash_check *c = arg;
+	struct gate *g = c->g;
 
-	e->probe = NULL;
-	e->wait_until_ms = gate_now(g) + CLOSED_WAIT_MS;
-	if (r == PROBE_REFUSED && upstream_reaches(g->upstream, e->addr))
+	c->probe = NULL;
+	c->wait_until_ms = gate_now(g) + CLOSED_WAIT_MS;
+	if (r == PROBE_REFUSED && upstream_reaches(g->upstream, c->addr))
 		return;
 	if (r == PROBE_REFUSED)
-		confirm(e);
-	g_ptr_array_remove_fast(g->endings, e);
+		confirm(c);
+	g_ptr_array_remove_fast(g->endings, c);
 }
 
 void endings_tick(struct gate *g, int64_t now)
 {
 	for (guint i = g->endings->len; i-- > 0;) {
-		struct ending *e = g->endings->pdata[i];
-		bool alone = !upstream_reaches(g->upstream, e->addr);
+		struct crash_check *c = g->endings->pdata[i];
+		bool no_connection = !upstream_reaches(g->upstream, c->addr);
 
-		if (e->probe || (!alone && now < e->wait_until_ms))
+		if (c->probe || (!no_connection && now < c->wait_until_ms))
 			continue;
-		if (alone)
-			confirm(e);
+		if (no_connection)
+			confirm(c);
 		g_ptr_array_remove_index_fast(g->endings, i);
 	}
 }
 
-/* By its id; by its start too, which one that keeps its id tells. */
-static uint64_t life_of(const struct gate_ep *ep)
+/* Hashes an incarnation's address, id and start: an endpoint that keeps its id
+ * over a restart states its start time. */
+static uint64_t hash_incarnation(const struct gate_ep *ep)
 {
 	char *text = g_strdup_printf("%s\n%s\n%" PRId64, ep->addr, ep->self.id,
 				     ep->self.started_ms);
-	uint64_t life = XXH3_64bits(text, strlen(text));
+	uint64_t hash = XXH3_64bits(text, strlen(text));
 
 	g_free(text);
-	return life;
+	return hash;
 }
 
-static struct ending *ending_of(struct gate *g, const struct gate_ep *ep)
+/* The check of an endpoint's incarnation; starts one if there is none. */
+static struct crash_check *crash_check_of(struct gate *g,
+					  const struct gate_ep *ep)
 {
-	struct ending *e;
+	struct crash_check *c;
 
 	for (guint i = 0; i < g->endings->len; i++) {
-		e = g->endings->pdata[i];
-		if (e->life == ep->life)
-			return e;
+		c = g->endings->pdata[i];
+		if (c->incarnation_no == ep->life)
+			return c;
 	}
-	e = g_new0(struct ending, 1);
-	e->g = g;
-	e->addr = g_strdup(ep->addr);
-	e->id = g_strdup(ep->self.id);
-	e->life = ep->life;
-	e->global_life = life_of(ep);
-	e->prints = g_array_new(FALSE, FALSE, sizeof(struct fingerprint));
-	e->probe = probe_start(g->o.base, e->addr, PROBE_WAIT_MS, on_probe, e);
-	g_ptr_array_add(g->endings, e);
-	return e;
+	c = g_new0(struct crash_check, 1);
+	c->g = g;
+	c->addr = g_strdup(ep->addr);
+	c->id = g_strdup(ep->self.id);
+	c->incarnation_no = ep->life;
+	c->incarnation_hash = hash_incarnation(ep);
+	c->fingerprints = g_array_new(FALSE, FALSE, sizeof(struct fingerprint));
+	c->probe = probe_start(g->o.base, c->addr, PROBE_WAIT_MS, on_probe, c);
+	g_ptr_array_add(g->endings, c);
+	return c;
 }
 
-static void add_print(struct ending *e, const struct fingerprint *print)
+static void add_fingerprint(struct crash_check *c, const struct fingerprint *fp)
 {
-	for (guint i = 0; i < e->prints->len; i++)
-		if (fingerprint_equal(&g_array_index(e->prints,
+	for (guint i = 0; i < c->fingerprints->len; i++)
+		if (fingerprint_equal(&g_array_index(c->fingerprints,
 						     struct fingerprint, i),
-				      print))
+				      fp))
 			return;
-	if (e->prints->len < PRINTS_MAX)
-		g_array_append_val(e->prints, *print);
+	if (c->fingerprints->len < FINGERPRINTS_MAX)
+		g_array_append_val(c->fingerprints, *fp);
 }
 
 void endings_note(struct forward *f)
@@ -132,13 +138,13 @@
 	const struct gate_ep *ep = gate_ep_of(f);
 	struct gate *g = f->g;
 	char text[FINGERPRINT_TEXT];
-	struct ending *e;
+	struct crash_check *c;
 
-	/* An endpoint that leaves ends as planned. */
+	/* A draining endpoint stops as planned. */
 	if (!ep || ep->leaving)
 		return;
-	e = ending_of(g, ep);
-	add_print(e, forward_print(f));
+	c = crash_check_of(g, ep);
+	add_fingerprint(c, forward_print(f));
 	f->trial_told = true;
 	log_info("closed_by_endpoint",
 		 "request=%s endpoint=%s print=%s ms=%" PRId64, f->id,
