--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -1,46 +1,52 @@
-/* One request's way to an endpoint. */
+/* Forwards one request: sends it to an endpoint, retries, refuses and ends
+ * it. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 #include "../net/http.h"
 
-/* A request whose model nobody knows to be on its way is held for this
- * share of its time, then told to come back while its caller is still there.
- * Mostly an engine comes free before: with half as much, 1 request in 200 more
- * was refused, and came back to the end of the queue. */
-#define NO_ETA_SHARE 0.8
-/* A caller who leaves a silent engine after this share of the shortest patience
- * counts against the engine; one who leaves sooner had reasons of its own.
- * Callers who were sent late leave earlier than the whole of it. */
-#define SILENT_SHARE 0.75
-/* Coming back sooner makes no sense; later leaves no time. In ms. */
-#define BACK_MIN_MS 150
-/* Those refused together return within this, not all in one moment: chosen,
- * less than the shortest objective of both deployments. */
-#define BACK_SPREAD_MS 200
-#define BACK_MAX_MS 4000
-/* A full service has room again after a few of its calls: chosen, some two of
- * a plain service's calls or a tenth of a stream. */
-#define BACK_FULL_MS 400
-/* An agent says itself that an adapter didn't come in time; one that says
- * nothing for so long beyond that is cut off or stands still. In ms: a round
- * trip and the agent's own tick. */
-#define ADAPTER_LATE_MS 100
-/* Times that an adapter is asked for before the request is refused. */
-#define ADAPTER_ASKS 3
-/* An endpoint that takes no connection is tried again after so long, in ms: its
- * end is told within half a second. */
-#define CONNECT_AGAIN_MS 50
-/* A kept connection that rested for longer may be silent without anybody
- * knowing; a request that can't be repeated doesn't take the risk. */
-#define REST_ONCE_MS 2000
-#define REST_SAFE_MS 10000
-
-/* Bytes of a caller's word that stand in a log line. */
-#define RESUMES_LOGGED 64
-
-static const char *const states[] = { "quota",	 "waits", "looks",  "asks",
-				      "adapter", "sent",  "answers" };
+/* Share of its time that a request waits for a model whose load time isn't
+ * known; then it is refused with a retry time, while its caller still waits.
+ * Mostly an engine becomes free before: with half of this share, 1 request in
+ * 200 more was refused and returned to the end of the queue. */
+#define NO_ETA_WAIT_SHARE 0.8
+/* A caller that leaves a silent engine after this share of the shortest
+ * patience counts as a failure of the engine; one that leaves sooner may have
+ * its own reasons. Less than 1, as callers whose request was sent late leave
+ * earlier. */
+#define SILENT_WAIT_SHARE 0.75
+/* Bounds of the time after which a refused caller is to return, in ms: sooner
+ * it would be refused again, later it has no time left. Only return slots may
+ * be later. */
+#define RETRY_AFTER_MIN_MS 150
+#define RETRY_AFTER_MAX_MS 4000
+/* Callers refused at one time return spread over this, in ms: less than the
+ * shortest objective of both deployments. */
+#define RETRY_AFTER_SPREAD_MS 200
+/* Time until a full service has room again, in ms: about two calls of a plain
+ * service, or a tenth of a stream. */
+#define RETRY_AFTER_FULL_MS 400
+/* An agent reports itself that an adapter wasn't loaded in time. One that
+ * reports nothing for this long after that is disconnected or stalled. In ms: a
+ * round trip and the agent's tick. */
+#define ADAPTER_GRACE_MS 100
+/* Adapter loads requested before the request is refused. */
+#define ADAPTER_ATTEMPTS_MAX 3
+/* Delay before the next connection to an endpoint that accepted none, in ms: a
+ * crash is reported within half a second. */
+#define RECONNECT_DELAY_MS 50
+/* Longest idle time of a kept connection that is still used, in ms. A longer
+ * idle one may be broken without either side knowing, and a request that can't
+ * be repeated takes less of that risk. */
+#define IDLE_MAX_ONCE_MS 2000
+#define IDLE_MAX_REPEATABLE_MS 10000
+
+/* Bytes of a caller's header value in a log line. */
+#define RESUMES_LOG_MAX 64
+
+/* Names of enum forward_state, for log lines. */
+static const char *const state_names[] = { "quota",   "waits", "looks",	 "asks",
+					   "adapter", "sent",  "answers" };
 
 static void forward_free(struct forward *f)
 {
@@ -105,8 +111,8 @@
 	return f->customer ? f->customer->name : "";
 }
 
-/* Which of these it waits for. */
-static const char *held_for(const struct forward *f, enum balance_none none)
+/* What a request waits for that found no endpoint, for a log line. */
+static const char *wait_reason(const struct forward *f, enum balance_none none)
 {
 	switch (none) {
 	case BALANCE_NOBODY:
@@ -127,11 +133,12 @@
 {
 	struct ss_str s = f->call.resumes.n ? f->call.resumes : SS_LIT("-");
 
-	s.n = MIN(s.n, RESUMES_LOGGED);
+	s.n = MIN(s.n, RESUMES_LOG_MAX);
 	return s;
 }
 
-static void record(struct forward *f, const char *outcome)
+/* Logs and counts how a request ended. */
+static void record_end(struct forward *f, const char *outcome)
 {
 	struct gate *g = f->g;
 	int64_t ms = gate_now(g) - f->start_ms;
@@ -177,7 +184,7 @@
 
 	f->why = why;
 	(*(whole ? g->n_ok : g->n_cut))++;
-	record(f, whole ? "answered" : "cut");
+	record_end(f, whole ? "answered" : "cut");
 	if (f->lane)
 		lane_remove(f);
 	forward_leave(f);
@@ -187,7 +194,8 @@
 	g_free(service);
 }
 
-static GString *own_headers(const struct forward *f, int64_t retry_after_ms)
+/* Headers of an answer that this process makes itself. */
+static GString *refusal_headers(const struct forward *f, int64_t retry_after_ms)
 {
 	GString *s = g_string_new("Content-Type: application/json\r\n");
 
@@ -206,7 +214,7 @@
 	bool not_run = status == 503 || status == 429 || status == 404 ||
 		       status == 400;
 	char *service = g_strdup(f->service->name);
-	GString *headers = own_headers(f, retry_after_ms);
+	GString *headers = refusal_headers(f, retry_after_ms);
 	char *body = g_strdup_printf(
 		"{\"error\":{\"type\":\"%s\",\"message\":\"%s\","
 		"\"outcome\":\"%s\"}}",
@@ -218,7 +226,7 @@
 	f->status = status;
 	f->back_ms = MAX(retry_after_ms, 0);
 	(*(not_run ? g->n_refused : g->n_failed))++;
-	record(f, not_run ? "not_run" : "unknown");
+	record_end(f, not_run ? "not_run" : "unknown");
 	if (f->lane)
 		lane_remove(f);
 	forward_leave(f);
@@ -230,36 +238,39 @@
 	g_free(service);
 }
 
-/* So that those refused together don't return together. */
-static int64_t spread_ms(const struct forward *f)
+/* Random, so that callers refused at one time don't return at one time. */
+static int64_t jitter_ms(const struct forward *f)
 {
-	return (int64_t)(ss_random(&f->g->seed) % BACK_SPREAD_MS);
+	return (int64_t)(ss_random(&f->g->seed) % RETRY_AFTER_SPREAD_MS);
 }
 
-/* A true time to come back: when the model stands, or a place is free, and it
- * is its turn. Only turns are later than the most. */
-static int64_t come_back_ms(struct forward *f)
+/* When a caller refused for want of an endpoint is to return: once the model is
+ * loaded or an endpoint has room, and its return slot comes. */
+static int64_t model_retry_after_ms(struct forward *f)
 {
 	const struct lane *l = f->lane;
 	int64_t now = gate_now(f->g);
-	int64_t ms = BACK_FULL_MS, back;
+	int64_t ms = RETRY_AFTER_FULL_MS, slot_ms;
 
 	if (l && l->eta_ms != SS_NEVER)
-		ms = MAX(l->eta_ms - now, 0) + BACK_MIN_MS;
+		ms = MAX(l->eta_ms - now, 0) + RETRY_AFTER_MIN_MS;
 	else if (f->open_ms > now)
 		ms = MAX(f->open_ms - now, ms);
-	ms = MIN(ms, BACK_MAX_MS);
-	back = turns_model_ms(f, ms, BACK_SPREAD_MS);
-	return back < ms + BACK_SPREAD_MS ? MIN(back, BACK_MAX_MS) : back;
+	ms = MIN(ms, RETRY_AFTER_MAX_MS);
+	slot_ms = turns_model_ms(f, ms, RETRY_AFTER_SPREAD_MS);
+	return slot_ms < ms + RETRY_AFTER_SPREAD_MS ?
+		       MIN(slot_ms, RETRY_AFTER_MAX_MS) :
+		       slot_ms;
 }
 
-static bool repeatable(const struct forward *f)
+/* The request may run more than once. */
+static bool is_repeatable(const struct forward *f)
 {
 	return f->route->kind == ROUTE_SAFE ||
 	       (f->route->kind == ROUTE_STREAM && f->route->resumable);
 }
 
-static bool sends_left(const struct forward *f)
+static bool has_sends_left(const struct forward *f)
 {
 	return f->tried->len < (guint)f->route->attempts;
 }
@@ -285,7 +296,7 @@
 		 " not_run=%d why=\"%s\" ms=%" PRId64,
 		 f->id, f->ep_id, f->version, f->events.last_id, not_run, why,
 		 gate_now(g) - f->sent_ms);
-	if (!not_run && !(repeatable(f) && sends_left(f))) {
+	if (!not_run && !(is_repeatable(f) && has_sends_left(f))) {
 		if (f->started)
 			forward_end(f, false, why);
 		else
@@ -300,15 +311,13 @@
 			forward_refuse(f, 504, "deadline", why, 0);
 		else
 			forward_refuse(f, 503, "deadline", why,
-				       come_back_ms(f));
+				       model_retry_after_ms(f));
 		return;
 	}
 	forward_wait(f);
 	forward_try(f);
 }
 
-/* Sending. */
-
 static void send_to(struct forward *f, struct gate_ep *ep)
 {
 	struct gate *g = f->g;
@@ -326,7 +335,8 @@
 		.addr = ep->addr,
 		.bytes = g_string_sized_new(1024),
 		.no_body = http1_name_is(h->method, "HEAD"),
-		.rest_max_ms = repeatable(f) ? REST_SAFE_MS : REST_ONCE_MS,
+		.rest_max_ms = is_repeatable(f) ? IDLE_MAX_REPEATABLE_MS :
+						  IDLE_MAX_ONCE_MS,
 		.ops = &forward_upstream_ops,
 		.arg = f
 	};
@@ -356,8 +366,8 @@
 	f->up = upstream_send(g->upstream, &r);
 }
 
-/* Nothing reached the endpoint: it doesn't count as sent to. */
-static void unsend(struct forward *f)
+/* Nothing reached the endpoint, so that this wasn't a send. */
+static void uncount_send(struct forward *f)
 {
 	if (f->tried->len)
 		g_ptr_array_remove_index(f->tried, f->tried->len - 1);
@@ -368,16 +378,16 @@
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
-	unsend(f);
+	uncount_send(f);
 	forward_return_retry(f);
 	if (ep) {
 		gate_ep_note(f->g, ep, true);
-		ep->shut_until_ms = gate_now(f->g) + CONNECT_AGAIN_MS;
+		ep->shut_until_ms = gate_now(f->g) + RECONNECT_DELAY_MS;
 	}
 	forward_again(f, true, "no connection");
 }
 
-static void ask_adapter(struct forward *f, struct gate_ep *ep)
+static void request_adapter(struct forward *f, struct gate_ep *ep)
 {
 	struct gate *g = f->g;
 	struct msg_adapter m = { .sub = ++g->ticket,
@@ -397,7 +407,8 @@
 				SS_LIT("its agent can't be reached"));
 }
 
-static void take_place(struct forward *f, struct gate_ep *ep)
+/* Counts the request among the endpoint's calls. */
+static void reserve_slot(struct forward *f, struct gate_ep *ep)
 {
 	f->ep_addr = g_strdup(ep->addr);
 	f->ep_life = ep->life;
@@ -415,7 +426,7 @@
 	else
 		forward_refuse(f, 503, "draining",
 			       "this process ends before the answer would",
-			       BACK_MIN_MS + spread_ms(f));
+			       RETRY_AFTER_MIN_MS + jitter_ms(f));
 }
 
 bool forward_try(struct forward *f)
@@ -431,7 +442,7 @@
 		return true;
 	ep = gate_choose(f->g, f, &none);
 	if (!ep) {
-		f->held_for = held_for(f, none);
+		f->held_for = wait_reason(f, none);
 		return false;
 	}
 	if (times_stop_cuts(f, ep)) {
@@ -439,7 +450,7 @@
 		forward_refuse_for_stop(f);
 		return true;
 	}
-	/* Only a first send is free; every other one is a retry. */
+	/* Every send after the first is a retry. */
 	if (f->sends > 0 && !forward_take_retry(f)) {
 		gate_limit_unused(f, ep);
 		if (f->started)
@@ -450,19 +461,20 @@
 		else
 			forward_refuse(f, 503, "overload",
 				       "the retry budget is used up",
-				       come_back_ms(f));
+				       model_retry_after_ms(f));
 		return true;
 	}
-	take_place(f, ep);
+	reserve_slot(f, ep);
 	if (!gate_ep_has_adapter(ep, f->model, f->adapter) && *f->adapter)
-		ask_adapter(f, ep);
+		request_adapter(f, ep);
 	else
 		send_to(f, ep);
 	return true;
 }
 
-/* Much may have changed while the adapter was loaded. */
-static void send_with_adapter(struct forward *f, struct gate_ep *ep)
+/* Sends to an endpoint that has loaded the adapter, unless it no longer accepts
+ * requests or the request no longer may be sent. */
+static void send_after_load(struct forward *f, struct gate_ep *ep)
 {
 	if (times_stop_cuts(f, ep)) {
 		forward_refuse_for_stop(f);
@@ -486,7 +498,7 @@
 	f->state = FORWARD_WAITS;
 	if (code == 0 && ep) {
 		gate_ep_add_adapter(ep, f->model, f->adapter);
-		send_with_adapter(f, ep);
+		send_after_load(f, ep);
 		return;
 	}
 	log_info("adapter_failed",
@@ -497,29 +509,30 @@
 	if (ep && code == SS_ERROR_UNKNOWN_MODEL)
 		gate_ep_lacks(ep, f->model, "");
 	forward_leave(f);
-	if (f->asks >= ADAPTER_ASKS ||
+	if (f->asks >= ADAPTER_ATTEMPTS_MAX ||
 	    f->deadline_ms - now < times_first_ms(f)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
 			       "its adapter can't be loaded",
-			       f->unknown ? 0 : come_back_ms(f));
+			       f->unknown ? 0 : model_retry_after_ms(f));
 		return;
 	}
 	forward_wait(f);
-	/* Not from here: the agent just failed, the next pump tries again. */
+	/* The next dispatch tries again: the agent has only just failed. */
 }
 
 /*
- * An engine whose VM stands still refuses nothing: its callers just leave, its
- * last report grows old, and without calls it passes for the emptiest. On a day
- * with engines that stood still for 3 s, 44 streams were sent to one within 2 s
- * and nobody was served.
+ * The caller leaves a stream that waited long for an answer. An engine whose VM
+ * is stalled refuses nothing: its callers leave, its last report becomes old,
+ * and without calls it looks like the least loaded one. If such callers weren't
+ * counted as failures, it would get all new streams: an engine that stalled for
+ * 3 s was sent 44 within 2 s, and served none.
  */
-static bool left_in_silence(const struct forward *f)
+static bool left_silent_engine(const struct forward *f)
 {
-	double silent = (double)(gate_now(f->g) - f->sent_ms);
+	double silent_ms = (double)(gate_now(f->g) - f->sent_ms);
 
 	return f->state == FORWARD_SENT && f->route->kind == ROUTE_STREAM &&
-	       silent > (double)f->g->o.patience.ms * SILENT_SHARE;
+	       silent_ms > (double)f->g->o.patience.ms * SILENT_WAIT_SHARE;
 }
 
 void forward_gone(struct forward *f)
@@ -528,11 +541,11 @@
 	char *service = g_strdup(f->service->name);
 	struct gate_ep *ep = gate_ep_of(f);
 
-	if (ep && left_in_silence(f))
+	if (ep && left_silent_engine(f))
 		gate_ep_note(g, ep, true);
 	(*g->n_gone)++;
-	f->why = states[f->state];
-	record(f, "caller_left");
+	f->why = state_names[f->state];
+	record_end(f, "caller_left");
 	if (f->lane)
 		lane_remove(f);
 	forward_leave(f);
@@ -541,28 +554,27 @@
 	g_free(service);
 }
 
-/* Time. */
-
-/* True where it is known that it can't be begun in time. */
-static bool is_hopeless(const struct forward *f, int64_t now)
+/* True for a waiting request that can't be started in time. */
+static bool is_too_late(const struct forward *f, int64_t now)
 {
 	const struct lane *l = f->lane;
-	int64_t whole = f->begin_by_ms - f->start_ms;
+	int64_t wait_max_ms = f->begin_by_ms - f->start_ms;
 	int64_t first = times_first_ms(f);
 
 	if (now + first > f->begin_by_ms)
 		return true;
-	/* A model may come to another engine before one admits it. */
+	/* open_ms is no bound where another engine may load the model. */
 	if (!*f->model)
 		return f->open_ms + first > f->begin_by_ms;
 	if (l->eta_ms != SS_NEVER)
 		return MAX(l->eta_ms, now) + first > f->begin_by_ms;
-	return (double)(now - f->start_ms) > (double)whole * NO_ETA_SHARE;
+	return (double)(now - f->start_ms) >
+	       (double)wait_max_ms * NO_ETA_WAIT_SHARE;
 }
 
 int64_t forward_latest_ms(const struct forward *f)
 {
-	double whole = (double)(f->begin_by_ms - f->start_ms);
+	double wait_max_ms = (double)(f->begin_by_ms - f->start_ms);
 	int64_t first = times_first_ms(f);
 
 	if (f->started)
@@ -570,10 +582,10 @@
 	if (!*f->model || f->lane->eta_ms != SS_NEVER)
 		return f->begin_by_ms - first;
 	return MIN(f->begin_by_ms - first,
-		   f->start_ms + (int64_t)(whole * NO_ETA_SHARE));
+		   f->start_ms + (int64_t)(wait_max_ms * NO_ETA_WAIT_SHARE));
 }
 
-static void tick_waits(struct forward *f, int64_t now)
+static void tick_waiting(struct forward *f, int64_t now)
 {
 	if (f->started) {
 		if (go_on_hopeless(f))
@@ -585,11 +597,11 @@
 	} else if (go_on_hopeless(f)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
 			       "its version is gone",
-			       f->unknown ? 0 : come_back_ms(f));
-	} else if (is_hopeless(f, now)) {
+			       f->unknown ? 0 : model_retry_after_ms(f));
+	} else if (is_too_late(f, now)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
 			       "it can't be begun in time",
-			       f->unknown ? 0 : come_back_ms(f));
+			       f->unknown ? 0 : model_retry_after_ms(f));
 	} else if (gate_start_wait_over(f, now)) {
 		forward_try(f);
 	}
@@ -602,7 +614,7 @@
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		forward_refuse(f, 503, "unavailable",
 			       "its customer's allotment came too late",
-			       BACK_MIN_MS + spread_ms(f));
+			       RETRY_AFTER_MIN_MS + jitter_ms(f));
 }
 
 static void tick_adapter(struct forward *f, int64_t now)
@@ -612,18 +624,19 @@
 	else if (now >= f->deadline_ms)
 		forward_refuse(f, f->unknown ? 504 : 503, "deadline",
 			       "its adapter came too late",
-			       f->unknown ? 0 : come_back_ms(f));
-	else if (now - f->sent_ms > f->g->o.adapter_wait_ms + ADAPTER_LATE_MS)
+			       f->unknown ? 0 : model_retry_after_ms(f));
+	else if (now - f->sent_ms > f->g->o.adapter_wait_ms + ADAPTER_GRACE_MS)
 		forward_adapter(f, SS_ERROR_UNAVAILABLE,
 				SS_LIT("its agent says nothing"));
 }
 
-/* What its caller is slow to read may still lie in the connection, and who
- * can't be sent again has nothing to gain by giving up early. */
+/* True for a send whose endpoint has restarted and which is to be given up. Not
+ * while its caller reads slowly, as the rest of the answer may still be in the
+ * connection, nor where it can't be sent again, as nothing is gained then. */
 static bool is_lost(const struct forward *f, int64_t now)
 {
-	return f->lost_ms && now >= f->lost_ms && !f->paused && repeatable(f) &&
-	       sends_left(f);
+	return f->lost_ms && now >= f->lost_ms && !f->paused &&
+	       is_repeatable(f) && has_sends_left(f);
 }
 
 void forward_tick(struct forward *f, int64_t now)
@@ -631,7 +644,7 @@
 	if (f->state == FORWARD_QUOTA) {
 		tick_quota(f, now);
 	} else if (f->state == FORWARD_WAITS) {
-		tick_waits(f, now);
+		tick_waiting(f, now);
 	} else if (f->state == FORWARD_LOOKS) {
 		go_on_tick(f, now);
 	} else if (f->state == FORWARD_ASKS) {
@@ -657,7 +670,7 @@
 		forward_end(f, false, "this process ends");
 	else if (f->state <= FORWARD_ADAPTER && !f->unknown)
 		forward_refuse(f, 503, "draining", "this process ends",
-			       BACK_MIN_MS);
+			       RETRY_AFTER_MIN_MS);
 	else
 		forward_refuse(f, 502, "lost", "this process ends", 0);
 }
