--- a/test/test_gate_ends.c
+++ b/test/test_gate_ends.c
@@ -1,8 +1,10 @@
-/* A gate: who leaves, who waits, and how it stops. */
+/* Tests how requests end at a gate: callers that leave, waits, timeouts and
+ * draining. */
 #include "gate_fix.h"
 
-/* A caller who leaves: the endpoint sees it, and can stop the work. */
-static void leaving_caller_cancels(void **state)
+/* When a caller leaves, the endpoint's connection is closed, so that it can
+ * stop the work. */
+static void caller_that_leaves_cancels_its_request(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -16,18 +18,17 @@
 	leave(c);
 	UNTIL(&f, f.eps[0].closed == 1);
 	assert_int_equal(gate_busy(f.gate), 0);
-	/* Bytes that a link still holds up don't follow later. */
+	/* A reset: bytes delayed on the network aren't delivered later. */
 	assert_int_equal(f.eps[0].reset, 1);
 	fix_close(&f);
 }
 
 /*
- * Symptom: requests reach an endpoint seconds after their callers left.
- * Sequence: a link holds up a request; its caller leaves; the connection is
- * closed; the link works again. Cause: a close in good order lets what was
- * written before it be delivered.
+ * Failure: a request reaches an endpoint seconds after its caller left. The
+ * network delays it, its caller leaves and the connection is closed; an orderly
+ * close still lets what was written be delivered.
  */
-static void request_that_is_held_up_is_called_back(void **state)
+static void delayed_request_of_left_caller_is_reset(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -44,42 +45,41 @@
 }
 
 /*
- * Symptom: new streams go to an engine that stands still, and their callers
- * leave too, though another engine has the model. Sequence: an engine falls
- * mute with streams on it; their callers leave after their patience; its last
- * report grows old; the entry counts no call on it. Cause: a caller who leaves
- * an engine that said nothing for so long doesn't count against it, so the mute
- * engine passes for the least loaded.
+ * Failure: new streams go to a stalled engine, and their callers leave too,
+ * though another engine has the model. The callers of its streams leave, its
+ * last report becomes old and the entry counts no calls on it, so it looks like
+ * the least loaded one unless callers that leave a silent engine count as its
+ * failures.
  */
-static void mute_engine_gets_no_new_streams(void **state)
+static void silent_engine_gets_no_new_streams(void **state)
 {
-	enum { MUTE_CALLS = 5, NEW_CALLS = 6 };
-	struct caller *c[MUTE_CALLS];
+	enum { SILENT_CALLS = 5, NEW_CALLS = 6 };
+	struct caller *c[SILENT_CALLS];
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
 	script(&f, 0, NULL, false, false);
 	script(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
-	for (int i = 0; i < MUTE_CALLS; i++) {
+	for (int i = 0; i < SILENT_CALLS; i++) {
 		c[i] = call(&f, POST_CHAT);
 		UNTIL(&f, f.eps[0].requests == i + 1);
 	}
 	f.clock.fake_ms += 2500;
-	for (int i = 0; i < MUTE_CALLS; i++) {
+	for (int i = 0; i < SILENT_CALLS; i++) {
 		leave(c[i]);
 		UNTIL(&f, f.eps[0].closed == i + 1);
 	}
 	for (int i = 0; i < NEW_CALLS; i++) {
 		call(&f, POST_CHAT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests ==
-				  MUTE_CALLS + i + 1);
+				  SILENT_CALLS + i + 1);
 	}
 	assert_int_equal(f.eps[1].requests, NEW_CALLS);
 	fix_close(&f);
 }
 
-/* A connection at rest owes nothing: it ends in good order. */
+/* An idle connection has no pending data and gets an orderly close. */
 static void idle_connection_is_closed_not_reset(void **state)
 {
 	struct caller *c;
@@ -116,11 +116,10 @@
 }
 
 /*
- * Symptom: a caller waits for nothing. Sequence: the model's load ends
- * after the caller's deadline, and the leader has said so. Cause: a
- * request that is held although it can't be served in time.
+ * Failure: a caller waits in vain. The leader has reported that the model's
+ * load ends after the caller's deadline, but the request is held.
  */
-static void hopeless_request_is_refused_at_once(void **state)
+static void request_without_enough_time_is_refused_at_once(void **state)
 {
 	struct fleet_eta eta = { .service = SS_LIT("lm"),
 				 .model = SS_LIT("m"),
@@ -145,12 +144,12 @@
 }
 
 /*
- * Symptom: callers leave a stream that hasn't begun, and nobody told them
- * when to come back. Sequence: the model is two seconds and more away; the
- * caller's deadline is far, but it gives a silent stream up before. Cause:
- * the deadline taken for the time that the caller waits.
+ * Failure: callers leave a stream that hasn't started and get no Retry-After.
+ * The model's load takes over two seconds; the caller's deadline is later, but
+ * it gives up a silent stream before. The deadline was taken for the time that
+ * the caller waits.
  */
-static void silent_wait_ends_before_the_caller_leaves(void **state)
+static void wait_ends_before_the_caller_leaves(void **state)
 {
 	struct fleet_eta eta = { .service = SS_LIT("lm"),
 				 .model = SS_LIT("m"),
@@ -171,13 +170,13 @@
 }
 
 /*
- * Symptom: night work is refused, comes back to the end of the queue and is
- * refused again. Sequence: no engine can take its model yet, so no time is
- * told; the request is sent away after less than half of the time that its
- * caller has, a moment before the model is loaded. Cause: too little patience:
- * those who wait are what a model is loaded for.
+ * Failure: batch work is refused, returns to the end of the queue and is
+ * refused again. No engine can load its model yet, so no load time is known;
+ * the request is refused in less than half of its caller's time, just before
+ * the model is loaded. The wait was too short: models are loaded for the
+ * requests that wait.
  */
-static void request_without_a_time_told_is_held(void **state)
+static void request_without_known_load_time_is_held(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -188,7 +187,7 @@
 	UNTIL(&f, gate_busy(f.gate) > 0);
 	/* Callers of this stream leave after 2 s. */
 	f.clock.fake_ms += 1500;
-	/* A refusal takes a tick, a write and a read to arrive. */
+	/* A refusal needs a tick, a write and a read to arrive. */
 	for (int i = 0; i < 10; i++)
 		turn(&f);
 	assert_int_equal(c->got->len, 0);
@@ -199,12 +198,12 @@
 }
 
 /*
- * Symptom: callers wait for a model, are sent to it, and leave before its first
- * event. Sequence: the model stands 1.5 s from now; its engine takes a second
- * to the first event; callers leave after 2 s. Cause: a fixed 60 ms taken for
- * the time to the first event, so that nobody was told at once to come back.
+ * Failure: callers wait for a model, are sent to it and leave before its first
+ * event. The model is loaded in 1.5 s, its engine takes 1 s to the first event
+ * and callers leave after 2 s. A fixed 60 ms was taken for the time to the
+ * first event, so the requests weren't refused at once.
  */
-static void slow_first_event_makes_a_wait_hopeless(void **state)
+static void slow_first_event_shortens_the_wait(void **state)
 {
 	struct fleet_eta eta = { .service = SS_LIT("lm"),
 				 .model = SS_LIT("m"),
@@ -229,7 +228,7 @@
 	fix_close(&f);
 }
 
-static void time_is_up_at_the_routes_timeout(void **state)
+static void request_times_out_at_the_routes_timeout(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -248,12 +247,12 @@
 }
 
 /*
- * Symptom: a request is taken long after a planned stop began, and cut by
- * its end. Sequence: the answer began before the stop, so it couldn't say
- * that the connection closes; the caller sends the next request on it.
- * Cause: a connection that is kept after the stop has begun.
+ * Failure: a draining process accepts a request late and stops before the
+ * answer is complete. The previous answer started before draining, so it
+ * couldn't announce that the connection closes, and the caller sent its next
+ * request on the connection, which was kept open.
  */
-static void stop_ends_connections_after_their_answer(void **state)
+static void draining_closes_connections_after_their_answer(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -270,9 +269,9 @@
 	fix_close(&f);
 }
 
-/* Guards against a refusal without a time to return: the endpoint turned it
- * away when too little time was left for another. */
-static void refusal_for_want_of_time_says_when_to_return(void **state)
+/* Failure: a refusal without Retry-After. The endpoint rejected the request
+ * when too little time was left for another endpoint. */
+static void refusal_for_lack_of_time_has_retry_after(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -295,9 +294,9 @@
 	fix_close(&f);
 }
 
-/* Nobody led for as long as it takes to find out (test_gate_early has the time
- * before). */
-static void nothing_is_known_yet(void **state)
+/* A gate without routing refuses once the startup hold is over;
+ * test_gate_early tests the hold. */
+static void gate_without_routing_refuses(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -314,19 +313,21 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(leaving_caller_cancels),
-		cmocka_unit_test(request_that_is_held_up_is_called_back),
-		cmocka_unit_test(mute_engine_gets_no_new_streams),
+		cmocka_unit_test(caller_that_leaves_cancels_its_request),
+		cmocka_unit_test(delayed_request_of_left_caller_is_reset),
+		cmocka_unit_test(silent_engine_gets_no_new_streams),
 		cmocka_unit_test(idle_connection_is_closed_not_reset),
 		cmocka_unit_test(request_waits_for_its_model),
-		cmocka_unit_test(hopeless_request_is_refused_at_once),
-		cmocka_unit_test(silent_wait_ends_before_the_caller_leaves),
-		cmocka_unit_test(request_without_a_time_told_is_held),
-		cmocka_unit_test(slow_first_event_makes_a_wait_hopeless),
-		cmocka_unit_test(time_is_up_at_the_routes_timeout),
-		cmocka_unit_test(stop_ends_connections_after_their_answer),
-		cmocka_unit_test(refusal_for_want_of_time_says_when_to_return),
-		cmocka_unit_test(nothing_is_known_yet),
+		cmocka_unit_test(
+			request_without_enough_time_is_refused_at_once),
+		cmocka_unit_test(wait_ends_before_the_caller_leaves),
+		cmocka_unit_test(request_without_known_load_time_is_held),
+		cmocka_unit_test(slow_first_event_shortens_the_wait),
+		cmocka_unit_test(request_times_out_at_the_routes_timeout),
+		cmocka_unit_test(
+			draining_closes_connections_after_their_answer),
+		cmocka_unit_test(refusal_for_lack_of_time_has_retry_after),
+		cmocka_unit_test(gate_without_routing_refuses),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
