--- a/test/test_gate_stop.c
+++ b/test/test_gate_stop.c
@@ -1,14 +1,14 @@
-/* A gate in a planned stop: what it still begins, and what it refuses. */
+/* Tests which requests a draining gate still starts and which it refuses. */
 #include "gate_fix.h"
 
 /* Time between two events of a fast engine, and of one five times slower. */
 #define FAST_MS 48
 #define SLOW_MS 240
 #define REFUSED "this process ends before the answer would"
-/* Whole streams after which the length of the next can be foretold. */
-#define KNOWN 20
+/* Complete streams after which the length of the next can be predicted. */
+#define ENOUGH_STREAMS 20
 
-static void carry_plain(struct fix *f, int64_t ms)
+static void serve_plain(struct fix *f, int64_t ms)
 {
 	int before = f->eps[0].requests;
 	struct caller *c = ask(f, "", GET_SAFE);
@@ -19,48 +19,47 @@
 	UNTIL(f, ends(c, "hello"));
 }
 
-/* So many streams that the time between events is known well. */
-static void know_fast_engine(struct fix *f)
+/* Completes enough streams for the time between events to be known. */
+static void measure_fast_engine(struct fix *f)
 {
 	script(f, 0, EVENTS, false, false);
-	for (int i = 0; i < KNOWN; i++)
+	for (int i = 0; i < ENOUGH_STREAMS; i++)
 		carry_stream(f, FAST_MS, FAST_MS);
 }
 
 /*
- * Symptom: a long stream is cut by a planned stop. Sequence: it comes in
- * the second after SIGTERM, while callers still come, and needs more time
- * than the stop has. Cause: it is begun although its end is known.
+ * Failure: the end of the process cuts a long stream. It arrives in the second
+ * after SIGTERM, while callers are still accepted, and is started although it
+ * is known to need more time than is left.
  */
-static void long_stream_isnt_begun_in_a_stop(void **state)
+static void long_stream_isnt_started_while_draining(void **state)
 {
 	struct caller *brief, *lengthy;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
 	lengthy = ask(&f, "m", STREAM("/chat/x", "950"));
 	UNTIL(&f, got(lengthy, "HTTP/1.1 503 "));
 	assert_true(got(lengthy, "Retry-After: "));
-	assert_int_equal(f.eps[0].requests, KNOWN);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	brief = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 1);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	say_events(&f, brief, 1, EVENTS_FOR(100), FAST_MS);
 	say_end(&f, brief);
 	fix_close(&f);
 }
 
 /*
- * Symptom: a stream is cut in its middle by the end of a planned stop.
- * Sequence: it comes soon after SIGTERM and would fit then; its model is
- * loaded seconds later; it is begun with a second left. Cause: the time that
- * is left was looked at when it came, and only for streams that can't be
- * resumed. A caller who is refused goes on elsewhere at once, one who is cut
- * first has to notice.
+ * Failure: the end of the process cuts a stream. It arrives soon after SIGTERM,
+ * when it would still fit; its model is loaded seconds later, and it is started
+ * with one second left. The time left was checked only on arrival, and only for
+ * streams that can't be resumed. A caller that is refused continues elsewhere
+ * at once; one whose stream is cut first has to notice.
  */
-static void waiting_stream_isnt_begun_late_in_a_stop(void **state)
+static void waiting_stream_isnt_started_late_while_draining(void **state)
 {
 	static const char *const requests[] = {
 		STREAM("/chat/x", "300"),
@@ -75,7 +74,7 @@
 
 		fix_open(&f, "lm", "m");
 		waiting = metrics_value(f.metrics, "ss_gate_waiting", "");
-		know_fast_engine(&f);
+		measure_fast_engine(&f);
 		gate_drain(f.gate, f.clock.fake_ms + 4000);
 		tell_fleet(&f, "lm", "");
 		c = call(&f, requests[i]);
@@ -87,14 +86,14 @@
 		tell_fleet(&f, "lm", "m");
 		UNTIL(&f, got(c, "HTTP/1.1 503 "));
 		assert_true(got(c, "not_run"));
-		assert_int_equal(f.eps[0].requests, KNOWN);
+		assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 		fix_close(&f);
 	}
 }
 
-/* Nothing was carried yet: only what ends by its caller's own deadline is
- * begun. */
-static void unknown_engine_begins_nothing_long_in_a_stop(void **state)
+/* Without any measurement, only requests whose caller's deadline is before the
+ * end of the process are started. */
+static void unmeasured_engine_starts_nothing_long_while_draining(void **state)
 {
 	struct caller *open, *bounded;
 	struct fix f;
@@ -116,15 +115,13 @@
 }
 
 /*
- * Symptom: a stream is cut in its middle by the end of a planned stop, its
- * caller has neither an answer nor a refusal. Sequence: it comes while callers
- * are still taken, an engine is free, and the answer takes longer than the stop
- * lasts. Cause: the time it would take was worked out from a fixed time for a
- * token; this engine needs five times as long. Plain answers weren't asked
- * after at all. Evidence: such a request is sent with 3 s left, though the
- * answer before it took 4 s.
+ * Failure: the end of the process cuts a stream, and its caller gets neither an
+ * answer nor a refusal. It is sent with 3 s left, though the previous answer
+ * took 4 s: the duration was computed from a fixed time per token, and this
+ * engine needs five times as long. The duration of plain answers wasn't checked
+ * at all.
  */
-static void slow_answer_isnt_begun_in_a_stop(void **state)
+static void slow_stream_isnt_started_while_draining(void **state)
 {
 	static const char *const requests[] = { STREAM("/chat/x", "100"),
 						STREAM("/night/x", "100") };
@@ -147,8 +144,8 @@
 	}
 }
 
-/* The same of plain answers, whose caller would wait for longer. */
-static void slow_plain_answer_isnt_begun_in_a_stop(void **state)
+/* The same for plain answers, whose callers would wait longer. */
+static void slow_plain_answer_isnt_started_while_draining(void **state)
 {
 	static const char *const requests[] = { GET_SAFE, POST_ONCE };
 
@@ -173,8 +170,9 @@
 	}
 }
 
-/* The other side: what the engine's own speed lets end in time is begun. */
-static void brief_stream_is_begun_in_a_stop(void **state)
+/* The converse: a stream that ends in time at the engine's measured speed is
+ * started. */
+static void short_stream_is_started_while_draining(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -182,51 +180,50 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	script(&f, 0, EVENTS, false, false);
-	for (int i = 0; i < KNOWN; i++)
+	for (int i = 0; i < ENOUGH_STREAMS; i++)
 		carry_stream(&f, SLOW_MS, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
 	c = ask(&f, "m", STREAM("/chat/x", "12"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 1);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	say_events(&f, c, 1, EVENTS_FOR(12), SLOW_MS);
 	say_end(&f, c);
 	fix_close(&f);
 }
 
 /*
- * Symptom: as above, on an engine whose earlier answers were fast. Sequence:
- * an engine is slow from one moment on (many requests at once, a VM that is
- * starved); nothing has ended there since; the stop begins. Cause: only a
- * stream that has ended would say how fast the engine is. Evidence: the events
- * of a stream under way come at a fifth of the speed when the next is begun.
+ * Failure: a stream is cut on an engine whose earlier answers were fast. The
+ * engine becomes slow (many concurrent requests, a VM short of CPU), and no
+ * stream has completed there since. Only completed streams updated its speed,
+ * so the next stream is started while events of a running one come at a fifth
+ * of it.
  */
-static void engine_that_slows_midway_is_noticed_in_a_stop(void **state)
+static void slowdown_of_running_streams_counts(void **state)
 {
 	struct caller *slow, *c;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	slow = ask(&f, "m", STREAM("/chat/x", "300"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 1);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	say_events(&f, slow, 1, 8, FAST_MS);
 	say_events(&f, slow, 9, 24, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
 	c = ask(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, got(c, REFUSED));
 	assert_true(got(c, "not_run"));
-	assert_int_equal(f.eps[0].requests, KNOWN + 1);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
 	fix_close(&f);
 }
 
 /*
- * Symptom: as above, of a request for an adapter. Sequence: it fits into the
- * stop when it comes; its adapter takes 0.9 s to load; it is sent with less
- * left than it takes. Cause: what was asked when it came isn't asked again
- * where the adapter is there. Evidence: it is sent with 0.6 s left, though
- * streams of its length take 0.8 s.
+ * Failure: a stream is cut that waited for its adapter. It has enough time on
+ * arrival; the adapter takes 0.9 s to load; it is sent with 0.6 s left, though
+ * streams of its length take 0.8 s. The time left wasn't checked again after
+ * the load.
  */
-static void late_adapter_begins_no_stream_in_a_stop(void **state)
+static void late_adapter_starts_no_stream_while_draining(void **state)
 {
 	struct msg_adapter_done done = { 0 };
 	struct caller *c;
@@ -234,7 +231,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	f.agents = true;
 	gate_drain(f.gate, f.clock.fake_ms + 1500);
 	c = ask(&f, "m",
@@ -247,17 +244,16 @@
 	gate_adapter_done(f.gate, &done);
 	UNTIL(&f, got(c, REFUSED));
 	assert_true(got(c, "not_run"));
-	assert_int_equal(f.eps[0].requests, KNOWN);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	fix_close(&f);
 }
 
 /*
- * Symptom: as above, on a large model that this entry hasn't carried yet.
- * Sequence: the service's other models are fast, its large ones slow; a stream
- * of a model without figures of its own comes. Cause: the service's mean taken
- * for it, which is that of the most called models.
+ * Failure: a stream of a large model is cut that this entry hasn't served yet.
+ * The model has no measurements of its own, so the service's mean was taken,
+ * which is that of its most requested models; the large ones are slower.
  */
-static void model_without_figures_is_taken_for_a_slow_one(void **state)
+static void unmeasured_model_is_taken_for_a_slow_one(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -278,11 +274,11 @@
 }
 
 /*
- * Symptom: as above, at a slow endpoint among fast ones. Sequence: one endpoint
- * of a service needs five times as long as the other; the fast one is full when
- * the stop begins. Cause: one figure for all endpoints of a service.
+ * Failure: a stream is cut at a slow endpoint among fast ones. One endpoint
+ * needs five times as long as the other, and the fast one is full when draining
+ * starts. All endpoints of the service shared one measurement.
  */
-static void slow_endpoint_has_its_own_figure(void **state)
+static void slow_endpoint_is_measured_separately(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -311,13 +307,12 @@
 }
 
 /*
- * Symptom: as above, where only streams that ended early have ended.
- * Sequence: the process is a second old; three streams have used a fifth of the
- * tokens that they were allowed, a fourth goes on; a long one comes. Cause:
- * those that end first are the short ones, so they say too little of the
- * others.
+ * Failure: a long stream is cut because only short ones have completed. The
+ * process is one second old; three streams have ended after a fifth of their
+ * allowed tokens and a fourth is running. Short streams complete first, so
+ * completed ones alone give too short a length.
  */
-static void streams_under_way_tell_their_length_too(void **state)
+static void running_streams_count_for_the_length(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -342,13 +337,13 @@
 }
 
 /*
- * Symptom: a stream is cut in its middle by the end of a planned stop.
- * Sequence: the process is some seconds old and no stream has ended yet; one
- * under way has brought 20 events of the 300 that its tokens make; another
- * comes with 2 s left and needs five. Cause: the events that had come passed
- * for all that come of so many tokens, a fifteenth of what did.
+ * Failure: a stream is cut because a running one was taken for a complete one.
+ * The process is some seconds old and no stream has completed; the running one
+ * has sent 20 of the 300 events that its tokens make. These 20, a fifteenth,
+ * were taken for all events of that many tokens, so a stream that needs 5 s is
+ * started with 2 s left.
  */
-static void stream_under_way_isnt_taken_for_a_whole_one(void **state)
+static void running_stream_isnt_taken_for_a_complete_one(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -367,13 +362,13 @@
 }
 
 /*
- * Symptom: as above. Sequence: the process is some seconds old; a caller leaves
- * 20 ms after the first event of a stream, or before it; another stream comes
- * with 2 s left and needs five. Cause: what an answer had taken until its
- * caller left, a lower bound, was the first that the process learned of the
- * service, and passed for the time that answers take.
+ * Failure: a stream that needs 5 s is started with 2 s left and cut. The
+ * process is some seconds old, and a caller has left 20 ms after the first
+ * event of a stream, or before it. The time until it left, a lower bound, was
+ * the first measurement of the service and was taken for the duration of its
+ * answers.
  */
-static void caller_who_leaves_teaches_no_times(void **state)
+static void caller_that_leaves_gives_no_measurement(void **state)
 {
 	(void)state;
 	for (int events = 0; events < 2; events++) {
@@ -397,36 +392,36 @@
 }
 
 /*
- * Symptom: as above, on an engine that says nothing any more. Sequence: it was
- * fast; a stream under way has had no event for 1.9 s; another is begun with 2
- * s left. Cause: only events and ends were looked at, and silence is neither.
+ * Failure: a stream is cut on an engine that has stalled. The engine was fast;
+ * a running stream has had no event for 1.9 s; another is started with 2 s
+ * left. Only events and completed streams were measured, not silence.
  */
-static void silence_counts_in_a_stop(void **state)
+static void silence_counts_while_draining(void **state)
 {
 	struct caller *silent, *c;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	silent = ask(&f, "m", STREAM("/chat/x", "300"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 1);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	say_events(&f, silent, 1, 8, FAST_MS);
 	f.clock.fake_ms += 1900;
 	gate_drain(f.gate, f.clock.fake_ms + 2000);
 	turn(&f);
 	c = ask(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, got(c, REFUSED));
-	assert_int_equal(f.eps[0].requests, KNOWN + 1);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
 	fix_close(&f);
 }
 
 /*
- * Symptom: a booking that may run once is lost in a planned stop. Sequence: its
- * route takes 1.5 s, another route of the same service 20 ms and is called ten
- * times as often; it is begun with 0.6 s left. Cause: one figure for both.
+ * Failure: a draining process loses a request that may run only once. Its route
+ * takes 1.5 s; another route of the service takes 20 ms and has ten times the
+ * requests. Both shared one measurement, so it is started with 0.6 s left.
  */
-static void slow_route_has_its_own_figure(void **state)
+static void slow_route_is_measured_separately(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -441,7 +436,7 @@
 		UNTIL(&f, ends(c, "hello"));
 	}
 	for (int i = 0; i < 40; i++)
-		carry_plain(&f, 20);
+		serve_plain(&f, 20);
 	gate_drain(f.gate, f.clock.fake_ms + 600);
 	c = ask(&f, "", POST_ONCE);
 	UNTIL(&f, got(c, REFUSED));
@@ -449,9 +444,9 @@
 	fix_close(&f);
 }
 
-/* Guards against a stream that is begun and cut because the few that have ended
- * were shorter. */
-static void few_short_streams_say_nothing_of_the_next(void **state)
+/* Failure: a stream is started and cut because the few that have completed were
+ * shorter. */
+static void few_short_streams_dont_predict_the_next(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -459,44 +454,45 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	script(&f, 0, EVENTS, false, false);
-	for (int i = 0; i < KNOWN - 1; i++) {
+	for (int i = 0; i < ENOUGH_STREAMS - 1; i++) {
 		c = ask(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == i + 1);
 		say_events(&f, c, 1, 10, FAST_MS);
 		say_end(&f, c);
 	}
-	/* Enough for three times as many events, and not for all of them. */
+	/* Enough for three times as many events, but not for all of them. */
 	gate_drain(f.gate, f.clock.fake_ms + 30 * FAST_MS);
 	c = ask(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, got(c, REFUSED));
-	assert_int_equal(f.eps[0].requests, KNOWN - 1);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS - 1);
 	fix_close(&f);
 }
 
-/* One odd answer, two events for one token, doesn't make all others long. */
-static void odd_stream_refuses_no_others(void **state)
+/* One unusual answer, two events for one token, doesn't lengthen the prediction
+ * for all others. */
+static void unusual_stream_refuses_no_others(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	c = ask(&f, "m", STREAM("/chat/x", "1"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 1);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	say_events(&f, c, 1, 2, FAST_MS);
 	say_end(&f, c);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
 	c = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, f.eps[0].requests == KNOWN + 2);
+	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 2);
 	say_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
 	say_end(&f, c);
 	fix_close(&f);
 }
 
-/* A process that has carried part of one stream still serves what is brief: an
- * event holds a token at least. */
-static void brief_stream_is_begun_where_none_has_ended(void **state)
+/* A process that has seen only a part of one stream still starts short streams:
+ * an event holds at least one token. */
+static void short_stream_is_started_where_none_has_completed(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -520,9 +516,9 @@
 	"X-Model: m/a1\r\nX-Token-Usage: 9,100\r\nContent-Length: 0\r\n\r\n"
 
 /*
- * Symptom: a request for an adapter is held to the end of a planned stop and
- * then refused. Sequence: its agent never answers. Cause: nobody asked again
- * while it waited.
+ * Failure: a request whose agent never answers waits for its adapter until the
+ * process ends and is refused only then, too late to be served elsewhere. The
+ * time left wasn't checked again while it waited.
  */
 static void adapter_wait_ends_while_others_can_serve(void **state)
 {
@@ -532,7 +528,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	f.agents = true;
 	end = f.clock.fake_ms + 1500;
 	gate_drain(f.gate, end);
@@ -549,12 +545,11 @@
 }
 
 /*
- * Symptom: a leaving endpoint gets new work. Sequence: it loads an adapter for
- * a request; meanwhile it is told to be leaving; the adapter is there and the
- * request goes to it. Cause: the endpoint was looked at only when it was
- * chosen.
+ * Failure: a draining endpoint gets new work. It is reported as draining while
+ * it loads an adapter for a request, and the request is sent to it after the
+ * load: the endpoint was checked only when it was chosen.
  */
-static void adapter_doesnt_lead_to_a_leaving_endpoint(void **state)
+static void loaded_adapter_doesnt_lead_to_a_draining_endpoint(void **state)
 {
 	struct held_model held = { .model = SS_LIT("m") };
 	struct fleet_endpoint e = { .service = SS_LIT("lm"),
@@ -568,7 +563,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
+	measure_fast_engine(&f);
 	f.agents = true;
 	ask(&f, "m", POST_ADAPTER);
 	UNTIL(&f, f.asked);
@@ -577,37 +572,38 @@
 	e.id = ss_str(f.eps[0].id);
 	gate_take_fleet(f.gate, &m);
 	gate_adapter_done(f.gate, &done);
-	/* It is asked for elsewhere. */
+	/* The adapter is requested at another endpoint. */
 	UNTIL(&f, f.asked != done.sub);
-	assert_int_equal(f.eps[0].requests, KNOWN);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	fix_close(&f);
 }
 
-/* An engine that fills up while the stop lasts cuts nothing that was begun. */
-static void stream_that_just_fits_isnt_begun_in_a_stop(void **state)
+/* The prediction leaves a margin, so that no stream is cut when an engine fills
+ * up while the gate drains. */
+static void stream_that_just_fits_isnt_started_while_draining(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	know_fast_engine(&f);
-	/* All have taken as long as each other: the next is foretold to end
-	 * a tenth of its time before the stop does. */
+	measure_fast_engine(&f);
+	/* All streams have taken the same time, so the next is predicted to end
+	 * a tenth of its duration before the process does. */
 	gate_drain(f.gate,
 		   f.clock.fake_ms + EVENTS_FOR(300) * FAST_MS * 11 / 10);
 	c = ask(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, got(c, REFUSED));
 	assert_true(got(c, "not_run"));
-	assert_int_equal(f.eps[0].requests, KNOWN);
+	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	fix_close(&f);
 }
 
 struct close_case {
 	const char *label;
-	bool kept;   /* its connection has carried a request before */
-	int turns;   /* of the loop between its connection and the close */
-	bool silent; /* it sends its request after the close */
+	bool kept;   /* its connection has served a request before */
+	int turns;   /* of the loop, between its connection and the close */
+	bool silent; /* it sends its request only after the close */
 };
 
 static const struct close_case closes[] = {
@@ -616,8 +612,8 @@
 	{ "on a kept connection", true, 0, false },
 };
 
-/* What a caller has sent before the gate takes no more callers is answered. */
-static void request_on_its_way_is_answered_at_the_close(void **state)
+/* A request that was sent before the gate closes its listener is answered. */
+static void request_sent_before_the_close_is_answered(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(closes); i++) {
@@ -627,7 +623,7 @@
 
 		fix_open(&f, "web", "");
 		for (int n = 0; n < 30; n++)
-			carry_plain(&f, 20);
+			serve_plain(&f, 20);
 		c = ask(&f, "", k->silent ? "" : GET_SAFE);
 		if (k->kept) {
 			UNTIL(&f, f.eps[0].requests == 31);
@@ -653,8 +649,8 @@
 	}
 }
 
-/* Who connects and sends nothing doesn't hold up the end of a stop. */
-static void silent_connection_ends_with_the_stop(void **state)
+/* A connection that sends no request doesn't delay the end of draining. */
+static void silent_connection_doesnt_delay_the_stop(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -674,29 +670,34 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(stream_that_just_fits_isnt_begun_in_a_stop),
-		cmocka_unit_test(request_on_its_way_is_answered_at_the_close),
-		cmocka_unit_test(silent_connection_ends_with_the_stop),
-		cmocka_unit_test(long_stream_isnt_begun_in_a_stop),
-		cmocka_unit_test(waiting_stream_isnt_begun_late_in_a_stop),
-		cmocka_unit_test(unknown_engine_begins_nothing_long_in_a_stop),
-		cmocka_unit_test(slow_answer_isnt_begun_in_a_stop),
-		cmocka_unit_test(slow_plain_answer_isnt_begun_in_a_stop),
-		cmocka_unit_test(brief_stream_is_begun_in_a_stop),
-		cmocka_unit_test(engine_that_slows_midway_is_noticed_in_a_stop),
-		cmocka_unit_test(late_adapter_begins_no_stream_in_a_stop),
-		cmocka_unit_test(model_without_figures_is_taken_for_a_slow_one),
-		cmocka_unit_test(slow_endpoint_has_its_own_figure),
-		cmocka_unit_test(streams_under_way_tell_their_length_too),
-		cmocka_unit_test(stream_under_way_isnt_taken_for_a_whole_one),
-		cmocka_unit_test(caller_who_leaves_teaches_no_times),
-		cmocka_unit_test(silence_counts_in_a_stop),
-		cmocka_unit_test(slow_route_has_its_own_figure),
-		cmocka_unit_test(few_short_streams_say_nothing_of_the_next),
-		cmocka_unit_test(odd_stream_refuses_no_others),
-		cmocka_unit_test(brief_stream_is_begun_where_none_has_ended),
+		cmocka_unit_test(
+			stream_that_just_fits_isnt_started_while_draining),
+		cmocka_unit_test(request_sent_before_the_close_is_answered),
+		cmocka_unit_test(silent_connection_doesnt_delay_the_stop),
+		cmocka_unit_test(long_stream_isnt_started_while_draining),
+		cmocka_unit_test(
+			waiting_stream_isnt_started_late_while_draining),
+		cmocka_unit_test(
+			unmeasured_engine_starts_nothing_long_while_draining),
+		cmocka_unit_test(slow_stream_isnt_started_while_draining),
+		cmocka_unit_test(slow_plain_answer_isnt_started_while_draining),
+		cmocka_unit_test(short_stream_is_started_while_draining),
+		cmocka_unit_test(slowdown_of_running_streams_counts),
+		cmocka_unit_test(late_adapter_starts_no_stream_while_draining),
+		cmocka_unit_test(unmeasured_model_is_taken_for_a_slow_one),
+		cmocka_unit_test(slow_endpoint_is_measured_separately),
+		cmocka_unit_test(running_streams_count_for_the_length),
+		cmocka_unit_test(running_stream_isnt_taken_for_a_complete_one),
+		cmocka_unit_test(caller_that_leaves_gives_no_measurement),
+		cmocka_unit_test(silence_counts_while_draining),
+		cmocka_unit_test(slow_route_is_measured_separately),
+		cmocka_unit_test(few_short_streams_dont_predict_the_next),
+		cmocka_unit_test(unusual_stream_refuses_no_others),
+		cmocka_unit_test(
+			short_stream_is_started_where_none_has_completed),
 		cmocka_unit_test(adapter_wait_ends_while_others_can_serve),
-		cmocka_unit_test(adapter_doesnt_lead_to_a_leaving_endpoint),
+		cmocka_unit_test(
+			loaded_adapter_doesnt_lead_to_a_draining_endpoint),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
