--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -1,31 +1,35 @@
 /*
- * At which endpoints a stream that has begun may go on: what two versions of
- * the endpoints' software write doesn't fit together, and endpoints don't look.
+ * Resumed streams: which endpoints may continue a stream that has begun. The
+ * output of two versions of the endpoints' software doesn't fit together, and
+ * endpoints don't check for that.
  */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* An endpoint that has crashed is back, and listed with its version, within so
- * long after it left the list, in ms; until then its streams are held. */
-#define BACK_MS 1500
+/* A crashed endpoint has restarted and is listed with its version within this
+ * time after it left the list; its streams are held until then. */
+#define EP_RESTART_MS 1500
 
-/* A stream is taken up within its caller's time, which began before; so much
- * later at the most, in ms. */
-#define LATE_MS 5000
-/* Streams on incarnations without a version: those of some seconds. */
-#define UNNAMED_MOST 4096
+/* A stream is resumed within its caller's timeout, which started before the
+ * stream did, or at most this much later. */
+#define RESUME_MARGIN_MS 5000
+/* Streams on incarnations whose version isn't known yet: those of some seconds.
+ */
+#define UNVERSIONED_MAX 4096
 /* Streams and versions in one message: some 5 KB. */
-#define TOLD_AT_ONCE 512
-/* The leader's word is waited for so long, in ms: until another one leads. */
-#define LOOK_MS 1500
-/* It is asked again after so long, in ms, as it or its word may be lost. */
-#define ASK_AGAIN_MS 100
-/* Another entry may reach who knows, in ms. */
-#define ELSEWHERE_MS 200
-
-/* An endpoint that has just restarted may not be listed yet with its version:
- * it is told later of the same incarnation. */
+#define STREAMS_PER_MESSAGE 512
+/* Timeout of a lookup at the leader: the time until another leader is elected.
+ */
+#define LOOKUP_TIMEOUT_MS 1500
+/* A lookup is sent again after this time, as the request or its reply may be
+ * lost. */
+#define LOOKUP_RESEND_MS 100
+/* Retry-After of a caller that may find an entry which reaches the leader. */
+#define OTHER_ENTRY_RETRY_MS 200
+
+/* An endpoint that has just restarted may be listed before its version is
+ * known; the version is learned later, from the same incarnation. */
 static void learn_version(struct forward *f)
 {
 	const struct gate_ep *ep;
@@ -59,8 +63,8 @@
 	return ep->life == f->began_life;
 }
 
-/* It is of that version, or may turn out to be; also one that is down, and not
- * about to end for good. */
+/* The endpoint runs the version that began the stream, or may turn out to. An
+ * endpoint that is down counts, unless it is stopping for good. */
 static bool may_fit(const struct forward *f, const struct gate_ep *ep)
 {
 	return ep->known && !ep->ending && !ep->words.leaving_ms &&
@@ -84,10 +88,11 @@
 		if (may_fit(f, ep))
 			return false;
 	seen = stream_log_seen(g->streams, f->service->name, f->began_version);
-	return gate_now(g) - MAX(seen, g->since_ms) >= BACK_MS;
+	return gate_now(g) - MAX(seen, g->since_ms) >= EP_RESTART_MS;
 }
 
-/* What waits for one version doesn't hold up those who may go anywhere. */
+/* Streams that wait for one version have a queue of their own, so that they
+ * don't hold up requests which any endpoint may run. */
 struct lane *go_on_lane(struct forward *f)
 {
 	learn_version(f);
@@ -98,8 +103,9 @@
 						GO_ON_UNNAMED);
 }
 
-/* Models' lanes stay, versions come and go. */
-static void drop_lanes(struct gate *g)
+/* Queues of models are kept; a queue of one version is freed once it is empty,
+ * as versions come and go. */
+static void drop_version_queues(struct gate *g)
 {
 	GHashTableIter it;
 	void *p;
@@ -113,21 +119,22 @@
 	}
 }
 
-/* Streams that are begun here. */
+/* Streams that begin at this entry. */
 
-/* A caller who takes it up again does so within its own time. */
-static int64_t life_ms(const struct forward *f)
+/* How long the stream may be resumed: its caller does so within its timeout. */
+static int64_t stream_life_ms(const struct forward *f)
 {
-	return MAX(f->route->timeout_ms, f->call.deadline_ms) + LATE_MS;
+	return MAX(f->route->timeout_ms, f->call.deadline_ms) +
+	       RESUME_MARGIN_MS;
 }
 
-static void add(struct gate *g, uint64_t key, const struct gate_ep *ep,
-		int64_t left_ms)
+static void log_stream(struct gate *g, uint64_t key, const struct gate_ep *ep,
+		       int64_t left_ms)
 {
-	struct stream_item x = { key, ep->service, fleet_version(&ep->self),
-				 left_ms };
+	struct stream_item item = { key, ep->service, fleet_version(&ep->self),
+				    left_ms };
 
-	stream_log_add(g->streams, &x, gate_now(g));
+	stream_log_add(g->streams, &item, gate_now(g));
 }
 
 void go_on_note(struct forward *f, const struct gate_ep *ep)
@@ -140,18 +147,18 @@
 		return;
 	u.key = stream_key(ss_str(forward_customer(f)), f->call.id);
 	if (*fleet_version(&ep->self)) {
-		add(g, u.key, ep, life_ms(f));
+		log_stream(g, u.key, ep, stream_life_ms(f));
 		return;
 	}
-	u.until_ms = gate_now(g) + life_ms(f);
-	if (g->unnamed->len < UNNAMED_MOST)
+	u.until_ms = gate_now(g) + stream_life_ms(f);
+	if (g->unnamed->len < UNVERSIONED_MAX)
 		g_array_append_val(g->unnamed, u);
 }
 
 void go_on_seen(struct gate *g, const struct gate_ep *ep)
 {
 	if (ep->known && *fleet_version(&ep->self))
-		add(g, 0, ep, STREAM_LIFE_MOST_MS);
+		log_stream(g, 0, ep, STREAM_LIFE_MOST_MS);
 }
 
 void go_on_named(struct gate *g, const struct gate_ep *ep)
@@ -164,7 +171,7 @@
 
 		if (u->life != ep->life)
 			continue;
-		add(g, u->key, ep, u->until_ms - gate_now(g));
+		log_stream(g, u->key, ep, u->until_ms - gate_now(g));
 		g_array_remove_index_fast(g->unnamed, i);
 	}
 }
@@ -172,7 +179,7 @@
 void go_on_tidy(struct gate *g, int64_t now)
 {
 	stream_log_tidy(g->streams, now);
-	drop_lanes(g);
+	drop_version_queues(g);
 	for (guint i = g->unnamed->len; i-- > 0;)
 		if (g_array_index(g->unnamed, struct unnamed_stream, i)
 			    .until_ms <= now)
@@ -187,7 +194,8 @@
 		return false;
 	items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
 	g->streams_sent = stream_log_news(g->streams, g->streams_told,
-					  TOLD_AT_ONCE, gate_now(g), items);
+					  STREAMS_PER_MESSAGE, gate_now(g),
+					  items);
 	stream_wire_pack(w, items);
 	g_array_unref(items);
 	return true;
@@ -200,9 +208,9 @@
 	stream_wire_clear(w);
 }
 
-/* Streams that are taken up. */
+/* Streams that callers resume here. */
 
-static void note_taken_up(struct forward *f, const char *from)
+static void log_resume(struct forward *f, const char *from)
 {
 	int64_t now = gate_now(f->g);
 
@@ -215,45 +223,46 @@
 		 f->look_ms ? now - f->look_ms : 0);
 }
 
-static void refuse(struct forward *f, const char *why, int64_t back_ms)
+static void refuse(struct forward *f, const char *why, int64_t retry_after_ms)
 {
 	(*f->g->n_taken_up_refused)++;
-	forward_refuse(f, 503, "unavailable", why, back_ms);
+	forward_refuse(f, 503, "unavailable", why, retry_after_ms);
 }
 
-/* Of the services that a route is split over, each begins its own streams. */
-static bool move_to(struct forward *f, const char *service)
+/* A route may be split over several services, and a stream is resumed at the
+ * service that began it. False where the route can't send the request there. */
+static bool switch_service(struct forward *f, const char *service)
 {
 	struct gate *g = f->g;
 	struct routing_service *s = routing_service(g->routing, service);
 	struct ss_str model = f->call.model;
 	char *name = ss_str_dup(model);
-	bool can = s && routing_leads_to(f->route, service) &&
-		   (!s->engine || !model.n || routing_model(s, name));
+	bool usable = s && routing_leads_to(f->route, service) &&
+		      (!s->engine || !model.n || routing_model(s, name));
 
 	g_free(name);
-	if (!can)
+	if (!usable)
 		return false;
 	forward_set_service(f, s);
 	f->home = gate_lane(g, s->name, f->model);
 	return true;
 }
 
-/* False where the route doesn't lead to the service that began it any more: f
- * is refused and freed. */
-static bool bind_to(struct forward *f, const char *service, const char *version,
-		    const char *from)
+/* False where the route no longer leads to the service that began the stream: f
+ * was refused and freed. */
+static bool bind_to_version(struct forward *f, const char *service,
+			    const char *version, const char *from)
 {
-	if (strcmp(service, f->service->name) && !move_to(f, service)) {
+	if (strcmp(service, f->service->name) && !switch_service(f, service)) {
 		refuse(f, "the route no longer leads to where it began", 0);
 		return false;
 	}
 	f->began_version = g_strdup(version);
-	note_taken_up(f, from);
+	log_resume(f, from);
 	return true;
 }
 
-static void send_ask(struct forward *f)
+static void send_lookup(struct forward *f)
 {
 	struct gate *g = f->g;
 	struct msg_stream_ask m = { .sub = f->ticket,
@@ -276,23 +285,23 @@
 					 f->call.resumes);
 	if (f->taken_up &&
 	    stream_log_find(g->streams, f->taken_up, gate_now(g), &x))
-		return !bind_to(f, x.service, x.version, "here");
+		return !bind_to_version(f, x.service, x.version, "here");
 	f->ticket = ++g->ticket;
 	f->state = FORWARD_LOOKS;
 	f->look_ms = gate_now(g);
 	g_hash_table_insert(g->tickets, &f->ticket, f);
-	send_ask(f);
+	send_lookup(f);
 	return true;
 }
 
-/* It is known where it may go on. */
-static void go_on_at(struct forward *f, const char *service,
-		     const char *version, const char *from)
+/* The version that began the stream is known: queue the request for it. */
+static void resume_at_version(struct forward *f, const char *service,
+			      const char *version, const char *from)
 {
 	struct gate *g = f->g;
 	char *name;
 
-	if (!bind_to(f, service, version, from))
+	if (!bind_to_version(f, service, version, from))
 		return;
 	name = g_strdup(f->service->name);
 	g_hash_table_remove(g->tickets, &f->ticket);
@@ -302,11 +311,12 @@
 }
 
 /*
- * Nobody leads, or can be reached. One version that has been alone for as long
- * as this process looks must be it; a process that has just started hasn't seen
- * who served before.
+ * There is no leader, or none is reachable. If only one version has served for
+ * as long as a stream may be resumed, it must have begun the stream. A process
+ * that has just started can't conclude that: it hasn't seen which versions
+ * served before.
  */
-static void go_on_alone(struct forward *f)
+static void resume_disconnected(struct forward *f)
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
@@ -319,10 +329,10 @@
 		go_on_seen(g, ep);
 	only = stream_log_only(g->streams, f->service->name, now);
 	if (only && now - g->since_ms >= STREAM_LIFE_MOST_MS)
-		go_on_at(f, f->service->name, only, "alone");
+		resume_at_version(f, f->service->name, only, "alone");
 	else
 		refuse(f, "nobody can tell which version began it",
-		       ELSEWHERE_MS);
+		       OTHER_ENTRY_RETRY_MS);
 }
 
 void gate_take_stream(struct gate *g, const struct msg_stream_word *m)
@@ -342,8 +352,8 @@
 	}
 	service = ss_str_dup(m->service);
 	version = ss_str_dup(m->version);
-	go_on_at(f, service, version,
-		 m->word == STREAM_KNOWN ? "leader" : "only");
+	resume_at_version(f, service, version,
+			  m->word == STREAM_KNOWN ? "leader" : "only");
 	g_free(service);
 	g_free(version);
 }
@@ -354,8 +364,8 @@
 		forward_refuse_for_stop(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		refuse(f, "it can't be begun in time", 0);
-	else if (now - MAX(f->look_ms, f->heard_ms) >= LOOK_MS)
-		go_on_alone(f);
-	else if (now - f->asked_ms >= ASK_AGAIN_MS)
-		send_ask(f);
+	else if (now - MAX(f->look_ms, f->heard_ms) >= LOOKUP_TIMEOUT_MS)
+		resume_disconnected(f);
+	else if (now - f->asked_ms >= LOOKUP_RESEND_MS)
+		send_lookup(f);
 }
