--- a/src/proxy/lanes.c
+++ b/src/proxy/lanes.c
@@ -1,16 +1,20 @@
-/* Lanes: requests for one model of a service that wait, and who is sent. */
+/*
+ * Model queues: the requests that wait for one model of a service, and the
+ * order in which they are dispatched.
+ */
 #include "gate_int.h"
 
-/* Raising is admission's; the queue only orders a lane. */
-static const struct ss_queue_options lane_queue = { .raise_ms = 1 };
+/* Priorities are raised by admission; the queue only orders the requests. */
+static const struct ss_queue_options queue_options = { .raise_ms = 1 };
 
-/* Lanes of one service: what waits in them competes for the same endpoints. */
+/* The model queues of one service: their requests compete for the same
+ * endpoints. */
 struct lane_group {
 	struct admission admission;
-	GQueue waiting; /* struct lane, those in which a request waits */
-	GList link;	/* in the gate's list of groups that have such lanes */
-	GArray *heads;	/* struct admission_head, of the pump under way */
-	const struct admission_head *tried; /* by it now; NULL: none */
+	GQueue waiting; /* struct lane, the queues that aren't empty */
+	GList link; /* in the gate's list of groups in which a request waits */
+	GArray *heads; /* struct admission_head, of the dispatch in progress */
+	const struct admission_head *tried; /* being sent now; NULL: none */
 };
 
 static struct lane_group *group_of(struct gate *g, const char *service)
@@ -94,16 +98,16 @@
 	l->model = g_strdup(model);
 	l->version = g_strdup(version);
 	l->eta_ms = SS_NEVER;
-	l->waits = ss_queue_new(&lane_queue);
+	l->waits = ss_queue_new(&queue_options);
 	l->group = group_of(g, service);
 	l->link.data = l;
 	g_hash_table_insert(g->lanes, key, l);
 	return l;
 }
 
-/* Who waits. */
+/* Queued requests. */
 
-/* 0 is first; the queue counts the other way. */
+/* Priority 0 is the most urgent; in the queue the highest number is. */
 static int priority_of(const struct ss_queue_item *i)
 {
 	return SS_QUEUE_PRIORITIES - 1 - i->priority;
@@ -120,7 +124,7 @@
 			g_queue_push_tail_link(&g->groups_waiting, &gr->link);
 		g_queue_push_tail_link(&gr->waiting, &l->link);
 	}
-	/* It has no limit on what waits. */
+	/* The push can't fail: the queue has no length limit. */
 	ss_queue_push(l->waits, &f->item, NULL);
 	priority = priority_of(&f->item);
 	if (!*l->version)
@@ -130,8 +134,8 @@
 	(*g->n_waiting_by[priority])++;
 }
 
-/* It is no longer in its lane's queue. */
-static void left(struct forward *f)
+/* The request has been taken out of its model queue. */
+static void note_removed(struct forward *f)
 {
 	struct lane *l = f->lane;
 	struct lane_group *gr = l->group;
@@ -150,9 +154,9 @@
 		g_queue_unlink(&g->groups_waiting, &gr->link);
 }
 
-/* Only what a pump sends has had a turn: nobody went after what is sent as it
- * comes. */
-static void note_turn(struct forward *f)
+/* Counts the turn that the request has used. Only a dispatched request uses
+ * one: a request that is sent on arrival was preferred to no other. */
+static void count_turn(struct forward *f)
 {
 	struct lane_group *gr = f->lane->group;
 	const struct admission_head *h = gr->tried;
@@ -166,20 +170,20 @@
 
 void lane_take(struct forward *f)
 {
-	note_turn(f);
+	count_turn(f);
 	ss_queue_take(f->lane->waits, &f->item);
-	left(f);
+	note_removed(f);
 }
 
 void lane_remove(struct forward *f)
 {
 	ss_queue_remove(f->lane->waits, &f->item);
-	left(f);
+	note_removed(f);
 }
 
 struct forward *lane_next(const struct lane *l, int64_t now)
 {
-	/* The item is its first member. */
+	/* The item is the first member of struct forward. */
 	return (struct forward *)ss_queue_peek(l->waits, now, 0);
 }
 
@@ -191,7 +195,7 @@
 	return turns[f->turn];
 }
 
-/* Who is sent. */
+/* Dispatching. */
 
 static void add_head(struct lane *l, struct ss_queue_item *i, bool by_order,
 		     bool by_time)
@@ -223,8 +227,8 @@
 	}
 }
 
-/* Heads of the lanes that the pump hasn't passed yet. */
-static void gather(struct gate *g, struct lane_group *gr)
+/* Collects the heads of the queues that this dispatch hasn't passed yet. */
+static void collect_heads(struct gate *g, struct lane_group *gr)
 {
 	g_array_set_size(gr->heads, 0);
 	for (GList *p = gr->waiting.head; p; p = p->next) {
@@ -236,8 +240,9 @@
 	}
 }
 
-/* A lane's first decides: what it can't get, nobody behind it may take. A
- * request leaves its lane where forward_try() says true. */
+/* The head of a queue blocks those behind it: what it can't get, none of them
+ * may take. Where forward_try() returns true, the request has left its queue.
+ */
 static void try_head(struct gate *g, struct lane_group *gr, size_t at)
 {
 	struct admission_head *heads = (struct admission_head *)gr->heads->data;
@@ -249,7 +254,7 @@
 	sent = forward_try(f);
 	gr->tried = NULL;
 	if (sent) {
-		gather(g, gr);
+		collect_heads(g, gr);
 		return;
 	}
 	if (gr->admission.turn == ADMISSION_GUARANTEED ||
@@ -262,12 +267,12 @@
 						 gr->heads->len, at));
 }
 
-static void pump_group(struct gate *g, struct lane_group *gr)
+static void dispatch_group(struct gate *g, struct lane_group *gr)
 {
 	int at;
 
 	g->pumps++;
-	gather(g, gr);
+	collect_heads(g, gr);
 	while ((at = admission_next(
 			&gr->admission,
 			(const struct admission_head *)gr->heads->data,
@@ -278,7 +283,7 @@
 void gate_pump(struct gate *g, const char *service)
 {
 	struct lane_group *gr;
-	GList *all;
+	GList *groups;
 
 	if (*g->n_waiting == 0 || g->pumping)
 		return;
@@ -286,13 +291,14 @@
 	if (service) {
 		gr = g_hash_table_lookup(g->groups, service);
 		if (gr)
-			pump_group(g, gr);
+			dispatch_group(g, gr);
 	} else {
-		/* A request that is refused may let its caller's next begin. */
-		all = g_list_copy(g->groups_waiting.head);
-		for (GList *p = all; p; p = p->next)
-			pump_group(g, p->data);
-		g_list_free(all);
+		/* The list is copied as it may change meanwhile: the refusal of
+		 * a request may let its caller's next one begin. */
+		groups = g_list_copy(g->groups_waiting.head);
+		for (GList *p = groups; p; p = p->next)
+			dispatch_group(g, p->data);
+		g_list_free(groups);
 	}
 	g->pumping = false;
 }
