--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -1,20 +1,20 @@
 /*
- * Requests that endpoints ended under too often: they are refused at once, or
- * run as a trial where the leader allows it.
+ * Quarantine: a request that too many endpoints crashed on is refused at once,
+ * or run as a trial where the leader allows it.
  */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* Told to the caller where it can't be said when a trial will be allowed, in
- * ms: a leader is mostly found by then, or the trial under way is over. */
-#define AGAIN_BACK_MS 2000
-/* The leader's answer is waited for so long, in ms. */
-#define ASK_MS 500
-/* Ends and recalled suspects in one message: some 3 KB. */
-#define ITEMS_A_MESSAGE 64
-/* An end is no longer told to new leaders after so long, in ms. */
-#define END_TOLD_MS (60 * 60 * 1000LL)
+/* Retry-After where it isn't known when a trial will be allowed: by then a
+ * leader is mostly found, or the trial in progress has ended. */
+#define TRIAL_RETRY_AFTER_MS 2000
+/* Timeout of the leader's reply to a trial request. */
+#define TRIAL_REPLY_TIMEOUT_MS 500
+/* Crashes and recalled suspects in one message: some 3 KB. */
+#define ITEMS_PER_MESSAGE 64
+/* An older crash is no longer reported to a new leader. */
+#define CRASH_REPORT_MAX_AGE_MS (60 * 60 * 1000LL)
 
 const struct fingerprint *forward_print(struct forward *f)
 {
@@ -27,18 +27,19 @@
 	return &f->print;
 }
 
-/* What is seen here. */
+/* Crashes and answers that this entry observes. */
 
-static void see(struct gate *g, const struct fingerprint *print,
-		enum end_kind kind, uint64_t life)
+static void record(struct gate *g, const struct fingerprint *fp,
+		   enum end_kind kind, uint64_t life)
 {
-	struct end_seen e = { *print, kind, life, gate_now(g) };
+	struct end_seen e = { *fp, kind, life, gate_now(g) };
 
 	end_log_add(&g->end_log, &e);
 }
 
-/* Those that wait to be sent, or for an adapter, may be quarantined now. */
-static void look_at_waiting(struct gate *g)
+/* After a change of the suspects: stops waiting requests that are quarantined
+ * now. */
+static void stop_quarantined(struct gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->forwards);
 
@@ -52,16 +53,15 @@
 	g_list_free(all);
 }
 
-void quarantine_end(struct gate *g, const struct fingerprint *print,
-		    uint64_t life)
+void quarantine_end(struct gate *g, const struct fingerprint *fp, uint64_t life)
 {
 	int64_t now = gate_now(g);
-	bool known = suspects_term(g->suspects, print, now) >= 0;
+	bool quarantined = suspects_term(g->suspects, fp, now) >= 0;
 
-	see(g, print, END_UNDER, life);
-	suspects_end(g->suspects, print, life, now);
-	if (!known && suspects_term(g->suspects, print, now) >= 0)
-		look_at_waiting(g);
+	record(g, fp, END_UNDER, life);
+	suspects_end(g->suspects, fp, life, now);
+	if (!quarantined && suspects_term(g->suspects, fp, now) >= 0)
+		stop_quarantined(g);
 }
 
 void quarantine_answered(struct forward *f)
@@ -71,19 +71,19 @@
 	if (!suspects_any(g->suspects) ||
 	    !suspects_answered(g->suspects, forward_print(f), gate_now(g)))
 		return;
-	see(g, &f->print, END_ANSWERED, 0);
+	record(g, &f->print, END_ANSWERED, 0);
 	f->trial_told = true;
 }
 
 void quarantine_leave(struct forward *f)
 {
 	if (f->trial && !f->trial_told)
-		see(f->g, &f->print, END_NOTHING, 0);
+		record(f->g, &f->print, END_NOTHING, 0);
 }
 
-/* Refusing, and trials. */
+/* Refusals and trial runs. */
 
-static void refuse(struct forward *f, int64_t back_ms)
+static void refuse(struct forward *f, int64_t retry_after_ms)
 {
 	static const char why[] =
 		"endpoints have ended while they ran this request";
@@ -94,10 +94,10 @@
 	else if (f->unknown)
 		forward_refuse(f, 502, "lost", why, 0);
 	else
-		forward_refuse(f, 503, "quarantined", why, back_ms);
+		forward_refuse(f, 503, "quarantined", why, retry_after_ms);
 }
 
-static void ask(struct forward *f)
+static void request_trial(struct forward *f)
 {
 	struct gate *g = f->g;
 	struct msg_trial m = { .sub = ++g->ticket,
@@ -105,7 +105,7 @@
 			       .print_lo = f->print.lo };
 
 	if (!g->o.ops->ask_trial(g->o.arg, &m)) {
-		refuse(f, AGAIN_BACK_MS);
+		refuse(f, TRIAL_RETRY_AFTER_MS);
 		return;
 	}
 	if (f->lane)
@@ -125,37 +125,37 @@
 	if (!suspects_any_quarantined(g->suspects))
 		return false;
 	left = suspects_term(g->suspects, forward_print(f), gate_now(g));
-	/* A trial goes to one endpoint only. */
+	/* A trial runs at one endpoint only: once sent, it isn't sent again. */
 	if (left < 0 || (f->trial && f->sends == 0))
 		return false;
 	if (left > 0)
 		refuse(f, left);
 	else if (f->trial)
-		refuse(f, AGAIN_BACK_MS);
+		refuse(f, TRIAL_RETRY_AFTER_MS);
 	else
-		ask(f);
+		request_trial(f);
 	return true;
 }
 
 void quarantine_ask_tick(struct forward *f, int64_t now)
 {
-	if (now - f->sent_ms >= ASK_MS)
-		refuse(f, AGAIN_BACK_MS);
+	if (now - f->sent_ms >= TRIAL_REPLY_TIMEOUT_MS)
+		refuse(f, TRIAL_RETRY_AFTER_MS);
 }
 
 void gate_take_trial(struct gate *g, const struct msg_trial *m)
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
-	struct fingerprint print = { m->print_hi, m->print_lo };
-	struct suspect_word cleared = { .print = print, .cleared = true };
+	struct fingerprint fp = { m->print_hi, m->print_lo };
+	struct suspect_word cleared = { .print = fp, .cleared = true };
 	char *service;
 
 	if (m->leave == SUSPECT_FREE)
 		suspects_told(g->suspects, &cleared, gate_now(g));
 	if (!f || f->state != FORWARD_ASKS) {
-		/* Its caller has left meanwhile. */
+		/* The caller has left meanwhile. */
 		if (m->leave == SUSPECT_TRIAL)
-			see(g, &print, END_NOTHING, 0);
+			record(g, &fp, END_NOTHING, 0);
 		return;
 	}
 	if (m->leave == SUSPECT_WAIT) {
@@ -171,7 +171,7 @@
 	g_free(service);
 }
 
-/* The leader. */
+/* Reports to the leader and its decisions. */
 
 void gate_leader_found(struct gate *g)
 {
@@ -188,7 +188,7 @@
 	bool leader_knows = g->recall == suspects_mark(g->suspects);
 	int64_t now = gate_now(g);
 
-	/* A leader that was replaced may still have words on their way. */
+	/* Messages of a leader that was replaced may still arrive. */
 	if (m->fence < g->fence)
 		return;
 	for (size_t i = 0; i < m->words.n; i++) {
@@ -201,35 +201,36 @@
 		if (w.cleared)
 			end_log_drop(&g->end_log, &w.print);
 	}
-	/* What it has told needn't be told back. */
+	/* The leader knows what it has sent: that isn't reported back. */
 	if (leader_knows)
 		g->recall = suspects_mark(g->suspects);
-	look_at_waiting(g);
+	stop_quarantined(g);
 }
 
 static void add_recalled(struct gate *g, struct gate_ends *r)
 {
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+	GArray *changes =
+		g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
 
-	r->recall = suspects_news(g->suspects, g->recall, ITEMS_A_MESSAGE,
-				  gate_now(g), words);
-	for (guint i = 0; i < words->len; i++) {
+	r->recall = suspects_news(g->suspects, g->recall, ITEMS_PER_MESSAGE,
+				  gate_now(g), changes);
+	for (guint i = 0; i < changes->len; i++) {
 		const struct suspect_word *w =
-			&g_array_index(words, struct suspect_word, i);
+			&g_array_index(changes, struct suspect_word, i);
 		struct suspect_item x = { w->print.hi, w->print.lo, w->cleared,
 					  w->left_ms, w->trials };
 
 		if (!w->cleared)
 			g_array_append_val(r->recalled, x);
 	}
-	g_array_unref(words);
+	g_array_unref(changes);
 }
 
 bool gate_ends(struct gate *g, struct gate_ends *r)
 {
 	size_t n;
 	const struct end_seen *e =
-		end_log_next(&g->end_log, ITEMS_A_MESSAGE, &n);
+		end_log_next(&g->end_log, ITEMS_PER_MESSAGE, &n);
 
 	if (!n && g->recall == suspects_mark(g->suspects))
 		return false;
@@ -261,5 +262,5 @@
 void quarantine_tick(struct gate *g, int64_t now)
 {
 	suspects_tick(g->suspects, now);
-	end_log_forget(&g->end_log, now - END_TOLD_MS);
+	end_log_forget(&g->end_log, now - CRASH_REPORT_MAX_AGE_MS);
 }
