--- a/src/proxy/times.c
+++ b/src/proxy/times.c
@@ -1,24 +1,27 @@
-/* How long requests take here, and what that lets begin. */
+/*
+ * Expected answer times, measured on the answers of this entry, and the
+ * requests that may still begin before a planned stop.
+ */
 #include "gate_int.h"
 
-/* Time that an answer needs at least while nothing is known of a service, in
- * ms: a round trip and the first token of a short prompt, on the engines of
- * both deployments at rest. */
-#define FIRST_UNKNOWN_MS 60
+/* Least time until an answer begins while nothing was measured of its service:
+ * a round trip and the first token of a short prompt, on an idle engine of
+ * either deployment. */
+#define DEFAULT_FIRST_MS 60
 
-/* Part of a foretold time that a planned stop leaves free besides: an engine
- * that fills up meanwhile is slower than its events have shown. */
-#define STOP_ROOM 0.25
+/* Safety margin before a planned stop, as a fraction of the expected time: an
+ * engine that fills up meanwhile is slower than its events have shown. */
+#define STOP_MARGIN 0.25
 
 static bool is_stream(const struct forward *f)
 {
 	return f->route->kind == ROUTE_STREAM;
 }
 
-/* What was measured counts for the service (of a plain one: for the route), for
- * the model and for the endpoint. */
-static void note(const struct forward *f, void (*add)(struct pace *, double),
-		 double ms)
+/* Adds a sample to the times of the service (of a plain request: of the route),
+ * of the model and of the endpoint. */
+static void note_sample(const struct forward *f,
+			void (*add)(struct pace *, double), double ms)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
@@ -30,15 +33,16 @@
 		add(&ep->pace, ms);
 }
 
-/* A stream is late too where its events pause for longer than its route says.
- */
+/* Tracks the longest pause between events: a stream also counts as late where
+ * its events pause for longer than its route allows. */
 static void note_pause(struct forward *f, int64_t now)
 {
 	if (f->events.count == f->event)
 		return;
 	if (f->event)
 		f->pause_ms = MAX(f->pause_ms, now - f->event_ms);
-	/* Before its first event here it was elsewhere. */
+	/* Before the first event of this send the stream was at another
+	 * endpoint. */
 	if (f->mark.events && !f->slowed)
 		gate_start_pause(f, now - f->event_ms);
 	f->slowed = f->paused;
@@ -55,11 +59,11 @@
 
 	if (f->mark.events == 0) {
 		gate_speed_answered(f);
-		note(f, pace_note_first, (double)(now - f->sent_ms));
+		note_sample(f, pace_note_first, (double)(now - f->sent_ms));
 		gate_start_first(f, now - f->sent_ms);
 		f->mark = (struct pace_mark){ now, f->events.count };
 	} else if (pace_measure(&f->mark, f->events.count, now, &gap_ms)) {
-		note(f, pace_note_event, gap_ms);
+		note_sample(f, pace_note_event, gap_ms);
 		pace_raise_length(f->pace, f->events.count, f->call.tokens_out);
 	}
 }
@@ -67,12 +71,12 @@
 static void note_plain(struct forward *f)
 {
 	gate_speed_answered(f);
-	note(f, pace_note_first, (double)(gate_now(f->g) - f->sent_ms));
+	note_sample(f, pace_note_first, (double)(gate_now(f->g) - f->sent_ms));
 }
 
 void times_note_end(struct forward *f)
 {
-	/* Of one that was resumed only the rest has come. */
+	/* Of a resumed stream only the rest was sent here. */
 	if (f->is_events && f->call.after_event > 0)
 		pace_raise_length(f->pace, f->events.count, f->call.tokens_out);
 	else if (f->is_events)
@@ -81,8 +85,9 @@
 		note_plain(f);
 }
 
-/* What hasn't come yet of a request that was sent. */
-static struct pace_open open_of(const struct forward *f, int64_t now)
+/* How long a request that was sent has been waiting for the start of its answer
+ * or for the next event. */
+static struct pace_open outstanding(const struct forward *f, int64_t now)
 {
 	struct pace_open o = { 0 };
 
@@ -93,26 +98,26 @@
 	return o;
 }
 
-/* An answer that never came counts where it shows a longer time than those
- * that did: engines that stand still leave no other trace. */
+/* An answer that was abandoned counts where it took longer than those that
+ * came: an engine that hangs shows in no other way. */
 void times_note_left(struct forward *f)
 {
-	struct pace_open o = open_of(f, gate_now(f->g));
+	struct pace_open o = outstanding(f, gate_now(f->g));
 
 	if (f->state < FORWARD_SENT)
 		return;
 	gate_speed_left(f);
-	note(f, pace_raise_first, o.first_ms);
-	note(f, pace_raise_event, o.event_ms);
+	note_sample(f, pace_raise_first, o.first_ms);
+	note_sample(f, pace_raise_event, o.event_ms);
 }
 
-static void widen(struct pace_open *o, const struct pace_open *by)
+static void raise_to(struct pace_open *o, const struct pace_open *by)
 {
 	o->first_ms = MAX(o->first_ms, by->first_ms);
 	o->event_ms = MAX(o->event_ms, by->event_ms);
 }
 
-static void forget_open(struct gate *g)
+static void reset_outstanding(struct gate *g)
 {
 	const struct pace_open none = { 0 };
 	GHashTableIter it;
@@ -131,19 +136,19 @@
 	GHashTableIter it;
 	void *p;
 
-	forget_open(g);
+	reset_outstanding(g);
 	g_hash_table_iter_init(&it, g->forwards);
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
 		const struct forward *f = p;
-		struct pace_open o = open_of(f, now);
+		struct pace_open o = outstanding(f, now);
 		struct gate_ep *ep;
 
 		if (f->state < FORWARD_SENT)
 			continue;
-		widen(&f->home->open, &o);
+		raise_to(&f->home->open, &o);
 		ep = gate_ep_of(f);
 		if (ep)
-			widen(&ep->open, &o);
+			raise_to(&ep->open, &o);
 	}
 }
 
@@ -152,11 +157,11 @@
 	double ms = pace_least_first(is_stream(f) ? &f->home->pace : f->pace,
 				     f->pace);
 
-	return ms < 0 ? FIRST_UNKNOWN_MS : (int64_t)ms;
+	return ms < 0 ? DEFAULT_FIRST_MS : (int64_t)ms;
 }
 
-/* The longest that the answer is expected to take from now. */
-static int64_t takes_ms(const struct forward *f, const struct gate_ep *ep)
+/* The longest that the answer is expected to take from now on. */
+static int64_t answer_ms(const struct forward *f, const struct gate_ep *ep)
 {
 	struct pace_ask a = { .service = f->pace,
 			      .model = &f->home->pace,
@@ -166,31 +171,32 @@
 			      .skip = MAX(f->call.after_event, 0) };
 
 	if (ep)
-		widen(&a.open, &ep->open);
+		raise_to(&a.open, &ep->open);
 	return is_stream(f) ? pace_stream_ms(&a) :
 			      pace_plain_ms(f->pace, &a.open);
 }
 
 /*
- * An answer that is cut by the end of this process costs its caller the time to
- * notice, and where it can't be resumed, the answer; one who is refused goes
- * elsewhere at once. So nothing is begun that isn't known to end in time: by
- * what answers have taken until now, by the engine's speed and not by a fixed
- * one, or because its caller's own time ends before. It is asked at each try,
- * again once the endpoint is chosen and once an adapter is there: a request
- * that waits has less time left than when it came. On an engine of 40 ms a
- * token, a stream of 100 tokens was begun with 3 s left and cut.
+ * A caller whose answer is cut by the end of this process loses the time until
+ * it notices and, where the answer can't be resumed, the answer; a caller who
+ * is refused goes to another entry at once. So a request begins only if it is
+ * known to end before the stop, by the times of answers until now or because
+ * its caller's deadline is earlier. The times follow the speed of the engine: a
+ * stream of 100 tokens that began 3 s before the stop was cut on an engine that
+ * takes 40 ms a token. The check is made at each try, and again once the
+ * endpoint is chosen and once an adapter is loaded: a request that waits has
+ * less time left than on arrival.
  */
 bool times_stop_cuts(struct forward *f, const struct gate_ep *ep)
 {
 	struct gate *g = f->g;
-	int64_t room_ms;
+	int64_t margin_ms;
 
 	if (!g->end_ms || f->started || f->deadline_ms <= g->end_ms)
 		return false;
-	f->expected_ms = takes_ms(f, ep);
+	f->expected_ms = answer_ms(f, ep);
 	if (f->expected_ms == SS_NEVER)
 		return true;
-	room_ms = (int64_t)((double)f->expected_ms * STOP_ROOM);
-	return gate_now(g) + f->expected_ms + room_ms > g->end_ms;
+	margin_ms = (int64_t)((double)f->expected_ms * STOP_MARGIN);
+	return gate_now(g) + f->expected_ms + margin_ms > g->end_ms;
 }
