--- a/src/proxy/turns.c
+++ b/src/proxy/turns.c
@@ -1,23 +1,27 @@
-/* When those who are refused are to return: turns of the gate's causes. */
+/*
+ * Retry-After of refused requests: return slots by the cause of the refusal, a
+ * full model or a customer's limit.
+ */
 #include "gate_int.h"
 
 #include <xxhash.h>
 
-/* A caller honours a time to return up to this part of what it has left. */
-#define LEFT_PARTS 3
+/* A caller follows a Retry-After up to this fraction, 1/n, of its remaining
+ * time. */
+#define MAX_WAIT_DIVISOR 3
 
 static uint64_t hash(const char *s, uint64_t seed)
 {
 	return XXH3_64bits_withSeed(s, strlen(s), seed);
 }
 
-/* Names of models and customers hold no line break. */
+/* Names of models and customers contain no line break. */
 static uint64_t model_key(const struct forward *f)
 {
 	return hash(f->model, hash(f->service->name, hash("model\n", 0)));
 }
 
-/* Each class of a customer gets its own part of the limit. */
+/* Each class of a customer has its own part of the limit. */
 static uint64_t quota_key(const struct forward *f)
 {
 	uint64_t class_id = (uint64_t)f->rank.class_id;
@@ -25,20 +29,22 @@
 	return hash(f->customer->name, hash("customer\n", class_id));
 }
 
-/* Those of one turn don't return in one moment. */
-static int64_t give(struct forward *f, struct return_ask *a, int64_t spread_ms)
+/* Callers of one slot are spread over it, so that they don't return at the same
+ * moment. */
+static int64_t assign_slot(struct forward *f, struct return_ask *a,
+			   int64_t spread_ms)
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
-	struct return_turn turn;
+	struct return_turn slot;
 
-	a->most_ms = (f->deadline_ms - now) / LEFT_PARTS;
-	turn = return_turns_give(g->turns, a, now);
-	if (turn.width_ms > 0) {
-		spread_ms = MIN(spread_ms, turn.width_ms);
-		(*(turn.taken ? g->n_turns_given : g->n_turns_beyond))++;
+	a->most_ms = (f->deadline_ms - now) / MAX_WAIT_DIVISOR;
+	slot = return_turns_give(g->turns, a, now);
+	if (slot.width_ms > 0) {
+		spread_ms = MIN(spread_ms, slot.width_ms);
+		(*(slot.taken ? g->n_turns_given : g->n_turns_beyond))++;
 	}
-	return turn.ms + (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
+	return slot.ms + (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
 }
 
 int64_t turns_model_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
@@ -48,7 +54,7 @@
 				.cost = 1,
 				.least_ms = least_ms };
 
-	return give(f, &a, spread_ms);
+	return assign_slot(f, &a, spread_ms);
 }
 
 int64_t turns_quota_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
@@ -58,7 +64,7 @@
 				.per_s = f->customer->limit.per_s,
 				.least_ms = least_ms };
 
-	return give(f, &a, spread_ms);
+	return assign_slot(f, &a, spread_ms);
 }
 
 void turns_served(struct forward *f)
