--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -14,13 +14,11 @@
 /* A stream is resumed within its caller's timeout, which started before the
  * stream did, or at most this much later. */
 #define RESUME_MARGIN_MS 5000
-/* Streams on incarnations whose version isn't known yet: those of some seconds.
- */
+/* Streams on incarnations of unknown version: those of some seconds. */
 #define UNVERSIONED_MAX 4096
 /* Streams and versions in one message: some 5 KB. */
 #define STREAMS_PER_MESSAGE 512
-/* Timeout of a lookup at the leader: the time until another leader is elected.
- */
+/* Timeout of a lookup at the leader: another leader is elected by then. */
 #define LOOKUP_TIMEOUT_MS 1500
 /* A lookup is sent again after this time, as the request or its reply may be
  * lost. */
--- a/src/proxy/lanes.c
+++ b/src/proxy/lanes.c
@@ -241,8 +241,7 @@
 }
 
 /* The head of a queue blocks those behind it: what it can't get, none of them
- * may take. Where forward_try() returns true, the request has left its queue.
- */
+ * may take. Once forward_try() returns true, the request has left its queue. */
 static void try_head(struct gate *g, struct lane_group *gr, size_t at)
 {
 	struct admission_head *heads = (struct admission_head *)gr->heads->data;
