--- a/test/test_gate_early.c
+++ b/test/test_gate_early.c
@@ -1,26 +1,26 @@
-/* A gate that has just started: what comes before it knows anything. */
+/* Startup hold: requests that come before a gate knows routing and fleet. */
 #include "gate_fix.h"
 
 #define POST_SHORT                                                             \
 	REQ("POST", "/chat/x")                                                 \
 	"X-Model: m\r\nX-Deadline-Ms: 2000\r\nContent-Length: 0\r\n\r\n"
 
-/* So many turns in which nothing is to happen. */
-#define QUIET_TURNS 20
+/* Rounds of the event loop after which nothing more is expected. */
+#define QUIET_ROUNDS 20
 
-static void rest(struct fix *f)
+static void run_quiet(struct fix *f)
 {
-	for (int i = 0; i < QUIET_TURNS; i++)
+	for (int i = 0; i < QUIET_ROUNDS; i++)
 		turn(f);
 }
 
 /*
- * Symptom: after a loss of power, callers are refused for half a second, come
- * back once, and are refused again or served late. Sequence: processes start, a
- * leader is elected and found; callers come from the first moment. Cause: a
- * process that had just started refused as if it knew that nobody leads.
+ * Failure: after a power loss, callers are refused for half a second, retry
+ * once, and are refused again or served late. Processes start and elect a
+ * leader while callers already arrive, and a process that has just started
+ * refuses them as if there were no leader.
  */
-static void early_request_is_held_and_served(void **state)
+static void request_is_held_at_startup(void **state)
 {
 	struct caller *plain, *stream;
 	struct fix f;
@@ -29,23 +29,23 @@
 	fix_open_fresh(&f);
 	script(&f, 0, OK_TEXT, false, false);
 	plain = call(&f, POST_ONCE);
-	rest(&f);
+	run_quiet(&f);
 	assert_int_equal(plain->got->len, 0);
 	f.clock.fake_ms += 600;
 	tell_routing(&f);
-	rest(&f);
+	run_quiet(&f);
 	assert_int_equal(plain->got->len, 0);
 	tell_fleet(&f, "web", "");
 	UNTIL(&f, ends(plain, "hello"));
-	/* Nothing is held once it is known where requests lead. */
+	/* No request is held once routing and fleet are known. */
 	stream = call(&f, GET_SAFE);
 	UNTIL(&f, ends(stream, "hello"));
 	fix_close(&f);
 }
 
-/* Its time runs from its arrival: the endpoint is told what is left, and who
- * can't be served any more is refused. */
-static void early_request_keeps_its_deadline(void **state)
+/* The deadline of a held request counts from its arrival: the endpoint gets the
+ * remaining time, and a request past its deadline is refused. */
+static void held_request_keeps_its_deadline(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -53,7 +53,7 @@
 	(void)state;
 	fix_open_fresh(&f);
 	c = call(&f, POST_SHORT);
-	rest(&f);
+	run_quiet(&f);
 	f.clock.fake_ms += 700;
 	tell_routing(&f);
 	tell_fleet(&f, "lm", "m");
@@ -64,9 +64,9 @@
 	fix_close(&f);
 }
 
-/* After the time in which a leader is found nobody leads: all are refused at
- * once, and told when to come back. */
-static void early_requests_are_refused_when_nobody_leads(void **state)
+/* After the time in which a leader is found there is none: requests are refused
+ * at once, with a Retry-After. */
+static void held_requests_are_refused_without_a_leader(void **state)
 {
 	struct caller *held, *late;
 	struct fix f;
@@ -74,7 +74,7 @@
 	(void)state;
 	fix_open_fresh(&f);
 	held = call(&f, POST_ONCE);
-	rest(&f);
+	run_quiet(&f);
 	assert_int_equal(held->got->len, 0);
 	f.clock.fake_ms += 1500;
 	UNTIL(&f, got(held, "HTTP/1.1 503 "));
@@ -85,8 +85,8 @@
 	fix_close(&f);
 }
 
-/* One who leaves is forgotten, the others go on. */
-static void early_caller_may_leave(void **state)
+/* A caller that leaves is dropped from the hold, and the others are served. */
+static void caller_of_a_held_request_leaves(void **state)
 {
 	struct caller *gone, *stays;
 	struct fix f;
@@ -95,11 +95,11 @@
 	fix_open_fresh(&f);
 	script(&f, 0, OK_TEXT, false, false);
 	gone = call(&f, POST_ONCE);
-	rest(&f);
+	run_quiet(&f);
 	stays = call(&f, POST_ONCE);
-	rest(&f);
+	run_quiet(&f);
 	leave(gone);
-	rest(&f);
+	run_quiet(&f);
 	tell_routing(&f);
 	tell_fleet(&f, "web", "");
 	UNTIL(&f, ends(stays, "hello"));
@@ -107,8 +107,9 @@
 	fix_close(&f);
 }
 
-/* A planned stop in the first second refuses them: another entry may know. */
-static void early_requests_are_refused_in_a_stop(void **state)
+/* A planned stop during the hold refuses the held requests: another entry may
+ * know routing and fleet. */
+static void held_requests_are_refused_in_a_stop(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -116,7 +117,7 @@
 	(void)state;
 	fix_open_fresh(&f);
 	c = call(&f, POST_ONCE);
-	rest(&f);
+	run_quiet(&f);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
 	UNTIL(&f, got(c, "HTTP/1.1 503 "));
 	fix_close(&f);
@@ -125,11 +126,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(early_request_is_held_and_served),
-		cmocka_unit_test(early_request_keeps_its_deadline),
-		cmocka_unit_test(early_requests_are_refused_when_nobody_leads),
-		cmocka_unit_test(early_caller_may_leave),
-		cmocka_unit_test(early_requests_are_refused_in_a_stop),
+		cmocka_unit_test(request_is_held_at_startup),
+		cmocka_unit_test(held_request_keeps_its_deadline),
+		cmocka_unit_test(held_requests_are_refused_without_a_leader),
+		cmocka_unit_test(caller_of_a_held_request_leaves),
+		cmocka_unit_test(held_requests_are_refused_in_a_stop),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
