--- a/test/test_gate_turns.c
+++ b/test/test_gate_turns.c
@@ -1,8 +1,8 @@
-/* When callers that a gate refuses are told to return. */
+/* Retry-After of requests that a gate refuses. */
 #include "gate_fix.h"
 
 #define BURST 30
-/* Each request costs 200; 20 of them a second. */
+/* Each request costs 200 units; the limit allows 20 requests a second. */
 #define CONFIG                                                                 \
 	"{\"version\":2,\"routes\":["                                          \
 	"{\"name\":\"safe\",\"host\":\"h\",\"prefix\":\"/safe/\","             \
@@ -28,8 +28,8 @@
 	return *metrics_value(f->metrics, name, "");
 }
 
-/* Take what the gate asks the leader; the number of its last ask. */
-static bool hear_asks(struct fix *f, uint64_t *number)
+/* Takes the gate's quota requests to the leader, and the number of the last. */
+static bool take_requests(struct fix *f, uint64_t *number)
 {
 	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 
@@ -40,7 +40,8 @@
 	return *number > 0;
 }
 
-/* The leader has so many requests for a customer, and more in 400 ms. */
+/* The leader grants a customer enough for this number of requests, and more in
+ * 400 ms. */
 static void grant(struct fix *f, const char *customer, int requests,
 		  uint64_t *number)
 {
@@ -49,7 +50,7 @@
 				.wait_ms = 400 };
 	struct msg_quota_word m = { .words = { &w, 1 } };
 
-	hear_asks(f, number);
+	take_requests(f, number);
 	w.number = *number;
 	gate_take_quota(f->gate, &m);
 }
@@ -68,24 +69,24 @@
 	fix_open(f, "web", "");
 	set_routing(f, CONFIG);
 	gate_leader_found(f->gate);
-	/* Requests don't wait as they do for a leader that was just found. */
+	/* By now requests no longer wait as after a change of leader. */
 	f->clock.fake_ms += 3000;
 	script(f, 0, OK_TEXT, false, false);
 	script(f, 1, OK_TEXT, false, false);
 }
 
-/* One request is served, of what is granted meanwhile. */
+/* One request is served from a grant that arrives while it waits. */
 static void serve(struct fix *f, const char *customer, const char *text,
 		  uint64_t *number)
 {
 	struct caller *c = call(f, text);
 
-	UNTIL(f, hear_asks(f, number));
+	UNTIL(f, take_requests(f, number));
 	grant(f, customer, 1, number);
 	UNTIL(f, ends(c, "hello"));
 }
 
-/* A second in which one request in two is over the limit. */
+/* For one second, every second request is over the limit. */
 static void exceed_limit(struct fix *f, uint64_t *number)
 {
 	for (int i = 0; i < 20; i++) {
@@ -99,29 +100,29 @@
 	}
 }
 
-/* A customer's refused callers return in one moment, most of them for nothing;
- * another customer's are delayed with them. */
-static void callers_over_a_limit_return_in_turn(void **state)
+/* Failure: a customer's refused callers return at the same moment, and most are
+ * refused again; callers of another customer are delayed as well. */
+static void callers_over_a_limit_get_slots(void **state)
 {
 	double last = 0, s;
 	uint64_t number = 0, other = 0;
-	int soon = 0;
+	int early = 0;
 	struct fix f;
 
 	(void)state;
 	open_limited(&f);
 	serve(&f, "acme", GET_KEY("key-1"), &number);
-	/* Nobody knows a rate yet: as for one alone. */
+	/* No rate is known yet: the Retry-After is that of a single caller. */
 	s = retry_after(refused(&f, GET_KEY("key-1")));
 	assert_true(s >= 0.4 && s < 0.7);
 	assert_int_equal(count(&f, "ss_gate_turns_given_total"), 0);
 	exceed_limit(&f, &number);
 	for (int i = 0; i < BURST; i++) {
 		s = retry_after(refused(&f, GET_KEY("key-1")));
-		soon += s < 0.9;
+		early += s < 0.9;
 		last = MAX(last, s);
 	}
-	assert_in_range(soon, 5, 15);
+	assert_in_range(early, 5, 15);
 	assert_true(last > 1.5 && last < 2.5);
 	assert_true(count(&f, "ss_gate_turns_given_total") >= BURST);
 	assert_int_equal(count(&f, "ss_gate_turns_beyond_total"), 0);
@@ -153,7 +154,7 @@
 	gate_take_fleet(f->gate, &m);
 }
 
-/* So many callers wait for a full model until they are refused. */
+/* n callers wait for a full model until they are refused. */
 static void refuse_full(struct fix *f, struct caller **c, int n)
 {
 	tell_running(f, 8, -1);
@@ -165,9 +166,9 @@
 		UNTIL(f, got(c[i], "HTTP/1.1 503 "));
 }
 
-/* Callers whom a full model refuses return in one moment; where it is to be
- * loaded, they return before it is there. */
-static void callers_of_a_full_model_return_in_turn(void **state)
+/* Failure: callers that a full model refuses return at the same moment, and
+ * callers of a model that is to be loaded return before it is. */
+static void callers_of_a_full_model_get_slots(void **state)
 {
 	struct caller *c[BURST];
 	double last = 0, s;
@@ -189,7 +190,7 @@
 	for (int i = 0; i < BURST; i++)
 		last = MAX(last, retry_after(c[i]));
 	assert_true(last > 1.2 && last < 2.2);
-	/* It is gone, and on its way. */
+	/* The model isn't held any more, and is being loaded. */
 	tell_running(&f, 0, 2500);
 	c[0] = call(&f, POST_BRIEF);
 	UNTIL(&f, got(c[0], "HTTP/1.1 503 "));
@@ -198,7 +199,7 @@
 	fix_close(&f);
 }
 
-/* The line of a request with long fields loses its last ones. */
+/* Failure: the log line of a request with long fields loses its last fields. */
 static void long_line_keeps_its_last_field(void **state)
 {
 	char *id = g_strnfill(500, 'i'), *text;
@@ -228,8 +229,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(callers_over_a_limit_return_in_turn),
-		cmocka_unit_test(callers_of_a_full_model_return_in_turn),
+		cmocka_unit_test(callers_over_a_limit_get_slots),
+		cmocka_unit_test(callers_of_a_full_model_get_slots),
 		cmocka_unit_test(long_line_keeps_its_last_field),
 	};
 
