--- a/src/proxy/callers.c
+++ b/src/proxy/callers.c
@@ -1,4 +1,4 @@
-/* Callers' connections. */
+/* HTTP/1.1 server side: the listener and the connections of callers. */
 #include "callers.h"
 
 #include "../net/addr.h"
@@ -11,75 +11,79 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* A caller who takes nothing for so long isn't there any more, or reads too
- * slowly for anybody to wait for. */
+/* A caller that acknowledges no data for this long is disconnected or reads too
+ * slowly, and its connection is closed. */
 #define UNACKED_MS 4000
-/* Requests that are sent before the one in progress is answered; more are
- * left in the kernel, so that nobody makes this process hold them. */
-#define AHEAD_MAX (64u << 10)
-/* After the last answer the caller gets so long to close first: a close
- * with unread bytes resets the connection, and what the caller hasn't read
- * of the answer would be lost. */
+/* Input buffered while a request is in progress (pipelining), in bytes. The
+ * rest stays in the kernel, so that a caller can't exhaust this process's
+ * memory. */
+#define PIPELINED_MAX (64u << 10)
+/* After the last response the caller has this long to close first. Closing
+ * with unread input resets the connection, and the part of the response that
+ * the caller hasn't read would be lost. */
 #define LINGER_MS 500
-/* Once no more are taken, a connection that hasn't brought a request yet may
- * bring it for so long: it was made by a caller who is about to send one. */
+/* After the listener is closed, a new connection stays open this long for its
+ * first request: its caller is about to send one. */
 #define FIRST_REQUEST_MS 500
-/* Connections that wait to be accepted; beyond it a caller's first packet is
- * lost, and sent again a second later. */
-#define BACKLOG 1024
-
-/* A larger buffer isn't kept by a connection, in bytes: twice what one read
- * gives. */
-#define BUFFER_KEEP (32u << 10)
-/* The shares of the memory that requests and answers may take. A request stands
- * twice: here, and on its way to an endpoint that reads slowly. */
+/* Connections that wait for accept. Beyond this a caller's SYN is dropped and
+ * retransmitted one second later. */
+#define ACCEPT_BACKLOG 1024
+
+/* A connection frees a larger buffer after use; twice the size of a read, in
+ * bytes. */
+#define BUFFER_KEEP_MAX (32u << 10)
+/* Divisors of the memory limit, for request bodies and unread responses. A
+ * request can be buffered twice: here, and for an endpoint that reads
+ * slowly. */
 #define BODIES_SHARE 4
 #define UNREAD_SHARE 2
-/* What may wait for one caller, in bytes, while there is room: half a second of
- * a link of 10 Mbit/s. */
-#define UNREAD_MOST (512u << 10)
-/* And always: an answer goes on, if slowly. */
-#define UNREAD_LEAST (16u << 10)
-/* One caller may take this part of what is still free, so that room is left for
- * those who come after it, however many read slowly. */
-#define UNREAD_PART 8
-/* A caller whose request has no room may come back after so long, in s. */
-#define NO_ROOM_BACK_S 1
+/* Limit of unread bytes of one caller while memory is free: half a second at
+ * 10 Mbit/s. */
+#define UNREAD_MAX (512u << 10)
+/* Unread bytes that a caller may always have, so that every response makes
+ * progress. */
+#define UNREAD_MIN (16u << 10)
+/* Divisor of the free memory, for the share of one caller. It leaves memory for
+ * later callers, however many read slowly. */
+#define UNREAD_FREE_SHARE 8
+/* Retry-After of a request that is refused for lack of memory, in seconds. */
+#define NO_MEMORY_RETRY_AFTER_S 1
 
 struct caller_call {
-	struct peer *peer;
+	struct caller_conn *conn;
 	void *data;
 	bool started, chunked;
-	int64_t left; /* of the length told; -1: chunked */
+	int64_t body_left; /* of Content-Length; -1: chunked */
 };
 
-struct peer {
+struct caller_conn {
 	struct callers *s;
 	struct bufferevent *bev;
 	struct http1_reader *reader;
 	const struct http1_head *head;
 	GString *body;
-	GString *out;		  /* of the answer, until the next flush */
-	struct caller_call *call; /* NULL: none in progress */
-	bool refused;		  /* it is only written out and closed */
-	bool last;     /* the answer in progress ends the connection */
-	bool finished; /* close once all is written */
-	bool shut;     /* all is written; only the caller's close is missing */
-	bool used;     /* it has brought a request */
+	GString *out;		  /* response data until the next flush */
+	struct caller_call *call; /* request in progress, or NULL */
+	bool refused;		  /* error response sent; closing */
+	bool close_after;	  /* close after the current response */
+	bool finished;		  /* close once all output is written */
+	bool write_shut;	  /* shut for writing; the caller closes next */
+	bool had_request;	  /* received at least one request */
 	bool too_large;
-	bool no_room;
-	int64_t since_ms; /* of the state it is in */
-	int depth;
-	bool closing;
+	bool no_memory;
+	int64_t state_since_ms; /* when the current state began */
+	int depth;		/* of callbacks that still use it */
+	bool closing;		/* freed when depth is 0 */
 };
 
 struct callers {
 	struct callers_options o;
 	struct evconnlistener *listener;
-	GHashTable *peers;
-	size_t bodies; /* bytes, of all peers */
-	size_t unread; /* bytes; counted now and then, and as they are written
-			*/
+	GHashTable *conns;
+	size_t bodies; /* bytes of request bodies, all connections */
+	/* Unread bytes of responses: added to on writes, and recomputed by
+	 * callers_count(). */
+	size_t unread;
 	bool draining;
 };
 
@@ -88,22 +92,22 @@
 	return ss_clock_now(s->o.clock);
 }
 
-static void trim(GString **buffer)
+static void reset_buffer(GString **buffer)
 {
-	if ((*buffer)->allocated_len > BUFFER_KEEP) {
+	if ((*buffer)->allocated_len > BUFFER_KEEP_MAX) {
 		g_string_free(*buffer, TRUE);
 		*buffer = g_string_new(NULL);
 	}
 	g_string_truncate(*buffer, 0);
 }
 
-static void drop_body(struct peer *p)
+static void drop_body(struct caller_conn *p)
 {
 	p->s->bodies -= p->body->len;
-	trim(&p->body);
+	reset_buffer(&p->body);
 }
 
-static void peer_free(struct peer *p)
+static void conn_free(struct caller_conn *p)
 {
 	struct callers *s = p->s;
 
@@ -111,7 +115,7 @@
 		s->o.ops->gone(s->o.arg, p->call);
 		g_free(p->call);
 	}
-	g_hash_table_remove(s->peers, p);
+	g_hash_table_remove(s->conns, p);
 	drop_body(p);
 	bufferevent_free(p->bev);
 	http1_reader_free(p->reader);
@@ -120,32 +124,32 @@
 	g_free(p);
 }
 
-static void peer_close(struct peer *p)
+static void conn_close(struct caller_conn *p)
 {
 	p->closing = true;
 	if (p->depth == 0)
-		peer_free(p);
+		conn_free(p);
 }
 
-/* All is written: tell so, and wait for the caller's close. */
-static void shut(struct peer *p)
+/* Shut the connection for writing and wait for the caller to close it. */
+static void shut_write(struct caller_conn *p)
 {
-	p->shut = true;
-	p->since_ms = now_ms(p->s);
+	p->write_shut = true;
+	p->state_since_ms = now_ms(p->s);
 	if (shutdown(bufferevent_getfd(p->bev), SHUT_WR))
-		peer_close(p);
+		conn_close(p);
 }
 
-static void finish(struct peer *p)
+static void close_when_written(struct caller_conn *p)
 {
 	p->finished = true;
-	p->since_ms = now_ms(p->s);
+	p->state_since_ms = now_ms(p->s);
 	if (evbuffer_get_length(bufferevent_get_output(p->bev)) == 0)
-		shut(p);
+		shut_write(p);
 }
 
-/* Refuse what can't be read; the rest of it isn't waited for. */
-static void refuse(struct peer *p, int status)
+/* Refuse the current request without waiting for the rest of it. */
+static void refuse(struct caller_conn *p, int status)
 {
 	GString *text = g_string_new(NULL);
 
@@ -153,24 +157,24 @@
 			http1_reason(status));
 	if (status == 503)
 		g_string_append_printf(text, "Retry-After: %d\r\n",
-				       NO_ROOM_BACK_S);
+				       NO_MEMORY_RETRY_AFTER_S);
 	g_string_append(text, "Connection: close\r\n\r\n");
 	bufferevent_write(p->bev, text->str, text->len);
 	g_string_free(text, TRUE);
 	p->s->o.ops->refused(p->s->o.arg, status);
 	p->refused = true;
 	drop_body(p);
-	finish(p);
+	close_when_written(p);
 }
 
 /* Reading. */
 
 static void on_head(void *arg, const struct http1_head *h)
 {
-	struct peer *p = arg;
+	struct caller_conn *p = arg;
 
 	p->head = h;
-	p->last = !h->keep_alive;
+	p->close_after = !h->keep_alive;
 	p->too_large = h->length > (int64_t)p->s->o.limits.body_bytes;
 	if (http1_value(h, "Expect").n && !p->too_large)
 		bufferevent_write(p->bev, "HTTP/1.1 100 Continue\r\n\r\n", 25);
@@ -178,15 +182,15 @@
 
 static void on_body(void *arg, struct ss_str piece)
 {
-	struct peer *p = arg;
+	struct caller_conn *p = arg;
 
 	struct callers *s = p->s;
 
 	if (p->body->len + piece.n > s->o.limits.body_bytes)
 		p->too_large = true;
 	if (s->o.memory && s->bodies + piece.n > s->o.memory / BODIES_SHARE)
-		p->no_room = true;
-	if (p->too_large || p->no_room)
+		p->no_memory = true;
+	if (p->too_large || p->no_memory)
 		return;
 	g_string_append_len(p->body, piece.p, (gssize)piece.n);
 	s->bodies += piece.n;
@@ -194,44 +198,44 @@
 
 static void on_done(void *arg)
 {
-	struct peer *p = arg;
+	struct caller_conn *p = arg;
 
-	if (p->too_large || p->no_room)
+	if (p->too_large || p->no_memory)
 		return;
 	p->call = g_new0(struct caller_call, 1);
-	p->call->peer = p;
-	p->used = true;
-	p->since_ms = now_ms(p->s);
+	p->call->conn = p;
+	p->had_request = true;
+	p->state_since_ms = now_ms(p->s);
 }
 
 static const struct http1_ops reader_ops = { on_head, on_body, on_done };
 
-static void next_request(struct peer *p)
+static void await_request(struct caller_conn *p)
 {
 	http1_reader_reset(p->reader, false);
 	p->head = NULL;
 	drop_body(p);
-	p->since_ms = now_ms(p->s);
+	p->state_since_ms = now_ms(p->s);
 }
 
-static void read_one(struct peer *p)
+static void read_request(struct caller_conn *p)
 {
 	struct callers *s = p->s;
 	GError *error = NULL;
-	bool fresh = http1_reader_fresh(p->reader);
+	bool at_start = http1_reader_fresh(p->reader);
 
 	if (!http1_read(p->reader, bufferevent_get_input(p->bev), &error)) {
 		refuse(p, error->code == SS_ERROR_TOO_LARGE ? 431 : 400);
 		g_error_free(error);
 		return;
 	}
-	if (fresh && !http1_reader_fresh(p->reader))
-		p->since_ms = now_ms(s);
+	if (at_start && !http1_reader_fresh(p->reader))
+		p->state_since_ms = now_ms(s);
 	if (p->too_large) {
 		refuse(p, 413);
 		return;
 	}
-	if (p->no_room) {
+	if (p->no_memory) {
 		refuse(p, 503);
 		return;
 	}
@@ -241,7 +245,7 @@
 			  (struct ss_str){ p->body->str, p->body->len });
 }
 
-static void read_more(struct peer *p)
+static void read_requests(struct caller_conn *p)
 {
 	struct evbuffer *in = bufferevent_get_input(p->bev);
 
@@ -252,25 +256,25 @@
 	p->depth++;
 	while (!p->call && !p->closing && !p->finished &&
 	       evbuffer_get_length(in))
-		read_one(p);
+		read_request(p);
 	p->depth--;
 	if (p->closing)
-		peer_free(p);
+		conn_free(p);
 }
 
 static void on_read(struct bufferevent *bev, void *arg)
 {
 	(void)bev;
-	read_more(arg);
+	read_requests(arg);
 }
 
 static void on_write(struct bufferevent *bev, void *arg)
 {
-	struct peer *p = arg;
+	struct caller_conn *p = arg;
 
 	(void)bev;
-	if (p->finished && !p->shut)
-		shut(p);
+	if (p->finished && !p->write_shut)
+		shut_write(p);
 	else if (p->call && p->call->started)
 		p->s->o.ops->drained(p->s->o.arg, p->call);
 }
@@ -279,12 +283,12 @@
 {
 	(void)bev;
 	(void)what;
-	peer_close(arg);
+	conn_close(arg);
 }
 
-static void add_peer(struct callers *s, evutil_socket_t fd)
+static void add_conn(struct callers *s, evutil_socket_t fd)
 {
-	struct peer *p = g_new0(struct peer, 1);
+	struct caller_conn *p = g_new0(struct caller_conn, 1);
 	struct http1_options ro = { .request = true,
 				    .head_max = s->o.limits.head_bytes,
 				    .ops = &reader_ops,
@@ -299,11 +303,11 @@
 	p->body = g_string_new(NULL);
 	p->out = g_string_new(NULL);
 	p->bev = bufferevent_socket_new(s->o.base, fd, BEV_OPT_CLOSE_ON_FREE);
-	p->since_ms = now_ms(s);
+	p->state_since_ms = now_ms(s);
 	bufferevent_setcb(p->bev, on_read, on_write, on_event, p);
-	bufferevent_setwatermark(p->bev, EV_READ, 0, AHEAD_MAX);
+	bufferevent_setwatermark(p->bev, EV_READ, 0, PIPELINED_MAX);
 	bufferevent_enable(p->bev, EV_READ | EV_WRITE);
-	g_hash_table_add(s->peers, p);
+	g_hash_table_add(s->conns, p);
 }
 
 static void on_accept(struct evconnlistener *ev, evutil_socket_t fd,
@@ -312,7 +316,7 @@
 	(void)ev;
 	(void)sa;
 	(void)len;
-	add_peer(arg, fd);
+	add_conn(arg, fd);
 }
 
 /* Writing. */
@@ -329,10 +333,10 @@
 
 const struct http1_head *caller_call_head(const struct caller_call *c)
 {
-	return c->peer->head;
+	return c->conn->head;
 }
 
-static size_t unread(const struct peer *p)
+static size_t unread_bytes(const struct caller_conn *p)
 {
 	return evbuffer_get_length(bufferevent_get_output(p->bev)) +
 	       p->out->len;
@@ -340,16 +344,17 @@
 
 bool caller_call_is_full(const struct caller_call *c)
 {
-	const struct callers *s = c->peer->s;
-	size_t room = s->o.memory / UNREAD_SHARE;
-	size_t most = UNREAD_MOST;
+	const struct callers *s = c->conn->s;
+	size_t budget = s->o.memory / UNREAD_SHARE;
+	size_t max = UNREAD_MAX;
 
 	if (s->o.memory)
-		most = MIN(most, (room - MIN(room, s->unread)) / UNREAD_PART);
-	return unread(c->peer) > MAX(most, UNREAD_LEAST);
+		max = MIN(max, (budget - MIN(budget, s->unread)) /
+				       UNREAD_FREE_SHARE);
+	return unread_bytes(c->conn) > MAX(max, UNREAD_MIN);
 }
 
-static void flush(struct peer *p)
+static void flush(struct caller_conn *p)
 {
 	size_t before, after;
 
@@ -359,26 +364,26 @@
 	send_now(p->bev, ss_str_gs(p->out));
 	after = evbuffer_get_length(bufferevent_get_output(p->bev));
 	p->s->unread += after - MIN(before, after);
-	trim(&p->out);
+	reset_buffer(&p->out);
 }
 
 void caller_call_flush(struct caller_call *c)
 {
-	flush(c->peer);
+	flush(c->conn);
 }
 
 void caller_call_start(struct caller_call *c, int status,
 		       const GString *headers, int64_t length)
 {
-	struct peer *p = c->peer;
+	struct caller_conn *p = c->conn;
 	const struct http1_head *h = p->head;
 	bool no_body = http1_name_is(h->method, "HEAD") || status == 204 ||
 		       status == 304;
 
-	p->last |= p->s->draining;
+	p->close_after |= p->s->draining;
 	c->started = true;
 	c->chunked = length < 0 && !no_body;
-	c->left = no_body ? 0 : length;
+	c->body_left = no_body ? 0 : length;
 	g_string_append_printf(p->out, "HTTP/1.1 %d %s\r\n", status,
 			       http1_reason(status));
 	if (headers)
@@ -388,12 +393,12 @@
 	else if (status != 204 && length >= 0)
 		g_string_append_printf(
 			p->out, "Content-Length: %" PRId64 "\r\n", length);
-	if (p->last)
+	if (p->close_after)
 		g_string_append(p->out, "Connection: close\r\n");
 	g_string_append(p->out, "\r\n");
 }
 
-/* A chunk's size in hexadecimal; its digits are made from the last. */
+/* The size line of a chunk: hexadecimal, built from the last digit. */
 static void add_chunk_head(GString *out, size_t n)
 {
 	static const char digits[] = "0123456789abcdef";
@@ -410,7 +415,7 @@
 
 void caller_call_write(struct caller_call *c, struct ss_str piece)
 {
-	GString *out = c->peer->out;
+	GString *out = c->conn->out;
 
 	if (piece.n == 0)
 		return;
@@ -418,34 +423,35 @@
 		add_chunk_head(out, piece.n);
 		g_string_append_len(out, piece.p, (gssize)piece.n);
 		g_string_append_len(out, "\r\n", 2);
-	} else if (c->left >= (int64_t)piece.n) {
+	} else if (c->body_left >= (int64_t)piece.n) {
 		g_string_append_len(out, piece.p, (gssize)piece.n);
-		c->left -= (int64_t)piece.n;
+		c->body_left -= (int64_t)piece.n;
 	}
 }
 
-void caller_call_end(struct caller_call *c, bool whole)
+void caller_call_end(struct caller_call *c, bool complete)
 {
-	struct peer *p = c->peer;
-	bool good = whole && c->started && (c->chunked || c->left <= 0);
+	struct caller_conn *p = c->conn;
+	bool ok = complete && c->started && (c->chunked || c->body_left <= 0);
 
-	if (good && c->chunked)
+	if (ok && c->chunked)
 		g_string_append(p->out, "0\r\n\r\n");
 	flush(p);
 	p->call = NULL;
 	g_free(c);
-	/* A stop that began during the answer ends the connection too, else
-	 * the next request on it would come too late to be finished. */
-	if (!good || p->last || p->s->draining) {
-		/* What was written goes out; its end shows what is missing. */
-		finish(p);
+	/* Draining that began during the response also closes the connection:
+	 * a further request on it might not finish before the shutdown. */
+	if (!ok || p->close_after || p->s->draining) {
+		/* Written output is still sent; the close then shows the
+		 * caller that an incomplete response was cut off. */
+		close_when_written(p);
 		return;
 	}
-	next_request(p);
-	/* Requests that were sent ahead are read by the loop below us, or
-	 * in their own turn. */
+	await_request(p);
+	/* Pipelined requests are read by the loop in read_requests() if it is
+	 * on the stack, else here. */
 	if (p->depth == 0)
-		read_more(p);
+		read_requests(p);
 }
 
 void caller_call_reply(struct caller_call *c, int status,
@@ -463,9 +469,9 @@
 	struct callers *s = g_new0(struct callers, 1);
 
 	s->o = *o;
-	s->peers = g_hash_table_new(NULL, NULL);
-	s->listener =
-		addr_listen(o->base, o->addr, BACKLOG, on_accept, s, error);
+	s->conns = g_hash_table_new(NULL, NULL);
+	s->listener = addr_listen(o->base, o->addr, ACCEPT_BACKLOG, on_accept,
+				  s, error);
 	if (s->listener)
 		return s;
 	callers_free(s);
@@ -487,57 +493,59 @@
 	s->draining = true;
 }
 
-static GList *all_peers(struct callers *s)
+static GList *all_conns(struct callers *s)
 {
-	return g_hash_table_get_keys(s->peers);
+	return g_hash_table_get_keys(s->conns);
 }
 
-static bool at_rest(const struct peer *p)
+static bool is_idle(const struct caller_conn *p)
 {
 	return !p->call && http1_reader_fresh(p->reader) &&
 	       evbuffer_get_length(bufferevent_get_input(p->bev)) == 0 &&
 	       evbuffer_get_length(bufferevent_get_output(p->bev)) == 0;
 }
 
-/* Connections that the kernel has made are ours: closing the listener would
- * reset them, with the requests that were sent on them. */
-static void take_made(struct callers *s)
+/* Accept the connections in the kernel's backlog. Closing the listener would
+ * reset them, with the requests that were already sent on them. */
+static void accept_pending(struct callers *s)
 {
 	int listener = evconnlistener_get_fd(s->listener);
 	int fd;
 
 	while ((fd = accept4(listener, NULL, NULL,
 			     SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0)
-		add_peer(s, fd);
+		add_conn(s, fd);
 }
 
-/* What the kernel holds of a request is read in the turn of the loop after the
- * listener's close: before that nobody is known to be at rest. */
+/* The first call closes the listener and returns. Requests that are in the
+ * kernel's buffers are read in the next iteration of the event loop, and only
+ * then is it known which connections are idle. */
 bool callers_close(struct callers *s)
 {
 	int64_t now = now_ms(s);
-	bool rest = true;
+	bool finished = true;
 	GList *all;
 
 	if (s->listener) {
-		take_made(s);
+		accept_pending(s);
 		evconnlistener_free(s->listener);
 		s->listener = NULL;
 		return false;
 	}
-	all = all_peers(s);
+	all = all_conns(s);
 	for (GList *l = all; l; l = l->next) {
-		struct peer *p = l->data;
+		struct caller_conn *p = l->data;
 
-		if (!at_rest(p))
+		if (!is_idle(p))
 			continue;
-		if (p->used || now - p->since_ms > FIRST_REQUEST_MS)
-			peer_close(p);
+		if (p->had_request ||
+		    now - p->state_since_ms > FIRST_REQUEST_MS)
+			conn_close(p);
 		else
-			rest = false;
+			finished = false;
 	}
 	g_list_free(all);
-	return rest;
+	return finished;
 }
 
 size_t callers_busy(const struct callers *s)
@@ -546,9 +554,9 @@
 	size_t n = 0;
 	void *p;
 
-	g_hash_table_iter_init(&it, s->peers);
+	g_hash_table_iter_init(&it, s->conns);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		n += !at_rest(p);
+		n += !is_idle(p);
 	return n;
 }
 
@@ -570,24 +578,24 @@
 	if (!s->unread)
 		return;
 	s->unread = 0;
-	g_hash_table_iter_init(&it, s->peers);
+	g_hash_table_iter_init(&it, s->conns);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		s->unread += unread(p);
+		s->unread += unread_bytes(p);
 }
 
-static void tidy(struct peer *p, int64_t now)
+static void close_if_expired(struct caller_conn *p, int64_t now)
 {
 	const struct callers_limits *l = &p->s->o.limits;
-	int64_t age = now - p->since_ms;
+	int64_t age = now - p->state_since_ms;
 
 	if (p->call)
 		return;
 	if (p->finished) {
-		if (age > (p->shut ? LINGER_MS : UNACKED_MS))
-			peer_close(p);
-	} else if (at_rest(p)) {
+		if (age > (p->write_shut ? LINGER_MS : UNACKED_MS))
+			conn_close(p);
+	} else if (is_idle(p)) {
 		if (age > l->idle_ms)
-			peer_close(p);
+			conn_close(p);
 	} else if (!http1_reader_fresh(p->reader) && age > l->head_ms) {
 		refuse(p, 408);
 	}
@@ -595,11 +603,11 @@
 
 void callers_tidy(struct callers *s)
 {
-	GList *all = all_peers(s);
+	GList *all = all_conns(s);
 	int64_t now = now_ms(s);
 
 	for (GList *l = all; l; l = l->next)
-		tidy(l->data, now);
+		close_if_expired(l->data, now);
 	g_list_free(all);
 }
 
@@ -609,11 +617,11 @@
 
 	if (!s)
 		return;
-	all = all_peers(s);
+	all = all_conns(s);
 	for (GList *l = all; l; l = l->next)
-		peer_free(l->data);
+		conn_free(l->data);
 	g_list_free(all);
-	g_hash_table_unref(s->peers);
+	g_hash_table_unref(s->conns);
 	if (s->listener)
 		evconnlistener_free(s->listener);
 	g_free(s);
