--- a/src/proxy/events.c
+++ b/src/proxy/events.c
@@ -1,4 +1,4 @@
-/* A stream of server-sent events, cut into whole events. */
+/* Splits a stream of server-sent events. */
 #include "events.h"
 
 void events_init(struct events *e, int64_t last_id)
@@ -14,7 +14,7 @@
 	e->part = NULL;
 }
 
-/* Length of the first whole event; 0: none. An empty line ends it. */
+/* Length of the first complete event, which ends in an empty line; 0: none. */
 static size_t event_length(struct ss_str s)
 {
 	const char *end = s.p + s.n;
@@ -30,7 +30,7 @@
 	return 0;
 }
 
-/* The id line's number; -1 where the event has none. */
+/* The number in the event's id field; -1 if it has none. */
 static int64_t event_id(const char *p, size_t n)
 {
 	static const char key[] = "id:";
@@ -57,19 +57,21 @@
 
 bool events_add(struct events *e, struct ss_str bytes, GString *out)
 {
-	bool joined = e->part->len > 0;
+	bool buffered = e->part->len > 0;
 	struct ss_str rest = bytes;
 	size_t n;
 
-	/* Mostly a piece is one whole event and needs no copy. */
-	if (joined) {
+	/* Bytes are copied only if an incomplete event is buffered; usually a
+	 * piece is exactly one event. */
+	if (buffered) {
 		g_string_append_len(e->part, bytes.p, (gssize)bytes.n);
 		rest = ss_str_gs(e->part);
 	}
 	while ((n = event_length(rest))) {
 		int64_t id = event_id(rest.p, n);
 
-		/* A gap or a repeat means that two runs were mixed up. */
+		/* A gap or a repeated id means that the events come from two
+		 * different runs of the request. */
 		if (id >= 0 && e->last_id >= 0 && id != e->last_id + 1)
 			return false;
 		if (id >= 0)
@@ -79,7 +81,7 @@
 		rest.p += n;
 		rest.n -= n;
 	}
-	if (joined)
+	if (buffered)
 		g_string_erase(e->part, 0, (gssize)(e->part->len - rest.n));
 	else
 		g_string_append_len(e->part, rest.p, (gssize)rest.n);
--- a/src/proxy/events.h
+++ b/src/proxy/events.h
@@ -1,34 +1,34 @@
 /*
- * A stream of server-sent events, cut into whole events. Only whole ones
- * are passed on, so that a stream which breaks off inside an event can be
- * resumed behind the last one its caller has.
+ * Splits a stream of server-sent events. Only complete events are forwarded, so
+ * that a stream that breaks off inside an event can be resumed after the last
+ * event that its caller has received.
  */
 #ifndef SS_EVENTS_H
 #define SS_EVENTS_H
 
 #include <sapphireshift/base.h>
 
-/* An event larger than this is none that an engine makes, in bytes. */
+/* Size limit of an event, in bytes; no engine sends larger ones. */
 #define EVENT_MAX (1u << 20)
 
 struct events {
-	GString *part;	 /* bytes of an event that isn't whole */
-	int64_t last_id; /* of the last whole event; -1: none, or not told */
-	uint64_t count;	 /* whole events so far */
+	GString *part;	 /* bytes of an incomplete event */
+	int64_t last_id; /* of the last complete event; -1: none */
+	uint64_t count;	 /* complete events so far */
 };
 
 void events_init(struct events *e, int64_t last_id);
 void events_clear(struct events *e);
 
 /*
- * Add bytes; those of whole events are appended to out. False where an
- * event is too large or its id isn't the next one.
+ * Add bytes of the stream and append complete events to out. False if an event
+ * is too large or its id isn't the successor of the last one.
  */
 bool events_add(struct events *e, struct ss_str bytes, GString *out);
 
-/* Nothing of an event is left over. */
+/* No incomplete event is buffered. */
 bool events_at_end(const struct events *e);
-/* Drop what isn't whole: the next bytes come from another endpoint. */
+/* Discard an incomplete event: the stream resumes from another endpoint. */
 void events_resume(struct events *e);
 
 #endif
