--- a/src/proxy/http1.c
+++ b/src/proxy/http1.c
@@ -1,25 +1,28 @@
-/* HTTP/1.1 messages read piece by piece. */
+/* Incremental HTTP/1.1 parser. */
 #include "http1.h"
 
 #include <strings.h>
 
-/* More headers than this aren't any client's; each costs memory. */
-#define FIELDS_MAX 128
+/* Limit of headers in a message; no client sends more, and each takes
+ * memory. */
+#define HEADER_FIELDS_MAX 128
 
-struct span {
+/* Positions of a header's name and value in the reader's text, which may move
+ * as it grows. */
+struct header_span {
 	size_t name, name_n, value, value_n;
 };
 
 struct http1_reader {
 	struct http1_options o;
 	http_parser p;
-	GString *text; /* method or nothing, target, names and values */
-	GArray *spans; /* struct span */
-	GArray *fields;
+	GString *text;	/* target, then names and values of headers */
+	GArray *spans;	/* struct header_span */
+	GArray *fields; /* struct http1_field, views into text */
 	struct http1_head head;
 	size_t target_n;
 	size_t head_bytes;
-	bool in_value, headers_done, no_body, started, whole, too_large;
+	bool in_value, headers_done, no_body, started, complete, too_large;
 };
 
 bool http1_name_is(struct ss_str name, const char *other)
@@ -60,9 +63,9 @@
 	return strcmp(s, "<unknown>") ? s : "Other";
 }
 
-static struct span *last_span(struct http1_reader *r)
+static struct header_span *last_span(struct http1_reader *r)
 {
-	return &g_array_index(r->spans, struct span, r->spans->len - 1);
+	return &g_array_index(r->spans, struct header_span, r->spans->len - 1);
 }
 
 static int on_url(http_parser *p, const char *at, size_t n)
@@ -78,13 +81,13 @@
 {
 	struct http1_reader *r = p->data;
 
-	/* Trailers of a chunked body are read and dropped. */
+	/* Trailers of a chunked body are ignored. */
 	if (r->headers_done)
 		return 0;
 	if (r->in_value || r->spans->len == 0) {
-		struct span s = { .name = r->text->len };
+		struct header_span s = { .name = r->text->len };
 
-		if (r->spans->len == FIELDS_MAX)
+		if (r->spans->len == HEADER_FIELDS_MAX)
 			return 1;
 		g_array_append_val(r->spans, s);
 		r->in_value = false;
@@ -115,7 +118,8 @@
 
 	g_array_set_size(r->fields, 0);
 	for (guint i = 0; i < r->spans->len; i++) {
-		const struct span *s = &g_array_index(r->spans, struct span, i);
+		const struct header_span *s =
+			&g_array_index(r->spans, struct header_span, i);
 		struct http1_field f = { { text + s->name, s->name_n },
 					 { text + s->value, s->value_n } };
 
@@ -142,13 +146,15 @@
 	struct http1_reader *r = p->data;
 
 	r->headers_done = true;
-	/* A head that came in one piece is measured here: its names and
-	 * values, with a colon, a space and a line end for each. */
+	/* http1_read() checks the size only between pieces. A head that came
+	 * in one piece is checked here: its names and values, plus 4 bytes of
+	 * a colon, a space and CRLF for each header. */
 	if (r->text->len + 4 * r->spans->len > r->o.head_max) {
 		r->too_large = true;
 		return -1;
 	}
-	/* No protocol switch is forwarded; the message is read as it is. */
+	/* Protocol upgrades aren't supported; the message is parsed as a
+	 * plain one. */
 	p->upgrade = 0;
 	fill_head(r);
 	r->o.ops->head(r->o.arg, &r->head);
@@ -167,7 +173,7 @@
 {
 	struct http1_reader *r = p->data;
 
-	r->whole = true;
+	r->complete = true;
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -188,7 +194,7 @@
 	g_string_truncate(r->text, 0);
 	g_array_set_size(r->spans, 0);
 	r->target_n = r->head_bytes = 0;
-	r->in_value = r->headers_done = r->started = r->whole = false;
+	r->in_value = r->headers_done = r->started = r->complete = false;
 	r->too_large = false;
 	r->no_body = no_body;
 }
@@ -199,7 +205,7 @@
 
 	r->o = *o;
 	r->text = g_string_sized_new(1024);
-	r->spans = g_array_new(FALSE, FALSE, sizeof(struct span));
+	r->spans = g_array_new(FALSE, FALSE, sizeof(struct header_span));
 	r->fields = g_array_new(FALSE, FALSE, sizeof(struct http1_field));
 	http1_reader_reset(r, false);
 	return r;
@@ -238,7 +244,7 @@
 
 bool http1_read(struct http1_reader *r, struct evbuffer *in, GError **error)
 {
-	while (!r->whole && evbuffer_get_length(in) > 0) {
+	while (!r->complete && evbuffer_get_length(in) > 0) {
 		struct evbuffer_iovec v;
 		bool in_head = !r->headers_done;
 		size_t n;
@@ -251,13 +257,13 @@
 		evbuffer_drain(in, n);
 		if (in_head)
 			r->head_bytes += n;
-		if (r->whole)
+		if (r->complete)
 			break;
 		if (HTTP_PARSER_ERRNO(&r->p) != HPE_OK ||
 		    (!r->headers_done && r->head_bytes > r->o.head_max))
 			return fail(r, error);
 	}
-	if (r->whole) {
+	if (r->complete) {
 		r->started = false;
 		r->o.ops->done(r->o.arg);
 	}
@@ -266,10 +272,11 @@
 
 bool http1_read_eof(struct http1_reader *r)
 {
-	if (r->whole || !r->headers_done || HTTP_PARSER_ERRNO(&r->p) != HPE_OK)
+	if (r->complete || !r->headers_done ||
+	    HTTP_PARSER_ERRNO(&r->p) != HPE_OK)
 		return false;
 	http_parser_execute(&r->p, &settings, NULL, 0);
-	if (!r->whole)
+	if (!r->complete)
 		return false;
 	r->o.ops->done(r->o.arg);
 	return true;
--- a/src/proxy/http1.h
+++ b/src/proxy/http1.h
@@ -1,10 +1,11 @@
 /*
- * HTTP/1.1 messages read piece by piece, for both sides of the data path.
+ * Incremental HTTP/1.1 parser for requests of callers and responses of
+ * endpoints.
  *
- * evhttp and libevhtp hide what the data path has to see: whether an answer
- * without a length ended by a close or by a reset, bytes behind a whole
- * answer, and where one pipelined request ends. So this reads with
- * http_parser over plain buffers, and stops behind each message.
+ * evhttp and libevhtp hide what the data path needs: whether a response without
+ * a length ended in a close or a reset, surplus bytes after a response, and
+ * where a pipelined request ends. So this runs http_parser on plain buffers and
+ * stops after each message.
  */
 #ifndef SS_HTTP1_H
 #define SS_HTTP1_H
@@ -13,7 +14,7 @@
 #include <http_parser.h>
 #include <sapphireshift/base.h>
 
-/* One header; the views live as long as the head that holds them. */
+/* A header field; its views are valid as long as the head. */
 struct http1_field {
 	struct ss_str name, value;
 };
@@ -26,30 +27,30 @@
 	size_t n_fields;
 	bool keep_alive;
 	bool chunked;
-	int64_t length; /* of the body; -1: not told */
+	int64_t length; /* of the body; -1: no Content-Length */
 };
 
-/* NULL p where the header isn't there. */
+/* Value of a header; p is NULL if the header is missing. */
 struct ss_str http1_value(const struct http1_head *h, const char *name);
 bool http1_name_is(struct ss_str name, const char *other);
-/* What a status is called; "Other" where it has no name. */
+/* Reason phrase of a status; "Other" if it has none. */
 const char *http1_reason(int status);
-/* A whole decimal number from 0 to max. */
+/* Parse s as a decimal number from 0 to max. */
 bool http1_number(struct ss_str s, int64_t max, int64_t *out);
 
 struct http1_reader;
 
 struct http1_ops {
-	/* The head is whole. */
+	/* The head is complete. */
 	void (*head)(void *arg, const struct http1_head *h);
 	void (*body)(void *arg, struct ss_str piece);
-	/* The message is whole; bytes behind it stay in the buffer. */
+	/* The message is complete; bytes after it stay in the buffer. */
 	void (*done)(void *arg);
 };
 
 struct http1_options {
-	bool request;	 /* read requests, else answers */
-	size_t head_max; /* bytes */
+	bool request;	 /* parse requests, else responses */
+	size_t head_max; /* size limit of the head, in bytes */
 	const struct http1_ops *ops;
 	void *arg;
 };
@@ -57,23 +58,25 @@
 struct http1_reader *http1_reader_new(const struct http1_options *o);
 void http1_reader_free(struct http1_reader *r);
 
-/* Begin the next message; to a HEAD request an answer has no body. */
+/* Prepare for the next message. no_body: a response to a HEAD request. */
 void http1_reader_reset(struct http1_reader *r, bool no_body);
 
 /*
- * Read what the buffer holds, up to the end of one message, and drain it.
- * SS_ERROR_TOO_LARGE for a head over its limit, SS_ERROR_BAD_REQUEST for
- * bytes that are no message. A callback may free neither reader nor buffer.
+ * Parse and drain the buffer up to the end of one message. Fails with
+ * SS_ERROR_TOO_LARGE if the head exceeds its limit, SS_ERROR_BAD_REQUEST if the
+ * bytes are not a valid message. Callbacks must not free the reader or the
+ * buffer.
  */
 bool http1_read(struct http1_reader *r, struct evbuffer *in, GError **error);
 
 /*
- * The peer has closed orderly. True where that ends the message, as it does
- * one without a length; done has then been called.
+ * Report that the peer closed the connection without a reset. True if that
+ * completes the message, as it does one without a length; done has then been
+ * called.
  */
 bool http1_read_eof(struct http1_reader *r);
 
-/* Nothing of the next message was read yet. */
+/* No byte of the next message has been parsed yet. */
 bool http1_reader_fresh(const struct http1_reader *r);
 
 #endif
