--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -1,4 +1,4 @@
-/* Connections to endpoints. */
+/* HTTP/1.1 client side: connections to endpoints. */
 #include "upstream.h"
 
 #include "../base/timeval.h"
@@ -12,46 +12,46 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* A connection that isn't made by then is given up: a hundred round trips,
- * and less than a lost SYN takes to be sent again. Nothing was sent, so the
- * request goes elsewhere. */
-#define CONNECT_MS 400
-/* Bytes that an endpoint doesn't acknowledge for so long never arrive; the
- * connection has gone silent. Ten retransmissions of a working link. */
+/* A hundred round trips, and less than the retransmission timeout of a SYN.
+ * Nothing was sent by then, so the request can go to another endpoint. */
+#define CONNECT_TIMEOUT_MS 400
+/* A connection with data that stays unacknowledged for this long is dead: ten
+ * retransmissions on a working link. */
 #define UNACKED_MS 1500
-/* Connections at rest are closed after so long, well within what endpoints
- * keep them for where they don't tell. */
-#define REST_MS 4000
-/* Closed this much before the endpoint would, so that no request crosses
- * its close. */
-#define REST_MARGIN_MS 600
-
-struct line {
+/* Idle connections are closed after this time. It is well within the keep-alive
+ * timeouts of endpoints that don't state theirs. */
+#define IDLE_MS 4000
+/* Idle connections are closed this long before the endpoint's keep-alive
+ * timeout, so that no request races with the endpoint's close. */
+#define IDLE_MARGIN_MS 600
+
+struct upstream_conn {
 	struct upstream *u;
 	char *addr;
 	struct bufferevent *bev;
 	struct http1_reader *reader;
-	struct upstream_call *call; /* NULL: at rest */
+	struct upstream_call *call; /* NULL: idle */
 	bool connected;
-	bool keep; /* the answer leaves it open */
-	bool head_seen;
-	bool framed;	  /* the answer tells where it ends */
-	int64_t rest_ms;  /* since when */
-	int64_t until_ms; /* to be closed by then */
-	int64_t idle_ms;  /* what the endpoint told; 0: nothing */
-	int depth;
-	bool closing;
+	bool reusable; /* can be kept after the response */
+	bool got_head;
+	bool framed;	       /* the response has a length or is chunked */
+	int64_t idle_since_ms; /* start of the idle time */
+	int64_t close_at_ms;   /* end of the idle time */
+	int64_t keep_alive_ms; /* timeout of the endpoint; 0: not stated */
+	int depth;	       /* of callbacks that still use it */
+	bool closing;	       /* freed when depth is 0 */
 };
 
 struct upstream_call {
-	struct line *line;
+	struct upstream_conn *conn;
 	struct upstream_request r;
 };
 
 struct upstream {
 	struct upstream_options o;
-	GHashTable *idle;  /* addr -> GQueue of struct line, newest first */
-	GHashTable *lines; /* all */
+	GHashTable *idle;  /* addr -> GQueue of struct upstream_conn, last used
+			      first */
+	GHashTable *conns; /* all */
 };
 
 const char *upstream_end_name(enum upstream_end e)
@@ -71,7 +71,7 @@
 	return ss_clock_now(u->o.clock);
 }
 
-static GQueue *idle_of(struct upstream *u, const char *addr)
+static GQueue *idle_conns(struct upstream *u, const char *addr)
 {
 	GQueue *q = g_hash_table_lookup(u->idle, addr);
 
@@ -82,55 +82,55 @@
 	return q;
 }
 
-static void line_free(struct line *l)
+static void conn_free(struct upstream_conn *l)
 {
 	if (!l->call)
-		g_queue_remove(idle_of(l->u, l->addr), l);
-	g_hash_table_remove(l->u->lines, l);
+		g_queue_remove(idle_conns(l->u, l->addr), l);
+	g_hash_table_remove(l->u->conns, l);
 	bufferevent_free(l->bev);
 	http1_reader_free(l->reader);
 	g_free(l->addr);
 	g_free(l);
 }
 
-static void line_close(struct line *l)
+static void conn_close(struct upstream_conn *l)
 {
 	l->closing = true;
 	if (l->depth == 0)
-		line_free(l);
+		conn_free(l);
 }
 
 /*
- * End a line whose answer nobody waits for any more. After a close in good
- * order the kernel would go on to deliver what it still holds of the request,
- * seconds later if a link is cut; a reset calls it back.
+ * Reset a connection whose response is no longer wanted. After a normal close
+ * the kernel would still deliver the buffered rest of the request, seconds
+ * later if the link was down. A reset discards it.
  */
-static void line_break(struct line *l)
+static void conn_reset(struct upstream_conn *l)
 {
-	struct linger none = { 1, 0 };
+	struct linger no_linger = { 1, 0 };
 
-	setsockopt(bufferevent_getfd(l->bev), SOL_SOCKET, SO_LINGER, &none,
-		   sizeof(none));
-	line_close(l);
+	setsockopt(bufferevent_getfd(l->bev), SOL_SOCKET, SO_LINGER, &no_linger,
+		   sizeof(no_linger));
+	conn_close(l);
 }
 
-/* Take the call off its line and free it. */
-static struct upstream_request detach(struct line *l)
+/* Detach the call from its connection and free it. */
+static struct upstream_request detach(struct upstream_conn *l)
 {
 	struct upstream_request r = l->call->r;
 
 	g_free(l->call);
 	l->call = NULL;
-	g_queue_push_head(idle_of(l->u, l->addr), l);
+	g_queue_push_head(idle_conns(l->u, l->addr), l);
 	return r;
 }
 
-static void fail(struct line *l, enum upstream_end end, bool closed)
+static void fail(struct upstream_conn *l, enum upstream_end end, bool closed)
 {
 	struct upstream_request r;
 
 	if (!l->call) {
-		line_close(l);
+		conn_close(l);
 		return;
 	}
 	l->depth++;
@@ -138,17 +138,17 @@
 	l->closing = true;
 	r.ops->failed(r.arg, end, closed);
 	l->depth--;
-	line_break(l);
+	conn_reset(l);
 }
 
 static void on_head(void *arg, const struct http1_head *h)
 {
-	struct line *l = arg;
+	struct upstream_conn *l = arg;
 
 	if (h->status / 100 == 1)
 		return;
-	l->head_seen = true;
-	l->keep = h->keep_alive;
+	l->got_head = true;
+	l->reusable = h->keep_alive;
 	l->framed = h->chunked || h->length >= 0 || l->call->r.no_body ||
 		    h->status == 204 || h->status == 304;
 	l->call->r.ops->head(l->call->r.arg, h);
@@ -156,47 +156,47 @@
 
 static void on_body(void *arg, struct ss_str piece)
 {
-	struct line *l = arg;
+	struct upstream_conn *l = arg;
 
 	if (l->call)
 		l->call->r.ops->body(l->call->r.arg, piece);
 }
 
-static void rest(struct line *l)
+static void keep_idle(struct upstream_conn *l)
 {
-	int64_t for_ms = REST_MS;
+	int64_t idle_ms = IDLE_MS;
 
-	if (l->idle_ms)
-		for_ms = MIN(for_ms, l->idle_ms - REST_MARGIN_MS);
-	l->rest_ms = now_ms(l->u);
-	l->until_ms = l->rest_ms + for_ms;
+	if (l->keep_alive_ms)
+		idle_ms = MIN(idle_ms, l->keep_alive_ms - IDLE_MARGIN_MS);
+	l->idle_since_ms = now_ms(l->u);
+	l->close_at_ms = l->idle_since_ms + idle_ms;
 	http1_reader_reset(l->reader, false);
-	if (!l->keep || for_ms <= 0)
+	if (!l->reusable || idle_ms <= 0)
 		l->closing = true;
 }
 
 static void on_done(void *arg)
 {
-	struct line *l = arg;
+	struct upstream_conn *l = arg;
 	struct upstream_request r;
 
 	if (!l->call)
 		return;
-	/* An interim answer: the real one follows. */
-	if (!l->head_seen) {
+	/* An interim (1xx) response; the final one follows. */
+	if (!l->got_head) {
 		http1_reader_reset(l->reader, l->call->r.no_body);
 		return;
 	}
 	/*
-	 * Not kept where the rest of the request is still to be written, or
-	 * bytes stand behind the answer: they belong to no request, and the
-	 * next one would take them for its answer.
+	 * The connection can't be reused if part of the request is unwritten,
+	 * or if surplus bytes follow the response: the next request would take
+	 * them for its response.
 	 */
 	if (evbuffer_get_length(bufferevent_get_output(l->bev)) ||
 	    evbuffer_get_length(bufferevent_get_input(l->bev)))
-		l->keep = false;
+		l->reusable = false;
 	r = detach(l);
-	rest(l);
+	keep_idle(l);
 	r.ops->done(r.arg);
 }
 
@@ -204,7 +204,7 @@
 
 static void on_read(struct bufferevent *bev, void *arg)
 {
-	struct line *l = arg;
+	struct upstream_conn *l = arg;
 	struct evbuffer *in = bufferevent_get_input(bev);
 	bool ok = true;
 
@@ -213,53 +213,54 @@
 		ok = http1_read(l->reader, in, NULL);
 	if (ok && l->call && !l->closing)
 		l->call->r.ops->flush(l->call->r.arg);
-	/* The same where they come later. */
+	/* Surplus bytes prevent reuse here as in on_done(). */
 	if (!l->call && evbuffer_get_length(in))
 		l->closing = true;
 	l->depth--;
 	if (!ok && l->call)
 		fail(l, UPSTREAM_GARBLED, false);
 	else if (l->closing)
-		line_close(l);
+		conn_close(l);
 }
 
-static enum upstream_end how_it_ended(const struct line *l)
+static enum upstream_end failure_of(const struct upstream_conn *l)
 {
 	if (!l->connected)
 		return UPSTREAM_NOT_SENT;
-	return l->head_seen || !http1_reader_fresh(l->reader) ? UPSTREAM_CUT :
-								UPSTREAM_SILENT;
+	return l->got_head || !http1_reader_fresh(l->reader) ? UPSTREAM_CUT :
+							       UPSTREAM_SILENT;
 }
 
-/* A process that ends has its connections closed or reset by its VM; one on a
- * VM that is off or cut off never answers. */
-static bool is_closed(short what)
+/* True if the peer's kernel closed or reset the connection, as it does when the
+ * process exits. A VM that is down or unreachable never answers. */
+static bool is_closed_by_peer(short what)
 {
 	if (what & BEV_EVENT_EOF)
 		return true;
 	return (what & BEV_EVENT_ERROR) && EVUTIL_SOCKET_ERROR() == ECONNRESET;
 }
 
-static void on_end(struct line *l, short what)
+static void on_disconnect(struct upstream_conn *l, short what)
 {
-	bool closed = is_closed(what);
+	bool closed = is_closed_by_peer(what);
 
 	l->depth++;
-	/* An answer without a length ends here; after a reset it is cut. */
-	if (l->call && l->head_seen && !l->framed && (what & BEV_EVENT_EOF)) {
-		l->keep = false;
+	/* A close completes a response without a length; a reset cuts it
+	 * off. */
+	if (l->call && l->got_head && !l->framed && (what & BEV_EVENT_EOF)) {
+		l->reusable = false;
 		http1_read_eof(l->reader);
 	}
 	l->depth--;
 	if (l->call)
-		fail(l, how_it_ended(l), closed);
+		fail(l, failure_of(l), closed);
 	else
-		line_close(l);
+		conn_close(l);
 }
 
 static void on_event(struct bufferevent *bev, short what, void *arg)
 {
-	struct line *l = arg;
+	struct upstream_conn *l = arg;
 
 	if (what & BEV_EVENT_CONNECTED) {
 		unsigned int ms = UNACKED_MS;
@@ -270,34 +271,35 @@
 			   TCP_USER_TIMEOUT, &ms, sizeof(ms));
 		return;
 	}
-	on_end(l, what);
+	on_disconnect(l, what);
 }
 
-static struct line *line_new(struct upstream *u, const char *addr)
+static struct upstream_conn *conn_new(struct upstream *u, const char *addr)
 {
 	struct http1_options ro = { .head_max = u->o.head_max,
 				    .ops = &reader_ops };
-	struct timeval connect = timeval_of(CONNECT_MS);
+	struct timeval connect = timeval_of(CONNECT_TIMEOUT_MS);
 	struct sockaddr_storage ss;
-	struct line *l;
+	struct upstream_conn *l;
 	int len = sizeof(ss), one = 1;
 
 	if (!addr_parse(addr, &ss, &len))
 		return NULL;
-	l = g_new0(struct line, 1);
+	l = g_new0(struct upstream_conn, 1);
 	l->u = u;
 	l->addr = g_strdup(addr);
 	ro.arg = l;
 	l->reader = http1_reader_new(&ro);
 	l->bev = bufferevent_socket_new(u->o.base, -1, BEV_OPT_CLOSE_ON_FREE);
 	bufferevent_setcb(l->bev, on_read, NULL, on_event, l);
-	/* While it connects, the write timeout is that of the connection. */
+	/* While the socket connects, the write timeout is the connect
+	 * timeout. */
 	bufferevent_set_timeouts(l->bev, NULL, &connect);
 	bufferevent_enable(l->bev, EV_READ | EV_WRITE);
-	g_hash_table_add(u->lines, l);
+	g_hash_table_add(u->conns, l);
 	(*u->o.opened)++;
 	if (bufferevent_socket_connect(l->bev, (struct sockaddr *)&ss, len)) {
-		line_free(l);
+		conn_free(l);
 		return NULL;
 	}
 	setsockopt(bufferevent_getfd(l->bev), IPPROTO_TCP, TCP_NODELAY, &one,
@@ -306,11 +308,12 @@
 }
 
 /*
- * Nothing has come on it, and it wasn't closed. What the loop hasn't read
- * yet would be taken for the next answer; a close that it hasn't seen would
- * leave open whether the request arrived.
+ * True if the socket has no pending input and wasn't closed. Input that the
+ * event loop hasn't read yet would be taken for the next response. After a
+ * close that it hasn't seen yet, it would be unknown whether the request
+ * arrived.
  */
-static bool is_quiet(const struct line *l)
+static bool has_no_input(const struct upstream_conn *l)
 {
 	char c;
 
@@ -319,28 +322,30 @@
 	       (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/* The line that rested the shortest; the others may be silent by now. */
-static struct line *take_idle(struct upstream *u, const char *addr,
-			      int64_t rest_max_ms)
+/* The connection that was idle for the shortest time: it is the least likely to
+ * be dead. */
+static struct upstream_conn *
+take_idle_conn(struct upstream *u, const char *addr, int64_t idle_max_ms)
 {
-	GQueue *idle = idle_of(u, addr);
+	GQueue *idle = idle_conns(u, addr);
 	GList *next;
-	struct line *found = NULL;
+	struct upstream_conn *found = NULL;
 	int64_t now = now_ms(u);
 
-	/* A line that is closed leaves the queue, but no other does. */
+	/* Closing a connection removes it from the queue, and only it. */
 	for (GList *p = idle->head; p && !found; p = next) {
-		struct line *l = p->data;
+		struct upstream_conn *l = p->data;
 
 		next = p->next;
 		if (l->closing)
 			continue;
-		if (now >= l->until_ms || now - l->rest_ms > rest_max_ms)
+		if (now >= l->close_at_ms ||
+		    now - l->idle_since_ms > idle_max_ms)
 			break;
-		if (is_quiet(l))
+		if (has_no_input(l))
 			found = l;
 		else
-			line_close(l);
+			conn_close(l);
 	}
 	if (!found)
 		return NULL;
@@ -365,18 +370,18 @@
 				    const struct upstream_request *r)
 {
 	struct upstream_call *c = g_new0(struct upstream_call, 1);
-	struct line *l = take_idle(u, r->addr, r->rest_max_ms);
+	struct upstream_conn *l = take_idle_conn(u, r->addr, r->rest_max_ms);
 	struct timeval soon = { 0, 0 };
 
 	c->r = *r;
 	c->r.addr = NULL;
 	c->r.bytes = NULL;
 	if (!l)
-		l = line_new(u, r->addr);
+		l = conn_new(u, r->addr);
 	if (l) {
-		c->line = l;
+		c->conn = l;
 		l->call = c;
-		l->head_seen = l->framed = l->keep = false;
+		l->got_head = l->framed = l->reusable = false;
 		http1_reader_reset(l->reader, r->no_body);
 		if (l->connected)
 			send_now(l->bev, ss_str_gs(r->bytes));
@@ -392,30 +397,30 @@
 
 void upstream_cancel(struct upstream_call *c)
 {
-	struct line *l = c->line;
+	struct upstream_conn *l = c->conn;
 
 	if (!l) {
 		c->r.ops = NULL; /* freed by fail_later */
 		return;
 	}
 	detach(l);
-	line_break(l);
+	conn_reset(l);
 }
 
 void upstream_keep_for(struct upstream_call *c, int64_t idle_ms)
 {
-	if (c->line)
-		c->line->idle_ms = idle_ms;
+	if (c->conn)
+		c->conn->keep_alive_ms = idle_ms;
 }
 
 void upstream_pause(struct upstream_call *c, bool pause)
 {
-	if (!c->line)
+	if (!c->conn)
 		return;
 	if (pause)
-		bufferevent_disable(c->line->bev, EV_READ);
+		bufferevent_disable(c->conn->bev, EV_READ);
 	else
-		bufferevent_enable(c->line->bev, EV_READ);
+		bufferevent_enable(c->conn->bev, EV_READ);
 }
 
 bool upstream_reaches(const struct upstream *u, const char *addr)
@@ -423,9 +428,9 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, u->lines);
+	g_hash_table_iter_init(&it, u->conns);
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
-		const struct line *l = p;
+		const struct upstream_conn *l = p;
 
 		if (l->connected && !l->closing && !strcmp(l->addr, addr))
 			return true;
@@ -439,7 +444,7 @@
 	GList *all = q ? g_list_copy(q->head) : NULL;
 
 	for (GList *p = all; p; p = p->next)
-		line_close(p->data);
+		conn_close(p->data);
 	g_list_free(all);
 }
 
@@ -451,10 +456,10 @@
 
 	g_hash_table_iter_init(&it, u->idle);
 	while (g_hash_table_iter_next(&it, NULL, &q)) {
-		struct line *l;
+		struct upstream_conn *l;
 
-		while ((l = g_queue_peek_tail(q)) && now >= l->until_ms)
-			line_free(l);
+		while ((l = g_queue_peek_tail(q)) && now >= l->close_at_ms)
+			conn_free(l);
 	}
 }
 
@@ -470,7 +475,7 @@
 	u->o = *o;
 	u->idle = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					queue_free);
-	u->lines = g_hash_table_new(NULL, NULL);
+	u->conns = g_hash_table_new(NULL, NULL);
 	return u;
 }
 
@@ -480,16 +485,16 @@
 
 	if (!u)
 		return;
-	all = g_hash_table_get_keys(u->lines);
+	all = g_hash_table_get_keys(u->conns);
 	for (GList *p = all; p; p = p->next) {
-		struct line *l = p->data;
+		struct upstream_conn *l = p->data;
 
 		if (l->call)
 			detach(l);
-		line_free(l);
+		conn_free(l);
 	}
 	g_list_free(all);
 	g_hash_table_unref(u->idle);
-	g_hash_table_unref(u->lines);
+	g_hash_table_unref(u->conns);
 	g_free(u);
 }
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -1,6 +1,7 @@
 /*
- * Connections to endpoints: one request at a time on each, kept for the
- * next ones for a while. How many go to an endpoint is the caller's to say.
+ * HTTP/1.1 client side: connections to endpoints. Each connection carries one
+ * request at a time and is kept alive for reuse. The number of concurrent
+ * requests to an endpoint isn't limited here.
  */
 #ifndef SS_UPSTREAM_H
 #define SS_UPSTREAM_H
@@ -9,31 +10,32 @@
 
 #include "http1.h"
 
-/* What is known of a request that got no whole answer. */
+/* How a request failed that got no complete response. */
 enum upstream_end {
-	UPSTREAM_NOT_SENT, /* no connection: nothing has reached it */
-	UPSTREAM_SILENT,   /* sent, and no byte of an answer came */
-	UPSTREAM_CUT,	   /* the answer broke off */
-	UPSTREAM_GARBLED,  /* what came is no answer */
+	UPSTREAM_NOT_SENT, /* no connection: nothing was sent */
+	UPSTREAM_SILENT,   /* sent, but no byte of a response came */
+	UPSTREAM_CUT,	   /* the response broke off */
+	UPSTREAM_GARBLED,  /* the response is malformed */
 };
 
 const char *upstream_end_name(enum upstream_end e);
 
 struct upstream;      /* all connections */
-struct upstream_call; /* one request on its way */
+struct upstream_call; /* a request in progress */
 
 struct upstream_ops {
-	/* The answer's head; its views hold until the call returns. */
+	/* The response's head; its views are valid until the callback
+	 * returns. */
 	void (*head)(void *arg, const struct http1_head *h);
 	void (*body)(void *arg, struct ss_str piece);
-	/* All pieces that have come so far were handed over: pass them on. */
+	/* All input received so far was delivered: forward it. */
 	void (*flush)(void *arg);
-	/* The answer is whole; the call is freed on return. */
+	/* The response is complete; the call is freed on return. */
 	void (*done)(void *arg);
 	/*
-	 * It won't become whole; the call is freed on return. closed: the
-	 * endpoint's VM has closed or reset the connection; else it was given
-	 * up here.
+	 * The request failed; the call is freed on return. closed: the
+	 * endpoint's VM closed or reset the connection; otherwise this side
+	 * did, after a timeout or an error.
 	 */
 	void (*failed)(void *arg, enum upstream_end end, bool closed);
 };
@@ -47,12 +49,12 @@
 
 struct upstream_request {
 	const char *addr; /* "ip:port" */
-	GString *bytes;	  /* whole head and body; taken over */
-	bool no_body;	  /* the answer to it has none (HEAD) */
+	GString *bytes;	  /* head and body; ownership is taken */
+	bool no_body;	  /* the response has no body (HEAD) */
 	/*
-	 * A kept connection that has rested for longer isn't used. Something
-	 * between the two ends may have lost track of it, and then nobody
-	 * can tell whether the request arrived.
+	 * A connection that was idle for longer isn't reused. A device on the
+	 * path may have dropped its state, and then it is unknown whether the
+	 * request arrived.
 	 */
 	int64_t rest_max_ms;
 	const struct upstream_ops *ops;
@@ -60,22 +62,22 @@
 };
 
 struct upstream *upstream_new(const struct upstream_options *o);
-/* Calls under way end without a word. */
+/* Requests in progress are dropped without a callback. */
 void upstream_free(struct upstream *u);
 
 struct upstream_call *upstream_send(struct upstream *u,
 				    const struct upstream_request *r);
-/* Close its connection; the endpoint sees that nobody waits any more. */
+/* Reset the request's connection, so that the endpoint can abort it. */
 void upstream_cancel(struct upstream_call *c);
-/* How long the endpoint keeps an idle connection, as its answer told. */
+/* Set the endpoint's keep-alive timeout, as stated in its response. */
 void upstream_keep_for(struct upstream_call *c, int64_t idle_ms);
-/* Read no further until told: the caller is slower than the endpoint. */
+/* Pause or resume reading: the caller may be slower than the endpoint. */
 void upstream_pause(struct upstream_call *c, bool pause);
-/* Some connection to it is open, in use or at rest. */
+/* An established connection to addr exists, in use or idle. */
 bool upstream_reaches(const struct upstream *u, const char *addr);
-/* Close idle connections to an endpoint that has ended. */
+/* Close the idle connections to an endpoint that has stopped. */
 void upstream_forget(struct upstream *u, const char *addr);
-/* Close what has rested too long; to be called now and then. */
+/* Close connections that were idle too long; to be called periodically. */
 void upstream_tidy(struct upstream *u);
 
 #endif
