--- a/test/test_gate_memory.c
+++ b/test/test_gate_memory.c
@@ -1,20 +1,21 @@
-/* What callers who send much, or read slowly, take of the gate's memory. */
+/* Limits of the gate's memory for large requests and for callers that read
+ * slowly. */
 #include "gate_fix.h"
 
-/* Three of the largest requests have room. */
-#define BODY 4000u
-#define TAKEN 3
-#define MEMORY_FOR_BODIES (4 * TAKEN * BODY)
-#define MEMORY (8u << 20)
-/* What answers that nobody reads may take of it. */
-#define UNREAD (MEMORY / 2)
-/* One read from a connection, for each of them. */
-#define READ (64u << 10)
+#define BODY_BYTES 4000u /* size of a request's body, in bytes */
+#define ACCEPTED 3	 /* bodies of this size that fit into the memory */
+/* The gate gives a quarter of its memory to request bodies. */
+#define BODIES_MEMORY (4 * ACCEPTED * BODY_BYTES)
+#define MEMORY (8u << 20) /* memory limit of the gate, in bytes */
+/* The gate gives half of its memory to unread responses. */
+#define UNREAD_MAX (MEMORY / 2)
+/* By how much each connection may exceed UNREAD_MAX: one read, in bytes. */
+#define READ_MAX (64u << 10)
 #define CALLERS 12
-/* Turns of the loop without a change. */
-#define TURNS_SAME 100
-/* More than the kernel and the gate hold of one answer together. */
-#define ANSWER (7u << 20)
+/* Iterations of the event loop without a change that end fill_buffers(). */
+#define UNCHANGED_TURNS 100
+/* Size of a response, in bytes: more than kernel and gate buffer of it. */
+#define RESPONSE_BYTES (7u << 20)
 
 static void fix_open_small(struct fix *f, size_t memory)
 {
@@ -40,7 +41,7 @@
 	return n;
 }
 
-/* Part of a request with a body of this length. */
+/* A request with a body of this length, of which only a part is sent. */
 static char *begin_post(size_t length, size_t sent)
 {
 	GString *s = g_string_new(NULL);
@@ -52,52 +53,54 @@
 	return g_string_free(s, FALSE);
 }
 
-/* Large requests that come together end the process. */
-static void requests_without_room_are_refused_not_run(void **state)
+/* Guards against running out of memory when many large requests arrive at the
+ * same time. */
+static void requests_beyond_memory_are_refused(void **state)
 {
 	struct caller *c[CALLERS];
-	char *text = begin_post(BODY, BODY - strlen("last"));
+	char *text = begin_post(BODY_BYTES, BODY_BYTES - strlen("last"));
 	struct fix f;
-	int refused = 0, taken = 0;
+	int refused = 0, accepted = 0;
 
 	(void)state;
-	fix_open_small(&f, MEMORY_FOR_BODIES);
+	fix_open_small(&f, BODIES_MEMORY);
 	script(&f, 0, OK_TEXT, false, false);
 	script(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < CALLERS; i++) {
 		c[i] = call(&f, text);
-		/* Each in its turn, so that the first are the ones taken. */
+		/* One after another, so that the first ones are accepted. */
 		UNTIL(&f, metric(&f, "ss_gate_held_bytes ") ==
-				  MIN(i + 1, TAKEN) * (BODY - 4.0));
+				  MIN(i + 1, ACCEPTED) * (BODY_BYTES - 4.0));
 	}
 	g_free(text);
-	UNTIL(&f, metric(&f, "ss_gate_no_room_total ") == CALLERS - TAKEN);
+	UNTIL(&f, metric(&f, "ss_gate_no_room_total ") == CALLERS - ACCEPTED);
 	for (int i = 0; i < CALLERS; i++) {
-		if (i < TAKEN)
+		if (i < ACCEPTED)
 			tell(c[i], "last");
 		UNTIL(&f, c[i]->got->len || c[i]->ended);
 		refused += got(c[i], "HTTP/1.1 503 ") &&
 			   got(c[i], "Retry-After: ");
 		UNTIL(&f, refused || got(c[i], "hello"));
-		taken += got(c[i], "hello");
+		accepted += got(c[i], "hello");
 	}
-	assert_int_equal(taken, TAKEN);
-	assert_int_equal(refused, CALLERS - TAKEN);
-	assert_int_equal(f.eps[0].requests + f.eps[1].requests, TAKEN);
+	assert_int_equal(accepted, ACCEPTED);
+	assert_int_equal(refused, CALLERS - ACCEPTED);
+	assert_int_equal(f.eps[0].requests + f.eps[1].requests, ACCEPTED);
 	fix_close(&f);
 }
 
-/* A connection that once brought a large request holds its memory for good. */
-static void answered_requests_leave_their_room(void **state)
+/* Guards against connections that keep the memory of a large request after its
+ * response. */
+static void answered_requests_free_memory(void **state)
 {
-	char *text = begin_post(BODY, BODY);
+	char *text = begin_post(BODY_BYTES, BODY_BYTES);
 	struct fix f;
 
 	(void)state;
-	fix_open_small(&f, MEMORY_FOR_BODIES);
+	fix_open_small(&f, BODIES_MEMORY);
 	script(&f, 0, OK_TEXT, false, false);
 	script(&f, 1, OK_TEXT, false, false);
-	for (int i = 0; i < 2 * TAKEN; i++) {
+	for (int i = 0; i < 2 * ACCEPTED; i++) {
 		struct caller *c = call(&f, text);
 
 		UNTIL(&f, got(c, "hello"));
@@ -108,8 +111,9 @@
 	fix_close(&f);
 }
 
-/* Each wait is for some more of it. */
-static void read_whole(struct fix *f, struct caller *c, size_t n)
+/* Waits separately for each part of the response, since UNTIL has a limit of
+ * iterations. */
+static void read_response(struct fix *f, struct caller *c, size_t n)
 {
 	while (c->got->len < n) {
 		size_t had = c->got->len;
@@ -118,57 +122,58 @@
 	}
 }
 
-/* Until the kernel is full, and nothing more comes in or goes out. */
-static void fill(struct fix *f)
+/* Runs the loop until all buffers are full and no more data is transferred. */
+static void fill_buffers(struct fix *f)
 {
 	double before = -1, now = 0;
 
-	for (int same = 0;
-	     same<TURNS_SAME; same = now> 0 && now == before ? same + 1 : 0) {
+	for (int unchanged = 0; unchanged < UNCHANGED_TURNS;) {
 		before = now;
 		turn(f);
 		now = metric(f, "ss_gate_unread_bytes ");
-		assert_true(now <= UNREAD + CALLERS * READ);
+		assert_true(now <= UNREAD_MAX + CALLERS * READ_MAX);
+		unchanged = now > 0 && now == before ? unchanged + 1 : 0;
 	}
 }
 
-/* Callers who read nothing end the process, and with it all others' answers. */
-static void slow_readers_leave_room_for_others(void **state)
+/* Guards against running out of memory because callers don't read their
+ * responses, and against slow readers that block the responses of others. */
+static void slow_readers_dont_block_others(void **state)
 {
-	GString *answer = g_string_new(NULL);
+	GString *response = g_string_new(NULL);
 	struct caller *slow[CALLERS], *quick;
 	struct fix f;
 
 	(void)state;
-	g_string_printf(answer,
+	g_string_printf(response,
 			"HTTP/1.1 200 OK\r\n" HEAD "Content-Length: %u\r\n\r\n",
-			ANSWER);
-	for (size_t i = 0; i < ANSWER / 16; i++)
-		g_string_append(answer, "0123456789abcdef");
+			RESPONSE_BYTES);
+	for (size_t i = 0; i < RESPONSE_BYTES / 16; i++)
+		g_string_append(response, "0123456789abcdef");
 	fix_open_small(&f, MEMORY);
-	script(&f, 0, answer->str, false, false);
-	script(&f, 1, answer->str, false, false);
+	script(&f, 0, response->str, false, false);
+	script(&f, 1, response->str, false, false);
 	for (int i = 0; i < CALLERS; i++) {
 		slow[i] = call(&f, GET_SAFE);
 		bufferevent_disable(slow[i]->bev, EV_READ);
 	}
-	fill(&f);
+	fill_buffers(&f);
 	quick = call(&f, GET_SAFE);
-	read_whole(&f, quick, ANSWER);
+	read_response(&f, quick, RESPONSE_BYTES);
 	for (int i = 0; i < CALLERS; i++)
 		bufferevent_enable(slow[i]->bev, EV_READ);
 	for (int i = 0; i < CALLERS; i++)
-		read_whole(&f, slow[i], ANSWER);
-	g_string_free(answer, TRUE);
+		read_response(&f, slow[i], RESPONSE_BYTES);
+	g_string_free(response, TRUE);
 	fix_close(&f);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(requests_without_room_are_refused_not_run),
-		cmocka_unit_test(answered_requests_leave_their_room),
-		cmocka_unit_test(slow_readers_leave_room_for_others),
+		cmocka_unit_test(requests_beyond_memory_are_refused),
+		cmocka_unit_test(answered_requests_free_memory),
+		cmocka_unit_test(slow_readers_dont_block_others),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
