--- a/test/test_gate_restart.c
+++ b/test/test_gate_restart.c
@@ -1,4 +1,4 @@
-/* A gate whose endpoints restart under the id that they had. */
+/* The gate when endpoints restart and keep their id. */
 #include "gate_fix.h"
 
 #define CHAT_ADAPTER                                                           \
@@ -9,45 +9,47 @@
 	"HTTP/1.1 421 Misdirected Request\r\n" HEAD                            \
 	"X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
-/* Both are told with starts; the first one restarts, empty. */
-static void open_started(struct fix *f, const char *service, const char *model)
+/* Opens a gate that knows both endpoints' start times. */
+static void open_with_starts(struct fix *f, const char *service,
+			     const char *model)
 {
 	fix_open(f, NULL, "");
 	f->eps[0].started_ms = f->eps[1].started_ms = 100;
 	tell_fleet(f, service, model);
 }
 
+/* Reports a new incarnation of the first endpoint. */
 static void restart(struct fix *f, const char *service, const char *model)
 {
 	f->eps[0].started_ms = 200;
 	tell_fleet(f, service, model);
 }
 
-/* A request under way counts with its caller. */
-static size_t under_way(const struct fix *f)
+/* Requests in progress; gate_busy() counts each one and its connection. */
+static size_t requests_in_progress(const struct fix *f)
 {
 	return gate_busy(f->gate) / 2;
 }
 
-static void turns(struct fix *f, int n)
+static void run_turns(struct fix *f, int n)
 {
 	while (n-- > 0)
 		turn(f);
 }
 
 /*
- * Symptom: a stream stands still until its caller leaves. Sequence: an
- * endpoint's VM fails without a word and the endpoint restarts under its id;
- * the connection stays open here. Cause: the same id passed for the same
- * incarnation, so nobody knew that nothing more would come.
+ * Guards against a stream that hangs until its caller leaves. An endpoint's VM
+ * fails without closing its connections, and the endpoint restarts with the
+ * same id. If the same id is taken for the same incarnation, the gate keeps
+ * waiting on the dead connection.
  */
-static void silent_stream_goes_on_elsewhere(void **state)
+static void silent_stream_is_resumed_elsewhere(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_started(&f, "lm", "m");
+	open_with_starts(&f, "lm", "m");
 	script(&f, 0, FIRST_EVENT, false, false);
 	script(&f, 1, LAST_EVENT, false, false);
 	c = call(&f, POST_NIGHT);
@@ -55,7 +57,7 @@
 	f.eps[0].empty = true;
 	restart(&f, "lm", "m");
 	f.clock.fake_ms += 499;
-	turns(&f, 3);
+	run_turns(&f, 3);
 	assert_int_equal(f.eps[1].requests, 0);
 	f.clock.fake_ms += 1;
 	UNTIL(&f, ends(c, "0\r\n\r\n"));
@@ -64,23 +66,23 @@
 }
 
 /*
- * A call that may run once stays with the incarnation that it was sent to:
- * it isn't sent again, and its answer is passed on if it still comes.
+ * A request that isn't repeatable stays with the incarnation that it was sent
+ * to. It isn't retried, and a late response would still be forwarded.
  */
-static void call_that_may_run_once_isnt_repeated(void **state)
+static void unrepeatable_request_isnt_retried(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
-	open_started(&f, "web", "");
+	open_with_starts(&f, "web", "");
 	script(&f, 0, NULL, false, false);
 	script(&f, 1, OK_TEXT, false, false);
 	c = call(&f, POST_ONCE);
 	UNTIL(&f, f.eps[0].requests == 1);
 	restart(&f, "web", "");
 	f.clock.fake_ms += 1000;
-	turns(&f, 3);
+	run_turns(&f, 3);
 	assert_int_equal(c->got->len, 0);
 	f.clock.fake_ms += 1000;
 	UNTIL(&f, got(c, "HTTP/1.1 504 "));
@@ -90,9 +92,10 @@
 }
 
 /*
- * Symptom: a request is sent to more servers than its route allows.
- * Sequence: a server refuses it, restarts under its id and holds the model.
- * Cause: the ids that it was sent to were counted, not the incarnations.
+ * Guards against sending a request to more endpoints than its route allows. An
+ * endpoint refuses the request, restarts with the same id and holds the model.
+ * If ids are counted instead of incarnations, the restarted endpoint isn't
+ * counted as another one.
  */
 static void restarted_endpoint_counts_as_another(void **state)
 {
@@ -100,14 +103,14 @@
 	struct fix f;
 
 	(void)state;
-	open_started(&f, "lm", "m");
+	open_with_starts(&f, "lm", "m");
 	script(&f, 0, NOT_HELD, false, false);
 	script(&f, 0, LAST_EVENT, false, false);
 	c = call(&f, POST_CHAT);
-	UNTIL(&f, f.eps[0].requests == 1 && under_way(&f) > 0);
-	turns(&f, 3);
+	UNTIL(&f, f.eps[0].requests == 1 && requests_in_progress(&f) > 0);
+	run_turns(&f, 3);
 	restart(&f, "lm", "m");
-	turns(&f, 3);
+	run_turns(&f, 3);
 	assert_int_equal(f.eps[0].requests, 1);
 	f.clock.fake_ms += 9000;
 	UNTIL(&f, got(c, "HTTP/1.1 503 "));
@@ -116,12 +119,12 @@
 }
 
 /*
- * Symptom: a call goes to a server for an adapter that it doesn't hold.
- * Sequence: an agent loads the adapter; the server restarts under its id; the
- * agent's word comes after that. Cause: the word said nothing of the
- * incarnation, and the id was the same.
+ * Guards against sending a request to an endpoint that doesn't hold its
+ * adapter. An agent loads the adapter, the endpoint restarts with the same id,
+ * and the agent's reply arrives after that. A reply that doesn't identify the
+ * incarnation would be applied to the new one.
  */
-static void adapter_of_the_former_life_isnt_believed(void **state)
+static void adapter_of_previous_incarnation_is_ignored(void **state)
 {
 	struct msg_adapter_done done = { .code = 0 };
 	struct caller *c;
@@ -139,19 +142,19 @@
 	f.eps[0].empty = true;
 	restart(&f, "lm", "m");
 	gate_adapter_done(f.gate, &done);
-	turns(&f, 3);
+	run_turns(&f, 3);
 	assert_int_equal(f.eps[0].requests, 0);
 	assert_int_equal(c->got->len, 0);
-	assert_int_equal(under_way(&f), 1);
+	assert_int_equal(requests_in_progress(&f), 1);
 	fix_close(&f);
 }
 
 /*
- * Symptom: calls go to a server for a model that went with its restart.
- * Sequence: what was told of its former life arrives after the new start was.
- * Cause: the later message passed for the newer one.
+ * Guards against sending requests to an endpoint that lost the model in a
+ * restart. A report about the previous incarnation arrives after one about the
+ * new incarnation and is taken for the newer one.
  */
-static void late_word_changes_nothing(void **state)
+static void outdated_report_is_ignored(void **state)
 {
 	struct fix f;
 
@@ -164,10 +167,10 @@
 	f.eps[0].empty = false;
 	tell_fleet(&f, "lm", "m");
 	call(&f, POST_CHAT);
-	UNTIL(&f, under_way(&f) > 0);
-	turns(&f, 3);
+	UNTIL(&f, requests_in_progress(&f) > 0);
+	run_turns(&f, 3);
 	assert_int_equal(f.eps[0].requests, 0);
-	/* The endpoint itself is still known: its model may come. */
+	/* The endpoint is still known, and can report the model later. */
 	f.eps[0].started_ms = 200;
 	tell_fleet(&f, "lm", "m");
 	UNTIL(&f, f.eps[0].requests == 1);
@@ -182,21 +185,21 @@
 		bool holds;
 	} entries[2];
 	size_t n;
-	bool called;
+	bool is_used;
 };
 
-/* The gate believes i-0, started at 200, to hold nothing. */
+/* Before each list the gate knows i-0, started at 200, without a model. */
 static const struct list_case list_cases[] = {
-	{ "of the former life", { { "i-0", 100, true } }, 1, false },
-	{ "of this life", { { "i-0", 200, true } }, 1, true },
-	{ "of a later life", { { "i-0", 300, true } }, 1, true },
-	{ "without a start", { { "i-0", 0, true } }, 1, true },
+	{ "of the previous incarnation", { { "i-0", 100, true } }, 1, false },
+	{ "of the known incarnation", { { "i-0", 200, true } }, 1, true },
+	{ "of a later incarnation", { { "i-0", 300, true } }, 1, true },
+	{ "without a start time", { { "i-0", 0, true } }, 1, true },
 	{ "of another id", { { "i-9", 100, true } }, 1, true },
-	{ "one that crashed is still listed, first",
+	{ "a crashed incarnation is still listed, first",
 	  { { "i-0", 100, true }, { "i-0", 300, false } },
 	  2,
 	  false },
-	{ "one that crashed is still listed, last",
+	{ "a crashed incarnation is still listed, last",
 	  { { "i-0", 300, false }, { "i-0", 100, true } },
 	  2,
 	  false },
@@ -220,7 +223,7 @@
 	g_array_append_val(list, i);
 }
 
-static void list_is_judged_by_start(void **state)
+static void list_is_compared_by_start_time(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(list_cases); i++) {
@@ -239,9 +242,9 @@
 				  c->entries[k].holds);
 		gate_take_list(f.gate, &list);
 		call(&f, POST_CHAT);
-		UNTIL(&f, under_way(&f) > 0);
-		turns(&f, 5);
-		if ((f.eps[0].requests == 1) != c->called)
+		UNTIL(&f, requests_in_progress(&f) > 0);
+		run_turns(&f, 5);
+		if ((f.eps[0].requests == 1) != c->is_used)
 			fail_msg("%s: %d requests", c->label,
 				 f.eps[0].requests);
 		fix_close(&f);
@@ -250,9 +253,9 @@
 }
 
 /*
- * Symptom: a server that has just restarted gets no calls. Sequence: it
- * fails until its breaker opens, and restarts under its id. Cause: what was
- * held against its former life.
+ * Guards against an endpoint that gets no requests after a restart. It fails
+ * until its breaker opens, then restarts with the same id. The failures of the
+ * previous incarnation must not count.
  */
 static void restart_closes_the_breaker(void **state)
 {
@@ -261,7 +264,7 @@
 	int before;
 
 	(void)state;
-	open_started(&f, "web", "");
+	open_with_starts(&f, "web", "");
 	script(&f, 0, "", true, false);
 	script(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < 10; i++) {
@@ -281,15 +284,15 @@
 }
 
 /*
- * Symptom: callers wait for a server that is idle. Sequence: all its slots
- * are taken; it restarts under its id. Cause: the calls of its former life
- * counted on, here until their connections ended. When those end, they must
- * not count against the new life either.
+ * Guards against callers that wait for an idle endpoint. All its slots are in
+ * use when it restarts with the same id, and the requests of the previous
+ * incarnation still count until their connections close. When these close, the
+ * count of the new incarnation must not change either.
  */
-static void calls_of_the_former_life_dont_count(void **state)
+static void requests_of_previous_incarnation_dont_count(void **state)
 {
 	enum { SLOTS = 8 };
-	struct caller *all[SLOTS];
+	struct caller *callers[SLOTS];
 	struct fix f;
 
 	(void)state;
@@ -299,21 +302,22 @@
 	tell_fleet(&f, "lm", "m");
 	script(&f, 0, NULL, false, false);
 	for (int i = 0; i < SLOTS; i++)
-		all[i] = call(&f, POST_CHAT);
+		callers[i] = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == SLOTS);
 	for (int i = 0; i < SLOTS; i++)
 		call(&f, POST_CHAT);
-	UNTIL(&f, under_way(&f) == SLOTS + SLOTS);
+	UNTIL(&f, requests_in_progress(&f) == SLOTS + SLOTS);
 	assert_int_equal(f.eps[0].requests, SLOTS);
 	restart(&f, "lm", "m");
 	UNTIL(&f, f.eps[0].requests == SLOTS + SLOTS);
 	for (int i = 0; i < SLOTS; i++)
-		leave(all[i]);
-	UNTIL(&f, under_way(&f) == SLOTS);
-	/* Full again: those that left had no place in the new life. */
+		leave(callers[i]);
+	UNTIL(&f, requests_in_progress(&f) == SLOTS);
+	/* Still full: the callers that left used no slots of the new
+	 * incarnation. */
 	call(&f, POST_CHAT);
-	UNTIL(&f, under_way(&f) == SLOTS + 1);
-	turns(&f, 5);
+	UNTIL(&f, requests_in_progress(&f) == SLOTS + 1);
+	run_turns(&f, 5);
 	assert_int_equal(f.eps[0].requests, SLOTS + SLOTS);
 	fix_close(&f);
 }
@@ -321,14 +325,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(silent_stream_goes_on_elsewhere),
-		cmocka_unit_test(call_that_may_run_once_isnt_repeated),
+		cmocka_unit_test(silent_stream_is_resumed_elsewhere),
+		cmocka_unit_test(unrepeatable_request_isnt_retried),
 		cmocka_unit_test(restarted_endpoint_counts_as_another),
-		cmocka_unit_test(adapter_of_the_former_life_isnt_believed),
-		cmocka_unit_test(late_word_changes_nothing),
-		cmocka_unit_test(list_is_judged_by_start),
+		cmocka_unit_test(adapter_of_previous_incarnation_is_ignored),
+		cmocka_unit_test(outdated_report_is_ignored),
+		cmocka_unit_test(list_is_compared_by_start_time),
 		cmocka_unit_test(restart_closes_the_breaker),
-		cmocka_unit_test(calls_of_the_former_life_dont_count),
+		cmocka_unit_test(requests_of_previous_incarnation_dont_count),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
