--- a/src/core/end_log.h
+++ b/src/core/end_log.h
@@ -1,6 +1,7 @@
 /*
- * What an entry has seen of requests under which endpoints ended, for the
- * leader: told once, and again to each new leader. Bounded; the oldest goes.
+ * Crash log: the outcomes of suspected requests that an entry reports to the
+ * leader. Each outcome is reported once; a crash is reported again to each new
+ * leader. The log is bounded and drops its oldest outcome when it is full.
  */
 #ifndef SS_END_LOG_H
 #define SS_END_LOG_H
@@ -11,37 +12,44 @@
 extern "C" {
 #endif
 
-/* One thing seen: an end, or that the request was answered, or that its trial
- * has shown nothing. */
-enum end_kind { END_UNDER = 1, END_ANSWERED, END_NOTHING };
+/* The outcome of one run of a request. */
+enum end_kind {
+	END_UNDER = 1, /* its endpoint crashed while running it */
+	END_ANSWERED,  /* it was answered completely */
+	END_NOTHING,   /* its trial run was inconclusive */
+};
 
 struct end_seen {
 	struct fingerprint print;
 	enum end_kind kind;
-	uint64_t life; /* of the endpoint that ended */
+	uint64_t life; /* incarnation of the endpoint that crashed */
 	int64_t at_ms;
 };
 
 struct end_log {
-	GArray *seen;  /* struct end_seen, oldest first */
-	size_t untold; /* the first that the leader wasn't told */
-	size_t most;
+	GArray *outcomes;  /* struct run_outcome, oldest first */
+	size_t n_reported; /* the first ones, which the leader has */
+	size_t capacity;
 };
 
-void end_log_init(struct end_log *l, size_t most);
+void end_log_init(struct end_log *l, size_t capacity);
 void end_log_clear(struct end_log *l);
 
+/* Appends an outcome. Any outcome but a crash replaces the request's crashes.
+ */
 void end_log_add(struct end_log *l, const struct end_seen *e);
-/* It is cleared: its ends are no longer to be told. */
-void end_log_drop(struct end_log *l, const struct fingerprint *print);
-/* A leader that knows nothing: only ends still matter to it. */
+/* Removes the crashes of a request that was cleared. */
+void end_log_drop(struct end_log *l, const struct fingerprint *fp);
+/* Starts over for a new leader, which has received no reports: crashes are
+ * reported again, other outcomes that the last leader has are removed. */
 void end_log_again(struct end_log *l);
-/* The next ones to tell, at most so many; NULL and 0 where all is told. */
-const struct end_seen *end_log_next(const struct end_log *l, size_t most,
+/* Returns the next unreported outcomes, *n of them and at most max; NULL if
+ * all are reported. */
+const struct end_seen *end_log_next(const struct end_log *l, size_t max,
 				    size_t *n);
-/* So many of them are on their way. */
+/* Marks the next n outcomes as reported, once they are sent. */
 void end_log_told(struct end_log *l, size_t n);
-/* Forget what is older. */
+/* Removes outcomes observed before a time. */
 void end_log_forget(struct end_log *l, int64_t before_ms);
 
 #ifdef __cplusplus
