--- a/src/core/failing.h
+++ b/src/core/failing.h
@@ -1,6 +1,6 @@
 /*
- * The share of its calls that an endpoint has failed lately. It fades with
- * time, too: one that nobody calls any more has to be tried again.
+ * Failure rate of an endpoint: the moving average of its failed calls. It also
+ * decays with time, so that an endpoint that gets no calls is tried again.
  */
 #ifndef SS_FAILING_H
 #define SS_FAILING_H
@@ -11,22 +11,24 @@
 extern "C" {
 #endif
 
-/* How shares are told: whole numbers of so many. */
+/* Processes exchange failure rates in permille: this is a rate of 1. */
 #define FAILING_WHOLE 1000
 
+/* Zero-initialized: no call has failed. */
 struct failing {
-	double share; /* at that time */
+	double rate; /* at at_ms, 0 to 1 */
 	int64_t at_ms;
 };
 
-/* So many calls have ended since it was noted last. */
+/* Adds the calls that finished since the last update. */
 void failing_note(struct failing *f, uint64_t failed, uint64_t answered,
 		  int64_t now);
-/* The share now. */
+/* Returns the decayed rate, 0 to 1. */
 double failing_share(const struct failing *f, int64_t now);
-/* Take another one's word for it; 0 says nothing. */
-void failing_told(struct failing *f, int64_t of_whole, int64_t now);
-/* As it is told. */
+/* Adopts the rate that another process reports; ignores 0, which means that it
+ * has none to report. */
+void failing_told(struct failing *f, int64_t permille, int64_t now);
+/* Returns the decayed rate in permille, as it is reported. */
 int64_t failing_of_whole(const struct failing *f, int64_t now);
 
 #ifdef __cplusplus
--- a/test/test_failing.c
+++ b/test/test_failing.c
@@ -1,16 +1,16 @@
-/* Shares of failed calls, as entries and leader add them up. */
+/* Failure rates of endpoints, as entries and the leader compute them. */
 #include "unit.h"
 
 #include "../src/core/failing.h"
 
-/* Ten calls of which some failed, told together or one by one, give much the
- * same share; a sound endpoint's chance failure stays small. */
-static void share_follows_calls(void **state)
+/* The rate approaches the part of calls that failed, whether they are recorded
+ * together or one by one; a single failure among many calls counts little. */
+static void rate_follows_calls(void **state)
 {
 	static const struct {
 		uint64_t failed, answered;
 		int times;
-		double least, most;
+		double min, max;
 	} cases[] = {
 		{ 0, 1, 50, 0, 0 },	    { 1, 0, 1, 0.15, 0.15 },
 		{ 1, 0, 50, 0.99, 1 },	    { 1, 20, 1, 0.04, 0.06 },
@@ -26,16 +26,16 @@
 		for (int k = 0; k < cases[i].times; k++)
 			failing_note(&f, cases[i].failed, cases[i].answered,
 				     1000);
-		assert_true(failing_share(&f, 1000) >= cases[i].least - 1e-9);
-		assert_true(failing_share(&f, 1000) <= cases[i].most + 1e-9);
+		assert_true(failing_share(&f, 1000) >= cases[i].min - 1e-9);
+		assert_true(failing_share(&f, 1000) <= cases[i].max + 1e-9);
 	}
 }
 
 /*
- * Symptom: an endpoint that is sound again gets no calls for good. Cause: it is
- * given up, so no call shows that it is sound. So the share fades.
+ * Guards against an endpoint that never gets calls again after it recovers. An
+ * endpoint with a high rate gets no calls, so no answer would lower its rate.
  */
-static void share_fades(void **state)
+static void rate_decays_without_calls(void **state)
 {
 	struct failing f = { 0 };
 
@@ -48,9 +48,9 @@
 	assert_int_equal(failing_of_whole(&f, 40000), 0);
 }
 
-/* What is told is believed; nothing told, as by a new leader, changes nothing.
- */
-static void word_is_taken(void **state)
+/* A reported rate replaces the own one, and is capped; a rate of 0, as a new
+ * leader reports it, changes nothing. */
+static void reported_rate_is_adopted(void **state)
 {
 	struct failing f = { 0 };
 
@@ -70,9 +70,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(share_follows_calls),
-		cmocka_unit_test(share_fades),
-		cmocka_unit_test(word_is_taken),
+		cmocka_unit_test(rate_follows_calls),
+		cmocka_unit_test(rate_decays_without_calls),
+		cmocka_unit_test(reported_rate_is_adopted),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
