--- a/src/core/fingerprint.c
+++ b/src/core/fingerprint.c
@@ -7,7 +7,8 @@
 				  struct ss_str target, struct ss_str body)
 {
 	const struct ss_str parts[] = { method, host, target, body };
-	/* Sums of the parts, so that a byte can't move from one to the next. */
+	/* Each part is hashed on its own, so that moving a byte from one part
+	 * to the next changes the fingerprint. */
 	XXH128_hash_t sums[G_N_ELEMENTS(parts)];
 	XXH128_hash_t all;
 
--- a/src/core/fingerprint.h
+++ b/src/core/fingerprint.h
@@ -1,5 +1,5 @@
-/* What a request is, whatever id it comes under: its method, host, path with
- * query, and body. */
+/* Fingerprint of a request: a hash of its method, host, path with query, and
+ * body. It doesn't depend on the request's id. */
 #ifndef SS_FINGERPRINT_H
 #define SS_FINGERPRINT_H
 
@@ -13,7 +13,7 @@
 	uint64_t hi, lo;
 };
 
-/* The same in all processes. */
+/* Returns the same fingerprint in every process. */
 struct fingerprint fingerprint_of(struct ss_str method, struct ss_str host,
 				  struct ss_str target, struct ss_str body);
 
@@ -21,8 +21,9 @@
 guint fingerprint_hash(const void *f);
 gboolean fingerprint_equal(const void *a, const void *b);
 
-/* For logs: printf("%s"), valid until the next call with the same text. */
+/* Size of a fingerprint in hexadecimal with its terminating null, in bytes. */
 #define FINGERPRINT_TEXT 33
+/* Writes a fingerprint into text and returns text. */
 const char *fingerprint_text(const struct fingerprint *f,
 			     char text[FINGERPRINT_TEXT]);
 
