--- a/src/core/stream_log.c
+++ b/src/core/stream_log.c
@@ -1,52 +1,53 @@
-/* Which software version began a stream. */
+/* Log of the software versions that began streams. */
 #include "stream_log.h"
 
 #include <xxhash.h>
 
-/* Words on a version that serves are told on this often, in ms: a few in a
- * life, so that one that gets lost does no harm. */
-#define SERVES_AGAIN_MS 10000
+/* Interval at which a serving version is reported again, in ms: several times
+ * within a stream's lifetime, so that a lost report does no harm. */
+#define VERSION_REPORT_INTERVAL_MS 10000
 
-/* More can't be told apart by anybody: a list that somebody spoils. */
-#define VERSIONS_MOST 4096
+/* Versions that are kept. An endpoint list with more is corrupt: no operator
+ * could tell them apart. */
+#define VERSIONS_MAX 4096
 
-/* In the order of their numbers, oldest first. */
-struct entry {
-	uint64_t key; /* 0: a version that serves */
-	uint64_t number;
+/* A stream, or a version that serves. */
+struct record {
+	uint64_t key;		 /* 0: a version that serves */
+	uint64_t seq;		 /* of its last change; 0: not queued yet */
 	char *service, *version; /* interned */
-	int64_t until_ms;
-	int64_t told_ms; /* of a version: until then, as others were told */
+	int64_t until_ms;	 /* when it expires */
+	int64_t reported_ms;	 /* of a version: until_ms as last reported */
 	GList link;
 };
 
 struct stream_log {
-	GHashTable *streams;  /* &key -> struct entry */
-	GHashTable *versions; /* "service\nversion" -> struct entry */
-	GQueue order;
-	uint64_t number;
-	size_t most;
-	bool versions_lost; /* there were too many */
+	GHashTable *streams;  /* &key -> struct record */
+	GHashTable *versions; /* "service\nversion" -> struct record */
+	GQueue changes;	      /* all records by seq, oldest first */
+	uint64_t last_seq;
+	size_t capacity;       /* in streams */
+	bool versions_dropped; /* some were refused at VERSIONS_MAX */
 };
 
-static void entry_free(void *p)
+static void record_free(void *p)
 {
-	struct entry *e = p;
+	struct record *r = p;
 
-	g_ref_string_release(e->service);
-	g_ref_string_release(e->version);
-	g_free(e);
+	g_ref_string_release(r->service);
+	g_ref_string_release(r->version);
+	g_free(r);
 }
 
-struct stream_log *stream_log_new(size_t most)
+struct stream_log *stream_log_new(size_t capacity)
 {
 	struct stream_log *l = g_new0(struct stream_log, 1);
 
 	l->streams = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					   entry_free);
+					   record_free);
 	l->versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					    entry_free);
-	l->most = most;
+					    record_free);
+	l->capacity = capacity;
 	return l;
 }
 
@@ -72,67 +73,68 @@
 	return g_strdup_printf("%s\n%s", service, version);
 }
 
-/* Links live in their entries: the queue frees none. */
-static void renumber(struct stream_log *l, struct entry *e)
+/* Makes a record the last changed one. Links are part of their records, so the
+ * queue frees none. */
+static void move_to_end(struct stream_log *l, struct record *r)
 {
-	if (e->number)
-		g_queue_unlink(&l->order, &e->link);
-	e->number = ++l->number;
-	e->link.data = e;
-	g_queue_push_tail_link(&l->order, &e->link);
+	if (r->seq)
+		g_queue_unlink(&l->changes, &r->link);
+	r->seq = ++l->last_seq;
+	r->link.data = r;
+	g_queue_push_tail_link(&l->changes, &r->link);
 }
 
-static void drop(struct stream_log *l, struct entry *e)
+static void drop(struct stream_log *l, struct record *r)
 {
-	g_queue_unlink(&l->order, &e->link);
-	if (e->key) {
-		g_hash_table_remove(l->streams, &e->key);
+	g_queue_unlink(&l->changes, &r->link);
+	if (r->key) {
+		g_hash_table_remove(l->streams, &r->key);
 	} else {
-		char *name = version_name(e->service, e->version);
+		char *name = version_name(r->service, r->version);
 
 		g_hash_table_remove(l->versions, name);
 		g_free(name);
 	}
 }
 
-static struct entry *entry_new(const struct stream_item *x)
+static struct record *record_new(const struct stream_item *x)
 {
-	struct entry *e = g_new0(struct entry, 1);
+	struct record *r = g_new0(struct record, 1);
 
-	e->key = x->key;
-	e->service = g_ref_string_new_intern(x->service);
-	e->version = g_ref_string_new_intern(x->version);
-	return e;
+	r->key = x->key;
+	r->service = g_ref_string_new_intern(x->service);
+	r->version = g_ref_string_new_intern(x->version);
+	return r;
 }
 
 static void add_version(struct stream_log *l, const struct stream_item *x,
 			int64_t until)
 {
 	char *name = version_name(x->service, x->version);
-	struct entry *e = g_hash_table_lookup(l->versions, name);
+	struct record *r = g_hash_table_lookup(l->versions, name);
 
-	if (!e && g_hash_table_size(l->versions) >= VERSIONS_MOST) {
-		l->versions_lost = true;
+	if (!r && g_hash_table_size(l->versions) >= VERSIONS_MAX) {
+		l->versions_dropped = true;
 		g_free(name);
 		return;
 	}
-	if (!e) {
-		e = entry_new(x);
-		g_hash_table_insert(l->versions, g_strdup(name), e);
+	if (!r) {
+		r = record_new(x);
+		g_hash_table_insert(l->versions, g_strdup(name), r);
 	}
-	if (until - e->told_ms > SERVES_AGAIN_MS) {
-		renumber(l, e);
-		e->told_ms = until;
+	if (until - r->reported_ms > VERSION_REPORT_INTERVAL_MS) {
+		move_to_end(l, r);
+		r->reported_ms = until;
 	}
-	e->until_ms = MAX(e->until_ms, until);
+	r->until_ms = MAX(r->until_ms, until);
 	g_free(name);
 }
 
-static void drop_oldest(struct stream_log *l)
+static void drop_oldest_stream(struct stream_log *l)
 {
-	GList *at = l->order.head;
+	GList *at = l->changes.head;
 
-	while (!((struct entry *)at->data)->key)
+	while (!((struct record *)at->data)->key)
 		at = at->next;
 	drop(l, at->data);
 }
@@ -140,22 +142,22 @@
 static void add_stream(struct stream_log *l, const struct stream_item *x,
 		       int64_t until)
 {
-	struct entry *e = g_hash_table_lookup(l->streams, &x->key);
+	struct record *r = g_hash_table_lookup(l->streams, &x->key);
 
-	if (e && !strcmp(e->service, x->service) &&
-	    !strcmp(e->version, x->version)) {
-		/* Told again, by one more who knows: no news. */
-		e->until_ms = MAX(e->until_ms, until);
+	if (r && !strcmp(r->service, x->service) &&
+	    !strcmp(r->version, x->version)) {
+		/* Another process reports the same: not a change. */
+		r->until_ms = MAX(r->until_ms, until);
 		return;
 	}
-	if (e)
-		drop(l, e);
-	if (g_hash_table_size(l->streams) >= l->most)
-		drop_oldest(l);
-	e = entry_new(x);
-	e->until_ms = until;
-	g_hash_table_insert(l->streams, &e->key, e);
-	renumber(l, e);
+	if (r)
+		drop(l, r);
+	if (g_hash_table_size(l->streams) >= l->capacity)
+		drop_oldest_stream(l);
+	r = record_new(x);
+	r->until_ms = until;
+	g_hash_table_insert(l->streams, &r->key, r);
+	move_to_end(l, r);
 }
 
 void stream_log_add(struct stream_log *l, const struct stream_item *x,
@@ -169,20 +171,20 @@
 		add_version(l, x, until);
 }
 
-static struct stream_item item_of(const struct entry *e, int64_t now)
+static struct stream_item item_of(const struct record *r, int64_t now)
 {
-	return (struct stream_item){ e->key, e->service, e->version,
-				     e->until_ms - now };
+	return (struct stream_item){ r->key, r->service, r->version,
+				     r->until_ms - now };
 }
 
 bool stream_log_find(const struct stream_log *l, uint64_t key, int64_t now,
 		     struct stream_item *out)
 {
-	const struct entry *e = g_hash_table_lookup(l->streams, &key);
+	const struct record *r = g_hash_table_lookup(l->streams, &key);
 
-	if (!e || e->until_ms <= now)
+	if (!r || r->until_ms <= now)
 		return false;
-	*out = item_of(e, now);
+	*out = item_of(r, now);
 	return true;
 }
 
@@ -195,13 +197,13 @@
 
 	g_hash_table_iter_init(&it, l->versions);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct entry *e = p;
+		const struct record *r = p;
 
-		if (strcmp(e->service, service) || e->until_ms <= now)
+		if (strcmp(r->service, service) || r->until_ms <= now)
 			continue;
-		if (found || l->versions_lost)
+		if (found || l->versions_dropped)
 			return NULL;
-		found = e->version;
+		found = r->version;
 	}
 	return found;
 }
@@ -210,25 +212,25 @@
 			const char *version)
 {
 	char *name = version_name(service, version);
-	const struct entry *e = g_hash_table_lookup(l->versions, name);
+	const struct record *r = g_hash_table_lookup(l->versions, name);
 
 	g_free(name);
-	return e ? e->until_ms - STREAM_LIFE_MOST_MS : 0;
+	return r ? r->until_ms - STREAM_LIFE_MOST_MS : 0;
 }
 
-uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t most,
+uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t max,
 			 int64_t now, GArray *out)
 {
-	const GList *at = l->order.tail;
+	const GList *at = l->changes.tail;
 
-	while (at && ((struct entry *)at->data)->number > mark)
+	while (at && ((struct record *)at->data)->seq > mark)
 		at = at->prev;
-	at = at ? at->next : l->order.head;
-	for (; at && out->len < most; at = at->next) {
-		const struct entry *e = at->data;
-		struct stream_item x = item_of(e, now);
+	at = at ? at->next : l->changes.head;
+	for (; at && out->len < max; at = at->next) {
+		const struct record *r = at->data;
+		struct stream_item x = item_of(r, now);
 
-		mark = e->number;
+		mark = r->seq;
 		if (x.left_ms > 0)
 			g_array_append_val(out, x);
 	}
@@ -237,20 +239,20 @@
 
 bool stream_log_told(const struct stream_log *l, uint64_t mark)
 {
-	return !l->order.tail ||
-	       ((struct entry *)l->order.tail->data)->number <= mark;
+	return !l->changes.tail ||
+	       ((struct record *)l->changes.tail->data)->seq <= mark;
 }
 
 void stream_log_tidy(struct stream_log *l, int64_t now)
 {
-	GList *at = l->order.head;
+	GList *at = l->changes.head;
 
 	while (at) {
-		struct entry *e = at->data;
+		struct record *r = at->data;
 
 		at = at->next;
-		if (e->until_ms <= now)
-			drop(l, e);
+		if (r->until_ms <= now)
+			drop(l, r);
 	}
 }
 
@@ -261,6 +263,6 @@
 
 size_t stream_log_bytes(void)
 {
-	/* Key, value and hash of a table that is half full. */
-	return sizeof(struct entry) + 2 * (2 * sizeof(void *) + sizeof(guint));
+	/* The hash table holds key, value and hash, and is half full. */
+	return sizeof(struct record) + 2 * (2 * sizeof(void *) + sizeof(guint));
 }
--- a/src/core/stream_log.h
+++ b/src/core/stream_log.h
@@ -1,70 +1,78 @@
 /*
- * Which software version began a stream, for those who are to go on with it.
+ * Log of the software versions that began streams, for those who resume them.
  *
- * A caller whose stream breaks off takes it up at any entry, and names the
- * request that began it. What the endpoints of two versions write doesn't fit
- * together, so each stream that may be resumed is noted where it is sent, by a
- * hash of its request's id, and told to the leader and its followers. Beside
- * that a log knows which versions have served of late: of a stream that nobody
- * noted, one that was alone must have begun it.
+ * A caller whose stream breaks off resumes it at any entry, and names the
+ * request that began it. The outputs of two versions of an endpoint don't fit
+ * together, so each resumable stream is logged where it is sent, by a hash
+ * of its request's id, and reported to the leader and its followers. The log
+ * also keeps which versions served recently: a stream that isn't in any log was
+ * begun by the only version that served, if there was just one.
  *
- * Bounded: the oldest goes. Pure; times are the caller's.
+ * The log is bounded and drops its oldest streams. It does no I/O and reads no
+ * clock; callers pass the time.
  */
 #ifndef SS_STREAM_LOG_H
 #define SS_STREAM_LOG_H
 
 #include <sapphireshift/base.h>
 
-/* No stream is taken up later after it began, in ms: longer than any caller
- * waits. */
+/* Time for which a stream can be resumed after it began, in ms: longer than any
+ * caller waits. */
 #define STREAM_LIFE_MOST_MS 60000
-/* Streams that a process keeps: those of a minute at a thousand a second, in
- * some 6 MB. */
+/* Streams that a process keeps: those of a minute at 1000 per second, some 6
+ * MB.
+ */
 #define STREAM_LOG_MOST 65536
 
 struct stream_log;
 
-/* A stream, or with key 0 that a version serves. */
+/* A stream and the version that began it; with key 0, a version that serves. */
 struct stream_item {
 	uint64_t key;
-	const char *service, *version; /* views, until the log changes */
-	int64_t left_ms;	       /* of its life */
+	const char *service, *version; /* valid until the log changes */
+	int64_t left_ms;	       /* until it expires */
 };
 
-struct stream_log *stream_log_new(size_t most);
+/* capacity is in streams. */
+struct stream_log *stream_log_new(size_t capacity);
 void stream_log_free(struct stream_log *l);
 
-/* Of a request's id, and the customer who sent it: nobody else takes it up. */
+/* Returns the key of a stream, never 0. It covers the customer as well as the
+ * request's id: no other customer can resume the stream. */
 uint64_t stream_key(struct ss_str customer, struct ss_str id);
 
-/* A newer word on a stream replaces the older one. */
+/* Adds a stream or a serving version. The newest report on a stream replaces
+ * older ones. */
 void stream_log_add(struct stream_log *l, const struct stream_item *x,
 		    int64_t now);
+/* Returns false if the stream isn't in the log, or has expired. */
 bool stream_log_find(const struct stream_log *l, uint64_t key, int64_t now,
 		     struct stream_item *out);
-/* The one version of a service that has served within STREAM_LIFE_MOST_MS;
- * NULL: there were several, or none is known. */
+/* Returns the only version of a service that served within
+ * STREAM_LIFETIME_MAX_MS; NULL if there were several, or none is known. */
 const char *stream_log_only(const struct stream_log *l, const char *service,
 			    int64_t now);
 
-/* When a version was last said to serve, by the clock; 0: never, or too long
- * ago. */
+/* Returns when a version was last reported to serve, on the callers' clock; 0:
+ * never, or too long ago. */
 int64_t stream_log_seen(const struct stream_log *l, const char *service,
 			const char *version);
 
 /*
- * What is newer than a mark, oldest first, as struct stream_item and at most so
- * many; returns the mark that includes them. Mark 0 is before everything.
+ * Appends the changes after a mark to out, oldest first, until it has max
+ * struct stream_item, and returns the mark after them. A mark is a position in
+ * the log's sequence of changes; mark 0 is before the first one.
  */
-uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t most,
+uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t max,
 			 int64_t now, GArray *out);
-/* True where there is nothing newer. */
+/* True if there is no change after a mark. */
 bool stream_log_told(const struct stream_log *l, uint64_t mark);
 
-/* Forget what is over. */
+/* Drops what has expired. */
 void stream_log_tidy(struct stream_log *l, int64_t now);
+/* Returns the number of streams. */
 size_t stream_log_length(const struct stream_log *l);
-/* Memory of one stream, with its place in the tables; in bytes. */
+/* Memory of one stream with its share of the tables, in bytes. */
 size_t stream_log_bytes(void);
 
 #endif
