--- a/src/core/stream_wire.c
+++ b/src/core/stream_wire.c
@@ -1,13 +1,14 @@
-/* Streams and versions of a log between processes. */
+/* Exchange of stream logs between processes. */
 #include "stream_wire.h"
 
-/* Lives are told in steps, rounded up, so that more streams are alike; in ms.
- */
-#define LIFE_STEP_MS 5000
+/* Lifetimes are rounded up to this step, in ms, so that more streams share a
+ * group. */
+#define LIFETIME_STEP_MS 5000
 
 static int64_t round_up(int64_t ms)
 {
-	return (ms + LIFE_STEP_MS - 1) / LIFE_STEP_MS * LIFE_STEP_MS;
+	return (ms + LIFETIME_STEP_MS - 1) / LIFETIME_STEP_MS *
+	       LIFETIME_STEP_MS;
 }
 
 static guint group_of(struct stream_wire *w, const struct stream_item *x)
@@ -17,12 +18,12 @@
 				  .life_ms = round_up(x->left_ms) };
 
 	for (guint i = 0; i < w->groups->len; i++) {
-		const struct stream_group *o =
+		const struct stream_group *other =
 			&g_array_index(w->groups, struct stream_group, i);
 
-		if (o->life_ms == g.life_ms &&
-		    ss_str_eq(o->service, g.service) &&
-		    ss_str_eq(o->version, g.version))
+		if (other->life_ms == g.life_ms &&
+		    ss_str_eq(other->service, g.service) &&
+		    ss_str_eq(other->version, g.version))
 			return i;
 	}
 	g_array_append_val(w->groups, g);
@@ -43,8 +44,8 @@
 		const struct stream_item *x =
 			&g_array_index(items, struct stream_item, i);
 		uint64_t key = GUINT64_TO_LE(x->key);
-		guint at = group_of(w, x);
-		GString *keys = w->keys->pdata[at];
+		guint group = group_of(w, x);
+		GString *keys = w->keys->pdata[group];
 
 		if (key)
 			g_string_append_len(keys, (char *)&key, sizeof(key));
