--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -1,57 +1,61 @@
-/* Requests under which endpoints end. */
+/* Table of suspected and quarantined requests. */
 #include "suspects.h"
 
-/* An end counts for so long, in ms: a job that comes each quarter of an hour
- * still adds up. */
-#define END_COUNTS_MS (60 * 60 * 1000LL)
+/* A crash counts against a request for this long, in ms: a job that runs every
+ * quarter of an hour still reaches the threshold. */
+#define CRASH_KEEP_MS (60 * 60 * 1000LL)
 /*
- * Terms by the trials that have ended an endpoint, in ms. Each trial of a
- * guilty request costs the answers of all who are beside it; a version of the
- * endpoint that bears it comes in hours or days. The first trial that fails
- * proves little: another guilty one may have ended that endpoint, too.
+ * Quarantine periods by the number of failed trial runs, in ms. Each trial run
+ * of a poison request costs the answers of all requests that run beside it; an
+ * endpoint version that withstands the request takes hours or days. The first
+ * failed trial run proves little, as another poison request may have crashed
+ * that endpoint.
  */
-static const int64_t terms[] = { 10 * 60 * 1000LL, 10 * 60 * 1000LL,
-				 60 * 60 * 1000LL, 6 * 60 * 60 * 1000LL,
-				 24 * 60 * 60 * 1000LL };
-/* Where nearly the same ends speak against several requests, most of them are
- * innocent and their callers wait: the first trial comes as soon as the
- * endpoints are back, in ms. */
-#define TIED_MS 3000
-/* Ends that two requests have in common by no chance. */
-#define TIED_ENDS 2
-/* A quarantined request that nobody has sent for so long after its term is
- * forgotten, in ms. */
-#define KEEP_MS (24 * 60 * 60 * 1000LL)
-/* So long it is told to those that missed it that a request is cleared. */
-#define CLEARED_MS 60000
-/* Told to those who wait for somebody else's trial, in ms. */
-#define NEXT_TRIAL_MS 1000
-/* Trials at a time, at the most. It begins with one, and doubles with each that
- * is answered: where many are innocent they needn't wait for each other. */
-#define WINDOW_MAX 64
-#define TICK_MS 10000
+static const int64_t periods[] = { 10 * 60 * 1000LL, 10 * 60 * 1000LL,
+				   60 * 60 * 1000LL, 6 * 60 * 60 * 1000LL,
+				   24 * 60 * 60 * 1000LL };
+/* First quarantine period of tied requests, in ms: long enough for endpoints to
+ * restart. Requests are tied if they share most of their crashes; most of them
+ * are harmless, and their callers wait. */
+#define TIED_PERIOD_MS 3000
+/* Crashes that two requests share by more than chance. */
+#define TIED_CRASHES 2
+/* A quarantined request that nobody sends is dropped this long after its
+ * period, in ms. */
+#define QUARANTINE_KEEP_MS (24 * 60 * 60 * 1000LL)
+/* A cleared request is kept this long, in ms, to report it to processes that
+ * missed it. */
+#define CLEARED_KEEP_MS 60000
+/* Wait before a request asks for a trial run again while others are open, in
+ * ms. */
+#define TRIAL_RETRY_MS 1000
+/* Most trial runs at a time. The window starts at one and doubles with each
+ * trial run that is answered, so that harmless requests needn't wait for each
+ * other. */
+#define TRIAL_WINDOW_MAX 64
+#define EXPIRE_INTERVAL_MS 10000
 
 struct suspect {
-	struct fingerprint print;
-	uint64_t ends[SUSPECT_ENDS]; /* incarnations of endpoints */
-	unsigned int n_ends;
-	uint64_t last; /* the newest of all ends */
+	struct fingerprint fingerprint;
+	uint64_t crashes[SUSPECT_ENDS]; /* incarnation numbers of endpoints */
+	unsigned int n_crashes;
+	uint64_t last_crash; /* the newest, also beyond those in crashes */
 	int64_t last_ms;
 	bool cleared, quarantined;
-	int64_t until_ms; /* of its term */
-	uint64_t trials;  /* that have ended an endpoint */
-	int64_t trial_ms; /* when the open one began; 0: none */
-	uint64_t changed; /* mark */
+	int64_t until_ms; /* end of the quarantine period */
+	uint64_t failed_trials;
+	int64_t trial_ms; /* start of the open trial run; 0: none */
+	uint64_t changed; /* mark of the last change */
 };
 
 struct suspects {
 	struct suspects_options o;
-	GHashTable *all; /* struct suspect, by its print */
+	GHashTable *all; /* struct suspect, by its fingerprint */
 	size_t quarantined;
 	uint64_t mark;
-	unsigned int window; /* trials at a time */
-	int64_t quiet_until_ms;
-	int64_t tick_ms;
+	unsigned int window; /* trial runs allowed at a time */
+	int64_t no_trial_until_ms;
+	int64_t expired_ms; /* when old requests were last dropped */
 };
 
 struct suspects *suspects_new(const struct suspects_options *o, int64_t now)
@@ -60,8 +64,8 @@
 
 	s->o = *o;
 	s->window = 1;
-	s->quiet_until_ms = now + o->quiet_ms;
-	s->tick_ms = now;
+	s->no_trial_until_ms = now + o->quiet_ms;
+	s->expired_ms = now;
 	s->all = g_hash_table_new_full(fingerprint_hash, fingerprint_equal,
 				       NULL, g_free);
 	return s;
@@ -76,9 +80,9 @@
 }
 
 static struct suspect *find(const struct suspects *s,
-			    const struct fingerprint *print)
+			    const struct fingerprint *fp)
 {
-	return g_hash_table_lookup(s->all, print);
+	return g_hash_table_lookup(s->all, fp);
 }
 
 static void set_quarantined(struct suspects *s, struct suspect *x, bool on)
@@ -91,7 +95,7 @@
 static void drop(struct suspects *s, struct suspect *x)
 {
 	set_quarantined(s, x, false);
-	g_hash_table_remove(s->all, &x->print);
+	g_hash_table_remove(s->all, &x->fingerprint);
 }
 
 static void note_change(struct suspects *s, struct suspect *x)
@@ -99,20 +103,21 @@
 	x->changed = ++s->mark;
 }
 
-/* The one that is missed least first. */
-static gint by_worth(gconstpointer a, gconstpointer b)
+/* Order of eviction: requests that aren't quarantined, then those with fewer
+ * crashes, then older ones. */
+static gint by_eviction(gconstpointer a, gconstpointer b)
 {
 	const struct suspect *x = *(struct suspect *const *)a;
 	const struct suspect *y = *(struct suspect *const *)b;
 
 	if (x->quarantined != y->quarantined)
 		return x->quarantined ? 1 : -1;
-	if (x->n_ends != y->n_ends)
-		return x->n_ends < y->n_ends ? -1 : 1;
+	if (x->n_crashes != y->n_crashes)
+		return x->n_crashes < y->n_crashes ? -1 : 1;
 	return x->last_ms < y->last_ms ? -1 : x->last_ms > y->last_ms;
 }
 
-static GPtrArray *everyone(const struct suspects *s)
+static GPtrArray *all_suspects(const struct suspects *s)
 {
 	GPtrArray *out = g_ptr_array_new();
 	GHashTableIter it;
@@ -124,64 +129,66 @@
 	return out;
 }
 
-/* A quarter at a time, so that a flood isn't sorted once for each of it. */
+/* Evicts a quarter of a full table at a time, so that a flood of new requests
+ * doesn't sort it once for each. */
 static void make_room(struct suspects *s)
 {
 	GPtrArray *all;
 
 	if (g_hash_table_size(s->all) < s->o.most)
 		return;
-	all = everyone(s);
-	g_ptr_array_sort(all, by_worth);
+	all = all_suspects(s);
+	g_ptr_array_sort(all, by_eviction);
 	for (guint i = 0; i <= all->len / 4 && i < all->len; i++)
 		drop(s, all->pdata[i]);
 	g_ptr_array_unref(all);
 }
 
 static struct suspect *find_or_add(struct suspects *s,
-				   const struct fingerprint *print)
+				   const struct fingerprint *fp)
 {
-	struct suspect *x = find(s, print);
+	struct suspect *x = find(s, fp);
 
 	if (x)
 		return x;
 	make_room(s);
 	x = g_new0(struct suspect, 1);
-	x->print = *print;
-	g_hash_table_insert(s->all, &x->print, x);
+	x->fingerprint = *fp;
+	g_hash_table_insert(s->all, &x->fingerprint, x);
 	return x;
 }
 
-static int64_t term(const struct suspect *x)
+static int64_t period_ms(const struct suspect *x)
 {
-	return terms[MIN(x->trials, G_N_ELEMENTS(terms) - 1)];
+	return periods[MIN(x->failed_trials, G_N_ELEMENTS(periods) - 1)];
 }
 
-static bool has_end(const struct suspect *x, uint64_t life)
+static bool has_crash(const struct suspect *x, uint64_t incarnation_no)
 {
-	for (unsigned int i = 0; i < x->n_ends; i++)
-		if (x->ends[i] == life)
+	for (unsigned int i = 0; i < x->n_crashes; i++)
+		if (x->crashes[i] == incarnation_no)
 			return true;
-	return x->n_ends && x->last == life;
+	return x->n_crashes && x->last_crash == incarnation_no;
 }
 
 static bool are_tied(const struct suspect *x, const struct suspect *y)
 {
-	unsigned int common = 0;
+	unsigned int shared = 0;
 
-	for (unsigned int i = 0; i < x->n_ends; i++)
-		common += has_end(y, x->ends[i]);
-	return common >= TIED_ENDS;
+	for (unsigned int i = 0; i < x->n_crashes; i++)
+		shared += has_crash(y, x->crashes[i]);
+	return shared >= TIED_CRASHES;
 }
 
-static void bring_trial_near(struct suspects *s, struct suspect *x, int64_t now)
+static void advance_trial(struct suspects *s, struct suspect *x, int64_t now)
 {
-	x->until_ms = MIN(x->until_ms, now + TIED_MS);
+	x->until_ms = MIN(x->until_ms, now + TIED_PERIOD_MS);
 	note_change(s, x);
 }
 
-/* They can't be told apart but by trials. */
-static void look_for_ties(struct suspects *s, struct suspect *x, int64_t now)
+/* Only trial runs tell tied requests apart, so they are allowed soon. */
+static void advance_tied_trials(struct suspects *s, struct suspect *x,
+				int64_t now)
 {
 	bool tied = false;
 	GHashTableIter it;
@@ -191,43 +198,45 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct suspect *y = p;
 
-		if (y == x || !y->quarantined || y->trials || !are_tied(x, y))
+		if (y == x || !y->quarantined || y->failed_trials ||
+		    !are_tied(x, y))
 			continue;
 		tied = true;
-		bring_trial_near(s, y, now);
+		advance_trial(s, y, now);
 	}
 	if (tied)
-		bring_trial_near(s, x, now);
+		advance_trial(s, x, now);
 }
 
 static void quarantine(struct suspects *s, struct suspect *x, int64_t now)
 {
 	set_quarantined(s, x, true);
-	x->until_ms = now + term(x);
+	x->until_ms = now + period_ms(x);
 	note_change(s, x);
-	look_for_ties(s, x, now);
+	advance_tied_trials(s, x, now);
 }
 
 static void clear(struct suspects *s, struct suspect *x, int64_t now)
 {
 	set_quarantined(s, x, false);
 	x->cleared = true;
-	x->n_ends = 0;
-	x->trials = 0;
+	x->n_crashes = 0;
+	x->failed_trials = 0;
 	x->last_ms = now;
 	note_change(s, x);
 }
 
-static void take_end_off(struct suspect *x, uint64_t life)
+static void remove_crash(struct suspect *x, uint64_t incarnation_no)
 {
-	for (unsigned int i = x->n_ends; i-- > 0;)
-		if (x->ends[i] == life)
-			x->ends[i] = x->ends[--x->n_ends];
+	for (unsigned int i = x->n_crashes; i-- > 0;)
+		if (x->crashes[i] == incarnation_no)
+			x->crashes[i] = x->crashes[--x->n_crashes];
 }
 
-/* What it has ended speaks against nobody else any more. */
-static void excuse_others(struct suspects *s, const struct suspect *guilty,
-			  int64_t now)
+/* A failed trial run shows which request is the poison one: its crashes no
+ * longer count against others. */
+static void discount_crashes(struct suspects *s, const struct suspect *poison,
+			     int64_t now)
 {
 	GHashTableIter it;
 	void *p;
@@ -235,64 +244,66 @@
 	g_hash_table_iter_init(&it, s->all);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct suspect *x = p;
-		unsigned int before = x->n_ends;
+		unsigned int before = x->n_crashes;
 
-		if (x == guilty || x->trials)
+		if (x == poison || x->failed_trials)
 			continue;
-		for (unsigned int i = 0; i < guilty->n_ends; i++)
-			take_end_off(x, guilty->ends[i]);
-		take_end_off(x, guilty->last);
-		/* By another's word it is quarantined without them. */
+		for (unsigned int i = 0; i < poison->n_crashes; i++)
+			remove_crash(x, poison->crashes[i]);
+		remove_crash(x, poison->last_crash);
+		/* A quarantine that another process reported stays: it doesn't
+		 * depend on the crashes known here. */
 		if (x->quarantined && before == SUSPECT_ENDS &&
-		    x->n_ends < before)
+		    x->n_crashes < before)
 			clear(s, x, now);
 	}
 }
 
-/* Its trial has ended an endpoint, or it was under way before it was known. */
-static void prolong(struct suspects *s, struct suspect *x, int64_t now)
+/* Extends a quarantine after another crash. It is a failed trial run, unless
+ * the request was already running when it was quarantined. */
+static void extend(struct suspects *s, struct suspect *x, int64_t now)
 {
 	if (x->trial_ms || now >= x->until_ms) {
-		x->trials++;
+		x->failed_trials++;
 		x->trial_ms = 0;
 		s->window = 1;
-		excuse_others(s, x, now);
+		discount_crashes(s, x, now);
 	}
-	x->until_ms = MAX(x->until_ms, now + term(x));
+	x->until_ms = MAX(x->until_ms, now + period_ms(x));
 	note_change(s, x);
 }
 
-unsigned int suspects_end(struct suspects *s, const struct fingerprint *print,
-			  uint64_t life, int64_t now)
+unsigned int suspects_end(struct suspects *s, const struct fingerprint *fp,
+			  uint64_t incarnation_no, int64_t now)
 {
-	struct suspect *x = find_or_add(s, print);
+	struct suspect *x = find_or_add(s, fp);
 
 	if (x->cleared) {
 		x->cleared = false;
-		x->n_ends = 0;
+		x->n_crashes = 0;
 	}
-	if (has_end(x, life))
-		return x->n_ends;
-	x->last = life;
+	if (has_crash(x, incarnation_no))
+		return x->n_crashes;
+	x->last_crash = incarnation_no;
 	x->last_ms = now;
-	if (x->n_ends < SUSPECT_ENDS)
-		x->ends[x->n_ends++] = life;
+	if (x->n_crashes < SUSPECT_ENDS)
+		x->crashes[x->n_crashes++] = incarnation_no;
 	if (x->quarantined)
-		prolong(s, x, now);
-	else if (x->n_ends == SUSPECT_ENDS)
+		extend(s, x, now);
+	else if (x->n_crashes == SUSPECT_ENDS)
 		quarantine(s, x, now);
-	return x->n_ends;
+	return x->n_crashes;
 }
 
-bool suspects_answered(struct suspects *s, const struct fingerprint *print,
+bool suspects_answered(struct suspects *s, const struct fingerprint *fp,
 		       int64_t now)
 {
-	struct suspect *x = find(s, print);
+	struct suspect *x = find(s, fp);
 
 	if (!x || x->cleared)
 		return false;
 	if (x->trial_ms)
-		s->window = MIN(s->window * 2, WINDOW_MAX);
+		s->window = MIN(s->window * 2, TRIAL_WINDOW_MAX);
 	x->trial_ms = 0;
 	clear(s, x, now);
 	return true;
@@ -312,7 +323,7 @@
 	set_quarantined(s, x, true);
 	x->cleared = false;
 	x->until_ms = now + MAX(w->left_ms, 0);
-	x->trials = w->trials;
+	x->failed_trials = w->trials;
 	x->last_ms = MAX(x->last_ms, now);
 	note_change(s, x);
 }
@@ -323,26 +334,27 @@
 	int64_t until = now + MAX(w->left_ms, 0);
 	struct suspect *x = find(s, &w->print);
 
-	/* What was cleared here is told to those who don't know it yet. */
+	/* Stays cleared: processes that still remember a quarantine get this
+	 * change. */
 	if (w->cleared || (x && x->cleared))
 		return;
 	x = find_or_add(s, &w->print);
-	if (!x->quarantined || w->trials > x->trials) {
+	if (!x->quarantined || w->trials > x->failed_trials) {
 		set_quarantined(s, x, true);
-		x->trials = w->trials;
+		x->failed_trials = w->trials;
 		x->until_ms = until;
 		x->last_ms = now;
 		note_change(s, x);
 	}
-	/* The same word from hundreds is no news. */
-	if (w->trials == x->trials)
+	/* Not a change: hundreds of processes may report the same. */
+	if (w->trials == x->failed_trials)
 		x->until_ms = MAX(x->until_ms, until);
 }
 
-int64_t suspects_term(const struct suspects *s, const struct fingerprint *print,
+int64_t suspects_term(const struct suspects *s, const struct fingerprint *fp,
 		      int64_t now)
 {
-	const struct suspect *x = find(s, print);
+	const struct suspect *x = find(s, fp);
 
 	if (!x || !x->quarantined)
 		return -1;
@@ -369,7 +381,7 @@
 	return s->quarantined;
 }
 
-/* Trials. */
+/* Trial runs. */
 
 static bool trial_open(const struct suspect *x, int64_t now)
 {
@@ -389,35 +401,35 @@
 }
 
 enum suspect_leave suspects_ask(struct suspects *s,
-				const struct fingerprint *print, int64_t now,
+				const struct fingerprint *fp, int64_t now,
 				int64_t *wait_ms)
 {
-	struct suspect *x = find(s, print);
-	int64_t from;
+	struct suspect *x = find(s, fp);
+	int64_t allowed_ms;
 
 	if (!x || !x->quarantined)
 		return SUSPECT_FREE;
-	from = MAX(x->until_ms, s->quiet_until_ms);
-	*wait_ms = MAX(from - now, 0);
+	allowed_ms = MAX(x->until_ms, s->no_trial_until_ms);
+	*wait_ms = MAX(allowed_ms - now, 0);
 	if (*wait_ms)
 		return SUSPECT_WAIT;
 	if (trial_open(x, now) || open_trials(s, now) >= s->window) {
-		*wait_ms = NEXT_TRIAL_MS;
+		*wait_ms = TRIAL_RETRY_MS;
 		return SUSPECT_WAIT;
 	}
 	x->trial_ms = now;
 	return SUSPECT_TRIAL;
 }
 
-void suspects_trial_over(struct suspects *s, const struct fingerprint *print)
+void suspects_trial_over(struct suspects *s, const struct fingerprint *fp)
 {
-	struct suspect *x = find(s, print);
+	struct suspect *x = find(s, fp);
 
 	if (x)
 		x->trial_ms = 0;
 }
 
-/* News. */
+/* Changes. */
 
 static gint by_mark(gconstpointer a, gconstpointer b)
 {
@@ -432,53 +444,53 @@
 	return s->mark;
 }
 
-uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t most,
+uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t max,
 		       int64_t now, GArray *out)
 {
-	uint64_t upto = s->mark;
+	uint64_t end = s->mark;
 	GPtrArray *all;
 
 	if (mark >= s->mark)
 		return s->mark;
-	all = everyone(s);
+	all = all_suspects(s);
 	g_ptr_array_sort(all, by_mark);
 	for (guint i = 0; i < all->len; i++) {
 		const struct suspect *x = all->pdata[i];
-		struct suspect_word w = { .print = x->print,
+		struct suspect_word w = { .print = x->fingerprint,
 					  .cleared = x->cleared,
 					  .left_ms = MAX(x->until_ms - now, 0),
-					  .trials = x->trials };
+					  .trials = x->failed_trials };
 
 		if (x->changed <= mark || !(x->quarantined || x->cleared))
 			continue;
-		if (out->len == most)
+		if (out->len == max)
 			break;
 		g_array_append_val(out, w);
-		upto = out->len == most ? x->changed : s->mark;
+		end = out->len == max ? x->changed : s->mark;
 	}
 	g_ptr_array_unref(all);
-	return upto;
+	return end;
 }
 
-/* Time. */
+/* Expiry. */
 
 static bool is_old(const struct suspect *x, int64_t now)
 {
 	if (x->cleared)
-		return now - x->last_ms > CLEARED_MS;
+		return now - x->last_ms > CLEARED_KEEP_MS;
 	if (x->quarantined)
-		return now - x->until_ms > KEEP_MS;
-	return now - x->last_ms > END_COUNTS_MS;
+		return now - x->until_ms > QUARANTINE_KEEP_MS;
+	return now - x->last_ms > CRASH_KEEP_MS;
 }
 
 void suspects_tick(struct suspects *s, int64_t now)
 {
 	GPtrArray *all;
 
-	if (now - s->tick_ms < TICK_MS)
+	if (now - s->expired_ms < EXPIRE_INTERVAL_MS)
 		return;
-	s->tick_ms = now;
-	all = everyone(s);
+	s->expired_ms = now;
+	all = all_suspects(s);
 	for (guint i = 0; i < all->len; i++)
 		if (is_old(all->pdata[i], now))
 			drop(s, all->pdata[i]);
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -1,16 +1,17 @@
 /*
- * Requests under which endpoints end.
+ * Table of requests that were running when endpoints crashed.
  *
- * A request may end whatever runs it, and comes again under another id, at
- * another entry. One end proves nothing: all that ran there are suspected. A
- * request under which SUSPECT_ENDS endpoints have ended is quarantined: for a
- * term it isn't run at all, and after it only as a trial, few at a time. A
- * whole answer clears it; a trial that ends another endpoint makes the next
- * term longer.
+ * A poison request crashes any endpoint that runs it, and is sent again under
+ * another id and to another entry. One crash proves nothing: all requests that
+ * ran on the endpoint become suspects. A request that was running at
+ * SUSPECT_CRASH_THRESHOLD crashes is quarantined: it isn't run at all for a
+ * period, and then only in trial runs, of which few are allowed at a time. A
+ * complete answer clears it; a trial run that crashes another endpoint makes
+ * the next period longer.
  *
- * Each process has such a table. An entry adds the ends that it sees and is
- * told of quarantines; the leader adds up what entries tell. The same end may
- * be told twice and in any order.
+ * Each process has such a table. An entry adds the crashes that it observes and
+ * receives quarantines; the leader merges the reports of all entries. A crash
+ * may be reported twice, and crashes in any order.
  */
 #ifndef SS_SUSPECTS_H
 #define SS_SUSPECTS_H
@@ -21,79 +22,88 @@
 extern "C" {
 #endif
 
-/* Endpoints that may end under a request. Two may be chance: a request that is
- * sent again goes where the guilty one comes again, too. */
+/* Crashes that quarantine a request. Two may be chance: a harmless request that
+ * is retried may meet the poison request again, which is retried, too. */
 #define SUSPECT_ENDS 3
-/* An open trial counts as lost after so long, in ms: longer than most streams
- * run. */
+/* An open trial run is given up after this time, in ms: longer than most
+ * streams run. */
 #define SUSPECT_TRIAL_MS 30000
 
 struct suspects;
 
 struct suspects_options {
-	size_t most;	  /* requests that are remembered */
-	int64_t quiet_ms; /* from now on no trial begins: others may be open
-			   * that this process doesn't know of */
+	size_t most;	  /* requests in the table */
+	int64_t quiet_ms; /* no trial run opens for this time at first: those
+			   * of another process may still be open */
 };
 
 struct suspects *suspects_new(const struct suspects_options *o, int64_t now);
 void suspects_free(struct suspects *s);
 
-/* What is told of a request. */
+/* State of a suspected request, as processes exchange it. */
 struct suspect_word {
 	struct fingerprint print;
-	bool cleared;	 /* it was answered: what is below doesn't count */
-	int64_t left_ms; /* of its term; 0: it may run as a trial */
-	uint64_t trials; /* that have ended an endpoint */
+	bool cleared;	 /* it was answered; the members below are ignored */
+	int64_t left_ms; /* until the first trial run is allowed */
+	uint64_t trials; /* trial runs that crashed an endpoint */
 };
 
 /*
- * An endpoint has ended under a request; life tells its incarnation from all
- * others. The number of its ends now, at most SUSPECT_ENDS.
+ * Adds a crash of an endpoint, by the endpoint's incarnation number, to a
+ * request that it was running. Returns the request's number of crashes, at most
+ * SUSPECT_CRASH_THRESHOLD.
  */
-unsigned int suspects_end(struct suspects *s, const struct fingerprint *print,
-			  uint64_t life, int64_t now);
-/* It was answered whole. False where it wasn't suspected. */
-bool suspects_answered(struct suspects *s, const struct fingerprint *print,
+unsigned int suspects_end(struct suspects *s, const struct fingerprint *fp,
+			  uint64_t incarnation_no, int64_t now);
+/* Clears a request that was answered completely. Returns false if it wasn't
+ * suspected. */
+bool suspects_answered(struct suspects *s, const struct fingerprint *fp,
 		       int64_t now);
-/* Another process says so, and knows better. */
+/* Replaces a request's state by what the leader reports. */
 void suspects_told(struct suspects *s, const struct suspect_word *w,
 		   int64_t now);
-/* Another process remembers so: the longer term counts. */
+/* Merges the state that another process remembers; the later end of the
+ * quarantine period counts. */
 void suspects_recalled(struct suspects *s, const struct suspect_word *w,
 		       int64_t now);
 
-/* -1: it may run. Else the rest of its term; 0 where it may run as a trial. */
-int64_t suspects_term(const struct suspects *s, const struct fingerprint *print,
+/* Returns the rest of a request's quarantine period in ms, 0 if it may ask for
+ * a trial run, and -1 if it isn't quarantined. */
+int64_t suspects_term(const struct suspects *s, const struct fingerprint *fp,
 		      int64_t now);
-/* Some request is suspected; some is quarantined. */
+/* True if any request is in the table, or quarantined. */
 bool suspects_any(const struct suspects *s);
 bool suspects_any_quarantined(const struct suspects *s);
+/* Numbers of requests in the table, and of quarantined ones. */
 size_t suspects_count(const struct suspects *s);
 size_t suspects_quarantined(const struct suspects *s);
 
 enum suspect_leave {
-	SUSPECT_FREE,  /* it isn't quarantined */
-	SUSPECT_TRIAL, /* it may run once; its end is to be told */
-	SUSPECT_WAIT,  /* not before *wait_ms */
+	SUSPECT_FREE,  /* not quarantined */
+	SUSPECT_TRIAL, /* may run once; its outcome has to be reported */
+	SUSPECT_WAIT,  /* may not run before *wait_ms have passed */
 };
 
+/* Decides whether a request may run now, and opens a trial run for
+ * SUSPECT_TRIAL. Sets *wait_ms unless it returns SUSPECT_FREE. */
 enum suspect_leave suspects_ask(struct suspects *s,
-				const struct fingerprint *print, int64_t now,
+				const struct fingerprint *fp, int64_t now,
 				int64_t *wait_ms);
-/* A trial has shown nothing: its caller left, or it never ran. */
-void suspects_trial_over(struct suspects *s, const struct fingerprint *print);
+/* Closes a trial run that was inconclusive: its caller left, or it never ran.
+ */
+void suspects_trial_over(struct suspects *s, const struct fingerprint *fp);
 
 /*
- * Words on what has changed since a mark, oldest first, at most so many, into
- * out (struct suspect_word). The mark to go on from.
+ * Appends the quarantined and cleared requests that changed after a mark to
+ * out, oldest change first, until it has max struct suspect_state. Returns the
+ * mark after them. A mark is a position in the table's sequence of changes.
  */
-uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t most,
+uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t max,
 		       int64_t now, GArray *out);
-/* The newest mark. */
+/* Returns the mark of the last change. */
 uint64_t suspects_mark(const struct suspects *s);
 
-/* Forget what is too old. */
+/* Drops requests that are too old. */
 void suspects_tick(struct suspects *s, int64_t now);
 
 #ifdef __cplusplus
