--- a/test/test_suspects.c
+++ b/test/test_suspects.c
@@ -1,4 +1,4 @@
-/* Requests under which endpoints end: counting, terms, trials, bounds. */
+/* Suspected requests: crash counts, quarantine periods, trial runs, bounds. */
 #include "unit.h"
 
 #include "../src/core/suspects.h"
@@ -8,55 +8,56 @@
 
 static const struct suspects_options options = { .most = 64 };
 
-static struct fingerprint print_of(uint64_t i)
+static struct fingerprint fingerprint_no(uint64_t i)
 {
 	return (struct fingerprint){ 7, i };
 }
 
-static void end(struct suspects *s, uint64_t request, uint64_t life,
-		int64_t now)
+static void add_crash(struct suspects *s, uint64_t request,
+		      uint64_t incarnation_no, int64_t now)
 {
-	struct fingerprint p = print_of(request);
+	struct fingerprint fp = fingerprint_no(request);
 
-	suspects_end(s, &p, life, now);
+	suspects_end(s, &fp, incarnation_no, now);
 }
 
-static int64_t term(const struct suspects *s, uint64_t request, int64_t now)
+static int64_t remaining_ms(const struct suspects *s, uint64_t request,
+			    int64_t now)
 {
-	struct fingerprint p = print_of(request);
+	struct fingerprint fp = fingerprint_no(request);
 
-	return suspects_term(s, &p, now);
+	return suspects_term(s, &fp, now);
 }
 
-static enum suspect_leave ask(struct suspects *s, uint64_t request, int64_t now,
-			      int64_t *wait_ms)
+static enum suspect_leave admit(struct suspects *s, uint64_t request,
+				int64_t now, int64_t *wait_ms)
 {
-	struct fingerprint p = print_of(request);
+	struct fingerprint fp = fingerprint_no(request);
 
 	*wait_ms = -1;
-	return suspects_ask(s, &p, now, wait_ms);
+	return suspects_ask(s, &fp, now, wait_ms);
 }
 
 static bool answered(struct suspects *s, uint64_t request, int64_t now)
 {
-	struct fingerprint p = print_of(request);
+	struct fingerprint fp = fingerprint_no(request);
 
-	return suspects_answered(s, &p, now);
+	return suspects_answered(s, &fp, now);
 }
 
-/* Ends one endpoint after the other, from life on, a second apart. */
-static void condemn(struct suspects *s, uint64_t request, uint64_t life,
-		    int64_t now)
+/* Adds the crashes that quarantine a request, of consecutive incarnations. */
+static void quarantine(struct suspects *s, uint64_t request,
+		       uint64_t first_incarnation, int64_t now)
 {
 	for (int i = 0; i < SUSPECT_ENDS; i++)
-		end(s, request, life + (uint64_t)i, now);
+		add_crash(s, request, first_incarnation + (uint64_t)i, now);
 }
 
 /*
- * The content decides, whatever id or header a request comes with; no byte
- * can move from one part to the next.
+ * The fingerprint depends on the content of a request, not on its id or
+ * headers. It changes if a byte moves from one part to the next.
  */
-static void content_is_told_apart(void **state)
+static void fingerprints_differ_by_content(void **state)
 {
 	static const struct {
 		const char *method, *host, *target, *body;
@@ -75,41 +76,43 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct fingerprint p = fingerprint_of(ss_str(cases[i].method),
-						      ss_str(cases[i].host),
-						      ss_str(cases[i].target),
-						      ss_str(cases[i].body));
+		struct fingerprint fp = fingerprint_of(ss_str(cases[i].method),
+						       ss_str(cases[i].host),
+						       ss_str(cases[i].target),
+						       ss_str(cases[i].body));
 
 		if (!i)
-			first = p;
-		assert_int_equal(fingerprint_equal(&first, &p), cases[i].same);
+			first = fp;
+		assert_int_equal(fingerprint_equal(&first, &fp), cases[i].same);
 	}
 }
 
-/* Two ends may be chance; the third one is counted once, whoever tells it. */
-static void third_end_quarantines(void **state)
+/* Two crashes may be chance, the third one quarantines. Each is counted once,
+ * whichever entries report it. */
+static void third_crash_quarantines(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
 
 	(void)state;
-	end(s, 1, 11, 0);
-	end(s, 1, 12, 100);
-	end(s, 1, 11, 200);
-	end(s, 1, 12, 300);
-	assert_int_equal(term(s, 1, 300), -1);
+	add_crash(s, 1, 11, 0);
+	add_crash(s, 1, 12, 100);
+	add_crash(s, 1, 11, 200);
+	add_crash(s, 1, 12, 300);
+	assert_int_equal(remaining_ms(s, 1, 300), -1);
 	assert_false(suspects_any_quarantined(s));
-	end(s, 1, 13, 400);
-	assert_int_equal(term(s, 1, 400), 10 * MINUTE_MS);
-	assert_int_equal(term(s, 2, 400), -1);
-	/* Told late by another entry: it changes nothing. */
-	end(s, 1, 13, 5000);
-	assert_int_equal(term(s, 1, 5000), 10 * MINUTE_MS - 4600);
+	add_crash(s, 1, 13, 400);
+	assert_int_equal(remaining_ms(s, 1, 400), 10 * MINUTE_MS);
+	assert_int_equal(remaining_ms(s, 2, 400), -1);
+	/* A delayed report of the same crash by another entry changes nothing.
+	 */
+	add_crash(s, 1, 13, 5000);
+	assert_int_equal(remaining_ms(s, 1, 5000), 10 * MINUTE_MS - 4600);
 	suspects_free(s);
 }
 
-/* Ends that lie far apart don't add up; those of a job that comes each quarter
- * of an hour do. */
-static void old_ends_are_forgotten(void **state)
+/* Crashes that are far apart don't add up; those of a job that runs every
+ * quarter of an hour do. */
+static void old_crashes_are_dropped(void **state)
 {
 	static const struct {
 		int64_t gap_ms;
@@ -126,7 +129,7 @@
 		for (uint64_t k = 0; k < SUSPECT_ENDS; k++) {
 			now += cases[i].gap_ms;
 			suspects_tick(s, now);
-			end(s, 1, k, now);
+			add_crash(s, 1, k, now);
 		}
 		assert_int_equal(suspects_any_quarantined(s),
 				 cases[i].quarantined);
@@ -135,29 +138,29 @@
 }
 
 /*
- * After its term a request may run as a trial: once, not at all entries at the
- * same time. If it ends an endpoint, it waits again, longer and longer: three
- * trials in the first seven hours.
+ * After its quarantine period a request gets one trial run, not one at each
+ * entry. Each trial run that crashes an endpoint is followed by another period,
+ * which grows: there are three trial runs in the first seven hours.
  */
-static void trials_come_rarer_and_rarer(void **state)
+static void failed_trials_extend_quarantine(void **state)
 {
-	static const int64_t terms[] = { 10 * MINUTE_MS, 10 * MINUTE_MS,
-					 HOUR_MS,	 6 * HOUR_MS,
-					 24 * HOUR_MS,	 24 * HOUR_MS };
+	static const int64_t periods[] = { 10 * MINUTE_MS, 10 * MINUTE_MS,
+					   HOUR_MS,	   6 * HOUR_MS,
+					   24 * HOUR_MS,   24 * HOUR_MS };
 	struct suspects *s = suspects_new(&options, 0);
 	int64_t now = 1000, wait;
 
 	(void)state;
-	condemn(s, 1, 10, now);
-	for (size_t i = 0; i < G_N_ELEMENTS(terms); i++) {
-		assert_int_equal(ask(s, 1, now + 1, &wait), SUSPECT_WAIT);
-		assert_int_equal(wait, terms[i] - 1);
-		now += terms[i];
+	quarantine(s, 1, 10, now);
+	for (size_t i = 0; i < G_N_ELEMENTS(periods); i++) {
+		assert_int_equal(admit(s, 1, now + 1, &wait), SUSPECT_WAIT);
+		assert_int_equal(wait, periods[i] - 1);
+		now += periods[i];
 		suspects_tick(s, now);
-		assert_int_equal(ask(s, 1, now, &wait), SUSPECT_TRIAL);
-		assert_int_equal(ask(s, 1, now, &wait), SUSPECT_WAIT);
+		assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
+		assert_int_equal(admit(s, 1, now, &wait), SUSPECT_WAIT);
 		assert_in_range(wait, 1, 5000);
-		end(s, 1, 100 + i, now += 80);
+		add_crash(s, 1, 100 + i, now += 80);
 	}
 	suspects_free(s);
 }
@@ -168,79 +171,82 @@
 	int64_t wait;
 
 	(void)state;
-	end(s, 1, 1, 0);
+	add_crash(s, 1, 1, 0);
 	assert_true(answered(s, 1, 10));
 	assert_false(answered(s, 1, 20));
-	condemn(s, 1, 5, 100);
+	quarantine(s, 1, 5, 100);
 	assert_true(suspects_any_quarantined(s));
-	assert_int_equal(ask(s, 1, 100 + 10 * MINUTE_MS, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 1, 100 + 10 * MINUTE_MS, &wait),
+			 SUSPECT_TRIAL);
 	assert_true(answered(s, 1, 100 + 10 * MINUTE_MS + 50));
 	assert_false(suspects_any_quarantined(s));
-	assert_int_equal(ask(s, 1, 100 + 11 * MINUTE_MS, &wait), SUSPECT_FREE);
+	assert_int_equal(admit(s, 1, 100 + 11 * MINUTE_MS, &wait),
+			 SUSPECT_FREE);
 	assert_false(answered(s, 2, 0));
 	suspects_free(s);
 }
 
 /*
- * A trial whose caller left, and one of an entry that is gone, don't keep
- * others waiting for ever.
+ * Guards against a trial run that stays open for ever and blocks all others,
+ * when its caller leaves or its entry is lost.
  */
-static void lost_trial_is_given_up(void **state)
+static void lost_trial_times_out(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct fingerprint p = print_of(1);
+	struct fingerprint fp = fingerprint_no(1);
 	int64_t now = 10 * MINUTE_MS, wait;
 
 	(void)state;
-	condemn(s, 1, 10, 0);
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_TRIAL);
-	suspects_trial_over(s, &p);
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_TRIAL);
+	quarantine(s, 1, 10, 0);
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
+	suspects_trial_over(s, &fp);
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
 	now += SUSPECT_TRIAL_MS - 1;
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_WAIT);
-	assert_int_equal(ask(s, 1, now + 1, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_WAIT);
+	assert_int_equal(admit(s, 1, now + 1, &wait), SUSPECT_TRIAL);
 	suspects_free(s);
 }
 
 /*
- * Symptom: callers whose requests only stood beside the guilty one are refused
- * for ten minutes. Sequence: the same three ends speak against several. They
- * can't be told apart but by trials, so these come as soon as endpoints are
- * back, one at a time at first, and more at a time as they are answered.
+ * Guards against refusing harmless requests for ten minutes because they ran
+ * beside a poison request. All of them share the same three crashes, and only
+ * trial runs tell them apart. These start once endpoints are back: one at a
+ * time at first, and more as they are answered.
  */
-static void bystanders_are_soon_tried(void **state)
+static void tied_requests_get_early_trials(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
 	int64_t now = 3000, wait;
 
 	(void)state;
 	for (uint64_t i = 1; i <= 8; i++)
-		condemn(s, i, 10, 0);
+		quarantine(s, i, 10, 0);
 	for (uint64_t i = 1; i <= 8; i++)
-		assert_int_equal(term(s, i, 0), 3000);
-	assert_int_equal(ask(s, 2, now, &wait), SUSPECT_TRIAL);
-	assert_int_equal(ask(s, 3, now, &wait), SUSPECT_WAIT);
+		assert_int_equal(remaining_ms(s, i, 0), 3000);
+	assert_int_equal(admit(s, 2, now, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 3, now, &wait), SUSPECT_WAIT);
 	assert_in_range(wait, 1, 5000);
 	answered(s, 2, now);
-	assert_int_equal(ask(s, 3, now, &wait), SUSPECT_TRIAL);
-	assert_int_equal(ask(s, 4, now, &wait), SUSPECT_TRIAL);
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_WAIT);
+	assert_int_equal(admit(s, 3, now, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 4, now, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_WAIT);
 	answered(s, 3, now);
-	/* The guilty one: its ends no longer speak against the others. */
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_TRIAL);
-	end(s, 1, 99, now += 80);
-	assert_int_equal(term(s, 1, now), 10 * MINUTE_MS);
+	/* The poison request: its crashes no longer count against the others.
+	 */
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
+	add_crash(s, 1, 99, now += 80);
+	assert_int_equal(remaining_ms(s, 1, now), 10 * MINUTE_MS);
 	for (uint64_t i = 4; i <= 8; i++)
-		assert_int_equal(term(s, i, now), -1);
+		assert_int_equal(remaining_ms(s, i, now), -1);
 	suspects_free(s);
 }
 
 /*
- * Two ends in common are no chance: one of the two is most likely innocent, and
- * a third one that it shares with nobody doesn't make it wait for the long
- * term. One in common says nothing.
+ * Two requests that share two crashes are tied: one of them is most likely
+ * harmless and gets an early trial run, even if its third crash is its own. One
+ * shared crash doesn't tie them.
  */
-static void ties_are_seen(void **state)
+static void two_shared_crashes_tie_requests(void **state)
 {
 	static const struct {
 		uint64_t a[SUSPECT_ENDS], b[SUSPECT_ENDS];
@@ -255,162 +261,167 @@
 		struct suspects *s = suspects_new(&options, 0);
 
 		for (size_t k = 0; k < SUSPECT_ENDS; k++)
-			end(s, 1, cases[i].a[k], 0);
+			add_crash(s, 1, cases[i].a[k], 0);
 		for (size_t k = 0; k < SUSPECT_ENDS; k++)
-			end(s, 2, cases[i].b[k], 0);
+			add_crash(s, 2, cases[i].b[k], 0);
 		for (uint64_t k = 1; k <= 2; k++)
-			assert_int_equal(term(s, k, 0),
+			assert_int_equal(remaining_ms(s, k, 0),
 					 cases[i].tied ? 3000 : 10 * MINUTE_MS);
 		suspects_free(s);
 	}
 }
 
-/* What others say is quarantined stays so when a guilty one is found. */
-static void others_words_arent_excused(void **state)
+/* A quarantine that another process reported stays when a poison request is
+ * found. */
+static void reported_quarantine_isnt_discounted(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = print_of(2), .left_ms = HOUR_MS };
+	struct suspect_word w = { .print = fingerprint_no(2),
+				  .left_ms = HOUR_MS };
 	int64_t now = 10 * MINUTE_MS, wait;
 
 	(void)state;
 	suspects_told(s, &w, 0);
-	end(s, 2, 10, 0);
-	condemn(s, 1, 10, 0);
-	assert_int_equal(ask(s, 1, now, &wait), SUSPECT_TRIAL);
-	end(s, 1, 99, now);
-	assert_true(term(s, 2, now) > 0);
+	add_crash(s, 2, 10, 0);
+	quarantine(s, 1, 10, 0);
+	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
+	add_crash(s, 1, 99, now);
+	assert_true(remaining_ms(s, 2, now) > 0);
 	suspects_free(s);
 }
 
-/* Ends under what was on its way before the third end was known: no trial. */
-static void ends_under_way_only_prolong(void **state)
+/* Crashes by copies that already ran when the request was quarantined aren't
+ * failed trial runs. */
+static void crashes_of_earlier_runs_arent_trials(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
 
 	(void)state;
-	condemn(s, 1, 10, 0);
-	end(s, 1, 20, 500);
-	end(s, 1, 21, 700);
-	assert_int_equal(term(s, 1, 700), 10 * MINUTE_MS);
+	quarantine(s, 1, 10, 0);
+	add_crash(s, 1, 20, 500);
+	add_crash(s, 1, 21, 700);
+	assert_int_equal(remaining_ms(s, 1, 700), 10 * MINUTE_MS);
 	suspects_free(s);
 }
 
-/* A new leader allows none before those of the last one are over. */
-static void new_leader_is_quiet_first(void **state)
+/* A new leader allows no trial run before those of the last one are over. */
+static void new_leader_holds_trials_back(void **state)
 {
 	struct suspects_options o = { .most = 64, .quiet_ms = 30000 };
 	struct suspects *s = suspects_new(&o, 1000);
-	struct suspect_word w = { .print = print_of(1), .trials = 1 };
+	struct suspect_word w = { .print = fingerprint_no(1), .trials = 1 };
 	int64_t wait;
 
 	(void)state;
 	suspects_recalled(s, &w, 2000);
-	assert_int_equal(ask(s, 1, 2000, &wait), SUSPECT_WAIT);
+	assert_int_equal(admit(s, 1, 2000, &wait), SUSPECT_WAIT);
 	assert_int_equal(wait, 29000);
-	assert_int_equal(ask(s, 1, 31000, &wait), SUSPECT_TRIAL);
+	assert_int_equal(admit(s, 1, 31000, &wait), SUSPECT_TRIAL);
 	suspects_free(s);
 }
 
-static guint news(const struct suspects *s, uint64_t *mark, size_t most,
-		  GArray *out)
+static guint changes(const struct suspects *s, uint64_t *mark, size_t max,
+		     GArray *out)
 {
 	g_array_set_size(out, 0);
-	*mark = suspects_news(s, *mark, most, 0, out);
+	*mark = suspects_news(s, *mark, max, 0, out);
 	return out->len;
 }
 
-/* Each is told once to each, in pieces; what is merely suspected isn't. */
-static void news_come_once_and_in_pieces(void **state)
+/* Changes are returned once, in batches; requests that are only suspected
+ * aren't. */
+static void changes_come_once_and_in_batches(void **state)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
 	struct suspects *s = suspects_new(&options, 0);
 	uint64_t mark = 0;
 
 	(void)state;
-	assert_int_equal(news(s, &mark, 4, out), 0);
-	end(s, 50, 1, 0);
+	assert_int_equal(changes(s, &mark, 4, out), 0);
+	add_crash(s, 50, 1, 0);
 	for (uint64_t i = 1; i <= 6; i++)
-		condemn(s, i, 10 * i, 0);
-	assert_int_equal(news(s, &mark, 4, out), 4);
+		quarantine(s, i, 10 * i, 0);
+	assert_int_equal(changes(s, &mark, 4, out), 4);
 	assert_int_equal(g_array_index(out, struct suspect_word, 0).print.lo,
 			 1);
-	assert_int_equal(news(s, &mark, 4, out), 2);
-	assert_int_equal(news(s, &mark, 4, out), 0);
+	assert_int_equal(changes(s, &mark, 4, out), 2);
+	assert_int_equal(changes(s, &mark, 4, out), 0);
 	assert_int_equal(mark, suspects_mark(s));
 	answered(s, 3, 0);
-	assert_int_equal(news(s, &mark, 4, out), 1);
+	assert_int_equal(changes(s, &mark, 4, out), 1);
 	assert_true(g_array_index(out, struct suspect_word, 0).cleared);
-	assert_int_equal(news(s, &mark, 4, out), 0);
+	assert_int_equal(changes(s, &mark, 4, out), 0);
 	suspects_free(s);
 	g_array_unref(out);
 }
 
-/* The same word from hundreds of entries is no news for hundreds. */
-static void recalled_words_are_news_once(void **state)
+/* Guards against a broadcast for each of hundreds of entries that report the
+ * same quarantine to a new leader. */
+static void merged_state_is_one_change(void **state)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = print_of(1), .left_ms = 5000 };
+	struct suspect_word w = { .print = fingerprint_no(1), .left_ms = 5000 };
 	uint64_t mark = 0;
 
 	(void)state;
 	suspects_recalled(s, &w, 0);
-	assert_int_equal(news(s, &mark, 4, out), 1);
+	assert_int_equal(changes(s, &mark, 4, out), 1);
 	for (int i = 0; i < 300; i++) {
 		w.left_ms = 5000 + i;
 		suspects_recalled(s, &w, 0);
 	}
-	assert_int_equal(news(s, &mark, 4, out), 0);
-	assert_int_equal(term(s, 1, 0), 5299);
+	assert_int_equal(changes(s, &mark, 4, out), 0);
+	assert_int_equal(remaining_ms(s, 1, 0), 5299);
 	answered(s, 1, 0);
 	suspects_recalled(s, &w, 0);
-	assert_int_equal(term(s, 1, 0), -1);
+	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	suspects_free(s);
 	g_array_unref(out);
 }
 
-/* What the leader says replaces what an entry thinks. */
-static void leaders_word_counts(void **state)
+/* The state that the leader reports replaces that of an entry. */
+static void leaders_state_is_applied(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = print_of(1), .left_ms = 3000 };
+	struct suspect_word w = { .print = fingerprint_no(1), .left_ms = 3000 };
 
 	(void)state;
-	condemn(s, 1, 10, 0);
+	quarantine(s, 1, 10, 0);
 	suspects_told(s, &w, 0);
-	assert_int_equal(term(s, 1, 0), 3000);
+	assert_int_equal(remaining_ms(s, 1, 0), 3000);
 	w.left_ms = HOUR_MS;
 	suspects_told(s, &w, 0);
-	assert_int_equal(term(s, 1, 0), HOUR_MS);
+	assert_int_equal(remaining_ms(s, 1, 0), HOUR_MS);
 	w.cleared = true;
 	suspects_told(s, &w, 0);
-	assert_int_equal(term(s, 1, 0), -1);
+	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	assert_false(suspects_any(s));
 	suspects_free(s);
 }
 
 /*
- * Symptom: the guilty request is forgotten, or memory grows without end.
- * Sequence: hundreds of endpoints end at once, with all that they ran. What has
- * few ends and is old goes first; what is quarantined last.
+ * Guards against losing the poison request, or growing without bound, when
+ * hundreds of endpoints crash at once with all that they run. Old requests with
+ * few crashes are evicted first, quarantined ones last.
  */
-static void flood_drops_the_least_suspected(void **state)
+static void flood_evicts_the_least_suspected(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
 
 	(void)state;
-	condemn(s, 1, 10, 0);
-	end(s, 2, 1, 0);
-	end(s, 2, 2, 0);
+	quarantine(s, 1, 10, 0);
+	add_crash(s, 2, 1, 0);
+	add_crash(s, 2, 2, 0);
 	for (uint64_t i = 100; i < 10100; i++) {
-		end(s, i, i, (int64_t)i);
+		add_crash(s, i, i, (int64_t)i);
 		assert_true(suspects_count(s) <= options.most);
 	}
-	assert_int_equal(term(s, 1, 100), 10 * MINUTE_MS - 100);
-	end(s, 2, 3, 200);
-	assert_true(term(s, 2, 200) >= 0);
+	assert_int_equal(remaining_ms(s, 1, 100), 10 * MINUTE_MS - 100);
+	add_crash(s, 2, 3, 200);
+	assert_true(remaining_ms(s, 2, 200) >= 0);
 	for (uint64_t i = 100; i < 1100; i++) {
-		condemn(s, i, i * 10, (int64_t)i);
+		quarantine(s, i, i * 10, (int64_t)i);
 		assert_true(suspects_count(s) <= options.most);
 	}
 	assert_true(suspects_quarantined(s) <= suspects_count(s));
@@ -420,21 +431,21 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(content_is_told_apart),
-		cmocka_unit_test(third_end_quarantines),
-		cmocka_unit_test(old_ends_are_forgotten),
-		cmocka_unit_test(trials_come_rarer_and_rarer),
+		cmocka_unit_test(fingerprints_differ_by_content),
+		cmocka_unit_test(third_crash_quarantines),
+		cmocka_unit_test(old_crashes_are_dropped),
+		cmocka_unit_test(failed_trials_extend_quarantine),
 		cmocka_unit_test(answer_clears),
-		cmocka_unit_test(lost_trial_is_given_up),
-		cmocka_unit_test(bystanders_are_soon_tried),
-		cmocka_unit_test(ties_are_seen),
-		cmocka_unit_test(others_words_arent_excused),
-		cmocka_unit_test(ends_under_way_only_prolong),
-		cmocka_unit_test(new_leader_is_quiet_first),
-		cmocka_unit_test(news_come_once_and_in_pieces),
-		cmocka_unit_test(recalled_words_are_news_once),
-		cmocka_unit_test(leaders_word_counts),
-		cmocka_unit_test(flood_drops_the_least_suspected),
+		cmocka_unit_test(lost_trial_times_out),
+		cmocka_unit_test(tied_requests_get_early_trials),
+		cmocka_unit_test(two_shared_crashes_tie_requests),
+		cmocka_unit_test(reported_quarantine_isnt_discounted),
+		cmocka_unit_test(crashes_of_earlier_runs_arent_trials),
+		cmocka_unit_test(new_leader_holds_trials_back),
+		cmocka_unit_test(changes_come_once_and_in_batches),
+		cmocka_unit_test(merged_state_is_one_change),
+		cmocka_unit_test(leaders_state_is_applied),
+		cmocka_unit_test(flood_evicts_the_least_suspected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
