--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -1,8 +1,9 @@
 /*
- * Properties of stopping guilty requests under any interleaving: entries that
- * restart or are cut off, leaders that change or are missing, endpoints that end
- * for other reasons, messages that are lost. The real tables of entries and
- * leader; between them what the processes do with their messages.
+ * Properties of the quarantine of poison requests under any interleaving of
+ * faults: entries that restart or are disconnected, leaders that change or are
+ * missing, endpoints that crash for other reasons, messages that are lost. The
+ * tables and crash logs of entries and leader are the real ones; the exchange
+ * of messages between them is simulated.
  */
 #include <rapidcheck.h>
 
@@ -19,20 +20,22 @@
 namespace
 {
 
-const int64_t kStep = 50;      /* ms */
-const int64_t kContact = 3000; /* after the third end it is known everywhere */
-const size_t kLater = 3;       /* sends after that */
+const int64_t kStepMs = 50;
+/* Time from the threshold crash until all connected entries know. */
+const int64_t kSpreadMs = 3000;
+/* Runs of a poison request that are allowed after that. */
+const size_t kMaxLateRuns = 3;
 const int kEndpoints = 6;
-const int kGuilty = 2, kInnocent = 6;
-const int64_t kBack = 2000; /* until an endpoint has started again */
+const int kPoison = 2, kHarmless = 6; /* requests */
+const int64_t kRestartMs = 2000;      /* of an endpoint */
 
 struct Entry {
 	suspects *s = nullptr;
 	end_log log;
-	uint64_t told_by = 0; /* leadership that it has introduced itself to */
-	uint64_t recall = 0;
-	int64_t calm_since = 0; /* it ran and reached the same leader */
-	int64_t cut_until = 0;
+	uint64_t reported_to = 0; /* leadership that gets its reports */
+	uint64_t merged = 0; /* mark up to which the leader has its state */
+	int64_t connected_since = 0; /* running, and to the same leader */
+	int64_t disconnected_until = 0;
 
 	void start(int64_t now)
 	{
@@ -40,8 +43,8 @@
 
 		s = suspects_new(&o, now);
 		end_log_init(&log, 256);
-		told_by = recall = 0;
-		calm_since = now;
+		reported_to = merged = 0;
+		connected_since = now;
 	}
 
 	void stop()
@@ -51,7 +54,7 @@
 	}
 };
 
-/* A request that runs on an endpoint. */
+/* A run of a request on an endpoint. */
 struct Run {
 	int entry;
 	uint64_t request;
@@ -60,7 +63,7 @@
 };
 
 struct Endpoint {
-	uint64_t life = 0;
+	uint64_t incarnation_no = 0;
 	int64_t down_until = 0;
 	std::vector<Run> runs;
 };
@@ -69,13 +72,15 @@
 	std::vector<Entry> entries;
 	std::vector<Endpoint> eps;
 	suspects *leader = nullptr;
-	uint64_t leadership = 0, lives = 0;
+	uint64_t leadership = 0, incarnations = 0;
 	int64_t no_leader_until = 0;
 	std::map<int, uint64_t> marks; /* of entries, at the leader */
 	int64_t now = 1000;
-	std::map<uint64_t, int64_t> third;	 /* guilty: its third end */
-	std::map<uint64_t, size_t> ends, later; /* guilty */
-	std::set<uint64_t> answered;		 /* innocent */
+	/* Of poison requests: the time of the threshold crash, all crashes, and
+	 * those sent by connected entries kSpreadMs after it or later. */
+	std::map<uint64_t, int64_t> threshold_at;
+	std::map<uint64_t, size_t> crashes, late_crashes;
+	std::set<uint64_t> answered; /* harmless requests */
 
 	explicit World(int n)
 	{
@@ -84,8 +89,8 @@
 		for (auto &e : entries)
 			e.start(now);
 		for (auto &p : eps)
-			p.life = ++lives;
-		lead();
+			p.incarnation_no = ++incarnations;
+		elect();
 	}
 
 	~World()
@@ -95,17 +100,17 @@
 		suspects_free(leader);
 	}
 
-	static bool guilty(uint64_t request)
+	static bool is_poison(uint64_t request)
 	{
-		return request < kGuilty;
+		return request < kPoison;
 	}
 
-	static fingerprint print(uint64_t request)
+	static fingerprint fingerprint_no(uint64_t request)
 	{
 		return { 1, request };
 	}
 
-	void lead()
+	void elect()
 	{
 		suspects_options o = { 256, SUSPECT_TRIAL_MS };
 
@@ -121,63 +126,62 @@
 		leader = nullptr;
 		no_leader_until = now + ms;
 		for (auto &e : entries)
-			e.calm_since = now + ms;
+			e.connected_since = now + ms;
 	}
 
 	bool reaches(const Entry &e) const
 	{
-		return leader && e.cut_until <= now;
+		return leader && e.disconnected_until <= now;
 	}
 
-	bool in_touch(const Entry &e) const
+	bool is_connected(const Entry &e) const
 	{
-		return reaches(e) && now - e.calm_since > kContact;
+		return reaches(e) && now - e.connected_since > kSpreadMs;
 	}
 
-	/* What entries tell, and what the leader answers. */
-	void talk()
+	/* Entries report to the leader, and receive its changes. */
+	void exchange()
 	{
 		for (size_t i = 0; i < entries.size(); i++)
 			if (reaches(entries[i]))
-				talk_to(static_cast<int>(i));
+				exchange_with(static_cast<int>(i));
 	}
 
-	void talk_to(int i)
+	void exchange_with(int i)
 	{
 		Entry &e = entries[static_cast<size_t>(i)];
-		GArray *words =
+		GArray *states =
 			g_array_new(FALSE, FALSE, sizeof(suspect_word));
 		size_t n;
 
-		if (e.told_by != leadership) {
+		if (e.reported_to != leadership) {
 			end_log_again(&e.log);
-			e.recall = 0;
-			e.told_by = leadership;
+			e.merged = 0;
+			e.reported_to = leadership;
 		}
-		e.recall = suspects_news(e.s, e.recall, 1000, now, words);
-		for (guint k = 0; k < words->len; k++)
-			suspects_recalled(leader,
-					  &g_array_index(words, suspect_word,
-							 k),
-					  now);
-		const end_seen *seen = end_log_next(&e.log, 1000, &n);
+		e.merged = suspects_news(e.s, e.merged, 1000, now, states);
+		for (guint k = 0; k < states->len; k++)
+			suspects_recalled(
+				leader, &g_array_index(states, suspect_word, k),
+				now);
+		const end_seen *outcomes = end_log_next(&e.log, 1000, &n);
 		for (size_t k = 0; k < n; k++)
-			take(seen[k]);
+			receive(outcomes[k]);
 		end_log_told(&e.log, n);
-		g_array_set_size(words, 0);
-		marks[i] = suspects_news(leader, marks[i], 1000, now, words);
-		for (guint k = 0; k < words->len; k++) {
-			auto *w = &g_array_index(words, suspect_word, k);
+		g_array_set_size(states, 0);
+		marks[i] = suspects_news(leader, marks[i], 1000, now, states);
+		for (guint k = 0; k < states->len; k++) {
+			auto *w = &g_array_index(states, suspect_word, k);
 
 			suspects_told(e.s, w, now);
 			if (w->cleared)
 				end_log_drop(&e.log, &w->print);
 		}
-		e.recall = suspects_mark(e.s);
-		g_array_unref(words);
+		e.merged = suspects_mark(e.s);
+		g_array_unref(states);
 	}
 
-	void take(const end_seen &x)
+	void receive(const end_seen &x)
 	{
 		if (x.kind == END_UNDER)
 			suspects_end(leader, &x.print, x.life, now);
@@ -187,32 +191,35 @@
 			suspects_trial_over(leader, &x.print);
 	}
 
-	void see(Entry &e, uint64_t request, end_kind kind, uint64_t life)
+	void log_outcome(Entry &e, uint64_t request, end_kind kind,
+			 uint64_t incarnation_no)
 	{
-		end_seen x = { print(request), kind, life, now };
+		end_seen x = { fingerprint_no(request), kind, incarnation_no,
+			       now };
 
 		end_log_add(&e.log, &x);
 	}
 
-	/* The process ends, and its VM says so to all who wait. */
+	/* The endpoint's process crashes, and its VM reports that to all
+	 * entries that wait for an answer. */
 	void crash(Endpoint &p)
 	{
 		for (const Run &r : p.runs) {
 			Entry &e = entries[static_cast<size_t>(r.entry)];
-			fingerprint f = print(r.request);
+			fingerprint fp = fingerprint_no(r.request);
 
-			see(e, r.request, END_UNDER, p.life);
-			suspects_end(e.s, &f, p.life, now);
+			log_outcome(e, r.request, END_UNDER, p.incarnation_no);
+			suspects_end(e.s, &fp, p.incarnation_no, now);
 		}
 		power_off(p);
 	}
 
-	/* Nobody hears anything. */
+	/* The endpoint's VM loses power: no entry gets a report. */
 	void power_off(Endpoint &p)
 	{
 		p.runs.clear();
-		p.life = ++lives;
-		p.down_until = now + kBack;
+		p.incarnation_no = ++incarnations;
+		p.down_until = now + kRestartMs;
 	}
 
 	Endpoint *any_up(uint64_t choice)
@@ -226,40 +233,42 @@
 		return nullptr;
 	}
 
-	/* A caller's request comes to an entry. */
+	/* A caller's request arrives at an entry. */
 	void arrive(int i, uint64_t request, uint64_t choice)
 	{
 		Entry &e = entries[static_cast<size_t>(i)];
-		fingerprint f = print(request);
-		int64_t left = suspects_term(e.s, &f, now), wait;
+		fingerprint fp = fingerprint_no(request);
+		int64_t remaining = suspects_term(e.s, &fp, now), wait;
 		Endpoint *p = any_up(choice);
 		bool trial = false;
 
-		if (!p || left > 0)
+		if (!p || remaining > 0)
 			return;
-		if (left == 0) {
+		if (remaining == 0) {
 			if (!reaches(e))
 				return;
-			auto leave = suspects_ask(leader, &f, now, &wait);
-			if (leave == SUSPECT_WAIT)
+			auto admission = suspects_ask(leader, &fp, now, &wait);
+			if (admission == SUSPECT_WAIT)
 				return;
-			trial = leave == SUSPECT_TRIAL;
+			trial = admission == SUSPECT_TRIAL;
 		}
-		p->runs.push_back({ i, request, now + 6 * kStep, trial });
-		if (guilty(request))
-			end_by(*p, e, request);
+		p->runs.push_back({ i, request, now + 6 * kStepMs, trial });
+		if (is_poison(request))
+			crash_by(*p, e, request);
 	}
 
-	void end_by(Endpoint &p, const Entry &e, uint64_t request)
+	/* A poison request crashes its endpoint. */
+	void crash_by(Endpoint &p, const Entry &e, uint64_t request)
 	{
-		if (third.count(request) &&
-		    now - third[request] > kContact && in_touch(e))
-			later[request]++;
-		if (++ends[request] == SUSPECT_ENDS)
-			third[request] = now;
+		if (threshold_at.count(request) &&
+		    now - threshold_at[request] > kSpreadMs && is_connected(e))
+			late_crashes[request]++;
+		if (++crashes[request] == SUSPECT_ENDS)
+			threshold_at[request] = now;
 		crash(p);
 	}
 
+	/* Runs that are due are answered. */
 	void answer()
 	{
 		for (Endpoint &p : eps)
@@ -267,17 +276,19 @@
 				Run r = p.runs[k];
 				Entry &e =
 					entries[static_cast<size_t>(r.entry)];
-				fingerprint f = print(r.request);
+				fingerprint fp = fingerprint_no(r.request);
 
 				if (r.until > now)
 					continue;
 				p.runs.erase(p.runs.begin() +
 					     static_cast<long>(k));
 				answered.insert(r.request);
-				if (suspects_answered(e.s, &f, now))
-					see(e, r.request, END_ANSWERED, 0);
+				if (suspects_answered(e.s, &fp, now))
+					log_outcome(e, r.request, END_ANSWERED,
+						    0);
 				else if (r.trial)
-					see(e, r.request, END_NOTHING, 0);
+					log_outcome(e, r.request, END_NOTHING,
+						    0);
 			}
 	}
 
@@ -295,20 +306,20 @@
 		marks.erase(i);
 	}
 
-	void cut(int i, int64_t ms)
+	void disconnect(int i, int64_t ms)
 	{
 		Entry &e = entries[static_cast<size_t>(i)];
 
-		e.cut_until = now + ms;
-		e.calm_since = now + ms;
+		e.disconnected_until = now + ms;
+		e.connected_since = now + ms;
 	}
 
 	void step()
 	{
-		now += kStep;
+		now += kStepMs;
 		if (!leader && now >= no_leader_until)
-			lead();
-		talk();
+			elect();
+		exchange();
 		answer();
 		for (auto &e : entries)
 			suspects_tick(e.s, now);
@@ -318,8 +329,8 @@
 };
 
 struct Event {
-	int what, who;
-	uint64_t choice;
+	int kind, entry;
+	uint64_t choice; /* of requests, endpoints and durations */
 };
 
 rc::Gen<Event> event()
@@ -329,29 +340,29 @@
 					 rc::gen::arbitrary<uint64_t>());
 }
 
-/* Faults that lose what processes know: few of them, since what all of those
- * that saw something have forgotten can't be known. */
+/* Faults that lose the state of a process, as far as they may still occur. They
+ * are few: what all processes that observed something lost can't be known. */
 struct Faults {
 	int leaders = 1, restarts = 2;
 };
 
-void play(World &w, const Event &e, Faults &left)
+void apply(World &w, const Event &e, Faults &faults)
 {
-	int i = e.who % static_cast<int>(w.entries.size());
+	int i = e.entry % static_cast<int>(w.entries.size());
 
-	if (e.what < 12)
-		w.arrive(i, e.choice % kGuilty, e.choice / 7);
-	else if (e.what < 30)
-		w.arrive(i, kGuilty + e.choice % kInnocent, e.choice / 7);
-	else if (e.what == 30)
+	if (e.kind < 12)
+		w.arrive(i, e.choice % kPoison, e.choice / 7);
+	else if (e.kind < 30)
+		w.arrive(i, kPoison + e.choice % kHarmless, e.choice / 7);
+	else if (e.kind == 30)
 		w.power_off(w.eps[e.choice % kEndpoints]);
-	else if (e.what == 31)
+	else if (e.kind == 31)
 		w.crash(w.eps[e.choice % kEndpoints]);
-	else if (e.what == 32)
-		w.cut(i, static_cast<int64_t>(e.choice % 4000));
-	else if (e.what == 33 && left.restarts-- > 0)
+	else if (e.kind == 32)
+		w.disconnect(i, static_cast<int64_t>(e.choice % 4000));
+	else if (e.kind == 33 && faults.restarts-- > 0)
 		w.restart(i);
-	else if (e.what == 34 && w.leader && left.leaders-- > 0)
+	else if (e.kind == 34 && w.leader && faults.leaders-- > 0)
 		w.lose_leader(static_cast<int64_t>(e.choice % 4000));
 	w.step();
 }
@@ -362,36 +373,35 @@
 {
 	bool ok = true;
 
-	ok &= rc::check("a guilty request stops reaching endpoints", [] {
+	ok &= rc::check("a poison request stops reaching endpoints", [] {
 		World w(*rc::gen::inRange(1, 7));
-		Faults left;
+		Faults faults;
 
-		for (const Event &e : *rc::gen::container<std::vector<Event>>(
-			     600, event()))
-			play(w, e, left);
-		for (const auto &l : w.later)
-			RC_ASSERT(l.second <= kLater);
+		for (const Event &e :
+		     *rc::gen::container<std::vector<Event>>(600, event()))
+			apply(w, e, faults);
+		for (const auto &l : w.late_crashes)
+			RC_ASSERT(l.second <= kMaxLateRuns);
 	});
-	ok &= rc::check("the innocent are answered again", [] {
+	ok &= rc::check("harmless requests are answered again", [] {
 		World w(*rc::gen::inRange(1, 7));
-		Faults left;
+		Faults faults;
 		uint64_t k = 0;
 
-		for (const Event &e : *rc::gen::container<std::vector<Event>>(
-			     200, event()))
-			play(w, e, left);
-		/* Faults end; the longest first term, and a new leader's
-		 * quiet time. */
+		for (const Event &e :
+		     *rc::gen::container<std::vector<Event>>(200, event()))
+			apply(w, e, faults);
+		/* No more faults; the longest first quarantine period and the
+		 * time in which a new leader opens no trial run pass. */
 		w.now += 11 * 60 * 1000;
 		w.answered.clear();
 		for (int n = 0; n < 2000; n++) {
-			w.arrive(static_cast<int>(
-					 k % w.entries.size()),
-				 kGuilty + k % kInnocent, k / 3);
+			w.arrive(static_cast<int>(k % w.entries.size()),
+				 kPoison + k % kHarmless, k / 3);
 			k++;
 			w.step();
 		}
-		RC_ASSERT(w.answered.size() == kInnocent);
+		RC_ASSERT(w.answered.size() == kHarmless);
 	});
 	return ok ? 0 : 1;
 }
