--- a/src/core/failing.h
+++ b/src/core/failing.h
@@ -25,8 +25,8 @@
 		  int64_t now);
 /* Returns the decayed rate, 0 to 1. */
 double failing_share(const struct failing *f, int64_t now);
-/* Adopts the rate that another process reports; ignores 0, which means that it
- * has none to report. */
+/* Adopts the rate that another process reports. Ignores 0 and less: the process
+ * has no rate to report. */
 void failing_told(struct failing *f, int64_t permille, int64_t now);
 /* Returns the decayed rate in permille, as it is reported. */
 int64_t failing_of_whole(const struct failing *f, int64_t now);
