--- a/src/core/end_log.h
+++ b/src/core/end_log.h
@@ -22,7 +22,7 @@
 struct end_seen {
 	struct fingerprint print;
 	enum end_kind kind;
-	uint64_t life; /* incarnation of the endpoint that crashed */
+	uint64_t life; /* of the endpoint that crashed */
 	int64_t at_ms;
 };
 
