--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -36,7 +36,7 @@
 #define EXPIRE_INTERVAL_MS 10000
 
 struct suspect {
-	struct fingerprint fingerprint;
+	struct fingerprint fp;
 	uint64_t crashes[SUSPECT_ENDS]; /* incarnation numbers of endpoints */
 	unsigned int n_crashes;
 	uint64_t last_crash; /* the newest, also beyond those in crashes */
@@ -95,7 +95,7 @@
 static void drop(struct suspects *s, struct suspect *x)
 {
 	set_quarantined(s, x, false);
-	g_hash_table_remove(s->all, &x->fingerprint);
+	g_hash_table_remove(s->all, &x->fp);
 }
 
 static void note_change(struct suspects *s, struct suspect *x)
@@ -153,8 +153,8 @@
 		return x;
 	make_room(s);
 	x = g_new0(struct suspect, 1);
-	x->fingerprint = *fp;
-	g_hash_table_insert(s->all, &x->fingerprint, x);
+	x->fp = *fp;
+	g_hash_table_insert(s->all, &x->fp, x);
 	return x;
 }
 
@@ -456,7 +456,7 @@
 	g_ptr_array_sort(all, by_mark);
 	for (guint i = 0; i < all->len; i++) {
 		const struct suspect *x = all->pdata[i];
-		struct suspect_word w = { .print = x->fingerprint,
+		struct suspect_word w = { .print = x->fp,
 					  .cleared = x->cleared,
 					  .left_ms = MAX(x->until_ms - now, 0),
 					  .trials = x->failed_trials };
