--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -1,4 +1,7 @@
-/* The gate's own tables; only for the files of that part. */
+/*
+ * Internal state of the gate: endpoints, model queues and the requests being
+ * forwarded. Only for the files of the gate.
+ */
 #ifndef SS_GATE_INT_H
 #define SS_GATE_INT_H
 
@@ -24,26 +27,27 @@
 #include "gate.h"
 #include "upstream.h"
 
-/* A model that an endpoint holds, open for calls. */
+/* A model that is loaded on an endpoint and accepts requests. */
 struct gate_held {
 	char *model;
 	GHashTable *adapters; /* set of names */
 };
 
-/* What an endpoint says of itself: it holds for one incarnation. */
+/* Signals that an endpoint states in its answers; valid for one incarnation. */
 struct gate_words {
-	int64_t leaving_ms;	 /* since when; 0: it doesn't say so */
-	int64_t leaving_told_ms; /* when the leader was told; 0: not yet */
-	int64_t rest_until_ms;	 /* it wants nothing before; 0: it didn't ask */
-	bool rest_told;		 /* to the leader */
-	int64_t trial_ms; /* when one was sent after a rest; 0: none was */
+	int64_t leaving_ms;	 /* draining since; 0: not draining */
+	int64_t leaving_told_ms; /* draining reported to the leader; 0: no */
+	int64_t rest_until_ms;	 /* backoff ends; 0: none was requested */
+	bool rest_told;		 /* backoff reported to the leader */
+	int64_t trial_ms; /* first request sent after a backoff; 0: none */
 	struct endpoint_limit limit;
-	bool limit_owed;	/* the leader says something else, or nothing */
-	int64_t limit_told_ms;	/* when it was told; 0: not yet */
-	int64_t limit_heard_ms; /* in an answer here; 0: never */
-	int64_t permit_ms;	/* none is to be had before then */
-	double seat; /* permits that a request here waits for; 0: none does */
-	int64_t seat_ms; /* when it was heard of last */
+	bool limit_owed; /* the leader's limit is out of date or missing */
+	int64_t limit_told_ms;	/* limit reported to the leader; 0: not yet */
+	int64_t limit_heard_ms; /* limit last seen in an answer here; 0: never
+				 */
+	int64_t permit_ms;	/* no grant is available earlier */
+	double seat;	 /* grants reserved for a waiting request; 0: none */
+	int64_t seat_ms; /* reservation last confirmed */
 };
 
 struct gate_ep {
@@ -51,164 +55,165 @@
 	struct fleet_incarnation self;
 	uint64_t life; /* this gate's own number of that incarnation */
 	int64_t slots;
-	bool known; /* listed, and not gone */
+	bool known; /* listed and not gone */
 	bool leaving;
-	bool ending;	   /* for good, and not only until it is back */
-	int64_t unread_ms; /* since when its entry can't be read; 0: it can */
-	bool busy; /* it loads or unloads a model: no adapter can be loaded */
+	bool ending;	   /* drains for removal, not for a restart */
+	int64_t unread_ms; /* list entry unreadable since; 0: readable */
+	bool busy; /* loads or unloads a model, so it can't load an adapter */
 	GHashTable *held;  /* model -> struct gate_held */
-	GHashTable *calls; /* model -> GINT count of this gate's, under way */
-	int64_t own;
-	int64_t reported, since; /* as struct balance_node */
+	GHashTable *calls; /* model -> GINT count of this gate's open calls */
+	int64_t own;	   /* open calls of this gate, all models */
+	int64_t reported, since; /* as in struct balance_node */
 	int64_t reported_ms;
-	double failing;		   /* by what this gate has seen */
-	struct failing told;	   /* by what all have seen */
+	double failing;		   /* failure share seen by this gate */
+	struct failing told;	   /* failure share seen by all entries */
 	uint64_t answered, failed; /* since the last report */
 	struct ss_breaker breaker;
-	int64_t shut_until_ms; /* no connection could be made */
+	int64_t shut_until_ms; /* no connects until then, after one failed */
 	struct gate_words words;
-	struct pace pace; /* of its streams, all models */
+	struct pace pace; /* timing of its streams, all models */
 	struct start_limit start_limit;
 	int64_t starts; /* this gate's prompts there without an event yet */
-	int64_t start_logged_ms; /* a fall of the limit; 0: not yet */
+	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
 	struct pace_open open;
-	int64_t began_ms; /* this incarnation was first told of; 0: with all */
+	int64_t began_ms; /* incarnation first reported; 0: with the fleet */
 	struct speed speed;
-	double own_ratio; /* of it, as looked at last; 0: not known */
-	double ratio;	  /* the same, or as told */
+	double own_ratio; /* latest own slowness ratio; 0: not known */
+	double ratio;	  /* slowness ratio in use: own or reported */
 	struct slow_seen slow_seen;
 	struct slow_told slow_told;
-	struct speed_rest slow_rest;
+	struct speed_rest slow_rest; /* ejection as an outlier */
 };
 
+/* In the order that a request passes them. */
 enum forward_state {
-	FORWARD_QUOTA,	 /* waits for an allotment of its customer's */
-	FORWARD_WAITS,	 /* in its lane, for an endpoint */
-	FORWARD_LOOKS,	 /* for the version that began the stream it takes up */
-	FORWARD_ASKS,	 /* the leader whether it may run as a trial */
-	FORWARD_ADAPTER, /* an agent loads its adapter */
-	FORWARD_SENT,	 /* no byte of an answer yet */
-	FORWARD_ANSWERS, /* the answer comes in */
+	FORWARD_QUOTA,	 /* waits for a grant of its customer's limit */
+	FORWARD_WAITS,	 /* waits in its model queue for an endpoint */
+	FORWARD_LOOKS,	 /* looks up the version of the stream it resumes */
+	FORWARD_ASKS,	 /* waits for the leader to allow a trial run */
+	FORWARD_ADAPTER, /* waits for an agent to load its adapter */
+	FORWARD_SENT,	 /* sent; no byte of an answer yet */
+	FORWARD_ANSWERS, /* the answer arrives */
 };
 
 /* One caller's request. */
 struct forward {
-	struct ss_queue_item item; /* in its lane */
+	struct ss_queue_item item; /* in its model queue; first member */
 	struct gate *g;
 	struct caller_call *caller;
 	struct ss_str body;
-	uint64_t routing; /* version that it came under */
+	uint64_t routing; /* routing version that it was accepted under */
 	struct routing_route *route;
 	struct routing_service *service;
-	struct customer *customer; /* NULL: none is known, or needed */
-	bool keyed;		   /* by the routing that it came under */
+	struct customer *customer; /* NULL: unknown or not needed */
+	bool keyed;		   /* that routing has customer keys */
 	double cost;		   /* against the customer's limit */
-	int64_t charged_ms;	   /* when that was spent; -1: it isn't */
-	int64_t quota_ms;	   /* that it waited for that */
-	GQueue *quota_line;	   /* that it waits in; NULL: none */
+	int64_t charged_ms;	   /* when the cost was spent; -1: not spent */
+	int64_t quota_ms;	   /* time spent waiting for a grant */
+	GQueue *quota_line;	   /* queue for a grant; NULL: none */
 	struct quota_rank rank;	   /* among its customer's requests */
 	struct platform_call call; /* views into the caller's head */
 	char *id, *model, *adapter;
 	uint64_t affinity;
 	bool has_print;
-	struct fingerprint print; /* once it is asked for */
-	bool trial;		  /* quarantined, and may run this once */
-	bool trial_told;	  /* how that ended is told, or will be */
+	struct fingerprint print; /* computed on first use */
+	bool trial;		  /* quarantined, and allowed one trial run */
+	bool trial_told;	  /* its result is reported or will be */
 	int64_t start_ms, deadline_ms, objective_ms; /* on the clock */
-	int64_t begin_by_ms; /* later its caller has left */
+	int64_t begin_by_ms; /* the caller is expected to leave after this */
 	enum forward_state state;
-	struct lane *home; /* the lane that it waits in when it waits */
-	/* Of its service's streams; of a plain request: of its route. */
+	struct lane *home; /* model queue that it uses when it waits */
+	/* Timing of a stream's service, or of a plain request's route. */
 	struct pace *pace;
-	struct lane *lane;	  /* NULL: it doesn't wait */
-	enum admission_turn turn; /* by which it was sent last */
+	struct lane *lane;	  /* NULL: not queued */
+	enum admission_turn turn; /* rule by which it was sent last */
 	/* Sends. */
-	GPtrArray *tried; /* struct fleet_incarnation, that it was sent to */
-	unsigned int sends, asks;
-	const char *held_for; /* what it waited for when last tried, for a log
-				 line; NULL: nothing */
+	GPtrArray *tried; /* struct fleet_incarnation of endpoints tried */
+	unsigned int sends, asks; /* asks: adapter requests to agents */
+	const char *held_for;	  /* why the last try to send failed, for a log
+				     line; NULL: no reason */
 	char *ep_addr, *ep_id;
-	char *version;	  /* of the endpoint it was sent to last; NULL: none */
-	uint64_t ep_life; /* of ep_addr, when it took its place there */
+	char *version;	  /* of the endpoint tried last; NULL: none */
+	uint64_t ep_life; /* incarnation of ep_addr that it was sent to */
 	/*
-	 * The version that its stream began at, once its caller has an event of
-	 * it: it goes on there or nowhere. Empty: not told yet, so only that
-	 * incarnation will do. NULL: nothing has begun.
+	 * Version that began the stream, once the caller has an event of it:
+	 * the stream can be resumed only there. Empty: the version isn't known
+	 * yet, so only that incarnation will do. NULL: nothing has begun.
 	 */
 	char *began_version, *began_addr;
 	uint64_t began_life;
-	uint64_t
-		taken_up; /* key of the stream that it takes up; 0: not named */
-	int64_t look_ms, asked_ms; /* when it looked for that first, and last */
-	int64_t heard_ms; /* when the leader last said that it may yet know */
-	int64_t lost_ms;  /* when its endpoint is known to be gone; 0: it isn't
-			   */
-	uint64_t ticket;
-	bool starting;	   /* it counts among its endpoint's starts */
-	bool start_waited; /* for engines to read other prompts */
-	int64_t lane_ms;   /* when it came into its lane */
+	uint64_t taken_up; /* key of the stream it resumes; 0: not named */
+	int64_t look_ms, asked_ms; /* first and latest lookup of its version */
+	int64_t heard_ms;  /* the leader last replied that it may yet know */
+	int64_t lost_ms;   /* abandoned then, as its endpoint is gone; 0: no */
+	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
+	bool starting;	   /* counts among its endpoint's open prompts */
+	bool start_waited; /* has waited for a start limit */
+	int64_t lane_ms;   /* when it entered its model queue */
 	int64_t sent_ms;
 	/* Its time, as gate_speed.c compares it, when it was last counted as
-	 * slow while under way; 0: it wasn't. */
+	 * slow while under way; 0: never. */
 	double seen_ms;
-	double limit_per_s;   /* of its endpoint when it was sent; -1: none */
-	double permits;	      /* taken for its endpoint, and not used yet */
-	int64_t retry_ms;     /* when it took a retry that isn't used yet; 0: it
-				 has none */
-	int64_t open_ms;      /* no endpoint admits it before; 0: nobody says */
+	double limit_per_s;   /* of its endpoint when sent; -1: none */
+	double permits;	      /* grants taken for its endpoint, unused */
+	int64_t retry_ms;     /* when it took an unused retry; 0: none */
+	int64_t open_ms;      /* earliest admission by any endpoint; 0: not
+				 known */
 	int64_t waited_ms;    /* until it was first sent; -1: not yet */
 	int64_t first_ms;     /* until the answer began; -1: not yet */
-	int64_t stop_left_ms; /* of a planned stop when sent; -1: none */
-	/* How long its answer was thought to take, as asked last; SS_NEVER: it
-	 * wasn't asked, or couldn't be told. */
+	int64_t stop_left_ms; /* time left of a planned stop when sent; -1: no
+				 stop */
+	/* Latest estimate of how long its answer takes; SS_NEVER: no estimate,
+	 * or none possible. */
 	int64_t expected_ms;
 	struct upstream_call *up;
 	bool unknown; /* an earlier send may have run */
 	const char *why;
-	int64_t back_ms; /* until it may return, as told; 0: not told */
+	int64_t back_ms; /* retry delay given to the caller; 0: none */
 	/* The answer. */
 	int status;
 	bool is_events, started;
-	bool paused; /* no more is read of it until the caller has caught up */
+	bool paused;	  /* reading stops until the caller has caught up */
 	GString *headers; /* to be passed on */
-	GString *held;	  /* bytes kept back until the answer is sure */
+	GString *held;	  /* bytes withheld until the answer is certain */
 	int64_t length;
 	struct events events;
 	struct pace_mark mark; /* of this send; zeroed: no event yet */
-	/* Its newest event, and the longest time between two that came. */
+	/* The newest event, and the longest time between two events. */
 	uint64_t event;
 	int64_t event_ms, pause_ms;
-	bool slowed; /* since that event its caller has held it up */
+	bool slowed; /* the caller delayed it since that event */
 };
 
-/* Metrics of one customer; of all that came after the first hundreds. */
+/* Metrics of one customer. Customers beyond the first hundreds share one set.
+ */
 struct customer_counts {
 	uint64_t *requests, *spent, *over;
 };
 
-/* Requests for one model of a service that wait; with a version, those that go
- * on with what it began. */
+/* Queue of requests for one model of a service. With a version: requests that
+ * resume streams which that version began. */
 struct lane {
 	char *service, *model, *version;
 	struct ss_queue *waits; /* struct forward */
-	int64_t eta_ms;		/* on the clock; SS_NEVER: not told */
+	int64_t eta_ms;		/* on the clock; SS_NEVER: not known */
 	uint64_t arrivals;	/* since the last report */
-	struct fleet_rate rate; /* of arrivals here */
-	uint64_t told;		/* waiting, by the last report */
+	struct fleet_rate rate; /* of arrivals at this gate */
+	uint64_t told;		/* queue length in the last report */
 	bool changed;
-	int64_t starts_ms;	 /* since when requests wait for engines to read
-				    other prompts; 0: they don't */
-	int64_t starts_first_ms; /* that a first event will take there */
+	int64_t starts_ms;	 /* requests wait for a start limit since; 0:
+				    they don't */
+	int64_t starts_first_ms; /* time to a first event expected there */
 	struct pace pace;	 /* of the model's streams */
 	struct pace_open open;
 	struct lane_group *group;
 	GList link; /* in the group's list, while a request waits here */
-	/* The last pump in which its first couldn't be sent; the same of one
-	 * that went before it by time. */
+	/* Last dispatch round in which its head couldn't be sent; the same for
+	 * a head that was tried out of order because of its deadline. */
 	uint64_t passed, passed_by_time;
 };
 
-/* A stream that was sent to an incarnation whose version isn't told yet. */
+/* A stream sent to an incarnation whose version isn't known yet. */
 struct unnamed_stream {
 	uint64_t key, life;
 	int64_t until_ms;
@@ -219,43 +224,44 @@
 	struct callers *callers;
 	struct upstream *upstream;
 	struct routing *routing;
-	uint64_t routing_version; /* of it, when it was last set */
+	uint64_t routing_version; /* of the routing set last */
 	struct freshness freshness;
 	GHashTable *eps;       /* addr -> struct gate_ep */
 	GHashTable *lanes;     /* "service\nmodel\nversion" -> struct lane */
 	GHashTable *groups;    /* service -> struct lane_group */
-	GQueue groups_waiting; /* those in which a request waits */
-	uint64_t pumps;	       /* of groups, until now */
+	GQueue groups_waiting; /* groups in which a request waits */
+	uint64_t pumps;	       /* dispatch rounds of groups so far */
 	GHashTable *retries;   /* service -> struct service_retries */
-	/* service -> struct pace, of its streams; "service\nroute" -> of
-	 * plain answers: a slow route hides among a fast one's many. */
+	/* service -> struct pace of its streams; "service\nroute" -> of plain
+	 * answers, as a slow route would hide among a fast one's many. */
 	GHashTable *paces;
 	GHashTable *forwards;
 	GHashTable *tickets; /* &ticket -> struct forward */
 	GHashTable *hists;   /* route name -> struct hist */
 	uint64_t seed, ticket, round, fence, lives;
-	GArray *early;	    /* requests from before it knew where they lead */
-	GPtrArray *endings; /* struct ending */
+	GArray *early;	    /* requests held until routing or fleet is known */
+	GPtrArray *endings; /* struct ending: suspected crashes */
 	struct suspects *suspects;
 	struct end_log end_log;
 	uint64_t recall; /* mark of the suspects that the leader knows of */
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
 	uint64_t streams_told, streams_sent; /* marks */
-	struct return_turns *turns;	     /* of those who are refused */
+	struct return_turns *turns; /* return slots of refused callers */
 	uint64_t *n_turns_given, *n_turns_beyond;
-	int64_t since_ms; /* of this process's start */
-	uint64_t
-		entries; /* that share the slack of retries, the most told of */
+	int64_t since_ms; /* start of this process */
+	uint64_t entries; /* largest reported number of entries; they share the
+			     slack of retries */
 	bool fleet_known;
-	bool pumping;	/* a request that ends meanwhile pumps no more */
-	int64_t end_ms; /* of a planned stop; 0: none */
+	bool pumping;	/* dispatch in progress; not entered again by requests
+			   that end meanwhile */
+	int64_t end_ms; /* end of a planned stop; 0: none */
 	int64_t tidy_ms;
-	uint64_t report_print; /* of the last report */
+	uint64_t report_print; /* hash of the last report */
 	struct gate_speeds *speeds;
-	void *quota;		 /* the entry's side of customers' limits */
-	void *limits;		 /* and of endpoints' own */
-	int64_t seats_ms;	 /* when seats were last looked through */
+	void *quota;		 /* quota client of customers' limits */
+	void *limits;		 /* quota client of endpoints' limits */
+	int64_t seats_ms;	 /* when reservations were last checked */
 	GHashTable *quota_lines; /* customer -> struct quota_line */
 	guint quota_waiting;	 /* in all of them */
 	GHashTable *counts;	 /* customer -> struct customer_counts */
@@ -266,8 +272,8 @@
 		*n_rests, *n_sent_resting, *n_sent_leaving, *n_raised,
 		*n_examined, *n_waiting_by[SS_QUEUE_PRIORITIES], *n_start_waits,
 		*n_start_cuts;
-	struct hist *start_limits; /* in force at prompts that were sent */
-	/* By class; NULL: none yet. */
+	struct hist *start_limits; /* in force when a prompt was sent */
+	/* By class; NULL: not created yet. */
 	uint64_t *n_class_spent[QUOTA_CLASSES], *n_class_over[QUOTA_CLASSES];
 };
 
@@ -278,211 +284,220 @@
 
 /* gate_endpoints.c */
 struct gate_ep *gate_ep_at(const struct gate *g, const char *addr);
-/* Where the request has its place; NULL where that incarnation is over. */
+/* Endpoint that the request was sent to; NULL: that incarnation is over. */
 struct gate_ep *gate_ep_of(const struct forward *f);
 bool gate_ep_has_adapter(const struct gate_ep *ep, const char *model,
 			 const char *adapter);
 void gate_ep_add_adapter(struct gate_ep *ep, const char *model,
 			 const char *adapter);
-/* It said that it doesn't hold a model, or not an adapter of it. */
+/* The endpoint reported that it lacks a model, or an adapter of it. */
 void gate_ep_lacks(struct gate_ep *ep, const char *model, const char *adapter);
 void gate_ep_begin(struct gate_ep *ep, const char *model);
 void gate_ep_end(struct gate_ep *ep, const char *model);
+/* Updates the failure share and the breaker. */
 void gate_ep_note(struct gate *g, struct gate_ep *ep, bool failed);
+/* Takes the load that an answer reports. */
 void gate_ep_load(struct gate *g, struct gate_ep *ep,
 		  const struct platform_answer *a);
 void gate_ep_free(void *ep);
 
 /* gate_choose.c */
-/* The endpoint for a request, with the permits that it needs there, or NULL
- * with the reason. */
+/* Chooses an endpoint and takes the grants that the request needs there; NULL
+ * with the reason in none. */
 struct gate_ep *gate_choose(struct gate *g, struct forward *f,
 			    enum balance_none *none);
 
-/* Calls that an endpoint may have there, in multiples of its slots. */
+/* Calls that an endpoint of the request's service may have, in multiples of its
+ * slots. */
 double gate_fill(const struct forward *f);
 
-/* gate_speed.c: how slow endpoints are beside each other */
+/* gate_speed.c: slowness of endpoints relative to each other */
 struct gate_speeds *gate_speeds_new(struct metrics *m);
 void gate_speeds_free(struct gate_speeds *x);
-/* The first event or the plain answer has come, and isn't in f->pace yet. */
+/* Called for the first event or a plain answer, before f->pace includes it. */
 void gate_speed_answered(struct forward *f);
-/* It leaves its endpoint; counts where neither has come. */
+/* The request leaves its endpoint; counts if gate_speed_answered() wasn't
+ * called. */
 void gate_speed_left(struct forward *f);
-/* The leader's word, in thousandths; 0 says nothing. */
+/* The leader reported a slowness ratio, in thousandths; 0: no information. */
 void gate_speed_told(struct gate *g, struct gate_ep *ep, int64_t ratio);
-/* What its answers have shown since the last report, if others are to know;
- * false: nothing. */
+/* Adds the slowness seen since the last report if other entries need it;
+ * false: nothing to add. */
 bool gate_speed_report(struct gate *g, struct gate_ep *ep,
 		       struct endpoint_ends *e);
-/* Set what the nodes' speeds mean for the request; those that are too slow for
- * it, and rest, are no longer usable. eps: struct gate_ep of each. */
+/* Sets the nodes' slowness for a request; ejected endpoints that are too slow
+ * for it become unusable. eps: struct gate_ep of each node. */
 void gate_speed_weigh(struct forward *f, struct balance_node *n,
 		      const GPtrArray *eps);
 
-/* gate_words.c: what endpoints say of themselves */
-/* What an answer says; what the leader says of a limit. */
+/* gate_words.c: signals that endpoints state in their answers */
+/* Takes the signals of an answer; takes a limit that the leader reported. */
 void gate_words_heard(struct forward *f, struct gate_ep *ep,
 		      const struct platform_answer *a);
 void gate_limit_told(struct gate *g, struct gate_ep *ep, int64_t limit,
 		     int64_t age);
-/* Another incarnation is there. */
+/* The endpoint has a new incarnation. */
 void gate_words_reset(struct gate *g, struct gate_ep *ep);
-/* They hold though it is no longer listed. */
+/* Whether signals stay in force though the endpoint is no longer listed. */
 bool gate_words_hold(const struct gate *g, const struct gate_ep *ep);
-/* A request is sent there. */
+/* A request is sent to the endpoint. */
 void gate_words_sent(struct gate *g, struct gate_ep *ep, int64_t now);
-/* Whether it takes requests of this entry at all now, ... */
+/* Whether the endpoint takes any requests of this entry now. */
 bool gate_words_admit(const struct gate *g, const struct gate_ep *ep);
-/* ... and this one; the permits for it are taken. */
+/* Whether its limit admits this request; takes the grants if so. */
 bool gate_limit_admits(struct forward *f, struct gate_ep *ep);
-/* It isn't sent there after all. */
+/* Returns the grants of a request that isn't sent after all. */
 void gate_limit_unused(struct forward *f, struct gate_ep *ep);
-/* Add what the leader is to be told, as struct endpoint_word. */
+/* Adds signals to be reported to the leader, as struct endpoint_word. */
 void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *words);
 void gate_limits_tick(struct gate *g, int64_t now);
 
-/* gate_starts.c: prompts that engines read for this entry */
-/* Another incarnation is there: it has no limit, and reads none. */
+/* gate_starts.c: limits of prompts in flight on engines */
+/* A new incarnation has no start limit and no prompts. */
 void gate_starts_reset(struct gate_ep *ep);
-/* It takes its place there: a stream's prompt counts until its first event. */
+/* Counts a stream's prompt at the endpoint until its first event. */
 void gate_start_begin(struct forward *f, struct gate_ep *ep);
-/* Its first event came, or it leaves; any number of times. */
+/* The first event came or the request left; may be called repeatedly. */
 void gate_start_done(struct forward *f);
-/* The first event came so long after it was sent. */
+/* Time from sending to the first event. */
 void gate_start_first(struct forward *f, int64_t ms);
-/* The engine let so long pass between two events of one send. */
+/* Time between two events of one send. */
 void gate_start_pause(struct forward *f, int64_t ms);
-/* Whether the engine may read its prompt beside those that it reads. */
+/* Whether the engine's start limit allows this prompt. */
 bool gate_start_admits(const struct forward *f, const struct gate_ep *ep);
-/* No engine that has room may read its prompt; first_ms: what a first event
- * takes there. True where it waits; else it is to be sent all the same. */
+/* Every engine with room is at its start limit; first_ms: time to a first event
+ * there. True: the request waits; false: send it regardless. */
 bool gate_start_waits(struct forward *f, int64_t first_ms);
-/* It isn't sent now for this reason. Where it is the first of its lane and the
- * reason isn't a start limit, the lane no longer waits for one. */
+/* The request isn't sent, for this reason. If it heads its model queue and the
+ * reason isn't a start limit, the queue no longer waits for one. */
 void gate_start_held(struct forward *f, enum balance_none none);
-/* Its lane waits for start limits, and its own time to do so is over. */
+/* Whether the request has waited long enough in a model queue that waits for
+ * start limits. */
 bool gate_start_wait_over(const struct forward *f, int64_t now);
 
-/* early.c */
+/* early.c: startup hold */
 GArray *early_new(void);
-/* Keep a request that came before it is known where it leads; false where
- * nothing more is waited for, and it is to be refused. */
+/* Holds a request until the routing and the fleet are known; false: no more
+ * requests are held, and it is to be refused. */
 bool early_hold(struct gate *g, struct caller_call *c, struct ss_str body,
 		int64_t came_ms);
-/* The same until a time on the clock, of a process that may be behind. */
+/* The same until a time on the clock, for a process whose routing may be out of
+ * date. */
 bool early_hold_until(struct gate *g, struct caller_call *c, struct ss_str body,
 		      int64_t came_ms, int64_t until_ms);
-/* Its caller has left. */
+/* The caller has left. */
 void early_gone(struct gate *g, const struct caller_call *c);
-/* Begin them anew: they are taken, held further or refused. */
+/* Begins held requests anew: they are accepted, held further or refused. */
 void early_tick(struct gate *g);
 
-/* endings.c: requests under which an endpoint has ended */
-/* The endpoint has closed the connection before its answer was whole. */
+/* endings.c: detects endpoints that crashed while running requests */
+/* The endpoint closed the connection before its answer was complete. */
 void endings_note(struct forward *f);
 void endings_tick(struct gate *g, int64_t now);
 void ending_free(void *ending);
 
-/* quarantine.c: requests that endpoints ended under too often */
+/* quarantine.c: requests that endpoints crashed under too often */
 const struct fingerprint *forward_print(struct forward *f);
-/* An endpoint has ended under it; life tells its incarnation. */
+/* An endpoint crashed while running it; life: its incarnation number. */
 void quarantine_end(struct gate *g, const struct fingerprint *print,
 		    uint64_t life);
-/* Its answer is whole. */
+/* Its answer is complete. */
 void quarantine_answered(struct forward *f);
 /*
- * True where it isn't to be sent now: it was refused, or the leader is asked. f
- * may be freed.
+ * True: the request isn't to be sent now, as it was refused or the leader is
+ * asked for a trial run. May free f.
  */
 bool quarantine_stops(struct forward *f);
-/* It is being freed: tell how its trial ended. */
+/* Reports the result of a trial run, before f is freed. */
 void quarantine_leave(struct forward *f);
 void quarantine_ask_tick(struct forward *f, int64_t now);
 void quarantine_tick(struct gate *g, int64_t now);
 
 /* begin.c */
-/* A request that came at a time on the clock. */
+/* Accepts a request that came at a time on the clock. */
 void forward_begin(struct gate *g, struct caller_call *c, struct ss_str body,
 		   int64_t came_ms);
-/* What it is for is one of this service's. */
+/* Binds the request to one of its route's services. */
 void forward_set_service(struct forward *f, struct routing_service *s);
-/* Where it waits for an endpoint, or goes there at once. */
+/* Sends the request, or queues it for an endpoint. */
 void forward_enter_lane(struct forward *f);
 
 /* gate_quota.c: customers' limits */
-/* A customer's requests that wait for allotments. */
+/* Frees a customer's queue of requests that wait for grants. */
 void quota_line_free(void *line);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
-/* Its customer has a limit. */
+/* Whether its customer has a limit. */
 bool quota_limits(const struct forward *f);
-/* It waits for an allotment, has gone on to its lane, or is refused and freed.
- */
+/* Queues it for a grant, passes it on to its model queue, or refuses and frees
+ * it. */
 void quota_begin(struct forward *f);
-/* It is being freed: it waits no longer for an allotment. */
+/* Removes it from the queue for grants, before f is freed. */
 void forward_leave_quota(struct forward *f);
-/* It ends without having run. */
+/* Returns the cost of a request that didn't run. */
 void forward_refund(struct forward *f);
-/* Try those that wait for allotments. */
+/* Retries the requests that wait for grants. */
 void quota_tick(struct gate *g);
 
 /* forward.c */
-/* The request that brought the first event of the stream that it takes up, for
- * a log line. */
+/* Id of the request that got the first event of the stream it resumes, for a
+ * log line. */
 struct ss_str forward_resumes(const struct forward *f);
-/* 0 is first. */
+/* 0 is the most urgent. */
 int64_t forward_priority(const struct forward *f);
-/* Its customer's name; empty: it has none. */
+/* Its customer's name; empty: none. */
 const char *forward_customer(const struct forward *f);
 void forward_gone(struct forward *f);
-/* Try to send a request that waits; false where it goes on waiting. */
+/* Tries to send a waiting request; false: it goes on waiting. */
 bool forward_try(struct forward *f);
-/* Of one that waits: it is refused if it isn't sent by then, on the clock. */
+/* Time on the clock after which a waiting request is refused. */
 int64_t forward_latest_ms(const struct forward *f);
 void forward_tick(struct forward *f, int64_t now);
 void forward_adapter(struct forward *f, int64_t code, struct ss_str text);
-/* The process ends: answer what can be said. */
+/* The process ends: answers the caller if that is still possible. */
 void forward_give_up(struct forward *f);
 
-/* Of a lane: the version that began its streams isn't told yet. */
+/* Version of a model queue while the version that began its streams isn't
+ * known. */
 #define GO_ON_UNNAMED "?"
 
-/* go_on.c: at which endpoints a stream that has begun may go on */
-/* It is sent there: for whoever takes it up. */
+/* go_on.c: resuming streams at endpoints of the version that began them */
+/* Records that a stream is sent to an endpoint, for requests that resume it. */
 void go_on_note(struct forward *f, const struct gate_ep *ep);
-/* What is known of an endpoint's version before it may change; after. */
+/* Called before an endpoint's version may change, and after. */
 void go_on_seen(struct gate *g, const struct gate_ep *ep);
 void go_on_named(struct gate *g, const struct gate_ep *ep);
 /*
- * True where it takes a stream up, and it isn't known yet which version began
- * that: it looks for that, or was refused and freed.
+ * True if the request resumes a stream whose version isn't known yet: the
+ * lookup has begun, or it was refused and freed.
  */
 bool go_on_looks(struct forward *f);
-/* Where it waits. */
+/* Model queue in which it waits. */
 struct lane *go_on_lane(struct forward *f);
 void go_on_tick(struct forward *f, int64_t now);
 void go_on_tidy(struct gate *g, int64_t now);
-/* The first event of its answer is about to go out. */
+/* The first event of its answer is about to be passed on. */
 void go_on_begins(struct forward *f);
+/* Whether the stream may be begun or resumed at the endpoint. */
 bool go_on_fits(const struct forward *f, const struct gate_ep *ep);
-/* It waits, and nobody who might go on with it is left. */
+/* It waits, and no endpoint is left that could resume it. */
 bool go_on_hopeless(struct forward *f);
 
-/* times.c: how long requests take here, and what that lets begin */
-/* Events of the answer, its end, or our leaving before it, have come. */
+/* times.c: how long requests take, and which may begin before a stop */
+/* Events of the answer arrived; the answer ended; the request was abandoned
+ * before its end. */
 void times_note_events(struct forward *f);
 void times_note_end(struct forward *f);
 void times_note_left(struct forward *f);
-/* In a planned stop: see how long what was sent has been waited for. */
+/* In a planned stop: accounts for the time that sent requests have waited. */
 void times_look_at_open(struct gate *g, int64_t now);
-/* Time that an answer takes at least until it begins, once sent. */
+/* Least time from sending until an answer begins. */
 int64_t times_first_ms(const struct forward *f);
-/* True for a request that isn't begun and whose answer would be cut by the end
- * of a planned stop. ep: where it would go; NULL: not chosen yet. */
+/* Whether the end of a planned stop would cut the answer of a request that
+ * isn't begun. ep: where it would go; NULL: not chosen yet. */
 bool times_stop_cuts(struct forward *f, const struct gate_ep *ep);
 
-/* turns.c: when those who are refused are to return, in ms from now, at random
- * within the spread; the least is for one alone */
+/* turns.c: return slots of refused callers, as a delay in ms from now, random
+ * within spread_ms; least_ms: for a single caller */
 /* Its model, or plain service, is full or absent. */
 int64_t turns_model_ms(struct forward *f, int64_t least_ms, int64_t spread_ms);
 /* Its customer's limit is reached. */
@@ -492,56 +507,59 @@
 
 /* answer.c */
 extern const struct upstream_ops forward_upstream_ops;
-/* The caller has read all that was written: read on. */
+/* The caller has read all output: resumes reading the answer. */
 void forward_drained(struct forward *f);
 
 /* Shared by begin.c, forward.c and answer.c. */
-/* Into its lane. */
+/* Adds the request to its model queue. */
 void forward_wait(struct forward *f);
-/* This process ends before the answer would. */
+/* Refuses a request whose answer would outlast this process. */
 void forward_refuse_for_stop(struct forward *f);
 enum forward_outcome { FORWARD_NOT_RUN, FORWARD_UNKNOWN };
-/* End with an answer of our own; f is freed. */
+/* Ends with an answer of the gate itself and frees f. */
 void forward_refuse(struct forward *f, int status, const char *type,
 		    const char *why, int64_t retry_after_ms);
-/* The send came to nothing: send again, wait, or end. f may be freed. */
+/* A send failed: sends again, waits or ends. May free f. */
 void forward_again(struct forward *f, bool not_run, const char *why);
-/* The answer is out, whole or cut; f is freed. */
+/* The answer was passed on, complete or cut; frees f. */
 void forward_end(struct forward *f, bool whole, const char *why);
-/* No connection was made: it counts as never sent. f may be freed. */
+/* No connection was made, so the send isn't counted. May free f. */
 void forward_not_sent(struct forward *f);
-/* Leave the endpoint: it doesn't work on this any more. */
+/* Releases the request's place at its endpoint. */
 void forward_leave(struct forward *f);
 
 /* lanes.c */
 struct lane *gate_lane(struct gate *g, const char *service, const char *model);
-/* version: empty for those who may go to any. */
+/* version: empty for requests that may go to any version. */
 struct lane *gate_lane_of(struct gate *g, const char *service,
 			  const char *model, const char *version);
 void lane_add(struct lane *l, struct forward *f);
-/* It is sent: its customer's turn. */
+/* Removes a request that is sent, and counts that for its customer's share. */
 void lane_take(struct forward *f);
 void lane_remove(struct forward *f);
-/* The next to be sent; NULL: nobody waits. */
+/* The next request to be sent; NULL: the queue is empty. */
 struct forward *lane_next(const struct lane *l, int64_t now);
-/* Send what can be sent of the lanes of a service. */
+/* Sends what can be sent from a service's model queues; service NULL: from all.
+ */
 void gate_pump(struct gate *g, const char *service);
-/* By which rule it was sent, for a log line. */
+/* Name of the rule by which a request was sent, for a log line. */
 const char *lane_turn(const struct forward *f);
 void lanes_init(struct gate *g);
 void lanes_clear(struct gate *g);
 
 /* gate.c */
+/* Timing of the service for a stream, of the route for a plain request. */
 struct pace *gate_pace(struct gate *g, const struct forward *f);
 
 /* gate_retries.c */
-/* So many entries there are, as the leader knows. */
+/* The leader reported the number of entries. */
 void gate_note_entries(struct gate *g, uint64_t entries);
-/* A request has come: it allows for retries of its service's requests. */
+/* Adds a new request to its service's retry budget. */
 void forward_count_request(struct forward *f);
-/* It has been sent before; false where it may not be sent again now. */
+/* Takes a retry for a request sent before; false: it may not be sent again now.
+ */
 bool forward_take_retry(struct forward *f);
-/* The retry that it has taken isn't used after all; nothing without one. */
+/* Returns an unused retry; no effect without one. */
 void forward_return_retry(struct forward *f);
 
 #endif
