--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -1,4 +1,4 @@
-/* The gate: what holds its parts together, its reports, and its time. */
+/* The gate's setup, callbacks from callers, reports and tick. */
 #include "gate_int.h"
 
 #include "../base/log.h"
@@ -6,28 +6,28 @@
 
 #include <xxhash.h>
 
-/* Connections at rest are looked through this often: a third of what is kept
- * free before an endpoint would close them. */
+/* Period of checking idle connections: a third of the margin by which they are
+ * closed before the endpoint would close them. */
 #define TIDY_MS 200
-#define HEAD_MAX (16u << 10) /* of an endpoint's answer, bytes */
+#define HEAD_MAX (16u << 10) /* head of an endpoint's answer, bytes */
 
-/* Calls that were answered before one failed: told with it, so that a chance
- * failure doesn't look like many; no more, else old ones hide new failures. */
+/* Successful calls kept for the report of the next failure. They keep a single
+ * failure from looking like many; more of them would hide new failures. */
 #define ANSWERED_KEPT 20u
-/* Suspected requests that are remembered: all that a fleet of 200 endpoints
- * runs at a time, in half a megabyte. */
+/* Suspected requests kept: as many as a fleet of 200 endpoints runs at a time,
+ * in 0.5 MB. */
 #define SUSPECTS_MOST 4096
-/* Ends that are kept for another leader: those of several endpoints as this
- * entry calls them; from hundreds of entries some megabytes, in pieces. */
+/* Crash reports kept for a new leader: those of several endpoints with the
+ * calls of this entry. Hundreds of entries send some MB in all, in pieces. */
 #define ENDS_MOST 256
 
-/* Streams that are remembered here: those of a minute at hundreds a second, in
- * a megabyte and a half. */
+/* Streams kept in the stream log: one minute at hundreds a second, in 1.5 MB.
+ */
 #define STREAMS_MOST 16384
 
-/* Before a routing tells other limits. */
-static const struct callers_limits first_limits = { 16 << 10, 4 << 20, 3000,
-						    15000 };
+/* In force until the first routing sets others. */
+static const struct callers_limits initial_limits = { 16 << 10, 4 << 20, 3000,
+						      15000 };
 
 struct pace *gate_pace(struct gate *g, const struct forward *f)
 {
@@ -93,7 +93,7 @@
 static const struct callers_ops callers_table = { on_request, on_drained,
 						  on_gone, on_refused };
 
-/* The public face. */
+/* Routing and agents. */
 
 void gate_set_routing(struct gate *g, struct routing *r)
 {
@@ -159,7 +159,7 @@
 		struct forward *f = p->data;
 		struct gate_ep *ep;
 
-		/* One that ended meanwhile is no longer in the table. */
+		/* A request that was freed meanwhile isn't in the table. */
 		if (!g_hash_table_contains(g->forwards, f) ||
 		    f->state != FORWARD_ADAPTER)
 			continue;
@@ -173,7 +173,7 @@
 
 /* Reports. */
 
-static void report_lane(struct gate *g, struct gate_report *r, struct lane *l)
+static void report_queue(struct gate *g, struct gate_report *r, struct lane *l)
 {
 	const struct forward *first = lane_next(l, gate_now(g));
 	uint64_t waiting = 0;
@@ -182,8 +182,8 @@
 				  .version = ss_str(l->version),
 				  .arrivals = l->arrivals };
 
-	/* Those that wait for a place on a replica count as well: they are
-	 * what a second replica is for. */
+	/* Includes requests that wait for a slot on a loaded replica: a
+	 * second replica would serve them. */
 	waiting = ss_queue_length(l->waits);
 	if (!*l->model || !strcmp(l->version, GO_ON_UNNAMED) ||
 	    (!l->arrivals && !waiting && !l->told))
@@ -217,7 +217,8 @@
 		g_array_append_val(r->calls, e);
 }
 
-/* Of an endpoint that nobody has seen failing there is nothing to tell. */
+/* Adds call results, unless no entry has seen the endpoint fail; false: nothing
+ * added. */
 static bool report_failed(const struct gate *g, struct gate_ep *ep,
 			  struct endpoint_ends *e)
 {
@@ -232,8 +233,8 @@
 	return true;
 }
 
-static void report_ends(struct gate *g, struct gate_report *r,
-			struct gate_ep *ep)
+static void report_results(struct gate *g, struct gate_report *r,
+			   struct gate_ep *ep)
 {
 	struct endpoint_ends e = { .addr = ss_str(ep->addr),
 				   .started_ms = ep->self.started_ms };
@@ -243,7 +244,7 @@
 		g_array_append_val(r->ends, e);
 }
 
-static bool has_news(struct gate *g, const struct gate_report *r)
+static bool has_changes(struct gate *g, const struct gate_report *r)
 {
 	GString *bytes = g_string_new(NULL);
 	uint64_t before = g->report_print;
@@ -269,11 +270,11 @@
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
 	g_hash_table_iter_init(&it, g->lanes);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		report_lane(g, r, p);
+		report_queue(g, r, p);
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		report_calls(r, p);
-		report_ends(g, r, p);
+		report_results(g, r, p);
 		gate_words_report(g, p, r->words);
 	}
 	r->m.round = g->round;
@@ -282,7 +283,7 @@
 	r->m.calls = (struct wire_list){ r->calls->data, r->calls->len };
 	r->m.ends = (struct wire_list){ r->ends->data, r->ends->len };
 	r->m.words = (struct wire_list){ r->words->data, r->words->len };
-	r->news = has_news(g, r);
+	r->news = has_changes(g, r);
 }
 
 void gate_report_done(struct gate_report *r)
@@ -294,7 +295,7 @@
 	g_ptr_array_unref(r->lists);
 }
 
-/* Time. */
+/* Tick and planned stop. */
 
 static void tick_forwards(struct gate *g, int64_t now)
 {
@@ -401,7 +402,7 @@
 	struct callers_options co = { .base = o->base,
 				      .clock = o->clock,
 				      .addr = o->addr,
-				      .limits = first_limits,
+				      .limits = initial_limits,
 				      .memory = o->memory,
 				      .ops = &callers_table,
 				      .arg = g };
@@ -464,7 +465,7 @@
 {
 	if (!g)
 		return;
-	/* Ends every request that is left, by its caller's end. */
+	/* Closes callers' connections, which frees all remaining requests. */
 	callers_free(g->callers);
 	upstream_free(g->upstream);
 	g_array_unref(g->early);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -1,28 +1,28 @@
-/* Which endpoint a request goes to. */
+/* Choice of the endpoint that a request is sent to. */
 #include "gate_int.h"
 
 #include <xxhash.h>
 
-/* Engines get no more calls than they run at a time: what waits, waits
- * here, where its order and its deadline are seen. */
+/* Calls per slot of an engine. Requests beyond that wait in the gate, which
+ * knows their order and deadlines. */
 #define ENGINE_FILL 1.0
-/* Plain services answer within some 10 ms; a short queue there keeps their
- * slots from running dry between two calls. */
+/* Calls per slot of a plain service. These answer within some 10 ms, so a short
+ * queue there keeps the slots busy between two calls. */
 #define SERVICE_FILL 2.0
-/* Calls a second for one model that a single engine can begin without its other
- * callers' events pausing: a prompt takes up to 60 ms to read. More than that
- * are shared out. */
-#define RUSH_PER_S 10.0
-/* A load that was told longer ago says nothing any more. */
-#define LOAD_OLD_MS 2000
+/* Calls a second for one model that a single engine can begin without pauses in
+ * its other streams, as reading a prompt takes up to 60 ms. At a higher rate
+ * calls are spread over engines. */
+#define BURST_PER_S 10.0
+/* Older load reports are ignored. */
+#define LOAD_MAX_AGE_MS 2000
 
 static uint64_t affinity_of(const struct forward *f, const struct gate_ep *ep)
 {
 	return XXH3_64bits_withSeed(ep->addr, strlen(ep->addr), f->affinity);
 }
 
-/* An incarnation that it was sent to: one that has restarted since is another,
- * though it may have the same id. */
+/* Whether the request was sent to this incarnation. An endpoint that restarted
+ * since counts as another, even with the same id. */
 static bool was_tried(const struct forward *f, const struct gate_ep *ep)
 {
 	for (guint i = 0; i < f->tried->len; i++)
@@ -32,16 +32,16 @@
 	return false;
 }
 
-/* A route bounds how many endpoints one request may be sent to. */
+/* The route limits the number of endpoints that a request may be sent to. */
 static bool may_send(const struct forward *f, const struct gate_ep *ep)
 {
 	return f->tried->len < (guint)f->route->attempts || was_tried(f, ep);
 }
 
-/* Calls for the same that others have sent since an endpoint told its load, if
- * as many come to each of them as here. */
-static double unseen_calls(struct gate *g, const struct forward *f,
-			   const struct gate_ep *ep, int64_t now)
+/* Estimate of the calls for the same model that other entries have sent since
+ * an endpoint reported its load. Assumes that each gets as many as this one. */
+static double unreported_calls(struct gate *g, const struct forward *f,
+			       const struct gate_ep *ep, int64_t now)
 {
 	double others = g->entries > 1 ? (double)g->entries - 1 : 0;
 	double age_s = (double)(now - ep->reported_ms) / 1000.0;
@@ -49,20 +49,21 @@
 	return fleet_rate_at(&f->home->rate, now) * others * age_s;
 }
 
-/* Of all entries, if as many come to each of them as here. */
-static bool is_rush(struct gate *g, const struct forward *f)
+/* Whether all entries together exceed BURST_PER_S for the model. Assumes that
+ * each gets as many calls as this one. */
+static bool is_burst(struct gate *g, const struct forward *f)
 {
 	double here = fleet_rate_at(&f->home->rate, gate_now(g));
 
 	return f->service->engine &&
-	       here * (double)MAX(g->entries, 1) > RUSH_PER_S;
+	       here * (double)MAX(g->entries, 1) > BURST_PER_S;
 }
 
 static void fill_node(struct gate *g, const struct forward *f,
 		      const struct gate_ep *ep, struct balance_node *n)
 {
 	int64_t now = gate_now(g);
-	bool fresh = now - ep->reported_ms < LOAD_OLD_MS;
+	bool fresh = now - ep->reported_ms < LOAD_MAX_AGE_MS;
 
 	n->usable = ep->known && !ep->leaving && !ep->words.leaving_ms &&
 		    now >= ep->shut_until_ms && may_send(f, ep) &&
@@ -77,22 +78,22 @@
 	n->reported = fresh ? ep->reported : 0;
 	n->since = fresh ? ep->since : 0;
 	n->own = ep->own;
-	n->unseen = fresh ? unseen_calls(g, f, ep, now) : 0;
+	n->unseen = fresh ? unreported_calls(g, f, ep, now) : 0;
 	n->failing = MAX(ep->failing, failing_share(&ep->told, now));
 	n->affinity = affinity_of(f, ep);
 }
 
-/* Endpoints that a request may go to. */
-struct choice {
+/* Endpoints that a request may be sent to. */
+struct candidates {
 	GArray *nodes;	/* struct balance_node */
-	GPtrArray *eps; /* struct gate_ep of each */
-	/* Left out for now, as endpoints themselves say. */
-	bool limited, resting;
-	GArray *reading; /* guint: left out, at their start limit */
+	GPtrArray *eps; /* struct gate_ep of each node */
+	/* Some endpoint was excluded by its limit, or by its backoff. */
+	bool limited, backoff;
+	GArray *start_limited; /* guint: nodes excluded by their start limit */
 };
 
-/* An endpoint admits it at that time, if nothing else is in the way. */
-static void opens_at(struct forward *f, int64_t ms)
+/* Records the earliest time at which an endpoint admits the request. */
+static void note_admit_time(struct forward *f, int64_t ms)
 {
 	f->open_ms = f->open_ms ? MIN(f->open_ms, ms) : ms;
 }
@@ -102,13 +103,13 @@
 	return !ss_breaker_allows(&ep->breaker, gate_now(g));
 }
 
-static struct balance_node *node_at(const struct choice *c, guint i)
+static struct balance_node *node_at(const struct candidates *c, guint i)
 {
 	return &g_array_index(c->nodes, struct balance_node, i);
 }
 
-/* One whose breaker is open is used only where all others' are, too. */
-static void pass_by_breakers(struct gate *g, struct choice *c)
+/* Excludes endpoints whose breaker is open, unless all are. */
+static void exclude_open_breakers(struct gate *g, struct candidates *c)
 {
 	unsigned int working = 0;
 
@@ -119,14 +120,15 @@
 			node_at(c, i)->usable = false;
 }
 
-static void gather(struct gate *g, struct forward *f, struct choice *c)
+static void collect_candidates(struct gate *g, struct forward *f,
+			       struct candidates *c)
 {
 	GHashTableIter it;
 	void *p;
 
 	c->nodes = g_array_new(FALSE, TRUE, sizeof(struct balance_node));
 	c->eps = g_ptr_array_new();
-	c->reading = g_array_new(FALSE, FALSE, sizeof(guint));
+	c->start_limited = g_array_new(FALSE, FALSE, sizeof(guint));
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct balance_node n = { 0 };
@@ -138,8 +140,9 @@
 		if (!n.usable)
 			continue;
 		if (!gate_words_admit(g, ep)) {
-			opens_at(f, MAX(ep->words.rest_until_ms, gate_now(g)));
-			c->resting = true;
+			note_admit_time(f, MAX(ep->words.rest_until_ms,
+					       gate_now(g)));
+			c->backoff = true;
 			continue;
 		}
 		g_array_append_val(c->nodes, n);
@@ -153,30 +156,31 @@
 }
 
 static int best_of(struct gate *g, const struct forward *f,
-		   const struct choice *c)
+		   const struct candidates *c)
 {
 	const struct balance_node *n = (struct balance_node *)c->nodes->data;
 	double fill = gate_fill(f);
 	uint64_t tie = ss_random(&g->seed);
 
-	return is_rush(g, f) ? balance_share(n, c->nodes->len, fill, tie) :
-			       balance_choose(n, c->nodes->len, fill, tie);
+	return is_burst(g, f) ? balance_share(n, c->nodes->len, fill, tie) :
+				balance_choose(n, c->nodes->len, fill, tie);
 }
 
-static enum balance_none why_none(int at, const struct choice *c)
+static enum balance_none why_none(int at, const struct candidates *c)
 {
 	if (at == BALANCE_STARTS)
 		return BALANCE_STARTS;
 	if (c->limited)
 		return BALANCE_LIMITED;
-	if (c->resting && at == BALANCE_NOBODY)
+	if (c->backoff && at == BALANCE_NOBODY)
 		return BALANCE_RESTING;
 	return (enum balance_none)at;
 }
 
-/* The best that admits it; NULL with an enum balance_none in at. */
+/* The best endpoint whose limit admits the request; NULL with an enum
+ * balance_none in at. */
 static struct gate_ep *take_best(struct gate *g, struct forward *f,
-				 struct choice *c, int *at)
+				 struct candidates *c, int *at)
 {
 	while ((*at = best_of(g, f, c)) >= 0) {
 		struct gate_ep *ep = c->eps->pdata[*at];
@@ -184,14 +188,14 @@
 		if (gate_limit_admits(f, ep))
 			return ep;
 		node_at(c, (guint)*at)->usable = false;
-		opens_at(f, MAX(ep->words.permit_ms, gate_now(g)));
+		note_admit_time(f, MAX(ep->words.permit_ms, gate_now(g)));
 		c->limited = true;
 	}
 	return NULL;
 }
 
-/* Leaves out engines that have room, but are at their start limit. */
-static void pass_by_reading(const struct forward *f, struct choice *c)
+/* Excludes engines that have room but are at their start limit. */
+static void exclude_start_limited(const struct forward *f, struct candidates *c)
 {
 	for (guint i = 0; i < c->eps->len; i++) {
 		struct balance_node *n = node_at(c, i);
@@ -200,52 +204,55 @@
 		    gate_start_admits(f, c->eps->pdata[i]))
 			continue;
 		n->usable = false;
-		g_array_append_val(c->reading, i);
+		g_array_append_val(c->start_limited, i);
 	}
 }
 
-static struct gate_ep *reading_at(const struct choice *c, guint k)
+static struct gate_ep *start_limited_at(const struct candidates *c, guint k)
 {
-	return c->eps->pdata[g_array_index(c->reading, guint, k)];
+	return c->eps->pdata[g_array_index(c->start_limited, guint, k)];
 }
 
-/* The longest time to a first event at one of them. */
-static int64_t reading_ms(const struct forward *f, const struct choice *c)
+/* Longest expected time to a first event at engines excluded that way. */
+static int64_t start_limited_first_ms(const struct forward *f,
+				      const struct candidates *c)
 {
 	double ms = (double)times_first_ms(f);
 
-	for (guint k = 0; k < c->reading->len; k++)
-		ms = MAX(ms, pace_bound(&reading_at(c, k)->pace.first));
+	for (guint k = 0; k < c->start_limited->len; k++)
+		ms = MAX(ms, pace_bound(&start_limited_at(c, k)->pace.first));
 	return (int64_t)ms;
 }
 
-/* Those with the fewest prompts in flight become usable again. */
-static void open_fewest(struct choice *c)
+/* Makes the engines with the fewest prompts in flight usable again. */
+static void allow_fewest_prompts(struct candidates *c)
 {
 	int64_t least = INT64_MAX;
 
-	for (guint k = 0; k < c->reading->len; k++)
-		least = MIN(least, reading_at(c, k)->starts);
-	for (guint k = c->reading->len; k-- > 0;) {
-		if (reading_at(c, k)->starts > least)
+	for (guint k = 0; k < c->start_limited->len; k++)
+		least = MIN(least, start_limited_at(c, k)->starts);
+	for (guint k = c->start_limited->len; k-- > 0;) {
+		if (start_limited_at(c, k)->starts > least)
 			continue;
-		node_at(c, g_array_index(c->reading, guint, k))->usable = true;
-		g_array_remove_index(c->reading, k);
+		node_at(c, g_array_index(c->start_limited, guint, k))->usable =
+			true;
+		g_array_remove_index(c->start_limited, k);
 	}
 }
 
-/* No other has room: it waits for a bounded time, then goes to one of them. */
-static struct gate_ep *take_reading(struct gate *g, struct forward *f,
-				    struct choice *c, int *at)
+/* For a request that no other endpoint has room for: it waits for a limited
+ * time, then goes to an engine at its start limit. */
+static struct gate_ep *take_start_limited(struct gate *g, struct forward *f,
+					  struct candidates *c, int *at)
 {
 	struct gate_ep *found = NULL;
 
-	if (gate_start_waits(f, reading_ms(f, c))) {
+	if (gate_start_waits(f, start_limited_first_ms(f, c))) {
 		*at = BALANCE_STARTS;
 		return NULL;
 	}
-	while (!found && c->reading->len) {
-		open_fewest(c);
+	while (!found && c->start_limited->len) {
+		allow_fewest_prompts(c);
 		found = take_best(g, f, c, at);
 	}
 	return found;
@@ -255,27 +262,27 @@
 			    enum balance_none *none)
 {
 	struct gate_ep *found;
-	struct choice c = { 0 };
+	struct candidates c = { 0 };
 	int at;
 
 	f->open_ms = 0;
-	gather(g, f, &c);
-	pass_by_breakers(g, &c);
+	collect_candidates(g, f, &c);
+	exclude_open_breakers(g, &c);
 	gate_speed_weigh(f, (struct balance_node *)c.nodes->data, c.eps);
-	pass_by_reading(f, &c);
+	exclude_start_limited(f, &c);
 	found = take_best(g, f, &c, &at);
-	if (!found && c.reading->len)
-		found = take_reading(g, f, &c, &at);
+	if (!found && c.start_limited->len)
+		found = take_start_limited(g, f, &c, &at);
 	if (found) {
 		speed_rest_sent(&found->slow_rest, gate_now(g));
 	} else {
 		*none = why_none(at, &c);
 		gate_start_held(f, *none);
 	}
-	/* A place is free soon. */
+	/* A slot becomes free soon: the caller needn't wait for that time. */
 	if (found || at == BALANCE_FULL || at == BALANCE_STARTS)
 		f->open_ms = 0;
-	g_array_unref(c.reading);
+	g_array_unref(c.start_limited);
 	g_array_unref(c.nodes);
 	g_ptr_array_unref(c.eps);
 	return found;
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -1,15 +1,15 @@
-/* What the gate knows of endpoints. */
+/* The gate's table of endpoints, kept from the leader's reports or the list. */
 #include "gate_int.h"
 
 #include "../base/log.h"
 
-/* An incarnation that is over sends nothing more; its last bytes are given so
- * long to arrive, ten round trips of a slow link, before its calls go on. */
+/* Time for the last bytes of an ended incarnation to arrive, ten round trips of
+ * a slow link. After that calls that may be repeated are sent elsewhere. */
 #define LAST_BYTES_MS 500
-/* A share of failures that has grown by so much is logged, in thousandths. */
-#define FAILING_LOGGED 100
+/* Increase of a failure share that is logged, in thousandths. */
+#define FAILING_LOG_STEP 100
 
-static void held_free(void *p)
+static void model_free(void *p)
 {
 	struct gate_held *h = p;
 
@@ -44,7 +44,7 @@
 	return ep && ep->life == f->ep_life ? ep : NULL;
 }
 
-static struct gate_ep *ep_for(struct gate *g, struct ss_str addr)
+static struct gate_ep *get_or_add_ep(struct gate *g, struct ss_str addr)
 {
 	char *key = ss_str_dup(addr);
 	struct gate_ep *ep = gate_ep_at(g, key);
@@ -63,8 +63,8 @@
 	ep->service = g_strdup("");
 	ep->domain = g_strdup("");
 	ep->agent = g_strdup("");
-	ep->held =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, held_free);
+	ep->held = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					 model_free);
 	ep->calls =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_hash_table_insert(g->eps, ep->addr, ep);
@@ -72,11 +72,11 @@
 }
 
 /*
- * Requests under way on an incarnation that is over. One whose connection
- * died with its VM would wait in silence until its caller leaves; so it is
- * left as soon as what was sent before has had time to arrive.
+ * Schedules open calls of an ended incarnation to be sent elsewhere, once the
+ * last bytes have had time to arrive. A call whose connection was lost with its
+ * VM would otherwise wait until its caller leaves.
  */
-static void lose_calls(struct gate *g, const struct gate_ep *ep)
+static void schedule_lost_calls(struct gate *g, const struct gate_ep *ep)
 {
 	int64_t at = gate_now(g) + LAST_BYTES_MS;
 	GHashTableIter it;
@@ -91,10 +91,10 @@
 	}
 }
 
-/* Nothing known of the former incarnation holds, nor do its calls count. */
-static void forget_former(struct gate *g, struct gate_ep *ep)
+/* Clears all state of the former incarnation, including its open calls. */
+static void reset_incarnation(struct gate *g, struct gate_ep *ep)
 {
-	lose_calls(g, ep);
+	schedule_lost_calls(g, ep);
 	ep->life = ++g->lives;
 	ep->began_ms = gate_now(g);
 	ep->speed = (struct speed){ 0 };
@@ -117,27 +117,28 @@
 	upstream_forget(g->upstream, ep->addr);
 }
 
-static enum fleet_told learn(struct gate *g, struct gate_ep *ep,
-			     const struct fleet_incarnation *told)
+static enum fleet_told
+update_incarnation(struct gate *g, struct gate_ep *ep,
+		   const struct fleet_incarnation *reported)
 {
-	enum fleet_told how = fleet_incarnation_judge(&ep->self, told);
+	enum fleet_told how = fleet_incarnation_judge(&ep->self, reported);
 
 	go_on_seen(g, ep);
 	if (how == FLEET_RESTARTED) {
 		log_info("endpoint_restarted",
 			 "addr=%s id=%s started=%" PRId64
 			 " version=%s before=%s/%" PRId64 "/%s",
-			 ep->addr, told->id, told->started_ms,
-			 fleet_version(told), ep->self.id, ep->self.started_ms,
-			 fleet_version(&ep->self));
-		forget_former(g, ep);
+			 ep->addr, reported->id, reported->started_ms,
+			 fleet_version(reported), ep->self.id,
+			 ep->self.started_ms, fleet_version(&ep->self));
+		reset_incarnation(g, ep);
 	}
-	fleet_incarnation_learn(&ep->self, told);
+	fleet_incarnation_learn(&ep->self, reported);
 	go_on_named(g, ep);
 	return how;
 }
 
-static struct gate_held *add_held(struct gate_ep *ep, struct ss_str model)
+static struct gate_held *add_model(struct gate_ep *ep, struct ss_str model)
 {
 	struct gate_held *h = g_new0(struct gate_held, 1);
 
@@ -148,13 +149,13 @@
 	return h;
 }
 
-static void take_held(struct gate_ep *ep, const struct wire_list *list)
+static void take_models(struct gate_ep *ep, const struct wire_list *list)
 {
 	const struct held_model *m = list->items;
 
 	g_hash_table_remove_all(ep->held);
 	for (size_t i = 0; i < list->n; i++) {
-		struct gate_held *h = add_held(ep, m[i].model);
+		struct gate_held *h = add_model(ep, m[i].model);
 		const struct name_item *n = m[i].adapters.items;
 
 		for (size_t k = 0; k < m[i].adapters.n; k++)
@@ -162,7 +163,7 @@
 	}
 }
 
-/* What an endpoint reported of its calls, and how long ago. */
+/* Takes an endpoint's reported number of calls; age_ms: age of the report. */
 static void take_load(struct gate *g, struct gate_ep *ep, int64_t calls,
 		      int64_t age_ms)
 {
@@ -171,14 +172,15 @@
 	ep->since = 0;
 }
 
-/* What all entries together see of its failures; 0 says nothing. */
+/* Takes the failure share seen by all entries, in thousandths; 0: no
+ * information. */
 static void take_failing(struct gate *g, struct gate_ep *ep, int64_t of_whole)
 {
 	int64_t now = gate_now(g);
 	int64_t before = failing_of_whole(&ep->told, now);
 
 	failing_told(&ep->told, of_whole, now);
-	if (of_whole >= before + FAILING_LOGGED)
+	if (of_whole >= before + FAILING_LOG_STEP)
 		log_info("endpoint_fails",
 			 "addr=%s id=%s failing=%" PRId64 " own=%.2f", ep->addr,
 			 ep->self.id, of_whole, ep->failing);
@@ -186,10 +188,10 @@
 
 static void take_endpoint(struct gate *g, const struct fleet_endpoint *e)
 {
-	struct gate_ep *ep = ep_for(g, e->addr);
+	struct gate_ep *ep = get_or_add_ep(g, e->addr);
 	char *id = ss_str_dup(e->id), *version = ss_str_dup(e->version);
-	struct fleet_incarnation told = { id, e->started_ms, version };
-	enum fleet_told how = learn(g, ep, &told);
+	struct fleet_incarnation reported = { id, e->started_ms, version };
+	enum fleet_told how = update_incarnation(g, ep, &reported);
 
 	g_free(id);
 	g_free(version);
@@ -211,7 +213,7 @@
 	gate_limit_told(g, ep, e->limit, e->limit_age);
 	if (e->tokens_total)
 		take_load(g, ep, e->running + e->waiting, e->age_ms);
-	take_held(ep, &e->held);
+	take_models(ep, &e->held);
 }
 
 static void take_loads(struct gate *g, const struct wire_list *list)
@@ -233,7 +235,7 @@
 	}
 }
 
-/* What a whole list no longer has is gone. */
+/* Marks all endpoints as unlisted, before a complete list is taken. */
 static void unlist_all(struct gate *g)
 {
 	GHashTableIter it;
@@ -280,8 +282,8 @@
 	}
 }
 
-/* Enough is known to take callers. */
-static void know_fleet(struct gate *g, const char *from)
+/* Enough endpoints are known to accept callers. */
+static void mark_fleet_known(struct gate *g, const char *from)
 {
 	if (g->fleet_known)
 		return;
@@ -294,7 +296,7 @@
 {
 	const struct fleet_endpoint *e = m->endpoints.items;
 
-	/* A leader that was replaced may still have words on their way. */
+	/* Messages of a replaced leader may arrive late. */
 	if (m->fence < g->fence)
 		return;
 	if (m->fence > g->fence)
@@ -309,7 +311,7 @@
 	take_loads(g, &m->loads);
 	take_etas(g, &m->etas);
 	if (m->whole)
-		know_fleet(g, "leader");
+		mark_fleet_known(g, "leader");
 	if (m->round > g->round) {
 		g->round = m->round;
 		g->o.ops->demand(g->o.arg);
@@ -317,7 +319,7 @@
 	gate_pump(g, NULL);
 }
 
-/* It gets no new calls; those under way and its connections stay. */
+/* Stops new calls to an endpoint; open calls and connections stay. */
 static void suspend(struct gate *g, struct gate_ep *ep)
 {
 	if (!ep->unread_ms)
@@ -328,15 +330,15 @@
 static void take_instance(struct gate *g, struct gate_ep *ep,
 			  const struct fleet_instance *x)
 {
-	struct fleet_incarnation told = fleet_instance_self(x);
-	enum fleet_told how = fleet_incarnation_judge(&ep->self, &told);
+	struct fleet_incarnation reported = fleet_instance_self(x);
+	enum fleet_told how = fleet_incarnation_judge(&ep->self, &reported);
 
 	if (ep->known && how == FLEET_SAME &&
 	    fleet_service_spoiled(g->routing, ep->service, x->service)) {
 		suspend(g, ep);
 		return;
 	}
-	how = learn(g, ep, &told);
+	how = update_incarnation(g, ep, &reported);
 	ss_str_set(&ep->service, ss_str(x->service));
 	ss_str_set(&ep->domain, ss_str(x->domain ? x->domain : ""));
 	ep->slots = x->slots;
@@ -345,14 +347,14 @@
 	if (how == FLEET_LATE)
 		return;
 	ep->leaving = ep->ending = x->leaving;
-	/* What was told by an agent is newer than the list. */
+	/* Models that an agent reported are newer than the list. */
 	if (g_hash_table_size(ep->held))
 		return;
 	for (guint k = 0; k < x->models->len; k++)
-		add_held(ep, ss_str(x->models->pdata[k]));
+		add_model(ep, ss_str(x->models->pdata[k]));
 }
 
-/* An endpoint that no entry names. */
+/* Takes the list for an endpoint that no readable entry names. */
 static void take_unlisted(struct gate *g, struct gate_ep *ep,
 			  const struct fleet_list *list)
 {
@@ -383,7 +385,7 @@
 	g_hash_table_iter_init(&it, by_addr);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct fleet_instance *x = p;
-		struct gate_ep *ep = ep_for(g, ss_str(x->addr));
+		struct gate_ep *ep = get_or_add_ep(g, ss_str(x->addr));
 
 		take_instance(g, ep, x);
 		g_hash_table_add(seen, ep);
@@ -396,9 +398,9 @@
 			take_unlisted(g, p, list);
 	g_hash_table_unref(seen);
 	drop_unlisted(g);
-	/* Of a list in parts, what it names can be called. */
+	/* The endpoints of an incomplete list can be called, too. */
 	if (list->whole || list->instances->len)
-		know_fleet(g, "list");
+		mark_fleet_known(g, "list");
 	gate_pump(g, NULL);
 }
 
@@ -447,7 +449,7 @@
 	else
 		g_hash_table_remove(ep->calls, model);
 	ep->own--;
-	/* Counted in the report, or in what was sent since: it is less now. */
+	/* The call is counted in one of these. */
 	if (ep->since > 0)
 		ep->since--;
 	else if (ep->reported > 0)
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -145,7 +145,8 @@
 	uint64_t taken_up; /* key of the stream it resumes; 0: not named */
 	int64_t look_ms, asked_ms; /* first and latest lookup of its version */
 	int64_t heard_ms;  /* the leader last replied that it may yet know */
-	int64_t lost_ms;   /* abandoned then, as its endpoint is gone; 0: no */
+	int64_t lost_ms;   /* given up then if it can be repeated, as its
+			      endpoint is gone; 0: no */
 	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
 	bool starting;	   /* counts among its endpoint's open prompts */
 	bool start_waited; /* has waited for a start limit */
