--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -1,93 +1,93 @@
-/* A gate between scripted endpoints and callers. */
+/* Fixture: a gate between scripted endpoints and callers. */
 #include "gate_fix.h"
 
 #include "../src/base/log.h"
 
 /* Endpoints. */
 
-static void line_free(struct line *l)
+static void conn_free(struct conn *c)
 {
-	if (l->reset) {
+	if (c->reset) {
 		struct linger now = { 1, 0 };
 
-		setsockopt(bufferevent_getfd(l->bev), SOL_SOCKET, SO_LINGER,
+		setsockopt(bufferevent_getfd(c->bev), SOL_SOCKET, SO_LINGER,
 			   &now, sizeof(now));
 	}
-	if (l->e->newest == l->bev)
-		l->e->newest = NULL;
-	g_ptr_array_remove_fast(l->e->lines, l);
-	bufferevent_free(l->bev);
-	l->e->closed++;
-	g_free(l);
+	if (c->e->newest == c->bev)
+		c->e->newest = NULL;
+	g_ptr_array_remove_fast(c->e->conns, c);
+	bufferevent_free(c->bev);
+	c->e->closed++;
+	g_free(c);
 }
 
-static void line_written(struct bufferevent *bev, void *arg)
+static void conn_written(struct bufferevent *bev, void *arg)
 {
 	(void)bev;
-	line_free(arg);
+	conn_free(arg);
 }
 
-static void answer(struct line *l)
+static void answer(struct conn *c)
 {
-	struct endpoint *e = l->e;
+	struct endpoint *e = c->e;
 	const struct reply *r = &e->replies[MIN(e->requests, e->n_replies - 1)];
 
 	e->requests++;
-	l->reset = r->reset;
+	c->reset = r->reset;
 	if (!r->text)
 		return;
-	bufferevent_write(l->bev, r->text, strlen(r->text));
+	bufferevent_write(c->bev, r->text, strlen(r->text));
 	if (!*r->text)
-		line_free(l);
+		conn_free(c);
 	else if (r->close || r->reset)
-		bufferevent_setcb(l->bev, NULL, line_written, NULL, l);
+		bufferevent_setcb(c->bev, NULL, conn_written, NULL, c);
 }
 
-static void line_read(struct bufferevent *bev, void *arg)
+static void conn_read(struct bufferevent *bev, void *arg)
 {
-	struct line *l = arg;
+	struct conn *c = arg;
 	struct evbuffer *in = bufferevent_get_input(bev);
 	size_t n = evbuffer_get_length(in);
 	char *p = (char *)evbuffer_pullup(in, -1);
 	char *end = g_strstr_len(p, (gssize)n, "\r\n\r\n");
 
-	/* Test requests have no body or a whole one in the same write. */
+	/* Test requests have no body, or a complete one in the same write. */
 	if (!end)
 		return;
-	g_string_append_len(l->e->seen, p, (gssize)n);
+	g_string_append_len(c->e->seen, p, (gssize)n);
 	evbuffer_drain(in, n);
-	answer(l);
+	answer(c);
 }
 
-static void line_event(struct bufferevent *bev, short what, void *arg)
+static void conn_event(struct bufferevent *bev, short what, void *arg)
 {
-	struct line *l = arg;
+	struct conn *c = arg;
 
 	(void)bev;
-	l->e->reset += (what & BEV_EVENT_ERROR) != 0;
-	line_free(l);
+	c->e->reset += (what & BEV_EVENT_ERROR) != 0;
+	conn_free(c);
 }
 
 static void on_accept(struct evconnlistener *ev, evutil_socket_t fd,
 		      struct sockaddr *sa, int len, void *arg)
 {
 	struct endpoint *e = arg;
-	struct line *l = g_new0(struct line, 1);
+	struct conn *c = g_new0(struct conn, 1);
 
 	(void)ev;
 	(void)sa;
 	(void)len;
-	l->e = e;
+	c->e = e;
 	e->opened++;
-	l->bev = bufferevent_socket_new(e->f->base, fd, BEV_OPT_CLOSE_ON_FREE);
-	e->newest = l->bev;
-	g_ptr_array_add(e->lines, l);
-	bufferevent_setcb(l->bev, line_read, NULL, line_event, l);
-	bufferevent_enable(l->bev, EV_READ | EV_WRITE);
+	c->bev = bufferevent_socket_new(e->f->base, fd, BEV_OPT_CLOSE_ON_FREE);
+	e->newest = c->bev;
+	g_ptr_array_add(e->conns, c);
+	bufferevent_setcb(c->bev, conn_read, NULL, conn_event, c);
+	bufferevent_enable(c->bev, EV_READ | EV_WRITE);
 }
 
-/* A bound socket that doesn't listen: others can't get its port, and
- * connections to it are refused. */
+/* Binds a socket that doesn't listen: the port is reserved, and connections to
+ * it are refused. */
 static int hold_port(void)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
@@ -124,14 +124,14 @@
 
 bool reset_oldest(struct fix *f, int i)
 {
-	GPtrArray *lines = f->eps[i].lines;
-	struct line *l;
+	GPtrArray *conns = f->eps[i].conns;
+	struct conn *c;
 
-	if (!lines->len)
+	if (!conns->len)
 		return false;
-	l = lines->pdata[0];
-	l->reset = true;
-	line_free(l);
+	c = conns->pdata[0];
+	c->reset = true;
+	conn_free(c);
 	return true;
 }
 
@@ -147,7 +147,7 @@
 
 	e->f = f;
 	e->seen = g_string_new(NULL);
-	e->lines = g_ptr_array_new();
+	e->conns = g_ptr_array_new();
 	e->port_fd = hold_port();
 	g_snprintf(e->id, sizeof(e->id), "i-%d", i);
 	e->version = "v1";
@@ -253,7 +253,7 @@
 		e[i].addr = ss_str(f->eps[i].addr);
 		e[i].id = ss_str(f->eps[i].id);
 		e[i].service = ss_str(service);
-		/* The emptier one is chosen first. */
+		/* The gate prefers the endpoint with less load. */
 		e[i].domain = ss_str("here");
 		e[i].slots = 8;
 		e[i].running = i == f->at ? 0 : 6;
@@ -349,14 +349,14 @@
 		caller_free(f->callers->pdata[i]);
 	g_ptr_array_unref(f->callers);
 	gate_free(f->gate);
-	/* Endpoints' lines see the gate's end and free themselves. */
+	/* Endpoints' connections are freed when they see the gate close. */
 	for (int i = 0; i < 50; i++)
 		event_base_loop(f->base, EVLOOP_NONBLOCK);
 	for (int i = 0; i < ENDPOINTS; i++) {
 		if (f->eps[i].listener)
 			evconnlistener_free(f->eps[i].listener);
 		close(f->eps[i].port_fd);
-		g_ptr_array_unref(f->eps[i].lines);
+		g_ptr_array_unref(f->eps[i].conns);
 		g_string_free(f->eps[i].seen, TRUE);
 	}
 	metrics_free(f->metrics);
@@ -434,7 +434,7 @@
 	return g_str_has_suffix(c->got->str, text);
 }
 
-/* Streams that take their time. */
+/* Streams with timed events. */
 
 struct caller *ask(struct fix *f, const char *model, const char *text)
 {
@@ -491,7 +491,7 @@
 	return at;
 }
 
-/* The log. */
+/* Log capture. */
 
 void log_capture_begin(struct log_capture *l)
 {
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -1,7 +1,7 @@
 /*
- * The data path on loopback: a gate, endpoints that answer by a script, and
- * callers who write raw bytes. One loop drives them all; every wait is on a
- * condition, and the gate's clock is a fake one.
+ * Test fixture of the data path on loopback: a gate, endpoints with scripted
+ * answers, and callers that write raw bytes. One event loop drives them all;
+ * every wait is for a condition, and the gate's clock is a fake one.
  */
 #ifndef SS_GATE_FIX_H
 #define SS_GATE_FIX_H
@@ -21,33 +21,33 @@
 #include <unistd.h>
 
 #define ENDPOINTS 2
-#define WAIT_ROUNDS 2000 /* of 1 ms: a condition that never comes */
+#define WAIT_ROUNDS 2000 /* of 1 ms, until a condition counts as failed */
 
-/* What an endpoint does with a request. */
+/* Scripted answer to one request. */
 struct reply {
-	const char *text;  /* "" : close; NULL: stay silent */
+	const char *text;  /* "": close at once; NULL: no answer */
 	bool close, reset; /* after the text */
 };
 
 struct endpoint {
 	struct fix *f;
-	struct evconnlistener *listener; /* NULL: it has ended */
-	int port_fd; /* keeps the port while nobody listens */
+	struct evconnlistener *listener; /* NULL: its process ended */
+	int port_fd; /* reserves the port while nothing listens */
 	char addr[32], id[16];
 	int starts;
-	bool leaving; /* as told of it */
-	GPtrArray *lines;
-	int64_t started_ms;	 /* as told of it; 0: not told */
-	const char *version;	 /* the same; NULL: not told */
-	bool empty;		 /* holds no model, as told of it */
-	struct reply replies[4]; /* one a request, the last for the rest */
+	bool leaving; /* reported to the gate as draining */
+	GPtrArray *conns;
+	int64_t started_ms;	 /* reported to the gate; 0: unknown */
+	const char *version;	 /* reported to the gate; NULL: unknown */
+	bool empty;		 /* reported without any model */
+	struct reply replies[4]; /* one per request; the last one repeats */
 	int n_replies, requests, opened, closed;
-	int reset;		    /* connections that the gate broke off */
-	GString *seen;		    /* all bytes */
-	struct bufferevent *newest; /* of its connections; NULL: it is gone */
+	int reset;		    /* connections that the gate reset */
+	GString *seen;		    /* all bytes received */
+	struct bufferevent *newest; /* newest connection; NULL: it is closed */
 };
 
-struct line {
+struct conn {
 	struct endpoint *e;
 	struct bufferevent *bev;
 	bool reset;
@@ -64,26 +64,26 @@
 	struct ss_clock clock;
 	struct metrics *metrics;
 	struct gate *gate;
-	struct gate_options options; /* that it was made with */
+	struct gate_options options; /* used to create the gate */
 	struct endpoint eps[ENDPOINTS];
-	struct endpoint_limit limits[ENDPOINTS]; /* as the leader knows them */
+	struct endpoint_limit limits[ENDPOINTS]; /* known to the leader */
 	GPtrArray *callers;
-	int at; /* the endpoint that is emptier, and speaks */
-	int demands;
-	bool agents;		      /* they can be reached */
-	uint64_t asked;		      /* the last adapter that was asked for */
-	bool leads;		      /* a leader can be asked */
-	struct msg_trial trial;	      /* the last that was asked for */
-	struct msg_stream_ask stream; /* the same */
+	int at;		/* endpoint with less load, which answers streams */
+	int demands;	/* calls of the gate's demand callback */
+	bool agents;	/* agents can be reached */
+	uint64_t asked; /* ticket of the last adapter request */
+	bool leads;	/* a leader is known */
+	struct msg_trial trial;	      /* last request for a trial run */
+	struct msg_stream_ask stream; /* last query for a version */
 	int streams_asked;
 };
 
-/* service: what the endpoints belong to; NULL: the gate knows no fleet. */
+/* service: of both endpoints; NULL: the gate doesn't know the fleet. */
 void fix_open(struct fix *f, const char *service, const char *model);
-/* A gate that knows neither routing nor fleet. */
+/* Opens a gate that knows neither routing nor fleet. */
 void fix_open_fresh(struct fix *f);
 struct fix_options {
-	int64_t keys_trust_ms; /* keys are believed so long without a leader */
+	int64_t keys_trust_ms; /* how long keys stay valid without a leader */
 	size_t memory;
 	/* 0: more retries than a test needs, from the first request on */
 	double retry_ratio;
@@ -92,63 +92,66 @@
 void fix_open_with(struct fix *f, const struct fix_options *x);
 void fix_close(struct fix *f);
 
+/* Puts the fixture's own routing in force. */
 void tell_routing(struct fix *f);
-/* Put the routing of this text in force. */
+/* Puts a routing in force, from its JSON text. */
 void set_routing(struct fix *f, const char *json);
 
-/* Tell the gate of both endpoints; model: what they hold. */
+/* Reports both endpoints to the gate; model: loaded on both; empty: none. */
 void tell_fleet(struct fix *f, const char *service, const char *model);
-/* The endpoint's process ends: its connections are reset, nobody listens. */
+/* Ends the endpoint's process: resets its connections and stops listening. */
 void end_endpoint(struct fix *f, int i);
-/* The same a step at a time. */
+/* The same in single steps. */
 void stop_listening(struct fix *f, int i);
 bool reset_oldest(struct fix *f, int i);
-/* Another incarnation starts there; the gate isn't told. */
+/* Starts a new incarnation, without a report to the gate. */
 void start_endpoint(struct fix *f, int i);
 
-/* The endpoint's next answer. */
+/* Adds the endpoint's next answer. */
 void script(struct fix *f, int i, const char *text, bool close, bool reset);
 
-/* More of the answer in progress on the endpoint's newest connection. */
+/* Sends more of the current answer on the endpoint's newest connection. */
 void say(struct fix *f, int i, const char *text);
 
-/* A new connection that sends text. */
+/* Opens a caller's connection and sends text on it. */
 struct caller *call(struct fix *f, const char *text);
-/* Into the kernel at once, on a connection that stands. */
+/* Sends text on an open connection without buffering. */
 void tell(struct caller *c, const char *text);
 void leave(struct caller *c);
+/* Whether the bytes received contain text, or end with it. */
 bool got(const struct caller *c, const char *text);
 bool ends(const struct caller *c, const char *text);
 
-/* A request while f->at is known to be the emptier endpoint. */
+/* Sends a request after reporting f->at as the endpoint with less load. */
 struct caller *ask(struct fix *f, const char *model, const char *text);
-/* Events of that endpoint's answer in progress, one each so many ms. */
+/* Sends events of that endpoint's current answer, gap_ms apart. */
 void say_events(struct fix *f, struct caller *c, int from, int to,
 		int64_t gap_ms);
-/* The answer's end, after its last event. */
+/* Ends the answer after its last event. */
 void say_end(struct fix *f, struct caller *c);
-/* A stream of 100 tokens, from its request to its end. */
+/* Runs a stream of 100 tokens from its request to its end. */
 void carry_stream(struct fix *f, int64_t first_ms, int64_t gap_ms);
-/* A stream of one event, which comes after the time of the endpoint that the
- * gate chooses; the index of that. */
+/* Runs a stream of one event, which comes after first_ms of the endpoint that
+ * the gate chooses. Returns the endpoint's index. */
 int carry_event(struct fix *f, const char *text,
 		const int64_t first_ms[ENDPOINTS]);
 
-/* What the process writes to its log between begin and end. */
+/* Captures the process's log between begin and end. */
 struct log_capture {
 	FILE *to;
 	int stdout_fd;
 };
 
 void log_capture_begin(struct log_capture *l);
-/* Its text, for g_free(); at most the first LOG_CAPTURE_BYTES. */
+/* Returns at most the first LOG_CAPTURE_BYTES; the caller frees the text with
+ * g_free(). */
 #define LOG_CAPTURE_BYTES 8192
 char *log_capture_end(struct log_capture *l);
 
-/* One round of the loop, of a millisecond at the most. */
+/* Runs the loop once, for at most 1 ms, and then the gate's tick. */
 void turn(struct fix *f);
 
-/* Run the loop until the condition holds; fail where it never does. */
+/* Runs the loop until the condition holds; fails after WAIT_ROUNDS. */
 #define UNTIL(f, cond)                                                         \
 	do {                                                                   \
 		int rounds = 0;                                                \
@@ -176,7 +179,7 @@
 	"Content-Length: 0\r\n\r\n"
 #define TOKENS_AN_EVENT 6
 #define EVENTS_FOR(tokens) (((tokens) + TOKENS_AN_EVENT - 1) / TOKENS_AN_EVENT)
-/* Its caller leaves after 2 s without an event. */
+/* Its caller is expected to leave after 2 s without an event. */
 #define POST_BRIEF                                                             \
 	REQ("POST", "/brief/x")                                                \
 	"X-Model: m\r\nX-Deadline-Ms: 8000\r\nContent-Length: 0\r\n\r\n"
