--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -1,18 +1,18 @@
-/* A gate: what comes through it, and in which shape. */
+/* The gate's handling of answers, requests and connections. */
 #include "gate_fix.h"
 
 struct answer_case {
 	const char *label;
 	const char *request;
 	const char *service, *model;
-	struct reply first, second; /* of the near endpoint, of the far one */
-	const char *want;	    /* in what the caller gets */
+	struct reply first, second; /* of the endpoint with less load; other */
+	const char *want;	    /* in the caller's bytes */
 	const char *not_wanted;
 	int requests[ENDPOINTS];
 };
 
 static const struct answer_case answer_cases[] = {
-	{ "a plain answer, whole and unchanged",
+	{ "a plain answer is passed on unchanged",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -21,7 +21,7 @@
 	  "X-Signature: sig\r\nContent-Length: 5\r\n\r\nhello",
 	  NULL,
 	  { 1, 0 } },
-	{ "an endpoint's own failure, unchanged",
+	{ "an endpoint's own error is passed on unchanged",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -31,7 +31,7 @@
 	  "HTTP/1.1 500 ",
 	  NULL,
 	  { 1, 0 } },
-	{ "a call that can't be repeated isn't, after a close",
+	{ "an unsafe call isn't retried after a close",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -40,7 +40,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "a safe call is, at another endpoint",
+	{ "a safe call is retried at another endpoint",
 	  GET_SAFE,
 	  "web",
 	  "",
@@ -49,7 +49,7 @@
 	  "hello",
 	  NULL,
 	  { 1, 1 } },
-	{ "a safe call is, after the endpoint's own failure",
+	{ "a safe call is retried after the endpoint's own error",
 	  GET_SAFE,
 	  "web",
 	  "",
@@ -59,7 +59,7 @@
 	  "hello",
 	  "500",
 	  { 1, 1 } },
-	{ "no false promise: 503 that may have run becomes 502",
+	{ "503 of a call that may have run becomes 502",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -69,7 +69,7 @@
 	  "HTTP/1.1 502 ",
 	  "X-Signature",
 	  { 1, 0 } },
-	{ "an endpoint's own deadline counts as run",
+	{ "504 of an endpoint counts as run",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -79,7 +79,7 @@
 	  "HTTP/1.1 504 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "no false promise: nor does 429",
+	{ "429 of a call that may have run becomes 502",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -89,7 +89,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "no false promise: nor does 408",
+	{ "408 of a call that may have run becomes 502",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -99,7 +99,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "an answer to another request isn't passed on",
+	{ "an answer to another request is dropped",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -110,7 +110,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "nor is one without the signature",
+	{ "an answer without the signature is dropped",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -119,7 +119,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "nor are bytes that are no answer",
+	{ "bytes that aren't HTTP are dropped",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -128,7 +128,7 @@
 	  "HTTP/1.1 502 ",
 	  "garbage",
 	  { 1, 0 } },
-	{ "nor one that is coded",
+	{ "an answer with a content encoding is dropped",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -139,7 +139,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "an answer that breaks off isn't whole",
+	{ "an answer shorter than its length is dropped",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -149,7 +149,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "one without a length ends with its connection",
+	{ "an answer without a length ends at the close",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -158,7 +158,7 @@
 	  "Content-Length: 5\r\n\r\nhello",
 	  NULL,
 	  { 1, 0 } },
-	{ "and isn't whole where that is reset",
+	{ "an answer without a length is dropped at a reset",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -167,7 +167,7 @@
 	  "HTTP/1.1 502 ",
 	  "hello",
 	  { 1, 0 } },
-	{ "an interim answer comes before the real one",
+	{ "an interim answer isn't passed on",
 	  POST_ONCE,
 	  "web",
 	  "",
@@ -176,7 +176,7 @@
 	  "hello",
 	  "100 Continue",
 	  { 1, 0 } },
-	{ "events are passed on, and the stream ends whole",
+	{ "events and the end of a stream are passed on",
 	  POST_CHAT,
 	  "lm",
 	  "m",
@@ -185,7 +185,7 @@
 	  "id: 1\ndata: a\n\n\r\n0\r\n\r\n",
 	  NULL,
 	  { 1, 0 } },
-	{ "what no endpoint ran is refused truly",
+	{ "a request that the endpoint didn't run may be refused",
 	  POST_CHAT,
 	  "lm",
 	  "m",
@@ -196,7 +196,7 @@
 	  NULL,
 	  NULL,
 	  { 1, 0 } },
-	{ "a stream that may be resumed goes on elsewhere",
+	{ "a resumable stream is resumed elsewhere",
 	  POST_NIGHT,
 	  "lm",
 	  "m",
@@ -208,7 +208,7 @@
 	  { 1, 1 } },
 };
 
-static void answers_come_through(void **state)
+static void answers_are_passed_on(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(answer_cases); i++) {
@@ -236,11 +236,10 @@
 }
 
 /*
- * Symptom: a caller takes half an answer for a whole one. Sequence: a
- * stream that can't be resumed breaks off inside an event. Cause: an end
- * of the connection that looks like the end of the answer.
+ * A caller would take half an answer for a complete one if a stream that can't
+ * be resumed broke off inside an event, and the gate then sent the last chunk.
  */
-static void cut_stream_looks_cut(void **state)
+static void cut_stream_gets_no_last_chunk(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -256,7 +255,7 @@
 	fix_close(&f);
 }
 
-static void resumed_stream_names_its_last_event(void **state)
+static void resumed_stream_sends_last_event_id(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -274,11 +273,11 @@
 }
 
 /*
- * Symptom: a caller gets another one's answer. Sequence: an endpoint sends
- * more than its answer, or a second answer; the connection is used again.
- * Cause: bytes behind an answer taken for the next one.
+ * A caller would get another caller's answer if an endpoint sent bytes after
+ * its answer, or a second one, and the connection were reused: the extra bytes
+ * would be taken for the next answer.
  */
-static void connection_with_more_bytes_isnt_used_again(void **state)
+static void connection_with_extra_bytes_isnt_reused(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -294,7 +293,7 @@
 	fix_close(&f);
 }
 
-static void connection_is_used_again(void **state)
+static void connection_is_reused(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -313,29 +312,29 @@
 };
 
 static const struct bad_case bad_cases[] = {
-	{ "two lengths that contradict each other",
+	{ "length and chunked encoding in one request",
 	  REQ("POST", "/once/x") "Content-Length: 3\r\n"
 				 "Transfer-Encoding: chunked\r\n\r\n"
 				 "0\r\n\r\nPOST /once/y HTTP/1.1\r\n\r\n",
 	  "HTTP/1.1 400 " },
-	{ "two equal headers of length",
+	{ "two headers of length",
 	  REQ("POST", "/once/x") "Content-Length: 3\r\n"
 				 "Content-Length: 9\r\n\r\nabc",
 	  "HTTP/1.1 400 " },
-	{ "no request at all", "nonsense\r\n\r\n", "HTTP/1.1 400 " },
+	{ "text that isn't HTTP", "nonsense\r\n\r\n", "HTTP/1.1 400 " },
 	{ "a body over the limit",
 	  REQ("POST", "/once/x") "Content-Length: 99999\r\n\r\nabc",
 	  "HTTP/1.1 413 " },
-	{ "a path that no route has", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n",
+	{ "a path without a route", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n",
 	  "HTTP/1.1 404 " },
-	{ "a deadline that is no number",
+	{ "a deadline that isn't a number",
 	  REQ("GET", "/safe/x") "X-Deadline-Ms: x\r\n\r\n", "HTTP/1.1 400 " },
-	{ "a model that the routing doesn't have",
+	{ "a model that isn't in the routing",
 	  REQ("POST", "/chat/x") "X-Model: other\r\nContent-Length: 0\r\n\r\n",
 	  "HTTP/1.1 503 " },
 };
 
-static void bad_requests_reach_nobody(void **state)
+static void bad_requests_reach_no_endpoint(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bad_cases); i++) {
@@ -388,11 +387,11 @@
 }
 
 /*
- * Symptom: work goes to an endpoint for seconds after it began to leave.
- * Sequence: the leader tells that one of two endpoints is leaving; it is the
- * emptier one, and requests wait at neither. Cause: it is still chosen.
+ * Calls would go to a draining endpoint for seconds if the choice ignored the
+ * leader's report that it drains. It has the lower load of two endpoints, and
+ * requests wait at neither.
  */
-static void leaving_endpoint_gets_no_new_work(void **state)
+static void draining_endpoint_gets_no_new_calls(void **state)
 {
 	struct fleet_endpoint e = { .service = SS_LIT("web"),
 				    .domain = SS_LIT("here"),
@@ -415,7 +414,7 @@
 	}
 	assert_int_equal(f.eps[0].requests, 0);
 	assert_int_equal(f.eps[1].requests, 5);
-	/* Nor where it is the last one that is left. */
+	/* The last endpoint that is left gets none either. */
 	e.addr = ss_str(f.eps[1].addr);
 	e.id = ss_str(f.eps[1].id);
 	gate_take_fleet(f.gate, &m);
@@ -427,18 +426,17 @@
 }
 
 /*
- * Symptom: a large answer stops in its middle and is cut at the deadline.
- * Sequence: its caller reads nothing for a moment, so the gate stops reading
- * from the endpoint; the caller reads on. Cause: nobody told the gate to read
- * on as well.
+ * A large answer would stop halfway and be cut at the deadline if the gate,
+ * which stops reading from the endpoint while the caller doesn't read, didn't
+ * continue when the caller does.
  */
 static void slow_reader_gets_the_whole_answer(void **state)
 {
-	/* More than the kernel holds of a connection and the gate of an
-	 * answer: 4 MiB and half of one. */
+	/* More than the kernel buffers of a connection (4 MiB) and the gate of
+	 * an answer (0.5 MiB). */
 	const size_t body = 6 << 20;
-	/* Of 4 KiB each until both are full, and some to rest. */
-	const size_t turns = (5 << 20) / 4096 + 100;
+	/* Rounds of 4 KiB each until both buffers are full, and some more. */
+	const size_t loop_rounds = (5 << 20) / 4096 + 100;
 	GString *text = g_string_new(NULL);
 	struct caller *c;
 	struct fix f;
@@ -457,7 +455,7 @@
 	setsockopt(bufferevent_getfd(c->bev), SOL_SOCKET, SO_RCVBUF, &small,
 		   sizeof(small));
 	bufferevent_disable(c->bev, EV_READ);
-	for (size_t i = 0; i < turns; i++)
+	for (size_t i = 0; i < loop_rounds; i++)
 		turn(&f);
 	assert_int_equal(c->got->len, 0);
 	bufferevent_enable(c->bev, EV_READ);
@@ -471,7 +469,7 @@
 	g_string_free(text, TRUE);
 }
 
-static bool reports_news(struct fix *f)
+static bool report_has_news(struct fix *f)
 {
 	struct gate_report r;
 	bool news;
@@ -482,45 +480,45 @@
 	return news;
 }
 
-/* Hundreds of entries at rest that say the same ten times a second. */
-static void same_report_is_no_news(void **state)
+/* Hundreds of idle entries would send the same report ten times a second. */
+static void unchanged_report_is_no_news(void **state)
 {
 	struct caller *c;
 	struct fix f;
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	assert_true(reports_news(&f));
-	assert_false(reports_news(&f));
+	assert_true(report_has_news(&f));
+	assert_false(report_has_news(&f));
 	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
 	script(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, got(c, "data: a"));
-	/* An arrival and a call, and then nothing new while it lasts. */
-	assert_true(reports_news(&f));
-	reports_news(&f);
-	assert_false(reports_news(&f));
+	/* An arrival and an open call, and then no change while it lasts. */
+	assert_true(report_has_news(&f));
+	report_has_news(&f);
+	assert_false(report_has_news(&f));
 	leave(c);
 	UNTIL(&f, gate_busy(f.gate) == 0);
-	assert_true(reports_news(&f));
-	assert_false(reports_news(&f));
+	assert_true(report_has_news(&f));
+	assert_false(report_has_news(&f));
 	fix_close(&f);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(answers_come_through),
-		cmocka_unit_test(cut_stream_looks_cut),
-		cmocka_unit_test(resumed_stream_names_its_last_event),
-		cmocka_unit_test(connection_with_more_bytes_isnt_used_again),
-		cmocka_unit_test(connection_is_used_again),
-		cmocka_unit_test(bad_requests_reach_nobody),
+		cmocka_unit_test(answers_are_passed_on),
+		cmocka_unit_test(cut_stream_gets_no_last_chunk),
+		cmocka_unit_test(resumed_stream_sends_last_event_id),
+		cmocka_unit_test(connection_with_extra_bytes_isnt_reused),
+		cmocka_unit_test(connection_is_reused),
+		cmocka_unit_test(bad_requests_reach_no_endpoint),
 		cmocka_unit_test(head_over_the_limit_is_refused),
 		cmocka_unit_test(chunked_request_arrives_whole),
-		cmocka_unit_test(leaving_endpoint_gets_no_new_work),
+		cmocka_unit_test(draining_endpoint_gets_no_new_calls),
 		cmocka_unit_test(slow_reader_gets_the_whole_answer),
-		cmocka_unit_test(same_report_is_no_news),
+		cmocka_unit_test(unchanged_report_is_no_news),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
