--- a/test/test_gate_admission.c
+++ b/test/test_gate_admission.c
@@ -1,9 +1,9 @@
-/* Requests for several models that wait for one engine of one slot. */
+/* Order of requests for several models on one engine with one slot. */
 #include "gate_fix.h"
 
 #define IDLE_MODELS 300
 
-/* U is urgent, P patient, S patient with a short timeout. */
+/* Routes: U is urgent, P has low priority, S the same with a short timeout. */
 static const char routing_text[] =
 	"{\"version\":2,\"routes\":["
 	"{\"name\":\"U\",\"host\":\"h\",\"prefix\":\"/U/\",\"type\":\"stream\","
@@ -33,7 +33,7 @@
 	return metric(f, "ss_gate_waiting", "");
 }
 
-/* One engine, which holds m and n. Nobody holds x. */
+/* Reports one engine with the models m and n; x is loaded nowhere. */
 static void engine_open(struct fix *f)
 {
 	struct held_model held[] = { { .model = SS_LIT("m") },
@@ -55,8 +55,8 @@
 	gate_take_fleet(f->gate, &m);
 }
 
-/* A request by its route and model: "Um" is an urgent one for m. */
-static struct caller *ask_for(struct fix *f, const char *what, char name)
+/* Sends a request; what: route and model, as "Um" for an urgent one for m. */
+static struct caller *send_request(struct fix *f, const char *what, char name)
 {
 	char *text = g_strdup_printf("POST /%c/%c HTTP/1.1\r\nHost: h\r\n"
 				     "X-Request-Id: q1\r\nX-Model: %c\r\n"
@@ -68,22 +68,24 @@
 	return c;
 }
 
-static char newest(const struct fix *f)
+static char last_received(const struct fix *f)
 {
 	const char *at = g_strrstr(f->eps[0].seen->str, "POST /");
 
 	return at[strlen("POST /U/")];
 }
 
-/* The engine is busy while all of them come, then takes so long for each. */
-static void play(struct fix *f, const char *asks, int64_t turn_ms, GString *got)
+/* Sends all requests while the engine is busy; then it takes service_ms for
+ * each. got: the order in which they are sent to it. */
+static void run_requests(struct fix *f, const char *requests_text,
+			 int64_t service_ms, GString *got)
 {
-	size_t n = strlen(asks) / 2;
+	size_t n = strlen(requests_text) / 2;
 
-	ask_for(f, "Um", '-');
+	send_request(f, "Um", '-');
 	UNTIL(f, f->eps[0].requests == 1);
 	for (size_t i = 0; i < n; i++) {
-		ask_for(f, asks + 2 * i, (char)('a' + i));
+		send_request(f, requests_text + 2 * i, (char)('a' + i));
 		UNTIL(f, waiting(f) == i + 1);
 		f->clock.fake_ms++;
 	}
@@ -91,43 +93,47 @@
 		int before = f->eps[0].requests;
 		int rounds = 0;
 
-		f->clock.fake_ms += turn_ms;
+		f->clock.fake_ms += service_ms;
 		gate_tick(f->gate);
 		say(f, 0, OK_TEXT);
 		while (f->eps[0].requests == before && ++rounds < 50)
 			turn(f);
 		if (f->eps[0].requests == before)
 			return;
-		g_string_append_c(got, newest(f));
+		g_string_append_c(got, last_received(f));
 		n--;
 	}
 }
 
 struct order_case {
-	const char *label, *asks;
-	int64_t turn_ms;
+	const char *label, *requests_text;
+	int64_t service_ms;
 	const char *want;
 	uint64_t raised, left;
 };
 
 static const struct order_case orders[] = {
-	{ "one lane and one priority: as they came", "PmPmPm", 1, "abc", 0, 0 },
-	{ "and by their deadlines, as before", "PmSmPm", 1, "bac", 0, 0 },
-	{ "over lanes as well", "PmPnPmPn", 1, "abcd", 0, 0 },
+	{ "one queue and one priority: in order of arrival", "PmPmPm", 1, "abc",
+	  0, 0 },
+	{ "a shorter deadline goes first", "PmSmPm", 1, "bac", 0, 0 },
+	{ "two queues: in order of arrival", "PmPnPmPn", 1, "abcd", 0, 0 },
 	{ "urgent ones first, whatever their model", "PmPnUmUn", 1, "cdab", 0,
 	  0 },
-	{ "a model that nobody holds stops no other", "UxPmPn", 1, "bc", 0, 1 },
-	{ "one turn in four for the others", "PnUmUmUmUmUm", 1, "bcdaef", 0,
-	  0 },
-	{ "in one lane as well", "PmUmUmUmUmUm", 1, "bcdaef", 0, 0 },
-	{ "raised while it can be begun", "SnUmUmUmUm", 400, "abcde", 1, 0 },
-	{ "which is its turn in advance", "SnPnUmUmUmUmUmUm", 400, "acdefghb",
+	{ "a model that isn't loaded blocks no other", "UxPmPn", 1, "bc", 0,
+	  1 },
+	{ "every fourth slot for less urgent ones", "PnUmUmUmUmUm", 1, "bcdaef",
+	  0, 0 },
+	{ "the same in one queue", "PmUmUmUmUmUm", 1, "bcdaef", 0, 0 },
+	{ "raised before it is too late to begin", "SnUmUmUmUm", 400, "abcde",
 	  1, 0 },
+	{ "raising uses up the next fourth slot", "SnPnUmUmUmUmUmUm", 400,
+	  "acdefghb", 1, 0 },
 };
 
-/* Failures: table order of lanes decides who goes first; one lane blocks the
- * others; what is less urgent starves, or is refused beside free turns. */
-static void turns_go_in_one_order_over_lanes(void **state)
+/* Guards against these failures: the table order of model queues decides who
+ * goes first; one queue blocks the others; less urgent requests starve, or are
+ * refused although their share of the slots is unused. */
+static void one_order_over_all_model_queues(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(orders); i++) {
@@ -136,7 +142,7 @@
 		struct fix f;
 
 		engine_open(&f);
-		play(&f, x->asks, x->turn_ms, got);
+		run_requests(&f, x->requests_text, x->service_ms, got);
 		if (strcmp(got->str, x->want))
 			fail_msg("%s: %s, not %s", x->label, got->str, x->want);
 		assert_int_equal(metric(&f, "ss_gate_raised_total", ""),
@@ -147,8 +153,8 @@
 	}
 }
 
-/* Failure: each pump looks at all models that were ever asked for. */
-static void pump_looks_only_at_lanes_that_wait(void **state)
+/* A dispatch would examine the queues of all models ever requested. */
+static void dispatch_examines_only_nonempty_queues(void **state)
 {
 	struct fleet_eta etas[IDLE_MODELS] = { 0 };
 	struct msg_fleet m = { .fence = 1, .etas = { etas, IDLE_MODELS } };
@@ -165,10 +171,10 @@
 		etas[i].eta_ms = -1;
 	}
 	gate_take_fleet(f.gate, &m);
-	ask_for(&f, "Px", 'a');
-	ask_for(&f, "Um", 'b');
+	send_request(&f, "Px", 'a');
+	send_request(&f, "Um", 'b');
 	UNTIL(&f, f.eps[0].requests == 1);
-	ask_for(&f, "Un", 'c');
+	send_request(&f, "Un", 'c');
 	UNTIL(&f, waiting(&f) == 2);
 	assert_int_equal(
 		metric(&f, "ss_gate_waiting_by_priority", "priority=\"0\""), 1);
@@ -184,8 +190,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(turns_go_in_one_order_over_lanes),
-		cmocka_unit_test(pump_looks_only_at_lanes_that_wait),
+		cmocka_unit_test(one_order_over_all_model_queues),
+		cmocka_unit_test(dispatch_examines_only_nonempty_queues),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -1,4 +1,4 @@
-/* A gate that is told which endpoints fail, and tells what it sees. */
+/* Failure shares of endpoints: reported by the leader, and reported to it. */
 #include "gate_fix.h"
 
 #include "../src/core/failing.h"
@@ -7,7 +7,7 @@
 	"HTTP/1.1 500 Internal Server Error\r\n" HEAD                          \
 	"Content-Length: 0\r\n\r\n"
 
-static void tell_failing(struct fix *f, int i, int64_t of_whole)
+static void report_failing(struct fix *f, int i, int64_t of_whole)
 {
 	struct fleet_load x = { .addr = ss_str(f->eps[i].addr),
 				.failing = of_whole };
@@ -16,7 +16,7 @@
 	gate_take_fleet(f->gate, &m);
 }
 
-/* What is reported of an endpoint; -1: nothing. */
+/* Call results in a report for an endpoint; -1: none. */
 static void reported(struct fix *f, int i, int64_t *failed, int64_t *answered)
 {
 	const struct endpoint_ends *e;
@@ -34,48 +34,49 @@
 	gate_report_done(&r);
 }
 
-static void get(struct fix *f, const char *status)
+static void call_once(struct fix *f, const char *status)
 {
 	struct caller *c = call(f, POST_ONCE);
 
 	UNTIL(f, got(c, status));
 }
 
-/* Which endpoint plain calls go to where both are idle. */
-static int favourite(struct fix *f)
+/* The endpoint that plain calls go to while both are idle. */
+static int preferred_endpoint(struct fix *f)
 {
 	script(f, 0, OK_TEXT, false, false);
 	script(f, 1, OK_TEXT, false, false);
-	get(f, "HTTP/1.1 200 ");
+	call_once(f, "HTTP/1.1 200 ");
 	return f->eps[0].requests ? 0 : 1;
 }
 
 /*
- * Symptom: calls go on to an endpoint of which another entry has seen that it
- * fails. What the leader tells of it turns them away, until it has faded.
+ * Calls would continue to an endpoint that another entry has seen failing. The
+ * failure share that the leader reports diverts them until it has decayed.
  */
-static void told_failures_turn_calls_away(void **state)
+static void reported_failures_divert_calls(void **state)
 {
 	struct fix f;
 	int at;
 
 	(void)state;
 	fix_open(&f, "web", "");
-	at = favourite(&f);
-	tell_failing(&f, at, 400);
+	at = preferred_endpoint(&f);
+	report_failing(&f, at, 400);
 	for (int i = 1; i <= 3; i++)
-		get(&f, "HTTP/1.1 200 ");
+		call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 1);
 	f.clock.fake_ms += 60000;
 	tell_fleet(&f, "web", "");
-	get(&f, "HTTP/1.1 200 ");
+	call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 2);
 	fix_close(&f);
 }
 
-/* Nothing is told of sound endpoints; a failure goes with the calls that were
- * answered before it, and later answers are told while others know of it. */
-static void failures_are_told_with_answers(void **state)
+/* Endpoints without failures aren't reported. A failure is reported together
+ * with the calls answered before it; later answers are reported while other
+ * entries know of the failure. */
+static void failures_are_reported_with_answers(void **state)
 {
 	int64_t failed, answered;
 	struct fix f;
@@ -83,13 +84,13 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	at = favourite(&f);
-	get(&f, "HTTP/1.1 200 ");
+	at = preferred_endpoint(&f);
+	call_once(&f, "HTTP/1.1 200 ");
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
 	script(&f, at, FAILS, false, false);
-	get(&f, "HTTP/1.1 500 ");
+	call_once(&f, "HTTP/1.1 500 ");
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, 1);
 	assert_int_equal(answered, 2);
@@ -97,10 +98,10 @@
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
 	script(&f, at, OK_TEXT, false, false);
-	tell_failing(&f, at, 20);
+	report_failing(&f, at, 20);
 	f.at = at;
 	tell_fleet(&f, "web", "");
-	get(&f, "HTTP/1.1 200 ");
+	call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 4);
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, 0);
@@ -108,8 +109,8 @@
 	fix_close(&f);
 }
 
-/* A connection that isn't made may be this VM's own trouble. */
-static void what_isnt_reached_is_told_to_nobody(void **state)
+/* A failed connect may be a fault of this VM and isn't reported. */
+static void failed_connects_are_not_reported(void **state)
 {
 	int64_t failed, answered;
 	struct fix f;
@@ -139,9 +140,9 @@
 	return *metrics_value(f->metrics, "ss_gate_waiting", "");
 }
 
-/* Symptom: an entry is busy with nothing but connections that are refused,
- * until it is told that the model's only holders have ended. */
-static void shut_endpoint_is_tried_now_and_then(void **state)
+/* An entry would spend all its time on refused connections until the leader
+ * reports that the only endpoints with the model have ended. */
+static void unreachable_endpoint_is_retried_slowly(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -168,10 +169,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(told_failures_turn_calls_away),
-		cmocka_unit_test(failures_are_told_with_answers),
-		cmocka_unit_test(what_isnt_reached_is_told_to_nobody),
-		cmocka_unit_test(shut_endpoint_is_tried_now_and_then),
+		cmocka_unit_test(reported_failures_divert_calls),
+		cmocka_unit_test(failures_are_reported_with_answers),
+		cmocka_unit_test(failed_connects_are_not_reported),
+		cmocka_unit_test(unreachable_endpoint_is_retried_slowly),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_gate_list.c
+++ b/test/test_gate_list.c
@@ -1,4 +1,4 @@
-/* A gate without a leader: what it makes of the list of endpoints. */
+/* A gate without a leader, which reads the list of endpoints itself. */
 #include "gate_fix.h"
 
 static void add_instance(struct fix *f, struct fleet_list *l, int i,
@@ -15,17 +15,17 @@
 	g_array_append_val(l->instances, x);
 }
 
-/* How an endpoint shows in a reading. */
+/* How an endpoint appears in the list. */
 enum shape {
-	READ,	    /* its entry can be read */
-	LEAVES,	    /* and says that it leaves */
-	MISSING,    /* no entry */
-	BY_ID,	    /* its entry can't be read, but its id */
-	BY_ADDR,    /* or its address */
-	NAMELESS,   /* or neither */
-	IN_PARTS,   /* no entry, and pages are missing */
-	STRANGER,   /* it has another service that nobody names */
-	STRANGER_2, /* a second entry of it has */
+	READ,		 /* its entry is readable */
+	DRAINING,	 /* readable, and states that it drains */
+	MISSING,	 /* no entry */
+	BY_ID,		 /* entry unreadable except for its id */
+	BY_ADDR,	 /* entry unreadable except for its address */
+	UNREADABLE,	 /* entry unreadable as a whole */
+	INCOMPLETE,	 /* no entry, and pages of the list are missing */
+	UNKNOWN_SERVICE, /* its service isn't in the routing */
+	SECOND_UNKNOWN,	 /* the service of a second entry isn't */
 };
 
 static void add_shape(struct fix *f, struct fleet_list *l, int i,
@@ -36,27 +36,27 @@
 
 	switch (shape) {
 	case READ:
-	case STRANGER_2:
+	case SECOND_UNKNOWN:
 		add_instance(f, l, i, "web");
-		if (shape == STRANGER_2)
+		if (shape == SECOND_UNKNOWN)
 			add_instance(f, l, i, "who");
 		break;
-	case LEAVES:
+	case DRAINING:
 		add_instance(f, l, i, "web");
 		g_array_index(l->instances, struct fleet_instance,
 			      l->instances->len - 1)
 			.leaving = true;
 		break;
-	case STRANGER:
+	case UNKNOWN_SERVICE:
 		add_instance(f, l, i, "who");
 		break;
 	case BY_ID:
 	case BY_ADDR:
-	case NAMELESS:
+	case UNREADABLE:
 		fleet_list_add_unreadable(l, g_strdup(id), g_strdup(addr),
 					  g_strdup("x"));
 		break;
-	case IN_PARTS:
+	case INCOMPLETE:
 		l->whole = false;
 		break;
 	case MISSING:
@@ -64,8 +64,8 @@
 	}
 }
 
-/* One endpoint has a shape, the other can be read. */
-static void tell_list(struct fix *f, int i, enum shape shape)
+/* Reads a list in which endpoint i has a shape and the other is readable. */
+static void read_list(struct fix *f, int i, enum shape shape)
 {
 	struct fleet_list l;
 
@@ -79,23 +79,25 @@
 struct list_case {
 	const char *label;
 	enum shape shape;
-	bool works; /* it gets new calls */
-	bool keeps; /* its idle connection */
+	bool gets_calls;       /* gets new calls */
+	bool keeps_connection; /* its idle connection stays open */
 };
 
 static const struct list_case list_cases[] = {
-	{ "it can be read", READ, true, true },
-	{ "it leaves", LEAVES, false, true },
+	{ "its entry is readable", READ, true, true },
+	{ "it drains", DRAINING, false, true },
 	{ "it is gone", MISSING, false, false },
-	{ "its entry can't be read but for its id", BY_ID, false, true },
-	{ "its entry can't be read but for its address", BY_ADDR, false, true },
-	{ "an entry can't be read at all", NAMELESS, false, true },
-	{ "the list isn't whole", IN_PARTS, true, true },
-	{ "its service isn't named", STRANGER, false, true },
-	{ "a second entry's service isn't named", STRANGER_2, true, true },
+	{ "its entry is unreadable except for its id", BY_ID, false, true },
+	{ "its entry is unreadable except for its address", BY_ADDR, false,
+	  true },
+	{ "an entry is unreadable as a whole", UNREADABLE, false, true },
+	{ "the list is incomplete", INCOMPLETE, true, true },
+	{ "its service isn't in the routing", UNKNOWN_SERVICE, false, true },
+	{ "a second entry's service isn't in the routing", SECOND_UNKNOWN, true,
+	  true },
 };
 
-/* One after the other; how many of them an endpoint got. */
+/* Makes calls one after the other; returns how many an endpoint got. */
 static int calls_to(struct fix *f, int i)
 {
 	int before = f->eps[i].requests;
@@ -108,22 +110,21 @@
 	return f->eps[i].requests - before;
 }
 
-/* A gate that reads the list, and the endpoint that it prefers: by a hash of
- * the address, whose port is another each time. */
+/* Opens a gate that reads the list. Returns the endpoint that it prefers: by a
+ * hash of the address, whose port differs each time. */
 static int open_listed(struct fix *f)
 {
 	fix_open(f, NULL, NULL);
 	script(f, 0, OK_TEXT, false, false);
 	script(f, 1, OK_TEXT, false, false);
-	tell_list(f, 0, READ);
+	read_list(f, 0, READ);
 	return calls_to(f, 0) ? 0 : 1;
 }
 
 /*
- * Symptom: connections to an endpoint that works are closed, or calls go where
- * nobody vouches for the address. Sequence: no leader is heard, the list is
- * read directly, and an entry in it is spoiled. Cause: the endpoint counts as
- * gone, or as ready.
+ * Without a leader the gate reads the list itself. If an endpoint with a
+ * corrupt entry counted as gone, its working connections would be closed; if it
+ * counted as ready, calls would go to an unconfirmed address.
  */
 static void check_shape(const struct list_case *c)
 {
@@ -132,21 +133,21 @@
 	const struct endpoint *e = &f.eps[i];
 	int n;
 
-	tell_list(&f, i, c->shape);
-	UNTIL(&f, c->keeps || e->closed == e->opened);
+	read_list(&f, i, c->shape);
+	UNTIL(&f, c->keeps_connection || e->closed == e->opened);
 	n = calls_to(&f, i);
-	if ((n > 0) != c->works)
+	if ((n > 0) != c->gets_calls)
 		fail_msg("%s: %d calls", c->label, n);
-	if (c->keeps && e->closed)
+	if (c->keeps_connection && e->closed)
 		fail_msg("%s: its connections were closed", c->label);
-	/* Its entry is sound again. */
-	tell_list(&f, i, READ);
+	/* Its entry is readable again. */
+	read_list(&f, i, READ);
 	if (!calls_to(&f, i))
 		fail_msg("%s: it gets no calls afterwards", c->label);
 	fix_close(&f);
 }
 
-static void spoiled_entries_suspend(void **state)
+static void corrupt_entries_stop_new_calls(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(list_cases); i++)
@@ -154,11 +155,10 @@
 }
 
 /*
- * Symptom: a caller gets half an answer. Sequence: the answer is coming when
- * the endpoint's entry in the list can't be read any more. Cause: the call is
- * given up with the endpoint.
+ * A caller would get half an answer if its call were abandoned when the
+ * endpoint's entry in the list becomes unreadable.
  */
-static void calls_under_way_go_on(void **state)
+static void open_calls_survive_corrupt_entries(void **state)
 {
 	struct fix f;
 	struct caller *c;
@@ -168,12 +168,12 @@
 	fix_open(&f, NULL, NULL);
 	script(&f, 0, NULL, false, false);
 	script(&f, 1, NULL, false, false);
-	tell_list(&f, 0, READ);
+	read_list(&f, 0, READ);
 	c = call(&f, GET_SAFE);
 	UNTIL(&f, f.eps[0].requests + f.eps[1].requests == 1);
 	i = f.eps[0].requests ? 0 : 1;
-	for (enum shape s = BY_ID; s <= STRANGER; s++) {
-		tell_list(&f, i, s);
+	for (enum shape s = BY_ID; s <= UNKNOWN_SERVICE; s++) {
+		read_list(&f, i, s);
 		turn(&f);
 	}
 	assert_int_equal(f.eps[i].closed, 0);
@@ -182,8 +182,8 @@
 	fix_close(&f);
 }
 
-/* A service that no route names gets no calls, whoever lists it. */
-static void strangers_get_no_calls(void **state)
+/* Endpoints of a service that isn't in the routing get no calls. */
+static void unknown_services_get_no_calls(void **state)
 {
 	struct fix f;
 
@@ -192,40 +192,40 @@
 		fix_open(&f, NULL, NULL);
 		script(&f, 0, OK_TEXT, false, false);
 		script(&f, 1, OK_TEXT, false, false);
-		tell_list(&f, i, STRANGER);
+		read_list(&f, i, UNKNOWN_SERVICE);
 		assert_int_equal(calls_to(&f, i), 0);
-		/* Its entry is put right. */
-		tell_list(&f, i, READ);
-		tell_list(&f, !i, MISSING);
+		/* Its entry is corrected. */
+		read_list(&f, i, READ);
+		read_list(&f, !i, MISSING);
 		assert_true(calls_to(&f, i) > 0);
 		fix_close(&f);
 	}
 }
 
-/* An entry that can't be attributed doesn't keep endpoints for ever. */
-static void long_unread_is_gone(void **state)
+/* An unreadable entry without id and address keeps endpoints listed only for a
+ * limited time. */
+static void long_unreadable_is_gone(void **state)
 {
 	struct fix f;
 	int i = open_listed(&f);
 
 	(void)state;
-	tell_list(&f, i, NAMELESS);
+	read_list(&f, i, UNREADABLE);
 	f.clock.fake_ms += FLEET_UNREADABLE_MS - 1;
-	tell_list(&f, i, NAMELESS);
+	read_list(&f, i, UNREADABLE);
 	turn(&f);
 	assert_int_equal(f.eps[i].closed, 0);
 	f.clock.fake_ms += 1;
-	tell_list(&f, i, NAMELESS);
+	read_list(&f, i, UNREADABLE);
 	UNTIL(&f, f.eps[i].closed == f.eps[i].opened);
 	fix_close(&f);
 }
 
 /*
- * Symptom: an entry that has just started refuses callers although endpoints
- * are ready. Sequence: no leader, and each reading of the list lacks a page.
- * Cause: it waits for a whole one.
+ * An entry that starts without a leader would refuse callers although endpoints
+ * are ready if it waited for a complete list while each reading lacks a page.
  */
-static void parts_of_a_list_serve(void **state)
+static void incomplete_list_is_used(void **state)
 {
 	struct fix f;
 	struct caller *c;
@@ -234,7 +234,7 @@
 	fix_open(&f, NULL, NULL);
 	script(&f, 1, OK_TEXT, false, false);
 	assert_false(gate_knows_fleet(f.gate));
-	tell_list(&f, 0, IN_PARTS);
+	read_list(&f, 0, INCOMPLETE);
 	assert_true(gate_knows_fleet(f.gate));
 	c = call(&f, GET_SAFE);
 	UNTIL(&f, ends(c, "hello"));
@@ -244,11 +244,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(spoiled_entries_suspend),
-		cmocka_unit_test(calls_under_way_go_on),
-		cmocka_unit_test(strangers_get_no_calls),
-		cmocka_unit_test(long_unread_is_gone),
-		cmocka_unit_test(parts_of_a_list_serve),
+		cmocka_unit_test(corrupt_entries_stop_new_calls),
+		cmocka_unit_test(open_calls_survive_corrupt_entries),
+		cmocka_unit_test(unknown_services_get_no_calls),
+		cmocka_unit_test(long_unreadable_is_gone),
+		cmocka_unit_test(incomplete_list_is_used),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
