--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -35,16 +35,16 @@
 
 /* Signals that an endpoint states in its answers; valid for one incarnation. */
 struct gate_words {
-	int64_t leaving_ms;	 /* draining since; 0: not draining */
-	int64_t leaving_told_ms; /* draining reported to the leader; 0: no */
-	int64_t rest_until_ms;	 /* backoff ends; 0: none was requested */
-	bool rest_told;		 /* backoff reported to the leader */
+	int64_t leaving_ms;	 /* since when; 0: not draining */
+	int64_t leaving_told_ms; /* reported to the leader; 0: no */
+	int64_t rest_until_ms;	 /* 0: no backoff was requested */
+	bool rest_told;		 /* to the leader */
 	int64_t trial_ms; /* first request sent after a backoff; 0: none */
 	struct endpoint_limit limit;
-	bool limit_owed; /* the leader's limit is out of date or missing */
-	int64_t limit_told_ms;	/* limit reported to the leader; 0: not yet */
-	int64_t limit_heard_ms; /* limit last seen in an answer here; 0: never
-				 */
+	/* The limit that the leader knows is out of date or missing. */
+	bool limit_owed;
+	int64_t limit_told_ms;	/* to the leader; 0: not yet */
+	int64_t limit_heard_ms; /* in an answer here; 0: never */
 	int64_t permit_ms;	/* no grant is available earlier */
 	double seat;	 /* grants reserved for a waiting request; 0: none */
 	int64_t seat_ms; /* reservation last confirmed */
@@ -53,13 +53,13 @@
 struct gate_ep {
 	char *addr, *service, *domain, *agent;
 	struct fleet_incarnation self;
-	uint64_t life; /* this gate's own number of that incarnation */
+	uint64_t life; /* in this gate's own count */
 	int64_t slots;
 	bool known; /* listed and not gone */
 	bool leaving;
 	bool ending;	   /* drains for removal, not for a restart */
 	int64_t unread_ms; /* list entry unreadable since; 0: readable */
-	bool busy; /* loads or unloads a model, so it can't load an adapter */
+	bool busy;	   /* with a model, so it can't load an adapter */
 	GHashTable *held;  /* model -> struct gate_held */
 	GHashTable *calls; /* model -> GINT count of this gate's open calls */
 	int64_t own;	   /* open calls of this gate, all models */
@@ -69,14 +69,16 @@
 	struct failing told;	   /* failure share seen by all entries */
 	uint64_t answered, failed; /* since the last report */
 	struct ss_breaker breaker;
-	int64_t shut_until_ms; /* no connects until then, after one failed */
+	int64_t shut_until_ms; /* no connects before, as one failed */
 	struct gate_words words;
 	struct pace pace; /* timing of its streams, all models */
 	struct start_limit start_limit;
-	int64_t starts; /* this gate's prompts there without an event yet */
+	/* This gate's prompts there without an event yet. */
+	int64_t starts;
 	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
 	struct pace_open open;
-	int64_t began_ms; /* incarnation first reported; 0: with the fleet */
+	/* First report of this incarnation; 0: it came with the fleet. */
+	int64_t began_ms;
 	struct speed speed;
 	double own_ratio; /* latest own slowness ratio; 0: not known */
 	double ratio;	  /* slowness ratio in use: own or reported */
@@ -89,7 +91,7 @@
 enum forward_state {
 	FORWARD_QUOTA,	 /* waits for a grant of its customer's limit */
 	FORWARD_WAITS,	 /* waits in its model queue for an endpoint */
-	FORWARD_LOOKS,	 /* looks up the version of the stream it resumes */
+	FORWARD_LOOKS,	 /* looks up the version of a stream to resume */
 	FORWARD_ASKS,	 /* waits for the leader to allow a trial run */
 	FORWARD_ADAPTER, /* waits for an agent to load its adapter */
 	FORWARD_SENT,	 /* sent; no byte of an answer yet */
@@ -102,7 +104,7 @@
 	struct gate *g;
 	struct caller_call *caller;
 	struct ss_str body;
-	uint64_t routing; /* routing version that it was accepted under */
+	uint64_t routing; /* when it was accepted */
 	struct routing_route *route;
 	struct routing_service *service;
 	struct customer *customer; /* NULL: unknown or not needed */
@@ -122,19 +124,21 @@
 	int64_t start_ms, deadline_ms, objective_ms; /* on the clock */
 	int64_t begin_by_ms; /* the caller is expected to leave after this */
 	enum forward_state state;
-	struct lane *home; /* model queue that it uses when it waits */
+	/* Model queue that it uses when it waits. */
+	struct lane *home;
 	/* Timing of a stream's service, or of a plain request's route. */
 	struct pace *pace;
 	struct lane *lane;	  /* NULL: not queued */
-	enum admission_turn turn; /* rule by which it was sent last */
+	enum admission_turn turn; /* by which it was sent last */
 	/* Sends. */
 	GPtrArray *tried; /* struct fleet_incarnation of endpoints tried */
-	unsigned int sends, asks; /* asks: adapter requests to agents */
-	const char *held_for;	  /* why the last try to send failed, for a log
-				     line; NULL: no reason */
+	unsigned int sends;
+	unsigned int asks; /* sent to agents */
+	/* Why the last try to send failed, for a log line; NULL: no reason. */
+	const char *held_for;
 	char *ep_addr, *ep_id;
 	char *version;	  /* of the endpoint tried last; NULL: none */
-	uint64_t ep_life; /* incarnation of ep_addr that it was sent to */
+	uint64_t ep_life; /* at ep_addr when it was sent */
 	/*
 	 * Version that began the stream, once the caller has an event of it:
 	 * the stream can be resumed only there. Empty: the version isn't known
@@ -143,10 +147,12 @@
 	char *began_version, *began_addr;
 	uint64_t began_life;
 	uint64_t taken_up; /* key of the stream it resumes; 0: not named */
-	int64_t look_ms, asked_ms; /* first and latest lookup of its version */
-	int64_t heard_ms;  /* the leader last replied that it may yet know */
-	int64_t lost_ms;   /* given up then if it can be repeated, as its
-			      endpoint is gone; 0: no */
+	/* First and latest lookup of the version of the stream it resumes. */
+	int64_t look_ms, asked_ms;
+	int64_t heard_ms; /* latest; the leader may yet know it */
+	/* Given up then if it can be repeated, as its endpoint is gone; 0: no.
+	 */
+	int64_t lost_ms;
 	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
 	bool starting;	   /* counts among its endpoint's open prompts */
 	bool start_waited; /* has waited for a start limit */
@@ -157,37 +163,34 @@
 	double seen_ms;
 	double limit_per_s;   /* of its endpoint when sent; -1: none */
 	double permits;	      /* grants taken for its endpoint, unused */
-	int64_t retry_ms;     /* when it took an unused retry; 0: none */
-	int64_t open_ms;      /* earliest admission by any endpoint; 0: not
-				 known */
+	int64_t retry_ms;     /* of an unused retry; 0: none */
+	int64_t open_ms;      /* earliest at any endpoint; 0: not known */
 	int64_t waited_ms;    /* until it was first sent; -1: not yet */
 	int64_t first_ms;     /* until the answer began; -1: not yet */
-	int64_t stop_left_ms; /* time left of a planned stop when sent; -1: no
-				 stop */
+	int64_t stop_left_ms; /* of a planned stop when sent; -1: none */
 	/* Latest estimate of how long its answer takes; SS_NEVER: no estimate,
 	 * or none possible. */
 	int64_t expected_ms;
 	struct upstream_call *up;
-	bool unknown; /* an earlier send may have run */
+	bool unknown; /* by an earlier send */
 	const char *why;
 	int64_t back_ms; /* retry delay given to the caller; 0: none */
 	/* The answer. */
 	int status;
 	bool is_events, started;
-	bool paused;	  /* reading stops until the caller has caught up */
+	bool paused;	  /* until the caller has caught up */
 	GString *headers; /* to be passed on */
-	GString *held;	  /* bytes withheld until the answer is certain */
+	GString *held;	  /* until the answer is certain */
 	int64_t length;
 	struct events events;
 	struct pace_mark mark; /* of this send; zeroed: no event yet */
 	/* The newest event, and the longest time between two events. */
 	uint64_t event;
 	int64_t event_ms, pause_ms;
-	bool slowed; /* the caller delayed it since that event */
+	bool slowed; /* since that event */
 };
 
-/* Metrics of one customer. Customers beyond the first hundreds share one set.
- */
+/* Metrics of a customer; all beyond the first hundreds share one set. */
 struct customer_counts {
 	uint64_t *requests, *spent, *over;
 };
@@ -202,8 +205,8 @@
 	struct fleet_rate rate; /* of arrivals at this gate */
 	uint64_t told;		/* queue length in the last report */
 	bool changed;
-	int64_t starts_ms;	 /* requests wait for a start limit since; 0:
-				    they don't */
+	/* Requests wait for a start limit since; 0: they don't. */
+	int64_t starts_ms;
 	int64_t starts_first_ms; /* time to a first event expected there */
 	struct pace pace;	 /* of the model's streams */
 	struct pace_open open;
@@ -227,11 +230,12 @@
 	struct routing *routing;
 	uint64_t routing_version; /* of the routing set last */
 	struct freshness freshness;
-	GHashTable *eps;       /* addr -> struct gate_ep */
-	GHashTable *lanes;     /* "service\nmodel\nversion" -> struct lane */
+	GHashTable *eps; /* addr -> struct gate_ep */
+	/* "service\nmodel\nversion" -> struct lane */
+	GHashTable *lanes;
 	GHashTable *groups;    /* service -> struct lane_group */
 	GQueue groups_waiting; /* groups in which a request waits */
-	uint64_t pumps;	       /* dispatch rounds of groups so far */
+	uint64_t pumps;	       /* counts dispatches of groups */
 	GHashTable *retries;   /* service -> struct service_retries */
 	/* service -> struct pace of its streams; "service\nroute" -> of plain
 	 * answers, as a slow route would hide among a fast one's many. */
@@ -240,29 +244,30 @@
 	GHashTable *tickets; /* &ticket -> struct forward */
 	GHashTable *hists;   /* route name -> struct hist */
 	uint64_t seed, ticket, round, fence, lives;
-	GArray *early;	    /* requests held until routing or fleet is known */
+	GArray *early;	    /* until routing and fleet are known */
 	GPtrArray *endings; /* struct ending: suspected crashes */
 	struct suspects *suspects;
 	struct end_log end_log;
-	uint64_t recall; /* mark of the suspects that the leader knows of */
+	uint64_t recall;	    /* up to which the leader knows them */
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
 	uint64_t streams_told, streams_sent; /* marks */
-	struct return_turns *turns; /* return slots of refused callers */
+	struct return_turns *turns;
 	uint64_t *n_turns_given, *n_turns_beyond;
 	int64_t since_ms; /* start of this process */
-	uint64_t entries; /* largest reported number of entries; they share the
-			     slack of retries */
+	/* Largest reported number of entries; they share the slack of retries.
+	 */
+	uint64_t entries;
 	bool fleet_known;
-	bool pumping;	/* dispatch in progress; not entered again by requests
-			   that end meanwhile */
+	/* Requests that end meanwhile don't dispatch again. */
+	bool pumping;
 	int64_t end_ms; /* end of a planned stop; 0: none */
 	int64_t tidy_ms;
-	uint64_t report_print; /* hash of the last report */
+	uint64_t report_print; /* of the last report */
 	struct gate_speeds *speeds;
-	void *quota;		 /* quota client of customers' limits */
-	void *limits;		 /* quota client of endpoints' limits */
-	int64_t seats_ms;	 /* when reservations were last checked */
+	void *quota;		 /* of customers' limits */
+	void *limits;		 /* of endpoints' limits */
+	int64_t seats_ms;	 /* last checked */
 	GHashTable *quota_lines; /* customer -> struct quota_line */
 	guint quota_waiting;	 /* in all of them */
 	GHashTable *counts;	 /* customer -> struct customer_counts */
