--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -50,6 +50,7 @@
 	int64_t seat_ms; /* reservation last confirmed */
 };
 
+/* An endpoint, as this gate knows it. */
 struct gate_ep {
 	char *addr, *service, *domain, *agent;
 	struct fleet_incarnation self;
@@ -149,7 +150,7 @@
 	uint64_t taken_up; /* key of the stream it resumes; 0: not named */
 	/* First and latest lookup of the version of the stream it resumes. */
 	int64_t look_ms, asked_ms;
-	int64_t heard_ms; /* latest; the leader may yet know it */
+	int64_t heard_ms; /* latest; it may yet learn the version */
 	/* Given up then if it can be repeated, as its endpoint is gone; 0: no.
 	 */
 	int64_t lost_ms;
@@ -223,6 +224,7 @@
 	int64_t until_ms;
 };
 
+/* The gate of one entry. */
 struct gate {
 	struct gate_options o;
 	struct callers *callers;
