--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -16,14 +16,13 @@
 #define ANSWERED_KEPT 20u
 /* Suspected requests kept: as many as a fleet of 200 endpoints runs at a time,
  * in 0.5 MB. */
-#define SUSPECTS_MOST 4096
+#define SUSPECTS_MAX 4096
 /* Crash reports kept for a new leader: those of several endpoints with the
  * calls of this entry. Hundreds of entries send some MB in all, in pieces. */
-#define ENDS_MOST 256
+#define CRASH_REPORTS_MAX 256
 
-/* Streams kept in the stream log: one minute at hundreds a second, in 1.5 MB.
- */
-#define STREAMS_MOST 16384
+/* Streams kept in the log: one minute at hundreds a second, in 1.5 MB. */
+#define STREAMS_MAX 16384
 
 /* In force until the first routing sets others. */
 static const struct callers_limits initial_limits = { 16 << 10, 4 << 20, 3000,
@@ -416,7 +415,7 @@
 					"ss_gate_connections_reused_total", ""),
 	};
 
-	struct suspects_options so = { .most = SUSPECTS_MOST };
+	struct suspects_options so = { .most = SUSPECTS_MAX };
 
 	g->o = *o;
 	g->seed = o->seed;
@@ -430,12 +429,12 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->quota_lines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					       quota_line_free);
-	g->streams = stream_log_new(STREAMS_MOST);
+	g->streams = stream_log_new(STREAMS_MAX);
 	g->turns = return_turns_new();
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
 	g->endings = g_ptr_array_new_with_free_func(ending_free);
 	g->suspects = suspects_new(&so, g->since_ms);
-	end_log_init(&g->end_log, ENDS_MOST);
+	end_log_init(&g->end_log, CRASH_REPORTS_MAX);
 	g->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				       gate_ep_free);
 	lanes_init(g);
