--- a/src/config/config.c
+++ b/src/config/config.c
@@ -1,4 +1,4 @@
-/* The settings of a process. */
+/* Process settings: field tables and validation. */
 #include "config.h"
 
 #include "../core/state.h"
@@ -11,20 +11,20 @@
 static const char *const kinds[] = { "engine", "service", NULL };
 static const char *const levels[] = { "error", "warn", "info", "debug", NULL };
 
-#define STR(key, type, member, preset)                                         \
+#define STR(key, type, member, value)                                          \
 	{                                                                      \
 		key, SETTING_STR, offsetof(struct type, member), 0, 0, 0,      \
-			preset, NULL, NULL, false                              \
+			value, NULL, NULL, false                               \
 	}
-#define INT(key, type, member, least, most, preset)                            \
+#define INT(key, type, member, min, max, value)                                \
 	{                                                                      \
-		key, SETTING_INT, offsetof(struct type, member), least, most,  \
-			preset, NULL, NULL, NULL, false                        \
+		key, SETTING_INT, offsetof(struct type, member), min, max,     \
+			value, NULL, NULL, NULL, false                         \
 	}
-#define NUM(key, type, member, least, most, preset)                            \
+#define NUM(key, type, member, min, max, value)                                \
 	{                                                                      \
-		key, SETTING_NUM, offsetof(struct type, member), least, most,  \
-			preset, NULL, NULL, NULL, false                        \
+		key, SETTING_NUM, offsetof(struct type, member), min, max,     \
+			value, NULL, NULL, NULL, false                         \
 	}
 #define BOOL(key, type, member)                                                \
 	{                                                                      \
@@ -165,7 +165,7 @@
 	g_error_free(e);
 }
 
-static bool known_level(const char *level)
+static bool is_log_level(const char *level)
 {
 	for (int i = 0; levels[i]; i++)
 		if (!strcmp(levels[i], level))
@@ -177,7 +177,7 @@
 {
 	if (!*c->name)
 		add_fault(faults, file, "name", "must not be empty");
-	if (!known_level(c->log_level))
+	if (!is_log_level(c->log_level))
 		add_fault(faults, file, "log_level",
 			  "expected one of error, warn, info, debug");
 	check_addr(faults, file, "listen", c->listen);
@@ -201,7 +201,8 @@
 			  "missing: operators need a token");
 }
 
-/* The platform names control VMs by another port than their frames'. */
+/* Replaces the port of each control address: the platform lists control VMs
+ * with a port that isn't the one for frames. */
 static void set_control_port(struct config *c)
 {
 	for (guint i = 0; c->control_port && i < c->control->len; i++) {
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings, presets and models: every fault is named, all at once. */
+/* Settings and presets: error messages, defaults and the example files. */
 #include "unit.h"
 
 #include "../src/config/config.h"
@@ -45,7 +45,7 @@
 	{ "a list where an object belongs", "[]", "expected an object" },
 };
 
-static void preset_faults_are_named(void **state)
+static void preset_faults_are_reported(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(preset_faults); i++) {
@@ -62,8 +62,8 @@
 	}
 }
 
-/* A file with many faults: one run names each with its line. */
-static void all_faults_at_once(void **state)
+/* One parse reports all faults of a file, each with its line. */
+static void all_faults_are_reported_at_once(void **state)
 {
 	static const char text[] =
 		"{\n\"role\": \"clerk\",\n\"name\": 5,\n\"domian\": \"x\",\n"
@@ -106,7 +106,7 @@
 	g_error_free(error);
 }
 
-static void defaults_and_comments_work(void **state)
+static void defaults_and_comments(void **state)
 {
 	static const char text[] =
 		"{ // a comment\n\"role\": \"entry\", /* and\nanother */\n"
@@ -124,7 +124,7 @@
 	config_clear(&c);
 }
 
-static const char *const examples[] = {
+static const char *const config_files[] = {
 	"conf/dotace/control.json",    "conf/dotace/entry.json",
 	"conf/dotace/agent.json",      "conf/dotace/service.json",
 	"conf/tanfolyam/control.json", "conf/tanfolyam/entry.json",
@@ -132,8 +132,9 @@
 	"conf/fleet/control.json",     "conf/fleet/entry.json",
 	"conf/fleet/agent.json",
 };
-/* A preset that stands in a log can't be read after an upgrade. */
-static void presets_of_before_are_read(void **state)
+/* A preset in the log, in an older format, must stay readable after an
+ * upgrade. */
+static void old_presets_are_readable(void **state)
 {
 	static const char text[] =
 		"{\"classes\":{\"interactive\":{\"deadline_ms\":9}},"
@@ -147,7 +148,7 @@
 	preset_clear(&p);
 }
 
-static const char *const presets[] = {
+static const char *const preset_files[] = {
 	"conf/dotace/presets/ordinary.json",
 	"conf/dotace/presets/peak.json",
 	"conf/dotace/presets/maintenance.json",
@@ -159,26 +160,27 @@
 	"conf/fleet/presets/maintenance.json",
 };
 
-static void examples_are_right(void **state)
+static void example_files_are_valid(void **state)
 {
 	GError *error = NULL;
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(examples); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(config_files); i++) {
 		struct config c;
 
-		if (!config_load(&c, examples[i], &error))
+		if (!config_load(&c, config_files[i], &error))
 			fail_msg("%s", error->message);
 		config_clear(&c);
 	}
-	for (size_t i = 0; i < G_N_ELEMENTS(presets); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(preset_files); i++) {
 		struct preset p;
 		char *text;
 		gsize n;
 
-		assert_true(g_file_get_contents(presets[i], &text, &n, NULL));
-		if (!preset_parse(&p, presets[i], (struct ss_str){ text, n },
-				  &error))
+		assert_true(
+			g_file_get_contents(preset_files[i], &text, &n, NULL));
+		if (!preset_parse(&p, preset_files[i],
+				  (struct ss_str){ text, n }, &error))
 			fail_msg("%s", error->message);
 		preset_clear(&p);
 		g_free(text);
@@ -188,11 +190,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(preset_faults_are_named),
-		cmocka_unit_test(presets_of_before_are_read),
-		cmocka_unit_test(all_faults_at_once),
-		cmocka_unit_test(defaults_and_comments_work),
-		cmocka_unit_test(examples_are_right),
+		cmocka_unit_test(preset_faults_are_reported),
+		cmocka_unit_test(old_presets_are_readable),
+		cmocka_unit_test(all_faults_are_reported_at_once),
+		cmocka_unit_test(defaults_and_comments),
+		cmocka_unit_test(example_files_are_valid),
 	};
 
 	return cmocka_run_group_tests_name("settings", tests, NULL, NULL);
