--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -1,4 +1,4 @@
-/* The control VM's data folder. */
+/* Durable storage of a control VM: files, records and recovery. */
 #include "disk.h"
 
 #include "../base/log.h"
@@ -13,12 +13,12 @@
 #include <unistd.h>
 #include <xxhash.h>
 
-/* A sync that takes longer is logged, in ms: twice what an election waits. */
+/* A sync that takes longer is logged: twice the election timeout, in ms. */
 #define SLOW_SYNC_MS 1000
-/* Of the files; others are refused at the start. */
+/* Version of the file format; any other is refused on open. */
 #define FORMAT_VERSION 1
-#define RECORD_HEAD 16 /* length (4), its checksum (4), the body's (8) */
-#define RECORD_MAX (64u * 1024 * 1024)
+#define RECORD_HEAD 16 /* length (4), its checksum (4), body checksum (8) */
+#define RECORD_MAX (64u * 1024 * 1024) /* bytes */
 
 struct disk {
 	char *folder;
@@ -26,26 +26,26 @@
 	int dir_fd, lock_fd, log_fd;
 	uint64_t group, id, term, vote;
 	uint64_t first;	 /* index of the first record in the log file */
-	GArray *offsets; /* where each record starts */
-	uint64_t end;	 /* where the next record goes */
-	uint64_t synced; /* index of the last entry that a sync covered */
-	uint64_t marked; /* what of that the file itself tells */
-	/* What was read at the start. */
+	GArray *offsets; /* file offset of each record */
+	uint64_t end;	 /* file offset of the next record */
+	uint64_t synced; /* index of the last durable entry */
+	uint64_t marked; /* index of the last entry that a mark covers */
+	/* Contents read on open. */
 	GArray *entries;
-	GPtrArray *buffers; /* GString of the records and the snapshot */
+	GPtrArray *buffers; /* GString; entries and snapshot point into them */
 	struct ss_raft_members members;
 };
 
 /*
- * One struct for all kinds of records, by their fields. In the log, one
- * without an index is a mark: it only tells what was synced before it.
+ * All kinds of records; each uses some of the fields. A log record without an
+ * index is a mark: it only states which entries were durable before it.
  */
 struct record {
 	uint64_t version, group, id, term, vote;
 	uint64_t index;
 	int64_t kind;
 	struct ss_str data, members;
-	uint64_t synced; /* entries up to this were durable before it */
+	uint64_t synced; /* last index durable when this was written */
 };
 
 static const struct wire_field record_fields[] = {
@@ -63,8 +63,8 @@
 static const struct wire_type record_type =
 	WIRE_TYPE(struct record, record_fields);
 
-/* The whole process waits for the disk: nobody else can tell from its silence
- * whether it stands still, is frozen or has ended. */
+/* Syncs a file and logs a slow sync. The whole process blocks on the disk, and
+ * its peers can't tell a blocked process from a frozen or crashed one. */
 static int timed_sync(int fd)
 {
 	struct ss_clock clock;
@@ -112,8 +112,8 @@
 }
 
 /*
- * The length has a checksum of its own: with a turned bit it could point
- * behind the end of the file, and all from there on would pass for torn.
+ * The length has its own checksum: a flipped bit could make it point past the
+ * end of the file, and the rest of the log would then be taken for torn.
  */
 static uint32_t length_checksum(const uint8_t *length)
 {
@@ -151,8 +151,8 @@
 }
 
 /*
- * Replace a file whole: a crash leaves the old one or the new one. The
- * folder is synced too, else the new name itself could be lost.
+ * Replaces a file atomically: a crash leaves the old one or the new one. The
+ * folder is synced too, as the rename could be lost otherwise.
  */
 static bool replace_file(struct disk *d, const char *name, const GString *s,
 			 GError **error)
@@ -200,10 +200,9 @@
 }
 
 /*
- * A record that ends after the file does, or that is nothing but zeroes up
- * to the end, was being written when the VM stopped. One that is there in
- * its whole length with a wrong checksum may have been acknowledged, so it
- * is corrupt and not torn.
+ * A record that extends past the end of the file, or is all zeroes up to the
+ * end, was being written when the VM stopped and is torn. A record of full
+ * length with a wrong checksum may have been acknowledged, so it is corrupt.
  */
 static enum parsed parse_record(const GString *s, size_t at, struct wire_buf *b,
 				struct record *r, size_t *next)
@@ -266,9 +265,9 @@
 		return false;
 	if (s->len == 0) {
 		/*
-		 * An empty folder may be one whose disk was lost. It gets an
-		 * identity of its own, so that it can't vote under the name
-		 * of the one whose promises it has forgotten.
+		 * An empty folder may replace a lost disk. It gets a new
+		 * identity, so that it can't vote again as the member whose
+		 * votes it no longer has.
 		 */
 		d->id = ss_unique_id();
 		return save_meta(d, error);
@@ -278,7 +277,8 @@
 	wire_done(&b);
 	if (r.version != FORMAT_VERSION) {
 		g_set_error(error, SS_ERROR, SS_ERROR_VERSION,
-			    "%s: format %" PRIu64 ", this program has %d",
+			    "%s: data format %" PRIu64
+			    ", this program supports %d",
 			    d->folder, r.version, FORMAT_VERSION);
 		return false;
 	}
@@ -307,18 +307,18 @@
 	ok = ss_raft_decode_members(r.members, &d->members);
 	snap->index = r.index;
 	snap->term = r.term;
-	snap->data = r.data; /* into the buffer, which is kept */
+	snap->data = r.data; /* points into the buffer, which is kept */
 	snap->members = d->members;
 	wire_done(&b);
 	return ok || corrupt(d, error, "snapshot", 0);
 }
 
 /*
- * Whether anything behind a bad record proves that the entry which should
- * stand there was durable once. After a power loss each write since the
- * last sync is there, missing or torn by itself, so a hole may be followed
- * by whole records. Those were never acknowledged and may be cut; to cut a
- * durable entry would forget what this VM has promised.
+ * Returns whether a record after a bad one proves that the entry at the bad
+ * record was durable. After a power loss each write since the last sync is
+ * independently present, missing or torn, so a hole may be followed by complete
+ * records. These were never acknowledged and may be truncated; truncating a
+ * durable entry would break a promise of this VM to the group.
  */
 static bool was_durable(const GString *s, size_t from, uint64_t index)
 {
@@ -371,8 +371,8 @@
 			return corrupt(d, error, "log", at);
 		g_array_append_val(d->offsets, at);
 		/*
-		 * A snapshot that replaced this log's end was stored, but
-		 * the new log wasn't: what follows belongs to nobody.
+		 * A snapshot that replaced the end of this log was stored, but
+		 * the new log wasn't: the entries that follow are stale.
 		 */
 		replaced |= e.index == st->snapshot.index &&
 			    e.term != st->snapshot.term;
@@ -383,14 +383,14 @@
 	d->end = at;
 	if (st->cut_bytes && ftruncate(d->log_fd, (off_t)at))
 		return io_error(error, "cut", "log");
-	/* What was read may still be in the kernel's hands only. */
+	/* What was read may be in the page cache only. */
 	if (s->len && d->io.fdatasync(d->log_fd))
 		return io_error(error, "sync", "log");
 	d->synced = next_index(d, st) - 1;
 	return true;
 }
 
-/* Bring the file in line with what is in use of it. */
+/* Replaces the log file by one that holds these entries only. */
 static bool rewrite_log(struct disk *d, const struct ss_raft_entry *e, size_t n,
 			uint64_t first, GError **error)
 {
@@ -400,7 +400,7 @@
 
 	g_array_set_size(d->offsets, 0);
 	d->first = first;
-	/* The file is durable as a whole before it gets its name. */
+	/* The file is durable before it is renamed into place. */
 	d->synced = d->marked = first + n - 1;
 	for (size_t i = 0; i < n; i++) {
 		struct record r = { .index = e[i].index,
@@ -551,7 +551,7 @@
 		 GError **error)
 {
 	GString *s = g_string_new(NULL);
-	guint had = d->offsets->len;
+	guint old_len = d->offsets->len;
 	bool ok;
 
 	for (size_t i = 0; i < n; i++) {
@@ -570,9 +570,9 @@
 		d->end += s->len;
 	} else {
 		io_error(error, "append to", "log");
-		/* Half a record must not stand before the next one. */
+		/* A partial record must not precede the next one. */
 		if (ftruncate(d->log_fd, (off_t)d->end) == 0)
-			g_array_set_size(d->offsets, had);
+			g_array_set_size(d->offsets, old_len);
 	}
 	g_string_free(s, TRUE);
 	return ok;
@@ -589,8 +589,8 @@
 	d->synced = MIN(d->synced, from - 1);
 	d->marked = MIN(d->marked, d->synced);
 	/*
-	 * Synced at once: else a power loss could undo the cut and keep what
-	 * is written next, and old entries would follow the new ones.
+	 * Synced immediately: otherwise a power loss could undo the truncation
+	 * and keep the next writes, and old entries would follow new ones.
 	 */
 	if (ftruncate(d->log_fd, (off_t)d->end) || d->io.fdatasync(d->log_fd))
 		return io_error(error, "cut", "log");
@@ -623,7 +623,7 @@
 		d->marked = d->synced;
 	} else {
 		io_error(error, "mark", "log");
-		/* The next append overwrites what was left behind. */
+		/* The next append overwrites a partial mark. */
 		(void)!ftruncate(d->log_fd, (off_t)d->end);
 	}
 	g_string_free(s, TRUE);
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -1,4 +1,4 @@
-/* The data folder: torn, corrupt and full, and what survives. */
+/* The data folder with torn and corrupt files, full disks and lost disks. */
 #include "unit.h"
 
 #include "../src/disk/disk.h"
@@ -18,7 +18,7 @@
 		errno = ENOSPC;
 		return -1;
 	}
-	/* A full disk takes a part of the last write. */
+	/* A full disk accepts part of the last write. */
 	if (fail_write_after > 0) {
 		fail_write_after = 0;
 		return pwrite(fd, buf, n / 2, at);
@@ -81,7 +81,7 @@
 	}
 }
 
-/* As a power loss ends a process: nothing more is written. */
+/* Closes as on a power loss: nothing more is written. */
 static void crash(struct disk *d)
 {
 	fail_write_after = 0;
@@ -102,13 +102,13 @@
 	return d;
 }
 
-/* A folder with entries 1 to n, synced, and the mark that tells so. */
+/* Creates a folder with entries 1 to n, synced, and the mark for them. */
 static void fill(uint64_t n)
 {
 	disk_close(fill_open(n));
 }
 
-/* The same without the mark. */
+/* Same as fill(), without the mark. */
 static void fill_crash(uint64_t n)
 {
 	crash(fill_open(n));
@@ -146,11 +146,10 @@
 }
 
 /*
- * Symptom: after a power cut a control VM doesn't start, or starts with
- * half a change. Sequence: the VM stops while a record is written. Cause:
- * the file ends inside the record. Every such end is tried.
+ * A power loss during a write leaves a file that ends inside a record. The VM
+ * must start without the partial record. All possible lengths are tried.
  */
-static void torn_tail_is_cut(void **state)
+static void torn_tail_is_truncated(void **state)
 {
 	size_t whole, three;
 
@@ -174,13 +173,11 @@
 }
 
 /*
- * Symptom: after a power cut a control VM refuses its own log and never
- * starts again. Sequence: two records are written and not synced yet; of
- * the first nothing reaches the disk, the second does. Cause: a reader
- * that takes the hole for a stored record gone bad. Nobody was answered
- * for either, so both are cut.
+ * A power loss before a sync can lose the first of two records and keep the
+ * second. The hole must not be taken for a corrupt durable record, or the VM
+ * never starts again. Neither record was acknowledged, so both are truncated.
  */
-static void unsynced_hole_is_cut(void **state)
+static void unsynced_hole_is_truncated(void **state)
 {
 	size_t from, one;
 	struct disk_state s;
@@ -213,8 +210,8 @@
 	disk_close(d);
 }
 
-/* A tail of zeroes is what a file system leaves of an unsynced write. */
-static void zero_tail_is_cut(void **state)
+/* A file system may leave zeroes at the end for an unsynced write. */
+static void zero_tail_is_truncated(void **state)
 {
 	struct disk_state s;
 	struct disk *d;
@@ -229,11 +226,10 @@
 }
 
 /*
- * Symptom: accepted changes vanish after a restart. Sequence: a bit turns
- * in a stored record; the VM restarts. Cause: a reader that takes the
- * first bad record for the end cuts all that follows; a length that grew
- * looks like a torn record. A flip in any entry must be refused; one in
- * the mark behind them loses nothing.
+ * A bit flips in a stored record. If the reader took the first bad record for
+ * the end of the log, or a length that grew for a torn record, accepted changes
+ * would be lost on restart. A flip in any entry must be refused; a flip in the
+ * mark after the entries loses nothing.
  */
 static void corrupt_record_is_refused(void **state)
 {
@@ -265,11 +261,11 @@
 	}
 }
 
-struct lost_file {
+struct corrupt_file {
 	const char *label, *name;
 };
 
-static const struct lost_file corrupt_files[] = {
+static const struct corrupt_file corrupt_files[] = {
 	{ "identity and vote", "meta" },
 	{ "snapshot", "snapshot" },
 };
@@ -296,7 +292,7 @@
 	}
 }
 
-static void full_disk_refuses_and_goes_on(void **state)
+static void append_works_after_disk_full(void **state)
 {
 	struct ss_raft_entry e = entry(3, 1);
 	struct disk_state s;
@@ -310,7 +306,7 @@
 	assert_false(disk_append(d, &e, 1, &error));
 	assert_int_equal(error->code, SS_ERROR_DISK_FULL);
 	g_clear_error(&error);
-	/* Room again: the same entry goes where the half one was. */
+	/* With space again, the entry replaces the partial one. */
 	fail_write_after = -1;
 	assert_true(disk_append(d, &e, 1, NULL));
 	assert_true(disk_sync(d, NULL));
@@ -320,7 +316,7 @@
 	disk_close(d);
 }
 
-static void failed_sync_is_told(void **state)
+static void failed_sync_is_reported(void **state)
 {
 	struct disk_state s;
 	GError *error = NULL;
@@ -343,10 +339,10 @@
 }
 
 /*
- * Symptom: a member votes twice in a term. Sequence: its disk is lost, it
- * starts with an empty folder. Cause: it kept its name, but not its vote.
+ * A member that restarts with an empty folder after losing its disk has lost
+ * its vote. Under its old identity it could vote twice in a term.
  */
-static void lost_disk_gets_another_identity(void **state)
+static void lost_disk_gets_new_identity(void **state)
 {
 	struct disk_state a, b;
 	struct disk *d;
@@ -413,9 +409,9 @@
 }
 
 /*
- * Symptom: entries that a snapshot replaced come back. Sequence: the
- * snapshot is stored, the VM stops before the new log is. Cause: the old
- * log goes on after the snapshot's index with another term.
+ * The VM stops after it stored a snapshot and before it stored the new log. The
+ * old log continues after the snapshot's index with another term; its entries
+ * were replaced and must not come back.
  */
 static void old_log_after_snapshot_is_dropped(void **state)
 {
@@ -446,14 +442,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(torn_tail_is_cut),
-		cmocka_unit_test(unsynced_hole_is_cut),
-		cmocka_unit_test(zero_tail_is_cut),
+		cmocka_unit_test(torn_tail_is_truncated),
+		cmocka_unit_test(unsynced_hole_is_truncated),
+		cmocka_unit_test(zero_tail_is_truncated),
 		cmocka_unit_test(corrupt_record_is_refused),
 		cmocka_unit_test(corrupt_file_is_refused),
-		cmocka_unit_test(full_disk_refuses_and_goes_on),
-		cmocka_unit_test(failed_sync_is_told),
-		cmocka_unit_test(lost_disk_gets_another_identity),
+		cmocka_unit_test(append_works_after_disk_full),
+		cmocka_unit_test(failed_sync_is_reported),
+		cmocka_unit_test(lost_disk_gets_new_identity),
 		cmocka_unit_test(second_process_is_refused),
 		cmocka_unit_test(snapshot_replaces_the_log),
 		cmocka_unit_test(old_log_after_snapshot_is_dropped),
