--- a/src/net/probe.c
+++ b/src/net/probe.c
@@ -1,4 +1,4 @@
-/* A connection that is made to see who answers. */
+/* A non-blocking connect() whose outcome shows whether a process listens. */
 #include "probe.h"
 
 #include "../base/timeval.h"
@@ -11,9 +11,9 @@
 struct probe {
 	evutil_socket_t fd;
 	struct event *ev;
-	enum probe_result known; /* where connect() told at once */
-	bool at_once;
-	void (*then)(void *arg, enum probe_result r);
+	enum probe_result result; /* where immediate */
+	bool immediate;		  /* connect() finished without waiting */
+	void (*done)(void *arg, enum probe_result r);
 	void *arg;
 };
 
@@ -37,24 +37,24 @@
 {
 	struct probe *p = arg;
 	enum probe_result r = PROBE_SILENT;
-	void (*then)(void *, enum probe_result) = p->then;
-	void *for_whom = p->arg;
+	void (*done)(void *, enum probe_result) = p->done;
+	void *done_arg = p->arg;
 	socklen_t len = sizeof(int);
 	int error = 0;
 
-	if (p->at_once)
-		r = p->known;
+	if (p->immediate)
+		r = p->result;
 	else if ((what & EV_WRITE) &&
 		 getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len) == 0)
 		r = result_of(error);
 	probe_cancel(p);
-	then(for_whom, r);
+	done(done_arg, r);
 }
 
-static void know(struct probe *p, enum probe_result r)
+static void set_immediate(struct probe *p, enum probe_result r)
 {
-	p->at_once = true;
-	p->known = r;
+	p->immediate = true;
+	p->result = r;
 }
 
 static void start_connect(struct probe *p, const char *addr)
@@ -63,34 +63,34 @@
 	int len = sizeof(ss);
 
 	if (!addr_parse(addr, &ss, &len)) {
-		know(p, PROBE_SILENT);
+		set_immediate(p, PROBE_SILENT);
 		return;
 	}
 	p->fd = socket(ss.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC,
 		       0);
 	if (p->fd < 0)
-		know(p, PROBE_SILENT);
+		set_immediate(p, PROBE_SILENT);
 	else if (connect(p->fd, (struct sockaddr *)&ss, (socklen_t)len) == 0)
-		know(p, PROBE_LISTENS);
+		set_immediate(p, PROBE_LISTENS);
 	else if (errno != EINPROGRESS)
-		know(p, result_of(errno));
+		set_immediate(p, result_of(errno));
 }
 
 struct probe *probe_start(struct event_base *base, const char *addr,
 			  int64_t wait_ms,
-			  void (*then)(void *arg, enum probe_result r),
+			  void (*done)(void *arg, enum probe_result r),
 			  void *arg)
 {
 	struct probe *p = g_new0(struct probe, 1);
 	struct timeval wait;
 
 	p->fd = -1;
-	p->then = then;
+	p->done = done;
 	p->arg = arg;
 	start_connect(p, addr);
-	wait = timeval_of(p->at_once ? 0 : wait_ms);
-	p->ev = event_new(base, p->at_once ? -1 : p->fd,
-			  p->at_once ? 0 : EV_WRITE, on_ready, p);
+	wait = timeval_of(p->immediate ? 0 : wait_ms);
+	p->ev = event_new(base, p->immediate ? -1 : p->fd,
+			  p->immediate ? 0 : EV_WRITE, on_ready, p);
 	event_add(p->ev, &wait);
 	return p;
 }
--- a/src/net/probe.h
+++ b/src/net/probe.h
@@ -1,4 +1,4 @@
-/* Whether a process listens at an address, found out by one connection. */
+/* Checks by a TCP connection whether a process listens on an address. */
 #ifndef SS_PROBE_H
 #define SS_PROBE_H
 
@@ -6,20 +6,21 @@
 #include <sapphireshift/base.h>
 
 enum probe_result {
-	PROBE_LISTENS, /* it took the connection, which is closed again */
-	PROBE_REFUSED, /* its VM is up, and nobody listens */
-	PROBE_SILENT,  /* no answer in time, or another fault on the way */
+	PROBE_LISTENS, /* the connection was accepted; it is closed again */
+	PROBE_REFUSED, /* the VM is up and no process listens */
+	PROBE_SILENT,  /* no answer in time, or another network error */
 };
 
 struct probe;
 
 /*
- * Begin; then is called once, never from within, unless probe_cancel() comes
- * first. wait_ms: for an answer. The probe is freed after either.
+ * Starts a probe. done is called once, from the event loop, unless
+ * probe_cancel() is called before; either frees the probe. wait_ms: time limit
+ * for an answer.
  */
 struct probe *probe_start(struct event_base *base, const char *addr,
 			  int64_t wait_ms,
-			  void (*then)(void *arg, enum probe_result r),
+			  void (*done)(void *arg, enum probe_result r),
 			  void *arg);
 void probe_cancel(struct probe *p);
 
--- a/test/test_probe.c
+++ b/test/test_probe.c
@@ -1,4 +1,4 @@
-/* Probes of addresses on loopback. */
+/* Probes of loopback addresses. */
 #include "unit.h"
 
 #include "../src/net/addr.h"
@@ -8,15 +8,15 @@
 #include <netinet/in.h>
 #include <unistd.h>
 
-struct seen {
+struct probe_outcome {
 	struct event_base *base;
 	int calls;
 	enum probe_result r;
 };
 
-static void then(void *arg, enum probe_result r)
+static void on_probe(void *arg, enum probe_result r)
 {
-	struct seen *s = arg;
+	struct probe_outcome *s = arg;
 
 	s->calls++;
 	s->r = r;
@@ -47,7 +47,7 @@
 	return l;
 }
 
-/* A port that nobody else gets, and where nobody listens. */
+/* Binds a port without listening on it, so that no other process gets it. */
 static int hold_port(char addr[ADDR_BYTES])
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
@@ -59,9 +59,9 @@
 	return fd;
 }
 
-static void who_listens_is_told(void **state)
+static void probe_reports_who_listens(void **state)
 {
-	struct seen s = { .base = event_base_new() };
+	struct probe_outcome s = { .base = event_base_new() };
 	char up[ADDR_BYTES], down[ADDR_BYTES];
 	struct evconnlistener *l = listen_at(s.base, up);
 	int held = hold_port(down);
@@ -75,7 +75,7 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		s.calls = 0;
-		probe_start(s.base, cases[i].addr, 1000, then, &s);
+		probe_start(s.base, cases[i].addr, 1000, on_probe, &s);
 		assert_int_equal(s.calls, 0);
 		event_base_dispatch(s.base);
 		assert_int_equal(s.calls, 1);
@@ -86,14 +86,14 @@
 	event_base_free(s.base);
 }
 
-static void cancelled_probe_says_nothing(void **state)
+static void cancelled_probe_is_silent(void **state)
 {
-	struct seen s = { .base = event_base_new() };
+	struct probe_outcome s = { .base = event_base_new() };
 	char addr[ADDR_BYTES];
 	struct evconnlistener *l = listen_at(s.base, addr);
 
 	(void)state;
-	probe_cancel(probe_start(s.base, addr, 1000, then, &s));
+	probe_cancel(probe_start(s.base, addr, 1000, on_probe, &s));
 	evconnlistener_free(l);
 	event_base_dispatch(s.base);
 	assert_int_equal(s.calls, 0);
@@ -103,8 +103,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(who_listens_is_told),
-		cmocka_unit_test(cancelled_probe_says_nothing),
+		cmocka_unit_test(probe_reports_who_listens),
+		cmocka_unit_test(cancelled_probe_is_silent),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
