--- a/src/net/addr.c
+++ b/src/net/addr.c
@@ -1,11 +1,11 @@
-/* Addresses as they are written in settings and messages. */
+/* Parsing of "ip:port" addresses, and listening on them. */
 #include "addr.h"
 
 #include <errno.h>
 #include <event2/util.h>
 #include <netinet/in.h>
 
-/* As evutil does, but with port 0 allowed. */
+/* evutil_parse_sockaddr_port() rejects port 0. */
 bool addr_parse(const char *addr, struct sockaddr_storage *ss, int *len)
 {
 	const char *colon = strrchr(addr, ':');
@@ -31,7 +31,7 @@
 	if (addr_parse(addr, &ss, &len))
 		return true;
 	g_set_error(error, SS_ERROR, SS_ERROR_SETTINGS,
-		    "\"%s\" is no address; write ip:port", addr);
+		    "\"%s\" is not an address; expected ip:port", addr);
 	return false;
 }
 
--- a/src/net/addr.h
+++ b/src/net/addr.h
@@ -1,4 +1,4 @@
-/* Addresses as they are written in settings and messages. */
+/* Parsing of "ip:port" addresses, and listening on them. */
 #ifndef SS_ADDR_H
 #define SS_ADDR_H
 
@@ -6,21 +6,22 @@
 #include <sapphireshift/base.h>
 #include <sys/socket.h>
 
-/* Read "ip:port" or "[ip6]:port"; port 0 lets the kernel choose. */
+/* Parses "ip:port" or "[ip6]:port". Port 0 is allowed: the kernel chooses one
+ * on listen. */
 bool addr_parse(const char *addr, struct sockaddr_storage *ss, int *len);
 
-/* The same; false with SS_ERROR_SETTINGS and what to write instead. */
+/* Checks an address. On failure, SS_ERROR_SETTINGS with the expected format. */
 bool addr_check(const char *addr, GError **error);
 
 /*
- * Accept on an address. backlog: connections that may wait, -1: the library's
- * number. NULL with SS_ERROR_SETTINGS or SS_ERROR_IO.
+ * Listens on an address. backlog: as for listen(2), -1 for libevent's default.
+ * NULL with SS_ERROR_SETTINGS or SS_ERROR_IO.
  */
 struct evconnlistener *addr_listen(struct event_base *base, const char *addr,
 				   int backlog, evconnlistener_cb accepted,
 				   void *arg, GError **error);
 
-/* The port that a listening socket got. */
+/* The port that a socket is bound to. */
 uint16_t addr_port(int fd);
 
 #endif
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -1,4 +1,4 @@
-/* HTTP servers and client. */
+/* HTTP servers and a client on evhttp. */
 #include "http.h"
 
 #include "../base/timeval.h"
@@ -10,10 +10,10 @@
 #include <json-c/json.h>
 #include <sys/socket.h>
 
-/* Bytes of an operator's or scraper's head; as common servers have it. */
+/* Size limit of request headers, in bytes, as in common servers. */
 #define HEADERS_MAX 16384
-/* A client that is silent for so long is left, in s; scrapers ask each 5 to 15
- * s. */
+/* An idle client is disconnected after this time; scrapers send a request every
+ * 5 to 15 s. */
 #define SERVER_TIMEOUT_S 20
 
 struct http_server {
@@ -121,7 +121,7 @@
 					   EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD);
 	evhttp_set_max_headers_size(s->http, HEADERS_MAX);
 	evhttp_set_max_body_size(s->http, (ev_ssize_t)o->max_body);
-	/* A half-sent request may not hold a connection for ever. */
+	/* An incomplete request must not hold a connection forever. */
 	evhttp_set_timeout(s->http, SERVER_TIMEOUT_S);
 	evhttp_set_gencb(s->http, on_request, s);
 	bound = http_split_addr(o->addr, &ip, &port) &&
@@ -217,7 +217,7 @@
 {
 	char n[24];
 
-	/* evhttp itself tells the length for POST and PUT only. */
+	/* evhttp sets Content-Length for POST and PUT only. */
 	g_snprintf(n, sizeof(n), "%zu", body.n);
 	if (body.n)
 		evhttp_add_header(evhttp_request_get_output_headers(req),
@@ -225,14 +225,14 @@
 	evbuffer_add(evhttp_request_get_output_buffer(req), body.p, body.n);
 }
 
-struct get {
+struct client_request {
 	struct http_get_options o;
 	struct evhttp_connection *conn;
 };
 
-static void on_got(struct evhttp_request *req, void *arg)
+static void on_response(struct evhttp_request *req, void *arg)
 {
-	struct get *g = arg;
+	struct client_request *g = arg;
 	int status = req ? evhttp_request_get_response_code(req) : 0;
 
 	if (status) {
@@ -277,8 +277,8 @@
 
 void http_get(const struct http_get_options *o)
 {
-	struct get *g = g_new0(struct get, 1);
-	struct evhttp_request *req = evhttp_request_new(on_got, g);
+	struct client_request *g = g_new0(struct client_request, 1);
+	struct evhttp_request *req = evhttp_request_new(on_response, g);
 	struct evkeyvalq *headers = evhttp_request_get_output_headers(req);
 	struct timeval tv = timeval_of(o->timeout_ms);
 	char *ip = NULL;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-/* HTTP by evhttp: small servers for status and operators, and a client. */
+/* HTTP on evhttp: servers for status and operators, and a simple client. */
 #ifndef SS_HTTP_H
 #define SS_HTTP_H
 
@@ -8,10 +8,10 @@
 
 struct json_object;
 
-/* The HTTP status that stands for an error, for callers and operators. */
+/* Maps an error to an HTTP status, for callers and operators. */
 int http_status(enum ss_error code);
 
-/* {"error":{"type","message","outcome","request_id"}}; NULLs left out. */
+/* {"error":{"type","message","outcome","request_id"}} without NULL fields. */
 GString *http_error_json(enum ss_error code, const char *text,
 			 const char *outcome, const char *request_id);
 
@@ -20,8 +20,8 @@
 struct http_server_options {
 	struct event_base *base;
 	const char *addr; /* "ip:port" */
-	size_t max_body;
-	/* Must answer the request, now or later. */
+	size_t max_body;  /* bytes */
+	/* Must reply to the request, immediately or later. */
 	void (*handle)(void *arg, struct evhttp_request *req);
 	void *arg;
 };
@@ -36,9 +36,9 @@
 		     struct json_object *body); /* takes body */
 void http_reply_error(struct evhttp_request *req, const GError *error);
 
-/* The request's whole body. */
+/* The complete body of a request. */
 struct ss_str http_body(struct evhttp_request *req);
-/* Its body as a JSON object; NULL with SS_ERROR_BAD_REQUEST. */
+/* The body parsed as a JSON object; NULL with SS_ERROR_BAD_REQUEST. */
 struct json_object *http_body_json(struct evhttp_request *req, GError **error);
 
 struct http_get_options {
@@ -46,31 +46,33 @@
 	const char *addr;
 	const char *method; /* GET, POST, PUT, PATCH, DELETE */
 	const char *path;
-	const char *token; /* sent as bearer, may be NULL */
+	const char *token; /* bearer token; NULL: none */
 	struct ss_str body;
 	int64_t timeout_ms;
-	/* status 0: no answer; then error says why. */
+	/* status 0: no response, and error is set. */
 	void (*done)(void *arg, int status, struct ss_str body,
 		     const GError *error);
 	void *arg;
 };
 
-/* One small request on a connection of its own; done is called later. */
+/* Sends one request on a connection of its own. done is called from the event
+ * loop. */
 void http_get(const struct http_get_options *o);
 
-/* Send a client's request, with a body of JSON where there is one. Strings are
+/* Sends a client request on a connection. body: JSON; empty: none. Strings are
  * copied. */
 void http_send(struct evhttp_connection *conn, struct evhttp_request *req,
 	       const char *host, const char *method, const char *path,
 	       struct ss_str body);
 
-/* Give a client's request its body, whatever the method. */
+/* Adds a body to a client request, with any method. */
 void http_add_body(struct evhttp_request *req, struct ss_str body);
 
-/* Free a client connection once its callback has returned. */
+/* Frees a client connection from the event loop, as it must not be freed inside
+ * its callback. */
 void http_free_later(struct event_base *base, struct evhttp_connection *conn);
 
-/* Split "ip:port"; the ip without brackets. */
+/* Splits "ip:port". ip has no brackets and is freed by the caller. */
 bool http_split_addr(const char *addr, char **ip, uint16_t *port);
 
 #endif
--- a/src/net/keep.c
+++ b/src/net/keep.c
@@ -1,4 +1,4 @@
-/* Small HTTP calls over one kept connection. */
+/* An HTTP client on one persistent connection. */
 #include "keep.h"
 
 #include "../base/timeval.h"
@@ -21,7 +21,7 @@
 	void *arg;
 };
 
-static void on_answer(struct evhttp_request *req, void *arg)
+static void on_response(struct evhttp_request *req, void *arg)
 {
 	struct call *c = arg;
 	struct keep_answer a = {
@@ -66,7 +66,7 @@
 void keep_ask(struct keep *k, const struct keep_call *o)
 {
 	struct call *c = g_new0(struct call, 1);
-	struct evhttp_request *req = evhttp_request_new(on_answer, c);
+	struct evhttp_request *req = evhttp_request_new(on_response, c);
 	struct timeval tv = timeval_of(o->timeout_ms);
 
 	c->k = k;
--- a/src/net/keep.h
+++ b/src/net/keep.h
@@ -1,6 +1,6 @@
 /*
- * Small HTTP calls to one address over one kept connection, one after the
- * other, in the order in which they were asked.
+ * An HTTP client that sends its requests to one address over one persistent
+ * connection, one at a time, in the order in which they were queued.
  */
 #ifndef SS_KEEP_H
 #define SS_KEEP_H
@@ -12,28 +12,28 @@
 struct keep;
 
 struct keep_answer {
-	int status; /* 0: none came, and the call may have been carried out */
+	int status; /* 0: no response; the call may have been executed */
 	struct ss_str body;
-	const char *header; /* the wanted one; NULL: it isn't there */
-	const struct evkeyvalq *headers; /* all; NULL: no answer came */
+	const char *header; /* value of the header in want; NULL: missing */
+	const struct evkeyvalq *headers; /* all headers; NULL: no response */
 };
 
 struct keep_call {
 	const char *method; /* GET or POST */
 	const char *path;
 	struct ss_str body;	    /* JSON; empty: none */
-	const char *header, *value; /* sent beside; NULL: none */
-	const char *want; /* header of the answer that done is given */
+	const char *header, *value; /* additional request header; NULL: none */
+	const char *want; /* response header to pass to done; NULL: none */
 	int64_t timeout_ms;
 	void (*done)(void *arg, const struct keep_answer *a);
 	void *arg;
 };
 
 struct keep *keep_new(struct event_base *base, const char *addr);
-/* Calls that are still open end without done. */
+/* Pending calls are dropped; done isn't called for them. */
 void keep_free(struct keep *k);
 
-/* Strings are copied; done is called later. */
+/* Queues a call. Strings are copied; done is called from the event loop. */
 void keep_ask(struct keep *k, const struct keep_call *c);
 
 #endif
--- a/src/net/relay.c
+++ b/src/net/relay.c
@@ -1,4 +1,4 @@
-/* Calls relayed to an HTTP endpoint. */
+/* Forwarding of calls to an HTTP endpoint. */
 #include "relay.h"
 
 #include "http.h"
@@ -7,19 +7,19 @@
 #include <event2/http_struct.h>
 #include <event2/keyvalq_struct.h>
 
-/* Connections to one endpoint kept at rest: as many as an engine has slots. */
+/* Idle connections kept per endpoint: as many as an engine has slots. */
 #define IDLE_CONNS_MAX 64
-/* An answer of known length up to this is one piece. */
-#define WHOLE_MAX 65536
-/* Nothing from the endpoint for so long: it has lost the call. */
+/* A response of known length up to this is passed on as one piece, in bytes. */
+#define BUFFERED_MAX 65536
+/* The endpoint is taken to have lost a call after this time without data. */
 #define STALL_MS 600000
 
 struct relay {
 	struct event_base *base;
 	char *ip, *addr;
 	uint16_t port;
-	GQueue idle; /* struct evhttp_connection kept alive */
-	GQueue calls;
+	GQueue idle;  /* struct evhttp_connection */
+	GQueue calls; /* struct relay_call */
 };
 
 struct relay_call {
@@ -28,11 +28,11 @@
 	struct evhttp_request *req;
 	void (*piece)(void *arg, struct msg_reply *m);
 	void *arg;
-	GArray *headers; /* struct header, of the answer, until sent */
-	GString *whole;	 /* an answer of known length, as it gathers */
+	GArray *headers;   /* struct header, of the response */
+	GString *buffered; /* body of a small response */
 	int status;
-	bool started; /* the first piece has gone */
-	bool failed;  /* after the connection stood */
+	bool started; /* the first piece was passed on */
+	bool failed;  /* after the connection was established */
 	GList link;
 };
 
@@ -59,7 +59,7 @@
 		g_free((char *)h->value.p);
 	}
 	g_array_unref(c->headers);
-	g_string_free(c->whole, TRUE);
+	g_string_free(c->buffered, TRUE);
 	g_free(c);
 }
 
@@ -124,12 +124,12 @@
 	return 0;
 }
 
-static bool gathers(struct evhttp_request *req)
+static bool is_buffered(struct evhttp_request *req)
 {
 	const char *n = evhttp_find_header(
 		evhttp_request_get_input_headers(req), "Content-Length");
 
-	return n && g_ascii_strtoull(n, NULL, 10) <= WHOLE_MAX;
+	return n && g_ascii_strtoull(n, NULL, 10) <= BUFFERED_MAX;
 }
 
 static void on_chunk(struct evhttp_request *req, void *arg)
@@ -141,8 +141,8 @@
 
 	if (n == 0)
 		return;
-	if (gathers(req))
-		g_string_append_len(c->whole, data.p, (gssize)n);
+	if (is_buffered(req))
+		g_string_append_len(c->buffered, data.p, (gssize)n);
 	else
 		emit(c, data, false);
 }
@@ -185,7 +185,7 @@
 		if (!c->started && c->status == 0)
 			on_headers(req, c);
 		on_chunk(req, c);
-		emit(c, ss_str_gs(c->whole), true);
+		emit(c, ss_str_gs(c->buffered), true);
 	}
 	if (status && !c->failed && r->idle.length < IDLE_CONNS_MAX)
 		g_queue_push_head(&r->idle, conn);
@@ -200,9 +200,9 @@
 	struct timeval tv = { STALL_MS / 1000, 0 };
 
 	/*
-	 * A kept connection may be closed by the endpoint just as the call
-	 * is written, and then nobody knows whether it ran. A call that may
-	 * not be repeated gets a fresh one.
+	 * The endpoint may close an idle connection while a call is being
+	 * written to it; whether the call ran is then unknown. A call that must
+	 * not be repeated gets a new connection.
 	 */
 	if (!once)
 		conn = g_queue_pop_head(&r->idle);
@@ -247,7 +247,7 @@
 	c->piece = piece;
 	c->arg = arg;
 	c->headers = g_array_new(FALSE, FALSE, sizeof(struct header));
-	c->whole = g_string_new(NULL);
+	c->buffered = g_string_new(NULL);
 	c->conn = connection(r, m->once);
 	c->link.data = c;
 	g_queue_push_tail_link(&r->calls, &c->link);
