--- a/src/node/conn.c
+++ b/src/node/conn.c
@@ -1,4 +1,4 @@
-/* Connections between the system's own processes. */
+/* Connections between the processes of this system. */
 #include "conn.h"
 
 #include "../base/timeval.h"
@@ -12,8 +12,8 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* So many pings of a peer that are missing make it quiet. */
-#define PINGS_MISSING 2
+/* A peer is quiet after this number of missed pings. */
+#define QUIET_PINGS 2
 
 struct conn {
 	struct conn_options o;
@@ -21,12 +21,12 @@
 	struct event *timer;
 	struct msg_hello peer;
 	bool open;
-	bool sent;	/* something since the last tick of the timer */
-	bool connected; /* the peer's VM has answered; its hello may come yet */
+	bool sent;	/* something was sent since the last timer tick */
+	bool connected; /* the TCP handshake is done */
 	bool closing;
-	int depth; /* calls in progress that use c */
-	int64_t heard_ms;
-	GString *out; /* scratch for one frame */
+	int depth; /* nested callbacks that use c */
+	int64_t received_ms;
+	GString *out; /* scratch buffer for one frame */
 	void *data;
 };
 
@@ -47,7 +47,7 @@
 	g_free(c);
 }
 
-/* End a connection from inside: tell why, then free. */
+/* Closes a connection after an error: reports it, then frees c. */
 static void conn_fail(struct conn *c, GError *why)
 {
 	if (!c->closing) {
@@ -87,14 +87,14 @@
 	}
 }
 
-static bool may_send(const struct conn *c)
+static bool can_send(const struct conn *c)
 {
 	return c->open && conn_backlog(c) <= CONN_BACKLOG_MAX;
 }
 
 bool conn_send(struct conn *c, enum msg_kind kind, const void *msg)
 {
-	if (!may_send(c))
+	if (!can_send(c))
 		return false;
 	send_frame(c, kind, msg);
 	return true;
@@ -102,13 +102,13 @@
 
 bool conn_send_frame(struct conn *c, const GString *frame)
 {
-	if (!may_send(c))
+	if (!can_send(c))
 		return false;
 	write_frame(c, frame);
 	return true;
 }
 
-static bool take_hello(struct conn *c, struct frame *f, GError **error)
+static bool handle_hello(struct conn *c, struct frame *f, GError **error)
 {
 	const struct msg_hello *h = &f->u.hello;
 
@@ -119,7 +119,7 @@
 	}
 	if (h->version != CONN_PROTOCOL) {
 		g_set_error(error, SS_ERROR, SS_ERROR_VERSION,
-			    "peer %.*s speaks protocol %" PRIu64
+			    "peer %.*s uses protocol %" PRIu64
 			    ", this process %d",
 			    SS_FMT(h->name), h->version, CONN_PROTOCOL);
 		return false;
@@ -138,8 +138,8 @@
 	return true;
 }
 
-static bool take_frame(struct conn *c, const uint8_t *p, size_t n,
-		       GError **error)
+static bool handle_frame(struct conn *c, const uint8_t *p, size_t n,
+			 GError **error)
 {
 	struct frame f;
 	GError *e = NULL;
@@ -151,7 +151,7 @@
 		return e == NULL;
 	}
 	if (!c->open)
-		ok = take_hello(c, &f, error);
+		ok = handle_hello(c, &f, error);
 	else if (f.kind != MSG_PING && f.kind != MSG_HELLO)
 		c->o.ops->message(c->o.arg, c, &f);
 	frame_done(&f);
@@ -173,8 +173,8 @@
 			return true;
 		if (c->o.bytes_in)
 			*c->o.bytes_in += n;
-		if (!take_frame(c, evbuffer_pullup(in, (ev_ssize_t)n), n,
-				error))
+		if (!handle_frame(c, evbuffer_pullup(in, (ev_ssize_t)n), n,
+				  error))
 			return false;
 		evbuffer_drain(in, n);
 	}
@@ -187,7 +187,7 @@
 	GError *error = NULL;
 
 	(void)bev;
-	c->heard_ms = ss_clock_now(c->o.clock);
+	c->received_ms = ss_clock_now(c->o.clock);
 	c->depth++;
 	if (!read_frames(c, &error) && !c->closing) {
 		c->closing = true;
@@ -217,9 +217,10 @@
 }
 
 /*
- * Some box between the two ends may lose track of a connection: then
- * neither end sees an error, and writes vanish. A peer that works is never
- * quiet for longer than a few pings, so quiet means lost.
+ * Sends a ping if nothing else was sent, and closes a silent connection. A
+ * middlebox may drop the state of a connection: neither end then gets an error,
+ * and writes are lost. A working peer is never silent for more than a few
+ * pings.
  */
 static void on_timer(evutil_socket_t fd, short what, void *arg)
 {
@@ -250,7 +251,7 @@
 	c->o.ping_ms = o->ping_ms ? o->ping_ms : CONN_PING_MS;
 	c->o.silent_ms = o->silent_ms ? o->silent_ms : CONN_SILENT_MS;
 	c->out = g_string_sized_new(256);
-	c->heard_ms = ss_clock_now(o->clock);
+	c->received_ms = ss_clock_now(o->clock);
 	c->bev = bufferevent_socket_new(o->base, fd, BEV_OPT_CLOSE_ON_FREE);
 	bufferevent_setcb(c->bev, on_read, NULL, on_event, c);
 	bufferevent_enable(c->bev, EV_READ | EV_WRITE);
@@ -260,7 +261,7 @@
 	return c;
 }
 
-static void start(struct conn *c, int fd)
+static void start_conn(struct conn *c, int fd)
 {
 	int one = 1;
 
@@ -276,11 +277,11 @@
 
 	if (!addr_parse(addr, &ss, &len) ||
 	    bufferevent_socket_connect(c->bev, (struct sockaddr *)&ss, len)) {
-		/* Told by the timer, so that the caller has c by then. */
-		c->heard_ms = INT64_MIN / 2;
+		/* The timer reports the failure, after the caller has got c. */
+		c->received_ms = INT64_MIN / 2;
 		return c;
 	}
-	start(c, bufferevent_getfd(c->bev));
+	start_conn(c, bufferevent_getfd(c->bev));
 	return c;
 }
 
@@ -292,7 +293,7 @@
 	(void)ev;
 	(void)sa;
 	(void)len;
-	start(conn_new(&l->o, fd), fd);
+	start_conn(conn_new(&l->o, fd), fd);
 }
 
 struct listener *conn_listen(const struct conn_options *o, const char *addr,
@@ -348,12 +349,12 @@
 
 int64_t conn_quiet_ms(const struct conn *c)
 {
-	return ss_clock_now(c->o.clock) - c->heard_ms;
+	return ss_clock_now(c->o.clock) - c->received_ms;
 }
 
 bool conn_is_quiet(const struct conn *c)
 {
-	return conn_quiet_ms(c) > PINGS_MISSING * c->o.ping_ms;
+	return conn_quiet_ms(c) > QUIET_PINGS * c->o.ping_ms;
 }
 
 size_t conn_backlog(const struct conn *c)
--- a/src/node/frame.c
+++ b/src/node/frame.c
@@ -1,9 +1,9 @@
-/* Frames between the system's own processes. */
+/* Encoding and decoding of frames. */
 #include "frame.h"
 
 #include "../base/pack.h"
 
-/* Pack what stands behind at, where it is shorter so. */
+/* Compresses the bytes from offset at on, if that makes them shorter. */
 static void pack_message(GString *out, gsize at)
 {
 	struct ss_str bytes = { out->str + at, out->len - at };
@@ -60,14 +60,15 @@
 	return false;
 }
 
-/* The kind that stands first, and how many bytes it takes; 0: none. */
+/* Reads the kind at the start of a frame and sets *off behind it; 0: none. */
 static uint64_t read_kind(struct ss_str bytes, size_t *off)
 {
 	msgpack_unpacked kind;
 	uint64_t k = 0;
 
 	msgpack_unpacked_init(&kind);
-	/* A small number is one byte: no room here for a large claim. */
+	/* A kind is one byte. Giving msgpack no more of the input keeps it from
+	 * allocating for a huge object. */
 	if (msgpack_unpack_next(&kind, bytes.p, MIN(bytes.n, 1), off) ==
 		    MSGPACK_UNPACK_SUCCESS &&
 	    kind.data.type == MSGPACK_OBJECT_POSITIVE_INTEGER)
@@ -83,7 +84,7 @@
 	uint64_t k = read_kind(bytes, &off);
 
 	if (k == 0)
-		return bad_frame(error, "no kind");
+		return bad_frame(error, "no message kind");
 	t = k < MSG_KINDS ? msg_type((enum msg_kind)k) : NULL;
 	if (!t)
 		return false;
@@ -93,7 +94,7 @@
 			&f->u))
 		return true;
 	wire_done(&f->buf);
-	return bad_frame(error, "unreadable message");
+	return bad_frame(error, "malformed message");
 }
 
 bool frame_decode(const uint8_t *p, size_t n, struct frame *f, GError **error)
@@ -107,7 +108,7 @@
 				FRAME_MAX, error);
 	if (!f->unpacked)
 		return false;
-	/* Packed once: one within another is of no known kind. */
+	/* A nested compressed frame has an unknown kind, and is skipped. */
 	if (decode(f, ss_str_gs(f->unpacked), error))
 		return true;
 	g_string_free(f->unpacked, TRUE);
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -1,28 +1,31 @@
-/* Frames: a length of four bytes, the kind and the message in msgpack. */
+/* Message framing: a length of four bytes, the kind, and the message in
+ * msgpack. */
 #ifndef SS_FRAME_H
 #define SS_FRAME_H
 
 #include "../core/msg.h"
 
-/* The length of the rest, big endian, in bytes. */
+/* Size of the length field, in bytes. It holds the size of the rest of the
+ * frame, big endian. */
 #define FRAME_HEAD 4
-/* Bytes; the largest is a snapshot's chunk or a routing of some megabytes. */
+/* Largest frame, in bytes. The largest messages are chunks of a snapshot and
+ * routings of a few megabytes. */
 #define FRAME_MAX (16u * 1024 * 1024)
 
-/* In place of a kind: what follows is a kind and its message, packed. */
+/* Stands in place of a kind: a compressed kind and message follow. */
 #define FRAME_PACKED 0x7e
-/* Shorter messages aren't worth the time to pack them, in bytes: they fit into
- * one packet as they are. */
+/* Smallest message that is compressed, in bytes. Shorter ones fit into one
+ * packet uncompressed, so that the time isn't worth it. */
 #define FRAME_PACK_FROM 1400
 
-/* Append a whole frame, packed where that makes it shorter. */
+/* Appends a complete frame, compressed if that makes it shorter. */
 void frame_add(GString *out, enum msg_kind kind, const void *msg);
 
-/* A decoded message; its strings point into the frame's bytes. */
+/* A decoded message. Its strings point into the frame, or into unpacked. */
 struct frame {
 	enum msg_kind kind;
 	struct wire_buf buf;
-	GString *unpacked; /* that the strings point into; NULL: the frame's */
+	GString *unpacked; /* decompressed bytes; NULL: it wasn't compressed */
 	union {
 		struct msg_hello hello;
 		struct msg_ping ping;
@@ -66,15 +69,16 @@
 };
 
 /*
- * The length of the frame that starts these bytes, head and all; 0 while
- * too few are there to tell. SS_ERROR_FRAME on an empty or too long one.
+ * Returns the total length of the frame at p, or 0 if n is too short to hold
+ * the length field. Also 0, with SS_ERROR_FRAME, if the frame is empty or too
+ * long.
  */
 size_t frame_length(const uint8_t *p, size_t n, GError **error);
 
 /*
- * Decode a whole frame. False without an error for a kind that this
- * version doesn't know, which is skipped; with SS_ERROR_FRAME otherwise.
- * After true, end with frame_done().
+ * Decodes a complete frame. Returns false without an error for a kind unknown
+ * to this version, which the caller skips, and with SS_ERROR_FRAME for a
+ * malformed frame. After true, the caller frees f's memory with frame_done().
  */
 bool frame_decode(const uint8_t *p, size_t n, struct frame *f, GError **error);
 void frame_done(struct frame *f);
--- a/test/test_conn.c
+++ b/test/test_conn.c
@@ -1,4 +1,4 @@
-/* Frames and connections between own processes, with bad peers. */
+/* Frames and connections between processes, with bad input and bad peers. */
 #include "unit.h"
 
 #include "../src/node/conn.h"
@@ -9,8 +9,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Every kind through bytes and back, with all its fields zero or set. */
-static void messages_survive_the_wire(void **state)
+/* A message is the same after encoding and decoding. */
+static void message_round_trip(void **state)
 {
 	struct header h[] = { { SS_LIT("a"), SS_LIT("1") },
 			      { SS_LIT("b"), SS_LIT("") } };
@@ -66,7 +66,7 @@
 	  false },
 };
 
-static void bad_frames_are_typed(void **state)
+static void bad_frames_are_rejected(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bad_frames); i++) {
@@ -84,14 +84,14 @@
 	}
 }
 
-/* A listener whose peer is a bare socket of the test. */
+/* A listener whose peer is a plain socket. */
 struct peer {
 	struct event_base *base;
 	struct ss_clock clock;
 	struct msg_hello self;
 	struct listener *l;
 	int fd;
-	struct conn *conn; /* the listener's end, once open */
+	struct conn *conn; /* the listener's end, when open */
 	int opened, closed, got;
 	int code;
 };
@@ -143,7 +143,7 @@
 	sin.sin_port = htons(conn_listener_port(p->l));
 	sin.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 	p->fd = socket(AF_INET, SOCK_STREAM, 0);
-	/* Else the kernel holds single bytes back for tens of ms. */
+	/* Otherwise the kernel delays single bytes by tens of ms. */
 	setsockopt(p->fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	assert_int_equal(connect(p->fd, (struct sockaddr *)&sin, sizeof(sin)),
 			 0);
@@ -167,8 +167,8 @@
 
 struct peer_case {
 	const char *label;
-	struct ss_str bytes;	/* sent as they are, or else */
-	struct msg_hello hello; /* this hello */
+	struct ss_str bytes;	/* sent verbatim; if empty, */
+	struct msg_hello hello; /* this hello is sent */
 	int code;
 };
 
@@ -221,11 +221,10 @@
 }
 
 /*
- * Symptom: calls hang on a connection that looks open. Sequence: a box in
- * between forgets the connection; no end gets an error. Cause: nobody
- * notices silence.
+ * A middlebox drops the state of a connection, so that neither end gets an
+ * error. The silence must be detected, or calls hang on the open connection.
  */
-static void silent_connection_is_found(void **state)
+static void silent_connection_is_closed(void **state)
 {
 	struct msg_hello h = { .version = CONN_PROTOCOL,
 			       .group = 7,
@@ -241,8 +240,8 @@
 	peer_stop(&p);
 }
 
-/* A frame in single bytes, and two in one write, are each one message. */
-static void frames_come_in_any_cut(void **state)
+/* Frames may arrive in single bytes, or several in one segment. */
+static void frames_arrive_in_any_split(void **state)
 {
 	struct msg_hello h = { .version = CONN_PROTOCOL, .name = SS_LIT("x") };
 	struct msg_cancel m = { .sub = 4 };
@@ -269,17 +268,17 @@
 }
 
 /*
- * Symptom: no control VM is ever elected while disks are slow. Sequence: a
- * member's process waits half a second for its disk; others connect to it, and
- * give up after 0.3 s because it hasn't said hello. Cause: a busy process was
- * taken for a VM that isn't up. Its kernel answers at once.
+ * A member's process waits half a second for its disk, and others that connect
+ * to it give up after 0.3 s without its hello: no leader is elected while disks
+ * are slow. A busy process must not be taken for a VM that is down; its
+ * kernel completes the TCP handshake immediately.
  */
-static void busy_peer_is_connected_before_its_hello(void **state)
+static void busy_peer_is_connected(void **state)
 {
 	static const struct conn_ops none = { 0 };
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	socklen_t n = sizeof(sin);
-	int busy = socket(AF_INET, SOCK_STREAM, 0);
+	int listening = socket(AF_INET, SOCK_STREAM, 0);
 	struct event_base *base = event_base_new();
 	struct ss_clock clock;
 	struct msg_hello self = { .version = CONN_PROTOCOL };
@@ -292,9 +291,10 @@
 	(void)state;
 	ss_clock_init(&clock);
 	sin.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	assert_int_equal(bind(busy, (struct sockaddr *)&sin, n), 0);
-	assert_int_equal(listen(busy, 1), 0);
-	assert_int_equal(getsockname(busy, (struct sockaddr *)&sin, &n), 0);
+	assert_int_equal(bind(listening, (struct sockaddr *)&sin, n), 0);
+	assert_int_equal(listen(listening, 1), 0);
+	assert_int_equal(getsockname(listening, (struct sockaddr *)&sin, &n),
+			 0);
 	g_snprintf(addr, sizeof(addr), "127.0.0.1:%u", ntohs(sin.sin_port));
 	c = conn_connect(&o, addr);
 	assert_false(conn_is_connected(c));
@@ -303,15 +303,15 @@
 	assert_false(conn_is_open(c));
 	conn_close(c);
 	event_base_free(base);
-	close(busy);
+	close(listening);
 }
 
 /*
- * Symptom: a control VM ends with its memory over the limit. Sequence: peers
- * stand still, or their links carry less than what they are sent. Cause: what
- * waited for each of them had no bound that hundreds of peers can have at once.
+ * Peers are frozen, or their links are slower than what is sent to them. The
+ * bytes buffered for each need a limit that hundreds of peers can reach at
+ * once, or a control VM exceeds its memory limit.
  */
-static void peer_that_reads_nothing_takes_little_memory(void **state)
+static void backlog_of_a_stalled_peer_is_bounded(void **state)
 {
 	struct msg_hello hello = { .version = CONN_PROTOCOL,
 				   .name = SS_LIT("x") };
@@ -322,7 +322,7 @@
 	int sent = 0;
 
 	(void)state;
-	/* Nothing that packing makes shorter. */
+	/* Random bytes, which compression doesn't shorten. */
 	for (size_t i = 0; i < m.body.n; i++)
 		bytes[i] = (char)ss_random(&seed);
 	peer_start(&p, 0);
@@ -343,13 +343,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(messages_survive_the_wire),
-		cmocka_unit_test(bad_frames_are_typed),
+		cmocka_unit_test(message_round_trip),
+		cmocka_unit_test(bad_frames_are_rejected),
 		cmocka_unit_test(bad_peers_are_refused),
-		cmocka_unit_test(silent_connection_is_found),
-		cmocka_unit_test(busy_peer_is_connected_before_its_hello),
-		cmocka_unit_test(frames_come_in_any_cut),
-		cmocka_unit_test(peer_that_reads_nothing_takes_little_memory),
+		cmocka_unit_test(silent_connection_is_closed),
+		cmocka_unit_test(busy_peer_is_connected),
+		cmocka_unit_test(frames_arrive_in_any_split),
+		cmocka_unit_test(backlog_of_a_stalled_peer_is_bounded),
 	};
 
 	return cmocka_run_group_tests_name("conn", tests, NULL, NULL);
