--- a/src/node/link.c
+++ b/src/node/link.c
@@ -1,54 +1,56 @@
-/* The connection to the leader. */
+/* The connection to the leader: search, replacement and suspension. */
 #include "link.h"
 
 #include "../base/log.h"
 #include "../core/discovery.h"
 
 /*
- * While no leader is known one more address is asked each time, in ms, spread
- * by as much again so that those that lost it together don't come back
- * together. Those asked before stay open: a VM that knows of no leader now
- * tells as soon as it does, and one that is cut off holds up no other. So
- * eight addresses have been asked after 0.6 s, and with one VM of three that
- * answers it is found within a second.
+ * Interval at which one more address is asked while no leader is known, and its
+ * random jitter, in ms. The jitter keeps processes that lost the leader
+ * together from reconnecting together. Earlier connections stay open: a VM that
+ * knows no leader reports one as soon as it does, and an unreachable VM delays
+ * no other. Eight addresses are asked within 0.6 s; if one VM of three answers,
+ * it is found within a second.
  */
-#define ASK_MS 50
-#define ASK_SPREAD_MS 50
+#define ASK_INTERVAL_MS 50
+#define ASK_JITTER_MS 50
 
 /*
- * While the leader is quiet so many others are asked who leads, and switched to
- * where one says that it does: a leader that stands still is replaced before
- * its connection is given up. No more, as all processes ask at once.
+ * Number of other VMs that are asked for the leader while the leader is quiet.
+ * The link switches to one that reports that it leads, so a frozen leader is
+ * replaced before its connection times out. Few, as all processes ask at the
+ * same time.
  */
-#define QUIET_ASKS 2
+#define QUIET_ASKED_MAX 2
 
-/* A control VM that is asked, or leads. */
-struct ask {
+/* A connection to a control VM that is asked for the leader, or leads. */
+struct control_conn {
 	char *addr;
 	struct conn *conn;
-	int64_t begun_ms;
+	int64_t started_ms;
 };
 
 struct link {
 	struct link_options o;
 	struct discovery *discovery;
 	struct event *timer;
-	GPtrArray *asks;  /* struct ask */
-	struct ask *lead; /* one of them; NULL: no leader is known */
-	bool resting;	  /* no connection is kept or looked for */
+	GPtrArray *conns;	     /* struct control_conn */
+	struct control_conn *leader; /* one of conns; NULL: none is known */
+	bool suspended;		     /* no connections until link_wake() */
 };
 
-static void ask_free(void *p)
+static void control_conn_free(void *p)
 {
-	struct ask *a = p;
+	struct control_conn *a = p;
 
 	g_free(a->addr);
 	g_free(a);
 }
 
-static void ask_later(struct link *l)
+static void schedule_ask(struct link *l)
 {
-	int64_t ms = ASK_MS + (int64_t)(ss_random(&l->o.seed) % ASK_SPREAD_MS);
+	int64_t ms = ASK_INTERVAL_MS +
+		     (int64_t)(ss_random(&l->o.seed) % ASK_JITTER_MS);
 	struct timeval tv = { 0, ms * 1000 };
 
 	event_add(l->timer, &tv);
@@ -58,21 +60,21 @@
 {
 	const char *addr =
 		discovery_next(l->discovery, ss_clock_now(l->o.conn.clock));
-	struct ask *a;
+	struct control_conn *a;
 
 	if (!addr)
 		return;
 	log_debug("ask_leader", "addr=%s", addr);
-	a = g_new0(struct ask, 1);
+	a = g_new0(struct control_conn, 1);
 	a->addr = g_strdup(addr);
-	a->begun_ms = ss_clock_now(l->o.conn.clock);
-	g_ptr_array_add(l->asks, a);
+	a->started_ms = ss_clock_now(l->o.conn.clock);
+	g_ptr_array_add(l->conns, a);
 	a->conn = conn_connect(&l->o.conn, addr);
 	conn_set_data(a->conn, a);
 }
 
-/* Its connection is gone, or goes now. */
-static void end_ask(struct link *l, struct ask *a)
+/* Removes a connection and closes it, if it is still open. */
+static void remove_conn(struct link *l, struct control_conn *a)
 {
 	struct conn *c = a->conn;
 
@@ -81,30 +83,30 @@
 		conn_set_data(c, NULL);
 		conn_close(c);
 	}
-	g_ptr_array_remove(l->asks, a);
+	g_ptr_array_remove(l->conns, a);
 }
 
-static void lose(struct link *l, const char *why)
+static void lose_leader(struct link *l, const char *why)
 {
-	struct ask *a = l->lead;
+	struct control_conn *a = l->leader;
 
-	l->lead = NULL;
+	l->leader = NULL;
 	log_warn("leader_lost", "addr=%s why=\"%s\"", a->addr, why);
-	end_ask(l, a);
+	remove_conn(l, a);
 	l->o.ops->down(l->o.arg);
-	ask_later(l);
+	schedule_ask(l);
 }
 
-static void end_unanswered(struct link *l)
+static void remove_unconnected(struct link *l)
 {
 	int64_t now = ss_clock_now(l->o.conn.clock);
 
-	for (guint i = l->asks->len; i-- > 0;) {
-		struct ask *a = l->asks->pdata[i];
+	for (guint i = l->conns->len; i-- > 0;) {
+		struct control_conn *a = l->conns->pdata[i];
 
 		if (!conn_is_connected(a->conn) &&
-		    now - a->begun_ms > CONN_ANSWER_MS)
-			end_ask(l, a);
+		    now - a->started_ms > CONN_ANSWER_MS)
+			remove_conn(l, a);
 	}
 }
 
@@ -114,11 +116,11 @@
 
 	(void)fd;
 	(void)what;
-	if (l->lead || l->resting)
+	if (l->leader || l->suspended)
 		return;
-	end_unanswered(l);
+	remove_unconnected(l);
 	ask_next(l);
-	ask_later(l);
+	schedule_ask(l);
 }
 
 static void on_open(void *arg, struct conn *c)
@@ -127,23 +129,24 @@
 	(void)c;
 }
 
-static void end_others(struct link *l, const struct ask *a)
+static void remove_others(struct link *l, const struct control_conn *a)
 {
-	for (guint i = l->asks->len; i-- > 0;)
-		if (l->asks->pdata[i] != a)
-			end_ask(l, l->asks->pdata[i]);
+	for (guint i = l->conns->len; i-- > 0;)
+		if (l->conns->pdata[i] != a)
+			remove_conn(l, l->conns->pdata[i]);
 }
 
-static void found(struct link *l, struct ask *a, uint64_t group)
+static void set_leader(struct link *l, struct control_conn *a, uint64_t group)
 {
-	if (l->lead) {
-		log_warn("leader_lost", "addr=%s why=\"quiet, and %s leads\"",
-			 l->lead->addr, a->addr);
-		l->lead = NULL;
+	if (l->leader) {
+		log_warn("leader_lost",
+			 "addr=%s why=\"no heartbeat; %s leads now\"",
+			 l->leader->addr, a->addr);
+		l->leader = NULL;
 		l->o.ops->down(l->o.arg);
 	}
-	end_others(l, a);
-	l->lead = a;
+	remove_others(l, a);
+	l->leader = a;
 	l->o.ops->up(l->o.arg, group);
 }
 
@@ -151,14 +154,14 @@
 {
 	struct link *l = arg;
 
-	if (!l->lead || conn_data(c) != l->lead)
+	if (!l->leader || conn_data(c) != l->leader)
 		return;
-	end_unanswered(l);
-	if (l->asks->len <= QUIET_ASKS)
+	remove_unconnected(l);
+	if (l->conns->len <= QUIET_ASKED_MAX)
 		ask_next(l);
 }
 
-static void learn(struct link *l, const struct msg_leader *m)
+static void add_members(struct link *l, const struct msg_leader *m)
 {
 	const struct control_addr *all = m->members.items;
 
@@ -167,52 +170,52 @@
 	discovery_told(l->discovery, m->addr, (struct ss_str){ 0 });
 }
 
-static void take_leader(struct link *l, struct ask *a,
-			const struct msg_leader *m)
+static void handle_leader(struct link *l, struct control_conn *a,
+			  const struct msg_leader *m)
 {
-	learn(l, m);
-	if (m->here && l->lead != a) {
-		if (!l->lead || conn_is_quiet(l->lead->conn))
-			found(l, a, m->group);
+	add_members(l, m);
+	if (m->here && l->leader != a) {
+		if (!l->leader || conn_is_quiet(l->leader->conn))
+			set_leader(l, a, m->group);
 		else
-			end_ask(l, a);
+			remove_conn(l, a);
 	}
 	if (m->here)
 		return;
-	if (l->lead == a)
-		lose(l, "it says that it doesn't lead any more");
-	if (!l->lead && m->addr.n)
+	if (l->leader == a)
+		lose_leader(l, "it reported that it no longer leads");
+	if (!l->leader && m->addr.n)
 		ask_next(l);
 }
 
 static void on_message(void *arg, struct conn *c, struct frame *f)
 {
 	struct link *l = arg;
-	struct ask *a = conn_data(c);
+	struct control_conn *a = conn_data(c);
 
 	if (!a)
 		return;
-	/* It was quiet, and is back. */
-	if (a == l->lead && l->asks->len > 1)
-		end_others(l, a);
+	/* The leader was quiet and has recovered. */
+	if (a == l->leader && l->conns->len > 1)
+		remove_others(l, a);
 	if (f->kind == MSG_LEADER)
-		take_leader(l, a, &f->u.leader);
-	else if (a == l->lead)
+		handle_leader(l, a, &f->u.leader);
+	else if (a == l->leader)
 		l->o.ops->message(l->o.arg, f);
 }
 
 static void on_closed(void *arg, struct conn *c, const GError *why)
 {
 	struct link *l = arg;
-	struct ask *a = conn_data(c);
+	struct control_conn *a = conn_data(c);
 
 	if (!a)
 		return;
 	a->conn = NULL;
-	if (a == l->lead)
-		lose(l, why ? why->message : "closed");
+	if (a == l->leader)
+		lose_leader(l, why ? why->message : "closed");
 	else
-		end_ask(l, a);
+		remove_conn(l, a);
 }
 
 static const struct conn_ops link_conn_ops = { on_open, on_message, on_closed };
@@ -226,25 +229,25 @@
 	l->o.conn.arg = l;
 	l->o.conn.quiet = on_quiet;
 	l->discovery = discovery_new(o->control, ss_random(&l->o.seed));
-	l->asks = g_ptr_array_new_with_free_func(ask_free);
+	l->conns = g_ptr_array_new_with_free_func(control_conn_free);
 	l->timer = evtimer_new(o->conn.base, on_timer, l);
 	ask_next(l);
-	ask_later(l);
+	schedule_ask(l);
 	return l;
 }
 
-static void end_all(struct link *l)
+static void remove_all(struct link *l)
 {
-	while (l->asks->len)
-		end_ask(l, l->asks->pdata[0]);
+	while (l->conns->len)
+		remove_conn(l, l->conns->pdata[0]);
 }
 
 void link_free(struct link *l)
 {
 	if (!l)
 		return;
-	end_all(l);
-	g_ptr_array_unref(l->asks);
+	remove_all(l);
+	g_ptr_array_unref(l->conns);
 	event_free(l->timer);
 	discovery_free(l->discovery);
 	g_free(l);
@@ -252,40 +255,40 @@
 
 bool link_send(struct link *l, enum msg_kind kind, const void *msg)
 {
-	return l->lead && conn_send(l->lead->conn, kind, msg);
+	return l->leader && conn_send(l->leader->conn, kind, msg);
 }
 
 const char *link_leader(const struct link *l)
 {
-	return l->lead ? l->lead->addr : NULL;
+	return l->leader ? l->leader->addr : NULL;
 }
 
 bool link_is_up(const struct link *l)
 {
-	return l->lead != NULL;
+	return l->leader != NULL;
 }
 
 void link_rest(struct link *l)
 {
-	l->resting = true;
-	l->lead = NULL;
-	end_all(l);
+	l->suspended = true;
+	l->leader = NULL;
+	remove_all(l);
 	event_del(l->timer);
 }
 
 void link_wake(struct link *l)
 {
-	if (!l->resting)
+	if (!l->suspended)
 		return;
-	l->resting = false;
+	l->suspended = false;
 	ask_next(l);
-	ask_later(l);
+	schedule_ask(l);
 }
 
 void link_told(struct link *l, const struct msg_leader *m)
 {
-	learn(l, m);
-	if (!l->lead && !l->resting)
+	add_members(l, m);
+	if (!l->leader && !l->suspended)
 		ask_next(l);
 }
 
--- a/src/node/link.h
+++ b/src/node/link.h
@@ -1,6 +1,7 @@
 /*
- * An entry's, agent's or relay's connection to the leader: found by asking
- * control VMs, several at a time, and anew when it moves or goes silent.
+ * The connection of an entry, agent or relay to the leader. The leader is found
+ * by asking several control VMs at a time, and again when leadership moves or
+ * the leader goes silent.
  */
 #ifndef SS_LINK_H
 #define SS_LINK_H
@@ -16,7 +17,7 @@
 };
 
 struct link_options {
-	struct conn_options conn; /* ops and arg are the link's own */
+	struct conn_options conn; /* ops and arg are set by the link */
 	const GPtrArray *control; /* char *, addresses to ask */
 	const struct link_ops *ops;
 	void *arg;
@@ -26,24 +27,25 @@
 struct link *link_new(const struct link_options *o);
 void link_free(struct link *l);
 
-/* False where no leader is known at the moment. */
+/* Sends to the leader. False if there is no connection to it. */
 bool link_send(struct link *l, enum msg_kind kind, const void *msg);
-/* Address of the leader; NULL while none is known. */
+/* Address of the leader; NULL if none is known. */
 const char *link_leader(const struct link *l);
 bool link_is_up(const struct link *l);
 
 /*
- * Keep no connection until link_wake(): whoever needs the leader seldom costs
- * it nothing meanwhile. What was told of control VMs is kept.
+ * Closes all connections until link_wake(), so that a process which rarely
+ * needs the leader doesn't cost it heartbeats. Known addresses of control VMs
+ * are kept. down isn't called.
  */
 void link_rest(struct link *l);
-/* Look for the leader, where that isn't under way. */
+/* Searches for the leader again after link_rest(). */
 void link_wake(struct link *l);
 
-/* A member has announced its group, unasked. */
+/* Handles an unsolicited announcement of the group by a member. */
 void link_told(struct link *l, const struct msg_leader *m);
-/* Control VMs that were told of: struct control_addr, views until the next
- * message; the caller's to unref. */
+/* Control VMs reported by others, as struct control_addr. The strings are valid
+ * until the next message; the caller unrefs the array. */
 GArray *link_known(const struct link *l);
 
 #endif
--- a/test/test_link.c
+++ b/test/test_link.c
@@ -1,4 +1,4 @@
-/* The connection to the leader: kept, given up while nobody needs it. */
+/* The connection to the leader: suspension, and replacement of the leader. */
 #include "unit.h"
 
 #include "../src/node/link.h"
@@ -8,49 +8,49 @@
 #define GROUP 7
 #define NEVER_MS 600000
 
-/* A leader on loopback, and a link that looks for it. */
-struct link_fix {
+/* A leader on a loopback address and a link that searches for it. */
+struct link_fixture {
 	struct event_base *base;
 	struct ss_clock clock;
 	struct msg_hello self, leader;
 	struct listener *listener;
 	GPtrArray *control;
 	struct link *link;
-	int opened, closed; /* connections, as the leader sees them */
-	int up, down;	    /* as the link tells */
+	int opened, closed; /* connections at the leader */
+	int up, down;	    /* calls of the link's up and down */
 };
 
-static void lead_open(void *arg, struct conn *c)
+static void leader_open(void *arg, struct conn *c)
 {
-	struct link_fix *f = arg;
+	struct link_fixture *f = arg;
 	struct msg_leader m = { .group = GROUP, .here = true };
 
 	f->opened++;
 	conn_send(c, MSG_LEADER, &m);
 }
 
-static void lead_message(void *arg, struct conn *c, struct frame *frame)
+static void leader_message(void *arg, struct conn *c, struct frame *frame)
 {
 	(void)arg;
 	(void)c;
 	(void)frame;
 }
 
-static void lead_closed(void *arg, struct conn *c, const GError *why)
+static void leader_closed(void *arg, struct conn *c, const GError *why)
 {
-	struct link_fix *f = arg;
+	struct link_fixture *f = arg;
 
 	(void)c;
 	(void)why;
 	f->closed++;
 }
 
-static const struct conn_ops lead_table = { lead_open, lead_message,
-					    lead_closed };
+static const struct conn_ops leader_conn_ops = { leader_open, leader_message,
+						 leader_closed };
 
 static void link_up(void *arg, uint64_t group)
 {
-	struct link_fix *f = arg;
+	struct link_fixture *f = arg;
 
 	assert_int_equal(group, GROUP);
 	f->up++;
@@ -64,17 +64,20 @@
 
 static void link_down(void *arg)
 {
-	((struct link_fix *)arg)->down++;
+	((struct link_fixture *)arg)->down++;
 }
 
-static const struct link_ops link_table = { link_up, link_message, link_down };
+static const struct link_ops fixture_link_ops = { link_up, link_message,
+						  link_down };
 
-static void fix_begin(struct link_fix *f)
+static void setup(struct link_fixture *f)
 {
 	struct conn_options lo = { .self = &f->leader,
-				   .ops = &lead_table,
+				   .ops = &leader_conn_ops,
 				   .arg = f };
-	struct link_options o = { .ops = &link_table, .arg = f, .seed = 1 };
+	struct link_options o = { .ops = &fixture_link_ops,
+				  .arg = f,
+				  .seed = 1 };
 
 	memset(f, 0, sizeof(*f));
 	f->base = event_base_new();
@@ -100,50 +103,50 @@
 	f->link = link_new(&o);
 }
 
-static void fix_end(struct link_fix *f)
+static void teardown(struct link_fixture *f)
 {
 	link_free(f->link);
 	conn_listener_free(f->listener);
-	/* Until the leader's ends of all connections are closed too, also of
-	 * those that never came to their hello. */
+	/* Runs until the leader's ends of all connections are closed, including
+	 * those that didn't receive a hello. */
 	event_base_dispatch(f->base);
 	event_base_free(f->base);
 	g_ptr_array_unref(f->control);
 }
 
-static void run_until(struct link_fix *f, const int *count, int n)
+static void run_until(struct link_fixture *f, const int *count, int n)
 {
 	while (*count < n)
 		event_base_loop(f->base, EVLOOP_ONCE);
 }
 
 /*
- * Symptom: the leader of a large fleet spends its time on heartbeats of
- * processes that need it once a day. Sequence: a hundred relays start, and none
- * is asked anything. Cause: each kept its connection.
+ * A hundred relays start, and each needs the leader about once a day. If they
+ * keep their connections, the leader of a large fleet spends its time on their
+ * heartbeats.
  */
-static void resting_link_keeps_no_connection(void **state)
+static void suspended_link_has_no_connection(void **state)
 {
-	struct link_fix f;
+	struct link_fixture f;
 
 	(void)state;
-	fix_begin(&f);
+	setup(&f);
 	run_until(&f, &f.up, 1);
 	assert_true(link_is_up(f.link));
 	link_rest(f.link);
 	assert_false(link_is_up(f.link));
 	run_until(&f, &f.closed, f.opened);
-	/* Whoever rests knows that it does: that is no lost leader. */
+	/* A suspended link hasn't lost its leader. */
 	assert_int_equal(f.down, 0);
-	fix_end(&f);
+	teardown(&f);
 }
 
-static void woken_link_finds_the_leader_again(void **state)
+static void resumed_link_finds_the_leader(void **state)
 {
-	struct link_fix f;
+	struct link_fixture f;
 
 	(void)state;
-	fix_begin(&f);
+	setup(&f);
 	link_rest(f.link);
 	link_rest(f.link);
 	link_wake(f.link);
@@ -153,38 +156,38 @@
 	link_wake(f.link);
 	run_until(&f, &f.up, 2);
 	assert_string_equal(link_leader(f.link), f.control->pdata[0]);
-	fix_end(&f);
+	teardown(&f);
 }
 
-/* What members announce is remembered, and asks nobody. */
-static void resting_link_remembers_what_it_is_told(void **state)
+/* Announced members are stored; no connection is made. */
+static void suspended_link_stores_announced_members(void **state)
 {
 	struct control_addr a = { SS_LIT("127.0.0.1:1") };
 	struct msg_leader m = { .group = GROUP,
 				.addr = a.addr,
 				.members = { &a, 1 } };
-	struct link_fix f;
+	struct link_fixture f;
 	GArray *known;
 
 	(void)state;
-	fix_begin(&f);
+	setup(&f);
 	link_rest(f.link);
 	link_told(f.link, &m);
 	known = link_known(f.link);
 	assert_int_equal(known->len, 1);
 	g_array_unref(known);
 	assert_int_equal(f.opened, 0);
-	fix_end(&f);
+	teardown(&f);
 }
 
-/* A control VM of several, which tells what it is told to. */
+/* One of several control VMs; it sends reply to each new connection. */
 struct member {
-	struct link_fix *f;
+	struct link_fixture *f;
 	struct msg_hello self;
 	struct listener *listener;
 	char *addr;
 	GPtrArray *conns;
-	struct msg_leader says;
+	struct msg_leader reply;
 };
 
 static void member_open(void *arg, struct conn *c)
@@ -192,7 +195,7 @@
 	struct member *m = arg;
 
 	g_ptr_array_add(m->conns, c);
-	conn_send(c, MSG_LEADER, &m->says);
+	conn_send(c, MSG_LEADER, &m->reply);
 }
 
 static void member_message(void *arg, struct conn *c, struct frame *frame)
@@ -210,15 +213,16 @@
 	g_ptr_array_remove(m->conns, c);
 }
 
-static const struct conn_ops member_table = { member_open, member_message,
-					      member_closed };
+static const struct conn_ops member_conn_ops = { member_open, member_message,
+						 member_closed };
 
-static void member_begin(struct member *m, struct link_fix *f, int64_t ping_ms)
+static void member_start(struct member *m, struct link_fixture *f,
+			 int64_t ping_ms)
 {
 	struct conn_options o = { .base = f->base,
 				  .clock = &f->clock,
 				  .self = &m->self,
-				  .ops = &member_table,
+				  .ops = &member_conn_ops,
 				  .arg = m,
 				  .ping_ms = ping_ms,
 				  .silent_ms = NEVER_MS };
@@ -234,7 +238,7 @@
 				  conn_listener_port(m->listener));
 }
 
-static void member_end(struct member *m)
+static void member_stop(struct member *m)
 {
 	conn_listener_free(m->listener);
 	g_ptr_array_unref(m->conns);
@@ -243,27 +247,30 @@
 
 struct quiet_case {
 	const char *label;
-	int64_t ping_ms; /* of the leader */
-	int64_t step_ms; /* that the clock moves in a turn */
+	int64_t ping_ms; /* ping interval of the leader */
+	int64_t step_ms; /* clock advance per loop iteration */
 	int downs;
 };
 
-/* A leader that stands still is replaced; its callers learn of the next only
- * when its connection is given up. */
-static void quiet_leader_is_left_for_the_next(void **state)
+/*
+ * A frozen leader is replaced by one that reports that it leads; a leader that
+ * sends pings is kept. Without that, processes learn of the next leader only
+ * when the connection to the frozen one times out.
+ */
+static void quiet_leader_is_replaced(void **state)
 {
 	static const struct quiet_case cases[] = {
-		{ "it stands still", NEVER_MS, 100, 1 },
-		{ "it speaks", 5, 0, 0 },
+		{ "frozen leader", NEVER_MS, 100, 1 },
+		{ "live leader", 5, 0, 0 },
 	};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct member old = { 0 }, next = { 0 };
-		struct link_options o = { .ops = &link_table, .seed = 1 };
-		struct link_fix f = { 0 };
+		struct link_options o = { .ops = &fixture_link_ops, .seed = 1 };
+		struct link_fixture f = { 0 };
 		struct control_addr addr;
-		struct msg_leader told = { .group = GROUP };
+		struct msg_leader announced = { .group = GROUP };
 		int rounds = 0;
 
 		f.base = event_base_new();
@@ -271,9 +278,9 @@
 		f.self = (struct msg_hello){ .version = CONN_PROTOCOL,
 					     .role = ROLE_RELAY,
 					     .name = SS_LIT("relay") };
-		member_begin(&old, &f, cases[i].ping_ms);
-		member_begin(&next, &f, 5);
-		old.says = next.says =
+		member_start(&old, &f, cases[i].ping_ms);
+		member_start(&next, &f, 5);
+		old.reply = next.reply =
 			(struct msg_leader){ .group = GROUP, .here = true };
 		f.control = g_ptr_array_new();
 		g_ptr_array_add(f.control, old.addr);
@@ -287,9 +294,9 @@
 		f.link = link_new(&o);
 		run_until(&f, &f.up, 1);
 		addr.addr = ss_str(next.addr);
-		told.members = (struct wire_list){ &addr, 1 };
-		link_told(f.link, &told);
-		/* So many turns of both ends' timers. */
+		announced.members = (struct wire_list){ &addr, 1 };
+		link_told(f.link, &announced);
+		/* Up to 400 iterations, with timers of both ends. */
 		while (f.down < 1 && rounds++ < 400) {
 			f.clock.fake_ms += cases[i].step_ms;
 			event_base_loop(f.base, EVLOOP_ONCE);
@@ -301,8 +308,8 @@
 		link_free(f.link);
 		while (old.conns->len + next.conns->len)
 			event_base_loop(f.base, EVLOOP_ONCE);
-		member_end(&old);
-		member_end(&next);
+		member_stop(&old);
+		member_stop(&next);
 		g_ptr_array_unref(f.control);
 		event_base_free(f.base);
 	}
@@ -311,10 +318,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(resting_link_keeps_no_connection),
-		cmocka_unit_test(woken_link_finds_the_leader_again),
-		cmocka_unit_test(resting_link_remembers_what_it_is_told),
-		cmocka_unit_test(quiet_leader_is_left_for_the_next),
+		cmocka_unit_test(suspended_link_has_no_connection),
+		cmocka_unit_test(resumed_link_finds_the_leader),
+		cmocka_unit_test(suspended_link_stores_announced_members),
+		cmocka_unit_test(quiet_leader_is_replaced),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
