--- a/src/node/frame.c
+++ b/src/node/frame.c
@@ -9,7 +9,7 @@
 	struct ss_str bytes = { out->str + at, out->len - at };
 	GString *packed;
 
-	if (bytes.n < FRAME_PACK_FROM)
+	if (bytes.n < FRAME_PACK_MIN)
 		return;
 	packed = g_string_sized_new(bytes.n);
 	g_string_append_c(packed, FRAME_PACKED);
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -16,7 +16,7 @@
 #define FRAME_PACKED 0x7e
 /* Smallest message that is compressed, in bytes. Shorter ones fit into one
  * packet uncompressed, so that the time isn't worth it. */
-#define FRAME_PACK_FROM 1400
+#define FRAME_PACK_MIN 1400
 
 /* Appends a complete frame, compressed if that makes it shorter. */
 void frame_add(GString *out, enum msg_kind kind, const void *msg);
