--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -1,7 +1,7 @@
 /*
- * Operators' HTTP.
+ * The operators' HTTP API.
  *
- *   GET    /v1/presets                 names, versions, which is in force
+ *   GET    /v1/presets                 names, versions, the active one
  *   GET    /v1/presets/NAME            {"name","version","body"}
  *   PUT    /v1/presets/NAME            {"body","expect"}
  *   PATCH  /v1/presets/NAME            {"field","value","expect"}
@@ -13,8 +13,8 @@
  *   GET    /v1/members                 DELETE /v1/members/ID
  *   GET    /v1/status  /v1/why/MODEL
  *
- * A change may carry "change_id" and "author". Sent again with the same
- * id it is answered as the first time and not applied twice.
+ * A change may carry "change_id" and "author". A change sent again with the
+ * same id gets the first answer and isn't applied twice.
  */
 #include "operator.h"
 
@@ -24,9 +24,10 @@
 
 #include <json-c/json.h>
 
-/* Bytes of a change: a list of 30,000 adapters has some 3 MB. */
+/* Largest body of a change, in bytes; a list of 30,000 adapters has some
+ * 3 MB. */
 #define BODY_MAX (8 * 1024 * 1024)
-/* Of a preset or a model. */
+/* Longest name of a preset. */
 #define NAME_MAX_BYTES 128
 
 struct operator_http {
@@ -35,16 +36,16 @@
 	char *token;
 };
 
-/* One request while its change or confirmation is under way. */
-struct asked {
+/* A request whose change or confirmation is pending. */
+struct api_call {
 	struct operator_http *h;
 	struct evhttp_request *req;
-	json_object *body; /* NULL without one */
-	char *name;	   /* the last part of the path, decoded */
-	void (*then)(struct asked *a);
+	json_object *body; /* NULL: no body */
+	char *name; /* decoded end of the path, after the table's prefix */
+	void (*handler)(struct api_call *a);
 };
 
-static void asked_free(struct asked *a)
+static void api_call_free(struct api_call *a)
 {
 	json_object_put(a->body);
 	g_free(a->name);
@@ -69,7 +70,7 @@
 	return NULL;
 }
 
-/* Compare in a time that doesn't tell how much of a guess was right. */
+/* Compares in time that doesn't depend on how much of a guess is right. */
 static bool same_token(const char *a, const char *b)
 {
 	size_t n = strlen(a);
@@ -99,7 +100,7 @@
 	g_error_free(e);
 }
 
-/* Fields of a request's body. */
+/* Fields of request bodies. */
 
 static const char *text_field(json_object *o, const char *key)
 {
@@ -127,7 +128,7 @@
 static void on_changed(void *arg, const struct command_result *r,
 		       const GError *error)
 {
-	struct asked *a = arg;
+	struct api_call *a = arg;
 	json_object *o;
 
 	if (error) {
@@ -156,10 +157,10 @@
 				       json_object_new_boolean(r->resend));
 		http_reply_json(a->req, 200, o);
 	}
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void change(struct asked *a, struct command *c)
+static void change(struct api_call *a, struct command *c)
 {
 	struct operator_done done = { on_changed, a };
 	struct operator_http *h = a->h;
@@ -171,10 +172,11 @@
 	h->o.ops->change(h->o.arg, c, done);
 }
 
-static void asked_fail(struct asked *a, enum ss_error code, const char *text)
+static void api_call_fail(struct api_call *a, enum ss_error code,
+			  const char *text)
 {
 	fail(a->req, code, text);
-	asked_free(a);
+	api_call_free(a);
 }
 
 static bool valid_name(const char *s)
@@ -187,7 +189,7 @@
 	return n > 0 && n <= NAME_MAX_BYTES;
 }
 
-static void put_body(struct asked *a, const char *body, uint64_t expect)
+static void put_body(struct api_call *a, const char *body, uint64_t expect)
 {
 	struct preset_rec rec = { .name = ss_str(a->name),
 				  .body = ss_str(body) };
@@ -200,29 +202,31 @@
 	if (!preset_parse(&p, a->name, rec.body, &error)) {
 		http_reply_error(a->req, error);
 		g_error_free(error);
-		asked_free(a);
+		api_call_free(a);
 		return;
 	}
 	preset_clear(&p);
 	change(a, &c);
 }
 
-static void put_preset(struct asked *a)
+static void put_preset(struct api_call *a)
 {
 	json_object *body;
 	uint64_t expect;
 	char *text;
 
 	if (!valid_name(a->name)) {
-		asked_fail(a, SS_ERROR_BAD_REQUEST, "unusable preset name");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST, "unusable preset name");
 	} else if (!expect_field(a->body, &expect)) {
-		asked_fail(a, SS_ERROR_BAD_REQUEST,
-			   "\"expect\" must be the preset's version, 0 for a "
-			   "new one");
+		api_call_fail(
+			a, SS_ERROR_BAD_REQUEST,
+			"\"expect\" must be the preset's version, 0 for a "
+			"new one");
 	} else if (!json_object_object_get_ex(a->body, "body", &body)) {
-		asked_fail(a, SS_ERROR_BAD_REQUEST, "\"body\" is missing");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST, "\"body\" is missing");
 	} else {
-		/* One field a line, so that a fault's line says something. */
+		/* One field per line, so that line numbers in errors are
+		 * useful. */
 		text = g_strdup(json_object_to_json_string_ext(
 			body, JSON_C_TO_STRING_PRETTY));
 		put_body(a, text, expect);
@@ -230,7 +234,8 @@
 	}
 }
 
-/* Set "a.b.c" in an object; false where the path meets no object. */
+/* Sets the field "a.b.c" of an object. False if the path leads through a value
+ * that isn't an object. */
 static bool set_path(json_object *root, const char *field, json_object *value)
 {
 	char **parts = g_strsplit(field, ".", 8);
@@ -254,7 +259,7 @@
 	return ok;
 }
 
-static void patch_preset(struct asked *a)
+static void patch_preset(struct api_call *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *p = ss_state_preset(s, a->name);
@@ -263,18 +268,18 @@
 	char *text;
 
 	if (!p) {
-		asked_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
+		api_call_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
 		return;
 	}
 	if (!expect_field(a->body, &expect) || !*text_field(a->body, "field") ||
 	    !json_object_object_get_ex(a->body, "value", &value)) {
-		asked_fail(a, SS_ERROR_BAD_REQUEST,
-			   "\"field\", \"value\" and \"expect\" are needed");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST,
+			      "\"field\", \"value\" and \"expect\" are needed");
 		return;
 	}
 	body = json_tokener_parse(p->body.p);
 	if (!set_path(body, text_field(a->body, "field"), value)) {
-		asked_fail(a, SS_ERROR_BAD_REQUEST, "no such field");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST, "no such field");
 	} else {
 		text = g_strdup(json_object_to_json_string_ext(
 			body, JSON_C_TO_STRING_PRETTY));
@@ -284,7 +289,7 @@
 	json_object_put(body);
 }
 
-static void delete_preset(struct asked *a)
+static void delete_preset(struct api_call *a)
 {
 	struct preset_rec rec = { .name = ss_str(a->name) };
 	struct command c = { .kind = COMMAND_PRESET_DELETE, .preset = &rec };
@@ -292,24 +297,24 @@
 	if (expect_field(a->body, &c.expect))
 		change(a, &c);
 	else
-		asked_fail(a, SS_ERROR_BAD_REQUEST, "\"expect\" is missing");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST, "\"expect\" is missing");
 }
 
-static void switch_preset(struct asked *a)
+static void switch_preset(struct api_call *a)
 {
 	struct preset_rec rec = { .name = ss_str(
 					  text_field(a->body, "preset")) };
 	struct command c = { .kind = COMMAND_PRESET_SWITCH, .preset = &rec };
 
 	if (rec.name.n == 0 || !expect_field(a->body, &c.expect))
-		asked_fail(a, SS_ERROR_BAD_REQUEST,
-			   "\"preset\" and \"expect\" are needed; expect is "
-			   "the configuration's version");
+		api_call_fail(a, SS_ERROR_BAD_REQUEST,
+			      "\"preset\" and \"expect\" are needed; expect is "
+			      "the configuration's version");
 	else
 		change(a, &c);
 }
 
-static void put_models(struct asked *a)
+static void put_models(struct api_call *a)
 {
 	struct command c = { .kind = COMMAND_MODELS_PUT };
 	struct config_models m;
@@ -325,7 +330,7 @@
 		http_reply_error(a->req, error);
 		g_error_free(error);
 		json_object_put(only);
-		asked_free(a);
+		api_call_free(a);
 		return;
 	}
 	recs = config_models_records(&m);
@@ -337,7 +342,7 @@
 	json_object_put(only);
 }
 
-static void node_state(struct asked *a)
+static void node_state(struct api_call *a)
 {
 	static const struct {
 		const char *verb;
@@ -358,10 +363,10 @@
 		change(a, &c);
 		return;
 	}
-	asked_fail(a, SS_ERROR_NOT_FOUND, "drain, undrain or forget");
+	api_call_fail(a, SS_ERROR_NOT_FOUND, "drain, undrain or forget");
 }
 
-static void remove_member(struct asked *a)
+static void remove_member(struct api_call *a)
 {
 	uint64_t id = g_ascii_strtoull(a->name, NULL, 16);
 	GError *error = NULL;
@@ -372,11 +377,11 @@
 		http_reply_error(a->req, error);
 		g_error_free(error);
 	}
-	asked_free(a);
+	api_call_free(a);
 }
 
-/* Reads. All of them are answered only by a leader that a majority has
- * confirmed since the question came. */
+/* Reads. Only a leader that a majority has confirmed since the request arrived
+ * answers them. */
 
 static json_object *preset_json(const struct preset_rec *p, bool body)
 {
@@ -391,7 +396,7 @@
 	return o;
 }
 
-static void list_presets(struct asked *a)
+static void list_presets(struct api_call *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *now = ss_state_in_force(s);
@@ -409,20 +414,20 @@
 		root, "version",
 		json_object_new_int64((int64_t)ss_state_config_version(s)));
 	http_reply_json(a->req, 200, root);
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void show_preset(struct asked *a)
+static void show_preset(struct api_call *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *p = ss_state_preset(s, a->name);
 
 	if (!p) {
-		asked_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
+		api_call_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
 		return;
 	}
 	http_reply_json(a->req, 200, preset_json(p, true));
-	asked_free(a);
+	api_call_free(a);
 }
 
 static json_object *change_json(const struct change_rec *c)
@@ -444,7 +449,7 @@
 	return o;
 }
 
-static void show_history(struct asked *a)
+static void show_history(struct api_call *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	json_object *root = json_object_new_object();
@@ -454,10 +459,10 @@
 		json_object_array_add(list, change_json(p->data));
 	json_object_object_add(root, "history", list);
 	http_reply_json(a->req, 200, root);
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void list_models(struct asked *a)
+static void list_models(struct api_call *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	json_object *root = json_object_new_object();
@@ -483,53 +488,54 @@
 	g_list_free(all);
 	json_object_object_add(root, "models", list);
 	http_reply_json(a->req, 200, root);
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void show_status(struct asked *a)
+static void show_status(struct api_call *a)
 {
 	json_object *o = json_object_new_object();
 
 	a->h->o.ops->status(a->h->o.arg, o);
 	http_reply_json(a->req, 200, o);
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void show_members(struct asked *a)
+static void show_members(struct api_call *a)
 {
 	http_reply_json(a->req, 200, a->h->o.ops->members(a->h->o.arg));
-	asked_free(a);
+	api_call_free(a);
 }
 
-static void show_why(struct asked *a)
+static void show_why(struct api_call *a)
 {
 	json_object *o = a->h->o.ops->why(a->h->o.arg, a->name);
 
 	if (!o) {
-		asked_fail(a, SS_ERROR_UNKNOWN_MODEL, "no such model");
+		api_call_fail(a, SS_ERROR_UNKNOWN_MODEL, "no such model");
 		return;
 	}
 	http_reply_json(a->req, 200, o);
-	asked_free(a);
+	api_call_free(a);
 }
 
 static void on_confirmed(void *arg, bool ok)
 {
-	struct asked *a = arg;
+	struct api_call *a = arg;
 
 	if (ok)
-		a->then(a);
+		a->handler(a);
 	else
-		asked_fail(a, SS_ERROR_NOT_LEADER,
-			   "this VM doesn't lead, or no majority confirms it");
+		api_call_fail(
+			a, SS_ERROR_NOT_LEADER,
+			"this VM doesn't lead, or no majority confirms it");
 }
 
 /* Paths. */
 
 struct path {
 	enum evhttp_cmd_type method;
-	const char *path; /* one that ends in "/" takes a name */
-	void (*fn)(struct asked *a);
+	const char *path; /* a path that ends in "/" is followed by a name */
+	void (*fn)(struct api_call *a);
 };
 
 static const struct path paths[] = {
@@ -572,7 +578,7 @@
 		evhttp_uri_get_path(evhttp_request_get_evhttp_uri(req));
 	enum evhttp_cmd_type method = evhttp_request_get_command(req);
 	const struct path *p;
-	struct asked *a;
+	struct api_call *a;
 	GError *error = NULL;
 
 	if (h->o.ops->plain(h->o.arg, req))
@@ -587,17 +593,17 @@
 		fail(req, SS_ERROR_NOT_FOUND, "no such path");
 		return;
 	}
-	a = g_new0(struct asked, 1);
+	a = g_new0(struct api_call, 1);
 	a->h = h;
 	a->req = req;
 	a->name = evhttp_uridecode(path + strlen(p->path), 0, NULL);
-	a->then = p->fn;
+	a->handler = p->fn;
 	if (http_body(req).n)
 		a->body = http_body_json(req, &error);
 	if (error) {
 		http_reply_error(req, error);
 		g_error_free(error);
-		asked_free(a);
+		api_call_free(a);
 		return;
 	}
 	h->o.ops->confirm(h->o.arg, on_confirmed, a);
--- a/src/operator/routing_http.c
+++ b/src/operator/routing_http.c
@@ -1,36 +1,38 @@
-/* The platform operators' calls on the routing. */
+/* HTTP API of the platform's operators for the routing. */
 #include "routing_http.h"
 
 #include "../base/log.h"
 #include "../core/routing_update.h"
 
-/* A configuration of 30,000 adapters and thousands of routes, in bytes. */
+/* Largest body, in bytes: 30,000 adapters and thousands of routes. */
 #define BODY_MAX (15u << 20)
-/* A call waits so long, in ms, for the table to be what the log says; then it
- * is refused. */
-#define TABLE_MS 1000
+/* Time limit for a request to wait until the routing table has caught up with
+ * the log, in ms. */
+#define TABLE_WAIT_MS 1000
 
 struct routing_http {
 	struct routing_http_options o;
 	struct http_server *server;
-	GArray *held; /* struct held_call */
-	GQueue puts;  /* struct pending, to be read one after the other */
-	struct event *turn;
+	GArray *held;	    /* struct held_call */
+	GQueue puts;	    /* struct pending, parsed one at a time */
+	struct event *step; /* parses in the event loop */
 };
 
-/* One that came while no leader was known. */
+/* A request that waits for a leader to be known. */
 struct held_call {
 	struct evhttp_request *req;
 	int64_t since_ms;
 };
 
-/* One call that is read, or waits for the log. */
+/* A request that is being parsed, or waits for the log. */
 struct pending {
 	struct routing_http *h;
 	struct evhttp_request *req;
-	struct routing_update *update; /* NULL: it is to be compared first */
-	uint64_t version, tried; /* to be made; in force when it was proposed */
-	int64_t came_ms, read_ms; /* when it came; how long it took to read */
+	struct routing_update *update; /* NULL: not compared yet */
+	uint64_t version;	       /* of the new routing */
+	uint64_t base_version; /* current version when it was proposed */
+	int64_t received_ms;   /* time of arrival */
+	int64_t read_ms;       /* duration until it was parsed */
 };
 
 static void refuse(struct evhttp_request *req, enum ss_error code,
@@ -63,11 +65,11 @@
 	return ss_state_routing(h->o.ops->state(h->o.arg));
 }
 
-static void next_turn(struct routing_http *h)
+static void schedule_step(struct routing_http *h)
 {
-	static const struct timeval at_once = { 0, 0 };
+	static const struct timeval no_delay = { 0, 0 };
 
-	event_add(h->turn, &at_once);
+	event_add(h->step, &no_delay);
 }
 
 static void on_changed(void *arg, const struct command_result *r,
@@ -76,15 +78,16 @@
 	struct pending *p = arg;
 	struct routing_http *h = p->h;
 
-	/* Not accepted yet, and maybe later: no clear answer. */
+	/* Not accepted yet, but it may be later: the outcome is unknown. */
 	if (error) {
 		log_info("routing_unclear", "version=%" PRIu64 " why=\"%s\"",
 			 p->version, error->message);
 		refuse(p->req, SS_ERROR_UNAVAILABLE, error->message);
-	} else if (r->code == SS_ERROR_CONFLICT && r->version != p->tried) {
-		/* Another came first: it is compared with that now. */
+	} else if (r->code == SS_ERROR_CONFLICT &&
+		   r->version != p->base_version) {
+		/* Another change came first: compares with that version now. */
 		g_queue_push_tail(&h->puts, p);
-		next_turn(h);
+		schedule_step(h);
 		return;
 	} else if (r->code) {
 		refuse(p->req, (enum ss_error)r->code, r->text);
@@ -93,7 +96,7 @@
 			 "version=%" PRIu64 " in_force=%" PRIu64
 			 " read_ms=%" PRId64 " ms=%" PRId64,
 			 p->version, r->version, p->read_ms,
-			 ss_clock_now(h->o.clock) - p->came_ms);
+			 ss_clock_now(h->o.clock) - p->received_ms);
 		http_reply(p->req, 200, "application/json", SS_LIT("{}"));
 	}
 	pending_free(p);
@@ -101,7 +104,7 @@
 
 static void refuse_put(struct pending *p, GError *error)
 {
-	/* The table isn't what the log says: no fault of the call. */
+	/* The table is behind the log, which isn't an error of the request. */
 	if (error->code == SS_ERROR_FRAME)
 		error->code = SS_ERROR_UNAVAILABLE;
 	log_info("routing_refused", "why=\"%s\"", error->message);
@@ -120,15 +123,16 @@
 
 	rec.change = ss_str_gs(packed);
 	p->version = rec.version;
-	p->tried = document_version(in_force(h));
-	p->read_ms = ss_clock_now(h->o.clock) - p->came_ms;
+	p->base_version = document_version(in_force(h));
+	p->read_ms = ss_clock_now(h->o.clock) - p->received_ms;
 	routing_update_free(p->update);
 	p->update = NULL;
 	h->o.ops->change(h->o.arg, &c, (struct operator_done){ on_changed, p });
 	g_string_free(packed, TRUE);
 }
 
-/* Against what is in force, which may have changed since it was begun. */
+/* Compares with the current routing, which may have changed since parsing
+ * began. */
 static bool compare(struct pending *p, GError **error)
 {
 	struct routing_http *h = p->h;
@@ -148,17 +152,19 @@
 	return patch != NULL;
 }
 
-/* The table follows the log a little further in each turn, too. */
+/* Whether the table is behind the log; it catches up over several iterations of
+ * the event loop. */
 static bool is_behind(const struct pending *p)
 {
 	const struct routing_http *h = p->h;
 
 	return h->o.routing->version != document_version(in_force(h)) &&
-	       ss_clock_now(h->o.clock) - p->came_ms < TABLE_MS;
+	       ss_clock_now(h->o.clock) - p->received_ms < TABLE_WAIT_MS;
 }
 
-/* The first in line is read a little further in each turn of the loop. */
-static void on_turn(evutil_socket_t fd, short what, void *arg)
+/* Parses a part of the first queued request in each iteration of the event
+ * loop. */
+static void on_step(evutil_socket_t fd, short what, void *arg)
 {
 	struct routing_http *h = arg;
 	struct pending *p = g_queue_peek_head(&h->puts);
@@ -179,16 +185,16 @@
 			refuse_put(p, error);
 	}
 	if (h->puts.length)
-		next_turn(h);
+		schedule_step(h);
 }
 
 static void put(struct routing_http *h, struct evhttp_request *req)
 {
 	struct pending *p = pending_new(h, req);
 
-	p->came_ms = ss_clock_now(h->o.clock);
+	p->received_ms = ss_clock_now(h->o.clock);
 	g_queue_push_tail(&h->puts, p);
-	next_turn(h);
+	schedule_step(h);
 }
 
 static void on_confirmed(void *arg, bool ok)
@@ -215,7 +221,7 @@
 	return evhttp_uri_get_path(evhttp_request_get_evhttp_uri(req));
 }
 
-/* False where no leader is known. */
+/* Redirects to the leader; false if none is known. */
 static bool redirect(struct routing_http *h, struct evhttp_request *req)
 {
 	char *leader = h->o.ops->leader(h->o.arg);
@@ -240,8 +246,8 @@
 	refuse(req, SS_ERROR_UNAVAILABLE, "no leader is known");
 }
 
-/* To the leader, now or as soon as it is known. */
-static void pass_on(struct routing_http *h, struct evhttp_request *req)
+/* Redirects to the leader, or holds the request until one is known. */
+static void redirect_or_hold(struct routing_http *h, struct evhttp_request *req)
 {
 	struct held_call held = { .req = req };
 
@@ -286,7 +292,7 @@
 	if (!is_put && !is_get)
 		refuse(req, SS_ERROR_NOT_FOUND, "no such call");
 	else if (!h->o.ops->leads(h->o.arg))
-		pass_on(h, req);
+		redirect_or_hold(h, req);
 	else if (is_put)
 		put(h, req);
 	else
@@ -306,7 +312,7 @@
 	h->o = *o;
 	h->held = g_array_new(FALSE, FALSE, sizeof(struct held_call));
 	g_queue_init(&h->puts);
-	h->turn = evtimer_new(o->base, on_turn, h);
+	h->step = evtimer_new(o->base, on_step, h);
 	h->server = http_server_new(&so, error);
 	if (h->server)
 		return h;
@@ -328,7 +334,7 @@
 {
 	if (!h)
 		return;
-	event_free(h->turn);
+	event_free(h->step);
 	g_queue_clear_full(&h->puts, (GDestroyNotify)pending_free);
 	http_server_free(h->server);
 	g_array_unref(h->held);
--- a/src/operator/routing_http.h
+++ b/src/operator/routing_http.h
@@ -1,6 +1,7 @@
 /*
- * The platform operators' calls: put a routing in force, and read the one
- * in force. Put to any control VM; those that don't lead redirect.
+ * HTTP API of the platform's operators: read the current routing and replace
+ * it. Any control VM accepts requests; those that don't lead redirect to the
+ * leader.
  */
 #ifndef SS_ROUTING_HTTP_H
 #define SS_ROUTING_HTTP_H
@@ -12,14 +13,17 @@
 
 struct routing_http_ops {
 	bool (*leads)(void *arg);
-	/* Operators' address of the leader, owned; NULL where unknown. */
+	/* Operators' address of the leader; the caller frees it. NULL if no
+	 * leader is known. */
 	char *(*leader)(void *arg);
+	/* Proposes a change to the group. */
 	void (*change)(void *arg, struct command *c, struct operator_done done);
-	/* Called back once a majority has confirmed that this VM leads. */
+	/* Calls fn when a majority has confirmed that this VM leads, or with ok
+	 * false. */
 	void (*confirm)(void *arg, void (*fn)(void *fn_arg, bool ok),
 			void *fn_arg);
 	const struct ss_state *(*state)(void *arg);
-	/* /healthz, /readyz and /metrics. */
+	/* Replies to /healthz, /readyz and /metrics. False for other paths. */
 	bool (*plain)(void *arg, struct evhttp_request *req);
 };
 
@@ -28,9 +32,10 @@
 	const struct platform_ops *platform;
 	const char *addr;
 	const struct ss_clock *clock;
-	struct routing *routing; /* that follows the log; NULL: never leads */
-	/* A call that comes while no leader is known waits so long for one; 0:
-	 * it is refused at once. */
+	/* The table that follows the log; NULL: this VM never leads. */
+	struct routing *routing;
+	/* How long a request waits for a leader while none is known; 0: it is
+	 * refused immediately. */
 	int64_t hold_ms;
 	const struct routing_http_ops *ops;
 	void *arg;
@@ -41,13 +46,14 @@
 struct routing_http *routing_http_new(const struct routing_http_options *o,
 				      GError **error);
 /*
- * Operators' address of the control VM with this frame address, owned: all
- * of them take operators on the same port. NULL where it isn't known.
+ * Converts a control VM's frame address to its operators' address: all control
+ * VMs use the port of own_listen for operators. The caller frees it. NULL if
+ * addr is NULL or has no port.
  */
 char *routing_http_peer(const char *addr, const char *own_listen);
 
-/* Look after calls that wait for a leader: one may be known by now, or it is
- * time to refuse them. */
+/* Redirects requests that wait for a leader if one is known now, and refuses
+ * those that have waited too long. */
 void routing_http_look(struct routing_http *h);
 
 void routing_http_free(struct routing_http *h);
