--- a/src/caller/caller.c
+++ b/src/caller/caller.c
@@ -1,4 +1,4 @@
-/* Callers' HTTP. */
+/* HTTP server for callers. */
 #include "caller.h"
 
 #include "../net/http.h"
@@ -9,13 +9,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that wait to be accepted; beyond it a caller's first packet is
- * lost, and sent again a second later. */
+/* Connections that may wait to be accepted. Beyond that, a caller's SYN is
+ * dropped, and sent again a second later. */
 #define BACKLOG 1024
-/* How often idle and slow callers are looked for; exact to this, in ms. */
+/* Interval of the check for idle and slow callers, and its precision. */
 #define SWEEP_MS 500
-/* A caller whose answer is cut reads the rest within this time. */
-#define CUT_WRITE_S 5
+/* How long a caller may take to read the rest of a truncated answer. */
+#define TRUNCATED_WRITE_TIMEOUT_S 5
 
 struct caller {
 	struct caller_options o;
@@ -28,15 +28,15 @@
 struct caller_conn {
 	struct caller *c;
 	evhtp_connection_t *conn;
-	struct caller_req *req; /* the one being answered */
-	int64_t since_ms;	/* begin of a request not read whole yet */
-	bool reading;
+	struct caller_req *req;	  /* the one that is being answered */
+	int64_t receive_start_ms; /* of a request that is incomplete */
+	bool receiving;
 	GList link;
 };
 
 struct caller_req {
 	struct caller *c;
-	struct caller_conn *cc; /* NULL once the connection is going */
+	struct caller_conn *cc; /* NULL once the connection is being freed */
 	evhtp_request_t *req;
 	bool started;
 	void *data;
@@ -49,7 +49,7 @@
 	(void)req;
 	if (r->cc)
 		r->cc->req = NULL;
-	r->c->o.ops->gone(r->c->o.arg, r);
+	r->c->o.ops->disconnected(r->c->o.arg, r);
 	g_free(r);
 	return EVHTP_RES_OK;
 }
@@ -111,7 +111,7 @@
 		evhtp_send_reply(req, EVHTP_RES_SERVERR);
 		return;
 	}
-	cc->reading = false;
+	cc->receiving = false;
 	r = g_new0(struct caller_req, 1);
 	r->c = c;
 	r->cc = cc;
@@ -127,8 +127,8 @@
 	struct caller_conn *cc = arg;
 
 	(void)req;
-	cc->reading = true;
-	cc->since_ms = ss_clock_now(cc->c->o.clock);
+	cc->receiving = true;
+	cc->receive_start_ms = ss_clock_now(cc->c->o.clock);
 	return EVHTP_RES_OK;
 }
 
@@ -136,7 +136,7 @@
 {
 	struct caller_conn *cc = arg;
 
-	/* The library ends the connection first, then its request. */
+	/* libevhtp frees the connection before its request. */
 	if (cc->req)
 		cc->req->cc = NULL;
 	g_hash_table_remove(cc->c->by_conn, conn);
@@ -155,9 +155,9 @@
 	cc->c = c;
 	cc->conn = conn;
 	cc->link.data = cc;
-	/* A connection that sends nothing at all is swept as well. */
-	cc->reading = true;
-	cc->since_ms = ss_clock_now(c->o.clock);
+	/* So that the sweep also closes a connection that stays silent. */
+	cc->receiving = true;
+	cc->receive_start_ms = ss_clock_now(c->o.clock);
 	g_queue_push_tail_link(&c->conns, &cc->link);
 	g_hash_table_insert(c->by_conn, conn, cc);
 	evhtp_connection_set_hook(conn, evhtp_hook_on_headers_start,
@@ -167,7 +167,7 @@
 	return EVHTP_RES_OK;
 }
 
-/* End connections whose request does not arrive whole in time. */
+/* Closes connections whose request isn't complete in time. */
 static void on_sweep(evutil_socket_t fd, short what, void *arg)
 {
 	struct caller *c = arg;
@@ -180,7 +180,8 @@
 		struct caller_conn *cc = p->data;
 
 		next = p->next;
-		if (!cc->reading || now - cc->since_ms < c->o.receive_ms)
+		if (!cc->receiving ||
+		    now - cc->receive_start_ms < c->o.receive_ms)
 			continue;
 		c->o.ops->refused(c->o.arg, SS_ERROR_DEADLINE);
 		evhtp_connection_free(cc->conn);
@@ -188,8 +189,8 @@
 }
 
 /*
- * The library's own bind lets several processes share a port: a second
- * entry started by mistake would get a part of the callers.
+ * Binds without SO_REUSEPORT. libevhtp's own bind lets several processes share
+ * a port: a second entry started by mistake would get a part of the callers.
  */
 static int bind_socket(const char *addr)
 {
@@ -298,7 +299,7 @@
 	}
 }
 
-/* The library may free the request at its end; from here on it is gone. */
+/* Unhooks a request before its last write, in which libevhtp may free it. */
 static void detach(struct caller_req *r)
 {
 	evhtp_request_unset_hook(r->req, evhtp_hook_on_request_fini);
@@ -349,14 +350,14 @@
 }
 
 /*
- * Close a connection once what was written has gone out. The library
- * closes after a whole answer only; a body without its last chunk would
- * leave the caller waiting for it.
+ * Closes a connection once its output is written. libevhtp closes only after a
+ * complete answer; after a body without its last chunk, the caller would wait
+ * for more.
  */
 static void close_after_write(struct caller_conn *cc)
 {
 	evhtp_connection_t *conn = cc->conn;
-	struct timeval tv = { CUT_WRITE_S, 0 };
+	struct timeval tv = { TRUNCATED_WRITE_TIMEOUT_S, 0 };
 	struct bufferevent *bev;
 
 	evhtp_connection_unset_hook(conn, evhtp_hook_on_connection_fini);
@@ -372,10 +373,10 @@
 	bufferevent_enable(bev, EV_WRITE);
 }
 
-void caller_end(struct caller_req *r, bool whole)
+void caller_end(struct caller_req *r, bool complete)
 {
 	detach(r);
-	if (whole)
+	if (complete)
 		evhtp_send_reply_chunk_end(r->req);
 	else
 		close_after_write(r->cc);
