--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -1,80 +1,80 @@
-/* The platform's list of endpoints. */
+/* Polls the platform's list of endpoints. */
 #include "instances.h"
 
 #include "../base/log.h"
 #include "../base/timeval.h"
 #include "../net/http.h"
 
-/* For one page: with the next reading a lost answer is made up for within
- * the three seconds in which a leaving endpoint must be left. */
-#define TIMEOUT_MS 1500
-/* A list that never ends is a fault of its server. */
+/* Timeout of one page. After a lost answer, the next poll still completes
+ * within the 3 s in which traffic must leave a draining endpoint. */
+#define PAGE_TIMEOUT_MS 1500
+/* Guards against a faulty server whose list never ends. */
 #define PAGES_MAX 2000
-/* The list takes so many calls a second from all readers together; over that
- * it refuses, and the same page is asked for again after so long. To begin
- * anew would use up the rate for pages that are known, and never end. */
-#define REFUSED_PAUSE_MS 60
-#define REFUSED_MAX 100
-#define STATUS_TOO_MANY 429
-/* What can't be read is told of this often, so many entries of a reading: a
- * faulty writer may spoil all of them for hours. */
-#define UNREADABLE_LOG_MS 10000
-#define UNREADABLE_LOG_MAX 4
+/* The server limits the rate of all its clients together. A page that it
+ * refuses is requested again after a pause. Starting over would spend that rate
+ * on pages that are read already, and might never complete. */
+#define RATE_LIMITED_PAUSE_MS 60
+#define RATE_LIMITED_RETRIES_MAX 100
+#define STATUS_TOO_MANY_REQUESTS 429
+/* Unreadable entries are logged at this interval, and up to this many of a
+ * poll: a faulty writer may corrupt all of them for hours. */
+#define UNREADABLE_LOG_INTERVAL_MS 10000
+#define UNREADABLE_LOG_ENTRIES_MAX 4
 
 struct instances {
 	struct instances_options o;
 	char *addr;
-	struct event *timer, *again;
+	struct event *poll_timer, *retry_timer;
 	struct ss_clock clock;
-	struct fleet_list all; /* of the pages so far */
-	char *page;	       /* the one that is asked for; NULL: the first */
-	unsigned int pages, refused;
-	bool on, asking, freed;
-	bool failed;	 /* the last try; told once */
-	int64_t told_ms; /* when unreadable entries were; 0: never */
-	uint64_t *n_unreadable, *n_parts;
+	struct fleet_list list; /* of the pages so far */
+	char *page; /* token of the requested page; NULL: the first */
+	unsigned int pages, rate_limited; /* counts of this poll */
+	bool enabled, in_progress, freed;
+	bool failed;	   /* the last poll; logged once */
+	int64_t logged_ms; /* last log of unreadable entries; 0: never */
+	uint64_t *n_unreadable, *n_incomplete;
 };
 
-static void clear(struct instances *v)
+static void reset_poll(struct instances *v)
 {
-	fleet_list_clear(&v->all);
-	v->pages = v->refused = 0;
+	fleet_list_clear(&v->list);
+	v->pages = v->rate_limited = 0;
 	g_clear_pointer(&v->page, g_free);
 }
 
-static void really_free(struct instances *v)
+static void destroy(struct instances *v)
 {
-	clear(v);
-	event_free(v->timer);
-	event_free(v->again);
+	reset_poll(v);
+	event_free(v->poll_timer);
+	event_free(v->retry_timer);
 	g_free(v->addr);
 	g_free(v);
 }
 
-static void ask(struct instances *v);
+static void request_page(struct instances *v);
 
-static void fail(struct instances *v, const char *why)
+static void fail_poll(struct instances *v, const char *why)
 {
 	if (!v->failed)
 		log_warn("list_lost", "addr=%s why=\"%s\"", v->addr, why);
 	v->failed = true;
-	clear(v);
+	reset_poll(v);
 }
 
-static void tell_unreadable(struct instances *v)
+static void report_unreadable(struct instances *v)
 {
-	const GArray *u = v->all.unreadable;
+	const GArray *u = v->list.unreadable;
 	int64_t now = ss_clock_now(&v->clock);
 
 	*v->n_unreadable += u->len;
-	*v->n_parts += !v->all.whole;
-	if ((!u->len && v->all.whole) ||
-	    (v->told_ms && now - v->told_ms < UNREADABLE_LOG_MS))
+	*v->n_incomplete += !v->list.whole;
+	if ((!u->len && v->list.whole) ||
+	    (v->logged_ms && now - v->logged_ms < UNREADABLE_LOG_INTERVAL_MS))
 		return;
-	v->told_ms = now;
+	v->logged_ms = now;
 	log_warn("list_unreadable", "addr=%s entries=%u readable=%u whole=%d",
-		 v->addr, u->len, v->all.instances->len, v->all.whole);
-	for (guint i = 0; i < MIN(u->len, UNREADABLE_LOG_MAX); i++) {
+		 v->addr, u->len, v->list.instances->len, v->list.whole);
+	for (guint i = 0; i < MIN(u->len, UNREADABLE_LOG_ENTRIES_MAX); i++) {
 		const struct fleet_unreadable *x =
 			&g_array_index(u, struct fleet_unreadable, i);
 
@@ -83,31 +83,31 @@
 	}
 }
 
-static void take_page(struct instances *v, struct ss_str body)
+static void process_page(struct instances *v, struct ss_str body)
 {
 	GError *error = NULL;
 	char *next = NULL;
 
-	if (!v->o.platform->read_list(body, &v->all, &next, &error)) {
-		fail(v, error->message);
+	if (!v->o.platform->read_list(body, &v->list, &next, &error)) {
+		fail_poll(v, error->message);
 		g_error_free(error);
 		return;
 	}
 	if (next && ++v->pages < PAGES_MAX) {
 		g_free(v->page);
 		v->page = next;
-		ask(v);
+		request_page(v);
 		return;
 	}
-	v->all.whole &= !next;
+	v->list.whole &= !next;
 	g_free(next);
 	if (v->failed)
 		log_info("list_back", "addr=%s", v->addr);
 	v->failed = false;
-	tell_unreadable(v);
-	if (v->on)
-		v->o.list(v->o.arg, &v->all);
-	clear(v);
+	report_unreadable(v);
+	if (v->enabled)
+		v->o.list(v->o.arg, &v->list);
+	reset_poll(v);
 }
 
 static void on_page(void *arg, int status, struct ss_str body,
@@ -116,60 +116,61 @@
 	struct instances *v = arg;
 	char why[32];
 
-	v->asking = false;
+	v->in_progress = false;
 	if (v->freed) {
-		really_free(v);
+		destroy(v);
 		return;
 	}
 	if (status == 200) {
-		take_page(v, body);
+		process_page(v, body);
 		return;
 	}
-	if (status == STATUS_TOO_MANY && v->refused++ < REFUSED_MAX) {
-		struct timeval pause = { 0, REFUSED_PAUSE_MS * 1000 };
+	if (status == STATUS_TOO_MANY_REQUESTS &&
+	    v->rate_limited++ < RATE_LIMITED_RETRIES_MAX) {
+		struct timeval pause = { 0, RATE_LIMITED_PAUSE_MS * 1000 };
 
-		v->asking = true;
-		event_add(v->again, &pause);
+		v->in_progress = true;
+		event_add(v->retry_timer, &pause);
 		return;
 	}
 	g_snprintf(why, sizeof(why), "status %d", status);
-	fail(v, error ? error->message : why);
+	fail_poll(v, error ? error->message : why);
 }
 
-static void ask(struct instances *v)
+static void request_page(struct instances *v)
 {
 	char *path = v->o.platform->list_path(v->page);
 	struct http_get_options get = { .base = v->o.base,
 					.addr = v->addr,
 					.method = "GET",
 					.path = path,
-					.timeout_ms = TIMEOUT_MS,
+					.timeout_ms = PAGE_TIMEOUT_MS,
 					.done = on_page,
 					.arg = v };
 
-	v->asking = true;
+	v->in_progress = true;
 	http_get(&get);
 	g_free(path);
 }
 
-static void on_again(evutil_socket_t fd, short what, void *arg)
+static void on_retry_timer(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	ask(arg);
+	request_page(arg);
 }
 
-static void on_timer(evutil_socket_t fd, short what, void *arg)
+static void on_poll_timer(evutil_socket_t fd, short what, void *arg)
 {
 	struct instances *v = arg;
 
 	(void)fd;
 	(void)what;
-	if (v->asking || !v->on)
+	if (v->in_progress || !v->enabled)
 		return;
-	clear(v);
-	fleet_list_init(&v->all);
-	ask(v);
+	reset_poll(v);
+	fleet_list_init(&v->list);
+	request_page(v);
 }
 
 struct instances *instances_new(const struct instances_options *o)
@@ -181,24 +182,24 @@
 	ss_clock_init(&v->clock);
 	v->n_unreadable =
 		metrics_value(o->metrics, "ss_list_unreadable_total", "");
-	v->n_parts = metrics_value(o->metrics, "ss_list_parts_total", "");
-	v->timer = event_new(o->base, -1, EV_PERSIST, on_timer, v);
-	v->again = evtimer_new(o->base, on_again, v);
+	v->n_incomplete = metrics_value(o->metrics, "ss_list_parts_total", "");
+	v->poll_timer = event_new(o->base, -1, EV_PERSIST, on_poll_timer, v);
+	v->retry_timer = evtimer_new(o->base, on_retry_timer, v);
 	return v;
 }
 
-void instances_run(struct instances *v, bool on)
+void instances_run(struct instances *v, bool enabled)
 {
-	struct timeval every = timeval_of(v->o.every_ms);
+	struct timeval interval = timeval_of(v->o.every_ms);
 
-	if (v->on == on)
+	if (v->enabled == enabled)
 		return;
-	v->on = on;
-	if (on) {
-		event_add(v->timer, &every);
-		on_timer(-1, 0, v);
+	v->enabled = enabled;
+	if (enabled) {
+		event_add(v->poll_timer, &interval);
+		on_poll_timer(-1, 0, v);
 	} else {
-		event_del(v->timer);
+		event_del(v->poll_timer);
 	}
 }
 
@@ -207,9 +208,10 @@
 	if (!v)
 		return;
 	v->freed = true;
-	v->on = false;
-	event_del(v->timer);
-	/* An answer on its way still needs it; a pause doesn't. */
-	if (!v->asking || evtimer_pending(v->again, NULL))
-		really_free(v);
+	v->enabled = false;
+	event_del(v->poll_timer);
+	/* A request in flight frees v in its callback; a pending retry is
+	 * dropped. */
+	if (!v->in_progress || evtimer_pending(v->retry_timer, NULL))
+		destroy(v);
 }
--- a/src/vmlist/instances.h
+++ b/src/vmlist/instances.h
@@ -1,4 +1,4 @@
-/* The platform's list of endpoints, read page by page every so often. */
+/* Polls the platform's list of endpoints, page by page. */
 #ifndef SS_INSTANCES_H
 #define SS_INSTANCES_H
 
@@ -15,15 +15,15 @@
 	const char *addr; /* "ip:port" */
 	int64_t every_ms;
 	struct metrics *metrics;
-	/* A reading of all pages that could be read; valid until return. */
-	void (*list)(void *arg, struct fleet_list *all);
+	/* A poll completed; the list of all its pages is valid until return. */
+	void (*list)(void *arg, struct fleet_list *list);
 	void *arg;
 };
 
 struct instances *instances_new(const struct instances_options *o);
 void instances_free(struct instances *v);
 
-/* Ask or rest; it begins at rest. Asking starts at once. */
-void instances_run(struct instances *v, bool on);
+/* Starts or stops polling; initially stopped. Starting polls at once. */
+void instances_run(struct instances *v, bool enabled);
 
 #endif
--- a/src/vmlist/vms.c
+++ b/src/vmlist/vms.c
@@ -1,5 +1,5 @@
 /*
- * The VM list over HTTP: GET /vms gives
+ * Polls the platform's list of VMs. GET /vms returns
  * {"vms":[{"name":"...","state":"live"|"leaving"}]}.
  */
 #include "vms.h"
@@ -9,18 +9,18 @@
 
 #include <json-c/json.h>
 
-/* How often the list is read, and how long one answer may take; in ms. */
-#define EVERY_MS 1000
+#define DEFAULT_INTERVAL_MS 1000
+/* Time limit of one answer. */
 #define TIMEOUT_MS 2000
 
 struct vms {
 	struct vms_options o;
 	char *addr;
 	struct event *timer;
-	bool asking, freed;
+	bool in_flight, freed;
 };
 
-static struct ss_str text_of(json_object *o, const char *key)
+static struct ss_str string_member(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -29,15 +29,16 @@
 	return ss_str(json_object_get_string(v));
 }
 
-static void take_list(struct vms *v, json_object *list)
+static void process_list(struct vms *v, json_object *list)
 {
 	GArray *vms = g_array_new(FALSE, FALSE, sizeof(struct vm));
 
 	for (size_t i = 0; i < json_object_array_length(list); i++) {
 		json_object *o = json_object_array_get_idx(list, i);
-		struct vm vm = { .name = text_of(o, "name"), .state = VM_LIVE };
+		struct vm vm = { .name = string_member(o, "name"),
+				 .state = VM_LIVE };
 
-		if (ss_str_eq(text_of(o, "state"), SS_LIT("leaving")))
+		if (ss_str_eq(string_member(o, "state"), SS_LIT("leaving")))
 			vm.state = VM_LEAVING;
 		if (vm.name.n)
 			g_array_append_val(vms, vm);
@@ -54,7 +55,7 @@
 	json_object *o = NULL, *list;
 
 	(void)error;
-	v->asking = false;
+	v->in_flight = false;
 	if (v->freed) {
 		g_free(v);
 	} else if (status == 200) {
@@ -62,7 +63,7 @@
 		if (json_object_is_type(o, json_type_object) &&
 		    json_object_object_get_ex(o, "vms", &list) &&
 		    json_object_is_type(list, json_type_array))
-			take_list(v, list);
+			process_list(v, list);
 	}
 	json_object_put(o);
 	g_free(text);
@@ -81,16 +82,16 @@
 
 	(void)fd;
 	(void)what;
-	if (v->asking)
+	if (v->in_flight)
 		return;
-	v->asking = true;
+	v->in_flight = true;
 	http_get(&get);
 }
 
 struct vms *vms_new(const struct vms_options *o)
 {
 	struct vms *v = g_new0(struct vms, 1);
-	int64_t ms = o->every_ms ? o->every_ms : EVERY_MS;
+	int64_t ms = o->every_ms ? o->every_ms : DEFAULT_INTERVAL_MS;
 	struct timeval tv = timeval_of(ms);
 
 	v->o = *o;
@@ -106,8 +107,8 @@
 		return;
 	event_free(v->timer);
 	g_clear_pointer(&v->addr, g_free);
-	/* An answer under way frees the rest. */
-	if (v->asking)
+	/* A request in flight frees v in its callback. */
+	if (v->in_flight)
 		v->freed = true;
 	else
 		g_free(v);
--- a/src/vmlist/vms.h
+++ b/src/vmlist/vms.h
@@ -1,4 +1,4 @@
-/* The platform's list of VMs, which lags behind the truth. */
+/* Polls the platform's list of VMs, which lags behind the actual state. */
 #ifndef SS_VMS_H
 #define SS_VMS_H
 
@@ -18,7 +18,7 @@
 	struct event_base *base;
 	const char *addr; /* "ip:port" */
 	int64_t every_ms; /* 0: 1000 */
-	/* A list came; the strings hold until return. */
+	/* A list was received; its strings are valid until return. */
 	void (*list)(void *arg, const struct vm *vms, size_t n);
 	void *arg;
 };
