--- a/test/fuzz/fuzz.c
+++ b/test/fuzz/fuzz.c
@@ -1,8 +1,8 @@
 /*
- * One fuzz target, by the first byte: frames, settings and presets,
- * commands and snapshots of the state, members, log files, HTTP messages,
- * streams of events, the platform's bodies and headers, and a page of its
- * list with one entry harmed.
+ * The fuzz target. The first byte of the input selects what is fuzzed: frames,
+ * settings and presets, commands and snapshots of the state, members, log
+ * files, HTTP messages, event streams, the platform's bodies and headers, or a
+ * page of its list with one corrupt entry.
  */
 #include "../../platform/platform.h"
 #include "../../src/config/config.h"
@@ -83,34 +83,35 @@
 	g_free(path);
 }
 
-static void must(bool holds)
+static void require(bool holds)
 {
 	if (!holds)
 		abort();
 }
 
-/* What is read can be used, what can't says why, and no page follows one that
- * can't be asked for. */
+/* Instances that were read are usable, unreadable entries have a reason, and an
+ * incomplete list names no next page. */
 static void check_list(const struct fleet_list *list, const char *next)
 {
 	for (guint i = 0; i < list->instances->len; i++) {
 		const struct fleet_instance *x = &g_array_index(
 			list->instances, struct fleet_instance, i);
 
-		must(*x->id && *x->service && *x->addr && x->domain);
-		must(x->slots >= 1 && x->models);
+		require(*x->id && *x->service && *x->addr && x->domain);
+		require(x->slots >= 1 && x->models);
 	}
 	for (guint i = 0; i < list->unreadable->len; i++) {
 		const struct fleet_unreadable *u = &g_array_index(
 			list->unreadable, struct fleet_unreadable, i);
 
-		must(*u->why && g_utf8_validate(u->why, -1, NULL));
-		must(!strchr(u->why, '"') && !strchr(u->why, '\n'));
+		require(*u->why && g_utf8_validate(u->why, -1, NULL));
+		require(!strchr(u->why, '"') && !strchr(u->why, '\n'));
 	}
-	must(!next || (*next && list->whole));
+	require(!next || (*next && list->whole));
 }
 
-/* A text against one that is held: whatever is taken gives that text again. */
+/* Applies the change from a held configuration to the input. If the input is
+ * accepted, the result is exactly the input. */
 static void fuzz_changes(struct ss_str text)
 {
 	static const char held[] =
@@ -123,21 +124,22 @@
 	GString *got;
 
 	n->change.version = 1;
-	must(document_apply(d, &n->change, NULL));
+	require(document_apply(d, &n->change, NULL));
 	document_patch_free(n);
 	n = document_compare(d, text, lists, NULL);
 	if (n) {
 		n->change.version = 2;
-		must(document_apply(d, &n->change, NULL));
+		require(document_apply(d, &n->change, NULL));
 		got = document_text(d);
-		must(ss_str_eq(ss_str_gs(got), text));
+		require(ss_str_eq(ss_str_gs(got), text));
 		g_string_free(got, TRUE);
 	}
 	document_patch_free(n);
 	document_free(d);
 }
 
-/* Bodies of the platform: an operator's, the list's, an engine's. */
+/* Bodies in the platform's formats: an operator's configuration, a page of the
+ * list and an engine's report. */
 static void fuzz_bodies(struct ss_str text)
 {
 	struct fleet_report report;
@@ -173,9 +175,10 @@
 }
 
 /*
- * The second of three entries is harmed: the input is pairs of a place in it
- * and a byte to put there, of which two stand for losing one byte or the rest.
- * The other two entries and the next page's token are read all the same.
+ * Corrupts the second of three entries. The input consists of pairs of an
+ * offset in that entry and the byte to write there; 0xfe deletes one byte
+ * instead, and 0xff truncates the entry. The other two entries and the token of
+ * the next page must still be read.
  */
 static void fuzz_page(const uint8_t *p, size_t n)
 {
@@ -197,10 +200,10 @@
 	g_string_append_len(page, entry->str, (gssize)entry->len);
 	g_string_append(page, "," ENTRY("3") "],\"next\":\"p-2\"}");
 	fleet_list_init(&list);
-	must(users_platform.read_list(ss_str_gs(page), &list, &next, NULL));
+	require(users_platform.read_list(ss_str_gs(page), &list, &next, NULL));
 	check_list(&list, next);
-	must(has_id(&list, "i-1") && has_id(&list, "i-3"));
-	must(next && !strcmp(next, "p-2"));
+	require(has_id(&list, "i-1") && has_id(&list, "i-3"));
+	require(next && !strcmp(next, "p-2"));
 	fleet_list_clear(&list);
 	g_free(next);
 	g_string_free(entry, TRUE);
@@ -232,7 +235,8 @@
 	(void)arg;
 }
 
-/* A message that comes in two pieces, cut where the second byte says. */
+/* A message that is received in two parts, split at the offset in the second
+ * byte of the input. */
 static void fuzz_http(bool request, const uint8_t *p, size_t n)
 {
 	static const struct http1_ops ops = { on_head, on_body, on_done };
