--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -1,4 +1,4 @@
-/* Reading the list of endpoints over loopback, page by page. */
+/* Polls of the list of endpoints over loopback, page by page. */
 #include "unit.h"
 
 #include "../platform/platform.h"
@@ -10,7 +10,8 @@
 #include <event2/http.h>
 #include <unistd.h>
 
-#define WAIT_ROUNDS 4000 /* of 1 ms: a condition that never comes */
+#define WAIT_ROUNDS 4000 /* of 1 ms, until a missing condition fails the test  \
+			  */
 #define PAGES 3
 #define LOG_BYTES (64 << 10)
 
@@ -20,20 +21,20 @@
 	"\"coldLeftMs\":0,\"id\":\"" id "\"}"
 #define PAGE(entries, next) "{\"instances\":[" entries "],\"next\":" next "}"
 
-struct world {
+struct fixture {
 	struct event_base *base;
 	struct evhttp *server;
 	struct metrics *metrics;
 	struct instances *list;
-	const char *const *pages; /* by their token's last digit, from 1 on */
-	int readings;		  /* that came */
-	GString *ids;		  /* of the last one */
-	bool whole;
+	const char *const *pages; /* by the last digit of the token, from 1 */
+	int polls;		  /* completed */
+	GString *ids;		  /* of the last poll */
+	bool complete;		  /* the last poll */
 };
 
 static void on_request(struct evhttp_request *req, void *arg)
 {
-	struct world *w = arg;
+	struct fixture *w = arg;
 	const char *uri = evhttp_request_get_uri(req);
 	const char *token = strstr(uri, "pageToken=p-");
 	int page = token ? atoi(strrchr(token, '-') + 1) : 1;
@@ -45,21 +46,21 @@
 			   ss_str(w->pages[page - 1]));
 }
 
-static void on_list(void *arg, struct fleet_list *all)
+static void on_list(void *arg, struct fleet_list *list)
 {
-	struct world *w = arg;
+	struct fixture *w = arg;
 
-	w->readings++;
-	w->whole = all->whole;
+	w->polls++;
+	w->complete = list->whole;
 	g_string_truncate(w->ids, 0);
-	for (guint i = 0; i < all->instances->len; i++)
+	for (guint i = 0; i < list->instances->len; i++)
 		g_string_append_printf(w->ids, "%s ",
-				       g_array_index(all->instances,
+				       g_array_index(list->instances,
 						     struct fleet_instance, i)
 					       .id);
 }
 
-static void open_world(struct world *w, const char *const *pages)
+static void start_fixture(struct fixture *w, const char *const *pages)
 {
 	struct instances_options o = { .platform = &users_platform,
 				       .every_ms = 1,
@@ -86,7 +87,7 @@
 	instances_run(w->list, true);
 }
 
-static void turn(struct world *w)
+static void run_loop(struct fixture *w)
 {
 	struct timeval ms = { 0, 1000 };
 
@@ -94,21 +95,21 @@
 	event_base_loop(w->base, EVLOOP_ONCE);
 }
 
-static void await_readings(struct world *w, int n)
+static void await_polls(struct fixture *w, int n)
 {
-	for (int i = 0; w->readings < n; i++) {
+	for (int i = 0; w->polls < n; i++) {
 		if (i == WAIT_ROUNDS)
-			fail_msg("%d readings came, not %d", w->readings, n);
-		turn(w);
+			fail_msg("%d polls completed, not %d", w->polls, n);
+		run_loop(w);
 	}
 }
 
-static void close_world(struct world *w)
+static void stop_fixture(struct fixture *w)
 {
 	instances_free(w->list);
-	/* An answer on its way frees it. */
+	/* A request in flight frees the list in its callback. */
 	for (int i = 0; i < 50; i++)
-		turn(w);
+		run_loop(w);
 	evhttp_free(w->server);
 	metrics_free(w->metrics);
 	event_base_free(w->base);
@@ -119,8 +120,8 @@
 	const char *label;
 	const char *pages[PAGES];
 	const char *ids;
-	bool whole;
-	uint64_t unreadable, parts; /* counted in one reading */
+	bool complete;
+	uint64_t unreadable, incomplete; /* counts of one poll */
 };
 
 static const struct list_case cases[] = {
@@ -130,14 +131,14 @@
 	  true,
 	  0,
 	  0 },
-	{ "spoiled entries on both",
+	{ "invalid entries on both pages",
 	  { PAGE("{}," ENTRY("i-1"), "\"p-2\""),
 	    PAGE(ENTRY("i-2") ",{},7", "null") },
 	  "i-1 i-2 ",
 	  true,
 	  3,
 	  0 },
-	{ "a torn page before another",
+	{ "a torn page before a valid one",
 	  { PAGE("{\"id\":," ENTRY("i-1"), "\"p-2\""),
 	    PAGE(ENTRY("i-2"), "null") },
 	  "i-1 i-2 ",
@@ -150,7 +151,7 @@
 	  false,
 	  0,
 	  1 },
-	{ "the second page is cut short",
+	{ "the second page is truncated",
 	  { PAGE(ENTRY("i-1"), "\"p-2\""),
 	    "{\"instances\":[" ENTRY("i-2") ",{\"id", PAGE("", "null") },
 	  "i-1 i-2 ",
@@ -160,52 +161,53 @@
 };
 
 /*
- * Symptom: endpoints on the pages behind one are given up. Sequence: an entry
- * of that page is spoiled or torn, or its token is. Cause: reading ends there
- * and passes for whole.
+ * Guards against dropping the endpoints on all pages after one that has an
+ * invalid or torn entry or token. That happens if the poll ends there and is
+ * taken as complete.
  */
-static void readings_say_whether_they_are_whole(void **state)
+static void polls_report_whether_they_are_complete(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		const struct list_case *c = &cases[i];
-		uint64_t *entries, *parts;
-		struct world w;
+		uint64_t *entries, *incomplete;
+		struct fixture w;
 
-		open_world(&w, c->pages);
-		await_readings(&w, 1);
-		if (strcmp(w.ids->str, c->ids) || w.whole != c->whole)
-			fail_msg("%s: %s whole %d", c->label, w.ids->str,
-				 w.whole);
+		start_fixture(&w, c->pages);
+		await_polls(&w, 1);
+		if (strcmp(w.ids->str, c->ids) || w.complete != c->complete)
+			fail_msg("%s: %s complete %d", c->label, w.ids->str,
+				 w.complete);
 		entries = metrics_value(w.metrics, "ss_list_unreadable_total",
 					"");
-		parts = metrics_value(w.metrics, "ss_list_parts_total", "");
-		if (*entries != c->unreadable * (uint64_t)w.readings ||
-		    *parts != c->parts * (uint64_t)w.readings)
+		incomplete =
+			metrics_value(w.metrics, "ss_list_parts_total", "");
+		if (*entries != c->unreadable * (uint64_t)w.polls ||
+		    *incomplete != c->incomplete * (uint64_t)w.polls)
 			fail_msg("%s: counted %" PRIu64 " and %" PRIu64,
-				 c->label, *entries, *parts);
-		close_world(&w);
+				 c->label, *entries, *incomplete);
+		stop_fixture(&w);
 	}
 }
 
-/* What the log has of twenty readings of each. */
+/* Returns the log of twenty polls of each list. */
 static char *log_of(const char *const *first, const char *const *second)
 {
 	FILE *to = tmpfile();
 	int out = dup(STDOUT_FILENO);
 	char *text = g_malloc0(LOG_BYTES);
-	struct world w;
+	struct fixture w;
 
 	assert_non_null(to);
 	fflush(stdout);
 	dup2(fileno(to), STDOUT_FILENO);
 	log_open("test", "INFO");
-	open_world(&w, first);
-	await_readings(&w, 20);
-	close_world(&w);
-	open_world(&w, second);
-	await_readings(&w, 20);
-	close_world(&w);
+	start_fixture(&w, first);
+	await_polls(&w, 20);
+	stop_fixture(&w);
+	start_fixture(&w, second);
+	await_polls(&w, 20);
+	stop_fixture(&w);
 	log_close();
 	dup2(out, STDOUT_FILENO);
 	close(out);
@@ -227,16 +229,16 @@
 }
 
 /*
- * Symptom: the log is full of one line. Sequence: entries stay spoiled while
- * the list is read each second. Cause: each reading writes them all.
+ * Guards against a log that is flooded by entries that stay invalid, which
+ * happens if every poll logs all of them.
  */
-static void spoiled_entries_are_told_now_and_then(void **state)
+static void unreadable_entries_are_logged_rarely(void **state)
 {
-	static const char *const spoiled[PAGES] = { PAGE(
+	static const char *const invalid[PAGES] = { PAGE(
 		"{},{\"id\":\"i-7\",\"service\":7},{},{},{},{},{},{}",
 		"null") };
-	static const char *const sound[PAGES] = { PAGE(ENTRY("i-1"), "null") };
-	char *text = log_of(spoiled, sound);
+	static const char *const valid[PAGES] = { PAGE(ENTRY("i-1"), "null") };
+	char *text = log_of(invalid, valid);
 
 	(void)state;
 	assert_int_equal(count_of(text, "event=list_unreadable "), 1);
@@ -251,8 +253,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(readings_say_whether_they_are_whole),
-		cmocka_unit_test(spoiled_entries_are_told_now_and_then),
+		cmocka_unit_test(polls_report_whether_they_are_complete),
+		cmocka_unit_test(unreadable_entries_are_logged_rarely),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
