--- a/test/test_list.c
+++ b/test/test_list.c
@@ -1,4 +1,5 @@
-/* The list of endpoints: what is read of it, and what it says of whom. */
+/* Tests of reading the list of endpoints, and of which endpoints it reports as
+ * present, unreadable or gone. */
 #include "unit.h"
 
 #include "../platform/platform.h"
@@ -13,7 +14,7 @@
 #define THREE ENTRY("i-3", "10.0.0.3:80")
 #define PAGE(entries, next) "{\"instances\":[" entries "],\"next\":" next "}"
 
-/* The ids that a reading has, each with a blank behind it. */
+/* Returns the ids of the instances in a list, each followed by a space. */
 static char *ids_of(const struct fleet_list *l)
 {
 	GString *out = g_string_new(NULL);
@@ -32,7 +33,7 @@
 	return &g_array_index(l->unreadable, struct fleet_unreadable, i);
 }
 
-static void whole_entries_are_read(void **state)
+static void valid_entries_are_read(void **state)
 {
 	static const char json[] =
 		PAGE("{\"id\":\"i-9\",\"service\":\"s\",\"addr\":\"a:1\","
@@ -66,7 +67,7 @@
 	fleet_list_clear(&l);
 }
 
-/* A field's values that it can't have, as JSON; "" stands for no such field. */
+/* Invalid values of a field, as JSON; "": the field is absent. */
 struct field_case {
 	const char *key;
 	const char *values[16];
@@ -98,8 +99,8 @@
 	    "[{\"name\":7}]", "[{\"name\":\"\xff\"}]" } },
 };
 
-/* An entry i-2 at 10.0.0.2:80 with one field's value. */
-static char *spoil(const char *key, const char *value)
+/* Returns an entry i-2 at 10.0.0.2:80 in which one field has this value. */
+static char *entry_with(const char *key, const char *value)
 {
 	static const char *const rest[][2] = {
 		{ "id", "\"i-2\"" },	       { "service", "\"s\"" },
@@ -119,29 +120,29 @@
 	return g_string_free(out, FALSE);
 }
 
-static void check_spoiled(const char *key, const char *value)
+static void check_invalid_field(const char *key, const char *value)
 {
-	char *entry = spoil(key, value);
+	char *entry = entry_with(key, value);
 	char *page = g_strdup_printf(PAGE(ONE ",%s," THREE, "\"p-2\""), entry);
 	struct fleet_list l;
 	char *next = NULL, *ids;
 
 	fleet_list_init(&l);
 	if (!users_platform.read_list(ss_str(page), &l, &next, NULL))
-		fail_msg("%s %s: the page is refused", key, value);
+		fail_msg("%s %s: the page was refused", key, value);
 	ids = ids_of(&l);
 	if (strcmp(ids, "i-1 i-3 "))
-		fail_msg("%s %s: read are %s", key, value, ids);
+		fail_msg("%s %s: instances are %s", key, value, ids);
 	if (g_strcmp0(next, "p-2") || !l.whole || l.torn)
 		fail_msg("%s %s: next %s", key, value, next);
 	if (l.unreadable->len != 1 ||
 	    !g_str_has_prefix(unreadable(&l, 0)->why, key))
-		fail_msg("%s %s: it isn't said why", key, value);
+		fail_msg("%s %s: the reason is missing", key, value);
 	if (g_strcmp0(unreadable(&l, 0)->id,
 		      strcmp(key, "id") ? "i-2" : NULL) ||
 	    g_strcmp0(unreadable(&l, 0)->addr,
 		      strcmp(key, "addr") ? "10.0.0.2:80" : NULL))
-		fail_msg("%s %s: whose it is", key, value);
+		fail_msg("%s %s: attributed to another endpoint", key, value);
 	g_free(ids);
 	g_free(next);
 	g_free(page);
@@ -150,37 +151,38 @@
 }
 
 /*
- * Symptom: no endpoint is known any more, and every caller is refused.
- * Sequence: another writer adds an entry to the list, with a field missing, of
- * another type or out of range. Cause: one such entry makes the list an error.
+ * Guards against losing all endpoints, so that every caller is refused, when
+ * another program writes an entry to the list in which a field is missing, of
+ * another type or out of range. That happens if one such entry invalidates the
+ * whole list.
  */
-static void spoiled_entry_harms_no_other(void **state)
+static void invalid_entry_affects_no_other(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(field_cases); i++)
 		for (const char *const *v = field_cases[i].values; *v; v++)
-			check_spoiled(field_cases[i].key, *v);
+			check_invalid_field(field_cases[i].key, *v);
 }
 
 struct page_case {
 	const char *label, *json;
-	const char *ids; /* NULL: it is no page */
+	const char *ids; /* NULL: not a page */
 	int unreadable;
 	const char *next;
-	bool whole, torn;
+	bool complete, torn;
 };
 
 static const struct page_case pages[] = {
-	{ "the last one", PAGE(ONE, "null"), "i-1 ", 0, NULL, true, false },
-	{ "one before another", PAGE("", "\"p-2\""), "", 0, "p-2", true,
+	{ "the last page", PAGE(ONE, "null"), "i-1 ", 0, NULL, true, false },
+	{ "a page before another", PAGE("", "\"p-2\""), "", 0, "p-2", true,
 	  false },
-	{ "no entry can be used", PAGE("{},7,null,[],\"x\"", "null"), "", 5,
-	  NULL, true, false },
+	{ "no valid entry", PAGE("{},7,null,[],\"x\"", "null"), "", 5, NULL,
+	  true, false },
 	{ "no list", "{\"next\":null}", NULL, 0, NULL, true, false },
 	{ "a list of another type", "{\"instances\":{},\"next\":null}", NULL, 0,
 	  NULL, true, false },
-	{ "nothing", "", NULL, 0, NULL, true, false },
-	{ "another page", "<html>oops</html>", NULL, 0, NULL, true, false },
+	{ "an empty body", "", NULL, 0, NULL, true, false },
+	{ "an HTML page", "<html>oops</html>", NULL, 0, NULL, true, false },
 	{ "no token", "{\"instances\":[" ONE "]}", "i-1 ", 0, NULL, false,
 	  false },
 	{ "a token that is a number", PAGE(ONE, "7"), "i-1 ", 0, NULL, false,
@@ -188,15 +190,15 @@
 	{ "a token that is a list", PAGE(ONE, "[]"), "i-1 ", 0, NULL, false,
 	  false },
 	{ "an empty token", PAGE(ONE, "\"\""), "i-1 ", 0, NULL, false, false },
-	{ "a token that is no text", PAGE(ONE, "\"p\xff\""), "i-1 ", 0, NULL,
-	  false, false },
+	{ "a token that is invalid UTF-8", PAGE(ONE, "\"p\xff\""), "i-1 ", 0,
+	  NULL, false, false },
 	{ "an entry without its end",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"service\":\"s\"," THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
 	{ "an entry that ends within a string",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"addr\":\"10.0.0." THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry that ends behind a backslash",
+	{ "an entry that ends after a backslash",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"addr\":\"10\\}," THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
 	{ "an entry without its beginning",
@@ -206,7 +208,7 @@
 	  PAGE(ONE ",{\"id\":\"i-2\",\"models\":[{\"name\":\"m\"}," THREE,
 	       "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry whose torn models end the list before its time",
+	{ "an entry whose torn models seem to end the list",
 	  PAGE(ONE ",{\"addr\":\"10.0.0.2:80\",\"x:[{x\":\"m\"}],"
 		   "\"id\":\"i-2\"}," THREE,
 	       "\"p-2\""),
@@ -221,36 +223,36 @@
 	  "p-2", true, true },
 	{ "a torn page that is the last", PAGE("{\"id\":," TWO, "null"), "i-2 ",
 	  1, NULL, true, true },
-	{ "one entry is torn, another is spoiled",
+	{ "one entry is torn, another is invalid",
 	  PAGE("{\"id\":," TWO ",{\"id\":\"i-3\"}", "\"p-2\""), "i-2 ", 2,
 	  "p-2", true, true },
-	{ "only the page's last byte is missing",
+	{ "only the last byte of the page is missing",
 	  "{\"instances\":[" ONE "],\"next\":null", "i-1 ", 0, NULL, false,
 	  false },
-	{ "cut short within an entry", "{\"instances\":[" ONE ",{\"id\":\"i",
+	{ "truncated within an entry", "{\"instances\":[" ONE ",{\"id\":\"i",
 	  "i-1 ", 1, NULL, false, true },
-	{ "cut short between two", "{\"instances\":[" ONE ",", "i-1 ", 0, NULL,
-	  false, false },
-	{ "cut short, with the token before the list",
+	{ "truncated between two entries", "{\"instances\":[" ONE ",", "i-1 ",
+	  0, NULL, false, false },
+	{ "truncated, with the token before the list",
 	  "{\"next\":\"p-2\",\"instances\":[" ONE, "i-1 ", 0, NULL, false,
 	  false },
 	{ "torn, with the token before the list",
 	  "{\"next\":\"p-2\",\"instances\":[{\"id\":," ONE "]}", "i-1 ", 1,
 	  "p-2", true, true },
-	{ "cut short within the token",
+	{ "truncated within the token",
 	  "{\"instances\":[" ONE "],\"next\":\"p-", "i-1 ", 0, NULL, false,
 	  false },
-	{ "nothing but torn pieces", "{\"instances\":[{{{[[\"", "", 1, NULL,
-	  false, true },
+	{ "only torn fragments", "{\"instances\":[{{{[[\"", "", 1, NULL, false,
+	  true },
 };
 
 /*
- * Symptom: all endpoints are given up, or those on the pages behind one.
- * Sequence: an entry is torn in the middle and its page isn't JSON, or the
- * next page's token can't be read. Cause: the page as a whole is refused, or
- * is taken for the last one.
+ * Guards against dropping all endpoints, or those on the pages after one, when
+ * an entry is torn in the middle so that its page isn't JSON, or when the token
+ * of the next page can't be read. That happens if the page as a whole is
+ * refused, or is taken for the last one.
  */
-static void torn_pages_keep_what_they_hold(void **state)
+static void torn_pages_keep_valid_entries(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(pages); i++) {
@@ -270,9 +272,9 @@
 			fail_msg("%s: %s", c->label, error->message);
 		if (ok && (strcmp(ids, c->ids) || g_strcmp0(next, c->next) ||
 			   (int)l.unreadable->len != c->unreadable ||
-			   l.whole != c->whole || l.torn != c->torn))
+			   l.whole != c->complete || l.torn != c->torn))
 			fail_msg("%s: read %s, unreadable %u, next %s, "
-				 "whole %d, torn %d",
+				 "complete %d, torn %d",
 				 c->label, ids, l.unreadable->len, next,
 				 l.whole, l.torn);
 		g_clear_error(&error);
@@ -282,7 +284,7 @@
 	}
 }
 
-/* A torn piece that still tells whose it was is known by that. */
+/* A torn fragment with an id or address is attributed to that endpoint. */
 static void torn_entry_is_attributed(void **state)
 {
 	static const char json[] = PAGE(
@@ -298,78 +300,79 @@
 	fleet_list_clear(&l);
 }
 
-/* What a reading says of i-1 at a:1. */
+/* What a list reports of the endpoint i-1 at a:1, which none of its instances
+ * names. */
 struct presence_case {
 	const char *label;
 	struct {
 		const char *id, *addr;
 	} unreadable[2];
 	int n;
-	bool whole, torn;
+	bool complete, torn;
 	int64_t unread_ms;
 	enum fleet_presence presence;
 };
 
 static const struct presence_case presences[] = {
 	{ "nothing is unreadable", { { 0 } }, 0, true, false, 0, FLEET_GONE },
-	{ "its own entry, by its id",
+	{ "its own unreadable entry, by its id",
 	  { { "i-1", NULL } },
 	  1,
 	  true,
 	  false,
 	  10 * FLEET_UNREADABLE_MS,
 	  FLEET_UNREADABLE },
-	{ "its own entry, by its address",
+	{ "its own unreadable entry, by its address",
 	  { { NULL, "a:1" } },
 	  1,
 	  true,
 	  false,
 	  10 * FLEET_UNREADABLE_MS,
 	  FLEET_UNREADABLE },
-	{ "its address under an id that isn't its own",
+	{ "its address under another id",
 	  { { "i-7", "a:1" } },
 	  1,
 	  true,
 	  false,
 	  0,
 	  FLEET_UNREADABLE },
-	{ "others' entries",
+	{ "unreadable entries of others",
 	  { { "i-2", "a:2" }, { "i-3", NULL } },
 	  2,
 	  true,
 	  false,
 	  0,
 	  FLEET_GONE },
-	{ "an entry that may be anyone's",
+	{ "an entry of an unknown endpoint",
 	  { { "i-2", "a:2" }, { NULL, NULL } },
 	  2,
 	  true,
 	  false,
 	  FLEET_UNREADABLE_MS - 1,
 	  FLEET_UNREADABLE },
-	{ "an entry that may be anyone's, for too long",
+	{ "an entry of an unknown endpoint, for too long",
 	  { { NULL, NULL } },
 	  1,
 	  true,
 	  false,
 	  FLEET_UNREADABLE_MS,
 	  FLEET_GONE },
-	{ "a torn piece that names another, and may have held more",
+	{ "a torn fragment that names another, and may contain more",
 	  { { "i-2", NULL } },
 	  1,
 	  true,
 	  true,
 	  0,
 	  FLEET_UNREADABLE },
-	{ "a list in parts", { { 0 } }, 0, false, false, 0, FLEET_UNTOLD },
-	{ "a list in parts, for long",
+	{ "an incomplete list", { { 0 } }, 0, false, false, 0, FLEET_UNTOLD },
+	{ "an incomplete list, for long",
 	  { { NULL, NULL } },
 	  1,
 	  false,
 	  true,
 	  10 * FLEET_UNREADABLE_MS,
 	  FLEET_UNTOLD },
-	{ "a list in parts, with its own entry",
+	{ "an incomplete list, with its own unreadable entry",
 	  { { "i-1", "a:1" } },
 	  1,
 	  false,
@@ -379,9 +382,9 @@
 };
 
 /*
- * Symptom: an engine that works is taken for gone, its models are loaded anew
- * elsewhere and its connections closed. Sequence: its entry in the list is
- * spoiled for a while. Cause: what can't be read counts as not there.
+ * Guards against taking a working engine for gone, so that its models are
+ * loaded again elsewhere and its connections closed, while its entry in the
+ * list is corrupt. That happens if an unreadable entry counts as absent.
  */
 static void unreadable_is_not_gone(void **state)
 {
@@ -392,7 +395,7 @@
 		enum fleet_presence got;
 
 		fleet_list_init(&l);
-		l.whole = c->whole;
+		l.whole = c->complete;
 		l.torn = c->torn;
 		for (int k = 0; k < c->n; k++)
 			fleet_list_add_unreadable(
@@ -408,26 +411,26 @@
 struct settle_case {
 	const char *label;
 	const char *entries[3]; /* "id addr service" */
-	const char *ids;	/* that are left */
+	const char *ids;	/* of the remaining ones */
 };
 
-static const struct settle_case settles[] = {
-	{ "all of named services",
+static const struct settle_case settle_cases[] = {
+	{ "all of configured services",
 	  { "i-1 a:1 web", "i-2 a:2 lm" },
 	  "i-1 i-2 " },
-	{ "a service that isn't named stands alone",
+	{ "an unconfigured service without a conflict",
 	  { "i-1 a:1 web", "i-2 a:2 other" },
 	  "i-1 i-2 " },
-	{ "another entry has its address",
+	{ "an entry of an unconfigured service has the same address",
 	  { "i-1 a:1 web", "i-2 a:1 other" },
 	  "i-1 " },
-	{ "another entry has its id, and comes later",
+	{ "an entry of an unconfigured service has the same id, and is first",
 	  { "i-1 a:2 other", "i-1 a:1 web" },
 	  "i-1 " },
-	{ "both aren't named",
+	{ "neither service is configured",
 	  { "i-1 a:1 other", "i-2 a:1 third" },
 	  "i-1 i-2 " },
-	{ "both are named: a list that lags has two incarnations",
+	{ "both are configured: a list that lags has two incarnations",
 	  { "i-1 a:1 web", "i-2 a:1 web" },
 	  "i-1 i-2 " },
 };
@@ -446,11 +449,12 @@
 }
 
 /*
- * Symptom: an endpoint gets no more work although the list shows it ready.
- * Sequence: another writer adds an entry with its address, of a service that
- * nobody knows. Cause: the later entry takes the place of the first.
+ * Guards against an endpoint that gets no more work although the list has it as
+ * ready, after another program wrote an entry with the same address and a
+ * service that isn't configured. That happens if the later entry replaces the
+ * first.
  */
-static void named_services_go_first(void **state)
+static void configured_services_take_precedence(void **state)
 {
 	struct routing *r = routing_read(
 		users_platform.routing,
@@ -459,8 +463,8 @@
 		NULL);
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(settles); i++) {
-		const struct settle_case *c = &settles[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(settle_cases); i++) {
+		const struct settle_case *c = &settle_cases[i];
 		struct fleet_list l;
 		char *ids;
 
@@ -485,12 +489,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(whole_entries_are_read),
-		cmocka_unit_test(spoiled_entry_harms_no_other),
-		cmocka_unit_test(torn_pages_keep_what_they_hold),
+		cmocka_unit_test(valid_entries_are_read),
+		cmocka_unit_test(invalid_entry_affects_no_other),
+		cmocka_unit_test(torn_pages_keep_valid_entries),
 		cmocka_unit_test(torn_entry_is_attributed),
 		cmocka_unit_test(unreadable_is_not_gone),
-		cmocka_unit_test(named_services_go_first),
+		cmocka_unit_test(configured_services_take_precedence),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
