--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -10,8 +10,7 @@
 #include <event2/http.h>
 #include <unistd.h>
 
-#define WAIT_ROUNDS 4000 /* of 1 ms, until a missing condition fails the test  \
-			  */
+#define WAIT_ROUNDS 4000 /* of 1 ms, before the test fails */
 #define PAGES 3
 #define LOG_BYTES (64 << 10)
 
