--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -1,4 +1,5 @@
-/* The platform's formats: what is read, what is refused, what is written. */
+/* Tests of the platform's formats: configurations, reports, orders and the
+ * headers of requests and answers. */
 #include "unit.h"
 
 #include "../platform/platform.h"
@@ -10,13 +11,12 @@
 
 struct routing_case {
 	const char *label, *json;
-	const char *error; /* part of the message; NULL: it is read */
+	const char *error; /* part of the message; NULL: it is accepted */
 };
 
 static const struct routing_case routings[] = {
-	{ "the smallest one", "{\"version\":1,\"routes\":[]," SERVICES "}",
-	  NULL },
-	{ "a route to one service, unknown fields beside",
+	{ "the minimum", "{\"version\":1,\"routes\":[]," SERVICES "}", NULL },
+	{ "a route to one service, and unknown fields",
 	  "{\"version\":7,\"new\":{},\"routes\":[" ROUTE_HEAD
 	  "\"prefix\":\"/a/\",\"type\":\"safe\",\"timeoutMs\":10,"
 	  "\"service\":\"s1\",\"other\":[1]}]," SERVICES "}",
@@ -27,9 +27,9 @@
 	  "\"split\":[{\"service\":\"s1\",\"weight\":9},"
 	  "{\"service\":\"s2\",\"weight\":1}]}]," SERVICES "}",
 	  NULL },
-	{ "cut short", "{\"version\":7,\"routes\":[", "not a whole JSON" },
+	{ "truncated", "{\"version\":7,\"routes\":[", "not a whole JSON" },
 	{ "two documents", "{} {}", "not a whole JSON" },
-	{ "no object", "[1]", "not a whole JSON" },
+	{ "not an object", "[1]", "not a whole JSON" },
 	{ "empty", "", "not a whole JSON" },
 	{ "no version", "{\"routes\":[]," SERVICES "}", "version" },
 	{ "a version of 0", "{\"version\":0,\"routes\":[]," SERVICES "}",
@@ -41,7 +41,7 @@
 	  "\"prefix\":\"/a/\",\"type\":\"safe\",\"timeoutMs\":10,"
 	  "\"service\":\"s9\"}]," SERVICES "}",
 	  "routes[0].service: there is no service s9" },
-	{ "two routes in one place",
+	{ "two routes with the same host and prefix",
 	  "{\"version\":7,\"routes\":[" ROUTE_HEAD
 	  "\"prefix\":\"/a/\",\"type\":\"safe\",\"timeoutMs\":10,"
 	  "\"service\":\"s1\"}," ROUTE_HEAD
@@ -78,17 +78,17 @@
 	  "\"prefix\":\"/a\",\"type\":\"safe\",\"timeoutMs\":10,"
 	  "\"service\":\"s1\"}]," SERVICES "}",
 	  "slash" },
-	{ "a host that is no text",
+	{ "a host that is invalid UTF-8",
 	  "{\"version\":7,\"routes\":[{\"name\":\"r1\",\"host\":\"h\xff\","
 	  "\"prefix\":\"/a/\",\"type\":\"safe\",\"timeoutMs\":10,"
 	  "\"service\":\"s1\"}]," SERVICES "}",
 	  "routes[0].host" },
-	{ "a timeout beyond all range",
+	{ "a timeout out of range",
 	  "{\"version\":7,\"routes\":[" ROUTE_HEAD
 	  "\"prefix\":\"/a/\",\"type\":\"safe\",\"timeoutMs\":1e300,"
 	  "\"service\":\"s1\"}]," SERVICES "}",
 	  "routes[0].timeoutMs" },
-	{ "a service twice",
+	{ "a duplicate service",
 	  "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"},"
 	  "{\"name\":\"s\"}]}",
 	  "stands twice" },
@@ -97,33 +97,33 @@
 		"\"unit\":\"token\",\"rawTokens\":200,\"ratePerS\":0.5,"
 		"\"burst\":0},{\"name\":\"b\",\"keys\":[]}"),
 	  NULL },
-	{ "customers that are no list",
+	{ "customers that aren't a list",
 	  "{\"version\":1,\"routes\":[]," SERVICES ",\"tenants\":{}}",
 	  "tenants" },
-	{ "customers without a value",
+	{ "customers that are null",
 	  "{\"version\":1,\"routes\":[]," SERVICES ",\"tenants\":null}",
 	  "tenants" },
 	{ "a customer without keys", KEYED("{\"name\":\"a\"}"),
 	  "tenants[0].keys" },
-	{ "a key that is no text", KEYED("{\"name\":\"a\",\"keys\":[7]}"),
+	{ "a key that isn't a string", KEYED("{\"name\":\"a\",\"keys\":[7]}"),
 	  "tenants[0].keys[0]" },
 	{ "an empty key", KEYED("{\"name\":\"a\",\"keys\":[\"k1\",\"\"]}"),
 	  "tenants[0].keys[1]" },
-	{ "a name that would break a header",
+	{ "a name that would inject a header",
 	  KEYED("{\"name\":\"a\\r\\nX-Hold: 1\",\"keys\":[]}"),
 	  "tenants[0].name" },
-	{ "two customers with a key",
+	{ "two customers with the same key",
 	  KEYED("{\"name\":\"a\",\"keys\":[\"k1\"]},{\"name\":\"b\","
 		"\"keys\":[\"k2\",\"k1\"]}"),
 	  "tenants[1]: shares a key with tenants[0]" },
-	{ "two customers of one name",
+	{ "two customers with the same name",
 	  KEYED("{\"name\":\"a\",\"keys\":[\"k1\"]},{\"name\":\"a\","
 		"\"keys\":[]}"),
 	  "tenants[1]: has the name of tenants[0]" },
 	{ "a negative limit",
 	  KEYED("{\"name\":\"a\",\"keys\":[],\"ratePerS\":-1}"),
 	  "tenants[0].ratePerS" },
-	{ "an absurd limit",
+	{ "a limit out of range",
 	  KEYED("{\"name\":\"a\",\"keys\":[],\"ratePerS\":1e18}"),
 	  "tenants[0].ratePerS" },
 	{ "a burst that is text",
@@ -147,7 +147,7 @@
 		if (!c->error && !r)
 			fail_msg("%s: refused: %s", c->label, error->message);
 		if (c->error && r)
-			fail_msg("%s: taken", c->label);
+			fail_msg("%s: accepted", c->label);
 		if (c->error && (error->code != SS_ERROR_BAD_REQUEST ||
 				 !strstr(error->message, c->error)))
 			fail_msg("%s: \"%s\"", c->label, error->message);
@@ -156,7 +156,7 @@
 	}
 }
 
-/* Limits as they are told; what isn't told is no limit. */
+/* Limits are read as they are written; an absent one means no limit. */
 static void limits_are_read(void **state)
 {
 	static const char json[] =
@@ -253,27 +253,27 @@
 }
 
 struct start_case {
-	const char *label, *text; /* the field as it stands; "" : none */
+	const char *label, *text; /* the field as JSON; "": absent */
 	int64_t started_ms;
-	bool entry; /* an entry of the list with it names an endpoint */
+	bool entry_valid; /* an entry of the list with this field */
 };
 
 static const struct start_case starts[] = {
 	{ "a whole number", "\"born\":1765000000123,", 1765000000123, true },
-	{ "none", "", 0, true },
+	{ "absent", "", 0, true },
 	{ "of another type", "\"born\":\"1765000000123\",", 0, false },
-	{ "not whole", "\"born\":1765000000123.5,", 0, false },
+	{ "not an integer", "\"born\":1765000000123.5,", 0, false },
 	{ "negative", "\"born\":-4,", 0, false },
-	{ "absurd", "\"born\":1e300,", 0, false },
+	{ "out of range", "\"born\":1e300,", 0, false },
 	{ "null", "\"born\":null,", 0, false },
 };
 
 /*
- * Of a report, what isn't a start leaves the rest as it is: it comes from the
- * engine itself. An entry of the list may be by another writer, and then names
- * no endpoint to use.
+ * A report comes from the engine itself, so only an invalid start time is
+ * ignored. An entry of the list may come from another program, so an invalid
+ * start time makes the entry unreadable.
  */
-static void starts_are_read(void **state)
+static void start_times_are_read(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(starts); i++) {
@@ -298,8 +298,8 @@
 		read = out.instances->len == 1 &&
 		       g_array_index(out.instances, struct fleet_instance, 0)
 				       .started_ms == c->started_ms;
-		if (read != c->entry ||
-		    out.unreadable->len != (c->entry ? 0 : 1) ||
+		if (read != c->entry_valid ||
+		    out.unreadable->len != (c->entry_valid ? 0 : 1) ||
 		    r.self.started_ms != c->started_ms)
 			fail_msg("%s", c->label);
 		fleet_report_clear(&r);
@@ -312,19 +312,19 @@
 struct report_case {
 	const char *label, *json;
 	bool ok;
-	unsigned int held, pending;
+	unsigned int held, loading_adapters;
 	bool busy;
 };
 
 static const struct report_case reports[] = {
-	{ "as it comes",
+	{ "a typical report",
 	  "{\"phase\":\"mixed\",\"models\":[{\"name\":\"m\",\"version\":1,"
 	  "\"adapters\":[\"a1\"]}],\"busy\":true,\"seq\":2,\"queued\":1,"
 	  "\"active\":12,\"kvUsed\":41000,\"kvTotal\":90000,"
 	  "\"pending\":[\"m/a2@1\"],\"available\":{\"resident\":[\"m\"],"
 	  "\"onDisk\":[\"m\",\"n\"]}}",
 	  true, 1, 1, true },
-	{ "unknown and absurd fields",
+	{ "unknown and invalid fields",
 	  "{\"seq\":1,\"models\":[],\"busy\":false,\"active\":\"many\","
 	  "\"queued\":null,\"pending\":7,\"available\":[],\"x\":[]}",
 	  true, 0, 0, false },
@@ -335,7 +335,7 @@
 	{ "a model without a name",
 	  "{\"seq\":1,\"models\":[{\"name\":\"m\"},{}],\"busy\":false}", false,
 	  0, 0, false },
-	{ "a model's name that is no text",
+	{ "a model name that is invalid UTF-8",
 	  "{\"seq\":1,\"models\":[{\"name\":\"\xff\"}],\"busy\":false}", false,
 	  0, 0, false },
 	{ "adapters that aren't a list",
@@ -344,15 +344,15 @@
 	  true, 1, 0, true },
 	{ "busy of another type", "{\"seq\":1,\"models\":[],\"busy\":7}", false,
 	  0, 0, false },
-	{ "a count that isn't whole",
+	{ "a count that isn't an integer",
 	  "{\"seq\":1.5,\"models\":[],\"busy\":false}", false, 0, 0, false },
-	{ "a count beyond all range",
+	{ "a count out of range",
 	  "{\"seq\":1e300,\"models\":[],\"busy\":false}", false, 0, 0, false },
-	{ "a count that is no number",
+	{ "a count that isn't a number",
 	  "{\"seq\":NaN,\"models\":[],\"busy\":false}", false, 0, 0, false },
-	{ "no count of orders", "{\"models\":[]}", false, 0, 0, false },
+	{ "an absent count of orders", "{\"models\":[]}", false, 0, 0, false },
 	{ "a negative count", "{\"seq\":-1}", false, 0, 0, false },
-	{ "torn", "{\"seq\":1", false, 0, 0, false },
+	{ "truncated", "{\"seq\":1", false, 0, 0, false },
 };
 
 static void reports_are_read(void **state)
@@ -368,9 +368,9 @@
 		if (ok != c->ok)
 			fail_msg("%s: %d", c->label, ok);
 		if (ok && (r.held->len != c->held || r.busy != c->busy ||
-			   r.loading_adapters->len != c->pending))
+			   r.loading_adapters->len != c->loading_adapters))
 			fail_msg("%s: read wrongly", c->label);
-		if (ok && c->pending)
+		if (ok && c->loading_adapters)
 			assert_string_equal(r.loading_adapters->pdata[0],
 					    "m/a2");
 		g_clear_error(&error);
@@ -383,7 +383,7 @@
 	int64_t running, remaining_ms;
 };
 
-/* Both as they are told, or as if they weren't. */
+/* Both numbers are read, or count as absent if they are invalid. */
 static const struct number_case report_numbers[] = {
 	{ "12", 12, 12 },
 	{ "0", 0, 0 },
@@ -405,11 +405,11 @@
 };
 
 /*
- * Symptom: an engine's load is a number of any size, and on another processor
- * another one. Sequence: its report has a number that no integer holds.
- * Cause: the number is converted without a look at its range.
+ * Guards against an arbitrary engine load that differs between processors. That
+ * happens if a number in a report that doesn't fit an integer is converted
+ * without a range check.
  */
-static void absurd_numbers_are_not_told(void **state)
+static void out_of_range_numbers_are_ignored(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(report_numbers); i++) {
@@ -431,12 +431,12 @@
 	}
 }
 
-/* Only a state that is known to mean so says that an engine leaves. */
-static void unknown_states_do_not_leave(void **state)
+/* Only the state "draining" means that an engine drains. */
+static void unknown_states_do_not_drain(void **state)
 {
 	static const struct {
 		const char *value;
-		bool leaving;
+		bool draining;
 	} rows[] = { { "\"ready\"", false },	    { "\"draining\"", true },
 		     { "\"gone\"", false },	    { "7", false },
 		     { "\"draining\xff\"", false }, { "null", false } };
@@ -449,7 +449,7 @@
 		struct fleet_report r;
 
 		assert_true(users_platform.read_report(ss_str(json), &r, NULL));
-		if (r.leaving != rows[i].leaving)
+		if (r.leaving != rows[i].draining)
 			fail_msg("%s: %d", rows[i].value, r.leaving);
 		fleet_report_clear(&r);
 		g_free(json);
@@ -474,7 +474,7 @@
 	g_string_free(s, TRUE);
 }
 
-static void order_answers_are_told_apart(void **state)
+static void order_answers_are_mapped(void **state)
 {
 	static const struct {
 		int status;
@@ -492,7 +492,7 @@
 				 rows[i].answer);
 }
 
-/* Heads are read from bytes, as on the wire. */
+/* Heads are parsed from bytes, as on the wire. */
 
 struct heads {
 	struct platform_call call;
@@ -508,7 +508,8 @@
 
 	if (!h->request) {
 		users_platform.read_answer(h, &x->answer);
-		/* A view into the head; only its presence is looked at. */
+		/* Its strings are views into the head: only their presence may
+		 * be checked later. */
 		return;
 	}
 	x->call_ok = users_platform.read_call(h, &x->call, NULL);
@@ -550,17 +551,18 @@
 };
 
 static const struct call_case calls[] = {
-	{ "all of them",
+	{ "all headers",
 	  "X-Deadline-Ms: 12000\r\nX-Token-Usage: 1460,80\r\n"
 	  "Last-Event-Id: 7\r\n",
 	  true, 12000, 1460, 80, 7 },
-	{ "none", "", true, 0, 0, 0, -1 },
-	{ "a deadline that is no number", "X-Deadline-Ms: soon\r\n", false, 0,
+	{ "no headers", "", true, 0, 0, 0, -1 },
+	{ "a deadline that isn't a number", "X-Deadline-Ms: soon\r\n", false, 0,
 	  0, 0, -1 },
 	{ "a negative deadline", "X-Deadline-Ms: -5\r\n", false, 0, 0, 0, -1 },
-	{ "half of the tokens", "X-Token-Usage: 12\r\n", false, 0, 12, 0, -1 },
-	{ "an event that is no number", "Last-Event-Id: x\r\n", false, 0, 0, 0,
+	{ "one of two token counts", "X-Token-Usage: 12\r\n", false, 0, 12, 0,
 	  -1 },
+	{ "an event that isn't a number", "Last-Event-Id: x\r\n", false, 0, 0,
+	  0, -1 },
 };
 
 static void calls_are_read(void **state)
@@ -585,11 +587,9 @@
 	}
 }
 
-/*
- * What a caller may not decide for the system isn't passed on; what
- * concerns one connection neither; all else is, unchanged.
- */
-static void own_headers_are_replaced(void **state)
+/* Internal headers of a caller and hop-by-hop headers aren't forwarded; all
+ * others are, unchanged. */
+static void internal_headers_are_replaced(void **state)
 {
 	struct platform_send send = { .deadline_ms = 1500,
 				      .instance = SS_LIT("i-1"),
@@ -619,97 +619,97 @@
 	bool not_run, authentic, encoded, has_load;
 	int64_t idle_ms;
 	double limit_per_s;
-	bool leaving;
-	int64_t rest_ms;
+	bool draining;
+	int64_t backoff_ms;
 };
 
 static const struct answer_case answers[] = {
-	{ "a signed one",
+	{ "a signed answer",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nX-Server-Load: 3,1,8\r\n"
 	  "Keep-Alive: timeout=5, max=10\r\nContent-Length: 0\r\n\r\n",
 	  false, true, false, true, 5000, -1, false, 0 },
 	{ "a full endpoint",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 0 },
-	{ "503 without the word",
+	{ "503 without X-Not-Executed",
 	  "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, false, false,
 	  false, 0, -1, false, 0 },
 	{ "another incarnation", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 0 },
-	{ "a coded body",
+	{ "an encoded body",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Encoding: gzip\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, true, false, 0, -1, false, 0 },
-	{ "a load with the speed of its machine",
+	{ "a load with the processing time",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\n"
 	  "X-Server-Load: 3,1,8,140\r\nContent-Length: 0\r\n\r\n",
 	  false, true, false, true, 0, -1, false, 0 },
-	{ "an absurd load",
+	{ "an invalid load",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nX-Server-Load: a,,\r\n"
 	  "Keep-Alive: timeout=x\r\nContent-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
-	{ "a limit of its own",
+	{ "a rate limit",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Limit: 1.4\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, 1.4, false, 0 },
-	{ "a limit beside a refusal",
+	{ "a rate limit in a refusal",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nserver-limit: 0\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, 0, false, 0 },
-	{ "a limit that is no number",
+	{ "a rate limit that isn't a number",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Limit: 2x\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
-	{ "one that leaves",
+	{ "a draining endpoint",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Leaving: 1\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, true, 0 },
-	{ "one that says that it doesn't",
+	{ "an endpoint that states it isn't draining",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Leaving: 0\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
-	{ "a rest of some seconds",
+	{ "a backoff in seconds",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nRetry-After: 2.5\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 2500 },
-	{ "a rest beside too many requests",
+	{ "a backoff with 429",
 	  "HTTP/1.1 429 No\r\nX-Not-Executed: 1\r\nRetry-After: 1\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 1000 },
-	{ "a rest with a fraction, not cut short",
+	{ "a fractional backoff, rounded up",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nRetry-After: 0.0305\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 31 },
-	{ "a rest of two days",
+	{ "a backoff of two days, limited to one",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nRetry-After: 172800\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 24 * 3600 * 1000 },
-	{ "a rest that is a date",
+	{ "a backoff that is a date",
 	  "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\n"
 	  "Retry-After: Wed, 21 Oct 2026 07:28:00 GMT\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  true, false, false, false, 0, -1, false, 0 },
-	{ "a time beside an answer of another kind",
+	{ "a Retry-After with 200",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nRetry-After: 3\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
-	{ "an absurd limit",
+	{ "a rate limit out of range",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Limit: 1e99\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
-	{ "a negative limit",
+	{ "a negative rate limit",
 	  "HTTP/1.1 200 OK\r\nX-Signature: s\r\nServer-Limit: -1\r\n"
 	  "Content-Length: 0\r\n\r\n",
 	  false, true, false, false, 0, -1, false, 0 },
 };
 
-/* All loads above are the same one. */
+/* All loads above have the same first three numbers. */
 static bool load_is_read(const struct platform_answer *a)
 {
 	return a->running == 3 && a->waiting == 1 && a->slots == 8;
 }
 
-static void answers_are_told_apart(void **state)
+static void answer_headers_are_read(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(answers); i++) {
@@ -724,8 +724,8 @@
 		    (c->has_load && !load_is_read(&x.answer)) ||
 		    x.answer.idle_ms != c->idle_ms ||
 		    x.answer.limit_per_s != c->limit_per_s ||
-		    x.answer.leaving != c->leaving ||
-		    x.answer.rest_ms != c->rest_ms)
+		    x.answer.leaving != c->draining ||
+		    x.answer.rest_ms != c->backoff_ms)
 			fail_msg("%s: read wrongly", c->label);
 	}
 }
@@ -735,8 +735,8 @@
 	int64_t percent;
 };
 
-/* Guards against a torn or absurd fourth figure that is taken for a speed, and
- * against one that spoils the three before it. */
+/* Guards against accepting a truncated or invalid fourth number of the load,
+ * and against discarding the three valid ones before it. */
 static void work_time_is_read_or_not_reported(void **state)
 {
 	static const struct work_case cases[] = {
@@ -778,15 +778,15 @@
 		cmocka_unit_test(limits_are_read),
 		cmocka_unit_test(longest_prefix_wins),
 		cmocka_unit_test(splits_follow_their_weights),
-		cmocka_unit_test(starts_are_read),
+		cmocka_unit_test(start_times_are_read),
 		cmocka_unit_test(reports_are_read),
-		cmocka_unit_test(absurd_numbers_are_not_told),
-		cmocka_unit_test(unknown_states_do_not_leave),
+		cmocka_unit_test(out_of_range_numbers_are_ignored),
+		cmocka_unit_test(unknown_states_do_not_drain),
 		cmocka_unit_test(orders_are_written),
-		cmocka_unit_test(order_answers_are_told_apart),
+		cmocka_unit_test(order_answers_are_mapped),
 		cmocka_unit_test(calls_are_read),
-		cmocka_unit_test(own_headers_are_replaced),
-		cmocka_unit_test(answers_are_told_apart),
+		cmocka_unit_test(internal_headers_are_replaced),
+		cmocka_unit_test(answer_headers_are_read),
 		cmocka_unit_test(work_time_is_read_or_not_reported),
 	};
 
