--- a/test/test_template.c
+++ b/test/test_template.c
@@ -1,5 +1,5 @@
-/* Settings as the platform fills them in, from deploy/, read by the programs.
- */
+/* Tests of the settings templates in deploy/: filled in as the platform does
+ * it, the programs accept them. */
 #include "unit.h"
 
 #include <json-c/json.h>
@@ -8,11 +8,11 @@
 
 #include "../src/config/config.h"
 
-/* Fillings of each template; each draws all numbers anew. */
-#define FILLINGS 2000
+/* Rounds; each fills the template with new random numbers. */
+#define FILL_ROUNDS 2000
 
-/* What stands at a path such as "bounds.graceS"; NULL: nothing. */
-static json_object *at_path(json_object *o, const char *path)
+/* Returns the value at a path such as "bounds.graceS"; NULL if it is absent. */
+static json_object *value_at_path(json_object *o, const char *path)
 {
 	char **keys = g_strsplit(path, ".", -1);
 
@@ -33,7 +33,8 @@
 static void fill(GString *out, const char *text, const char *end,
 		 json_object *all, json_object *item, bool last);
 
-/* A section: once for each item of a list, or once where there is a value. */
+/* Fills a section: once per item of a list, or once for any other value except
+ * false. */
 static void fill_section(GString *out, const char *text, const char *end,
 			 json_object *all, json_object *v)
 {
@@ -55,7 +56,7 @@
 static void fill_name(GString *out, const char *name, json_object *all,
 		      json_object *item, bool last)
 {
-	json_object *v = strcmp(name, ".") ? at_path(all, name) : item;
+	json_object *v = strcmp(name, ".") ? value_at_path(all, name) : item;
 
 	if (!strcmp(name, ",")) {
 		g_string_append(out, last ? "" : ",");
@@ -86,7 +87,7 @@
 			close = strstr(after, mark);
 			assert_non_null(close);
 			fill_section(out, after, close, all,
-				     at_path(all, name + 1));
+				     value_at_path(all, name + 1));
 			after = close + strlen(mark);
 			g_free(mark);
 		} else {
@@ -97,8 +98,8 @@
 	}
 }
 
-/* All that the platform tells a process, with these bounds. */
-static json_object *told_with(const char *bounds)
+/* Returns the values that the platform gives to a process. */
+static json_object *platform_values(const char *bounds)
 {
 	char *text = g_strdup_printf(
 		"{\"node\":\"vm-1\",\"zone\":\"za\",\"ip\":\"127.0.0.1\","
@@ -114,15 +115,15 @@
 	json_object *o = json_tokener_parse(text);
 
 	if (!o)
-		fail_msg("not what the platform tells: %s", text);
+		fail_msg("not valid values of the platform: %s", text);
 	g_free(text);
 	return o;
 }
 
-/* A template as a process finds it. */
-static GString *filled(const char *file, const char *bounds)
+/* Returns the filled template, as the process reads it. */
+static GString *fill_template(const char *file, const char *bounds)
 {
-	json_object *all = told_with(bounds);
+	json_object *all = platform_values(bounds);
 	GString *out = g_string_new(NULL);
 	char *template;
 	gsize n;
@@ -134,10 +135,10 @@
 	return out;
 }
 
-/* How a bound may be written; NULL: it isn't told. */
+/* Ways to write a bound; NULL: it is absent. */
 static const struct number {
 	const char *text;
-	double value; /* NAN: it is no number */
+	double value; /* NAN: not a number */
 } numbers[] = {
 	{ NULL, 0 },	    { "0", 0 },	      { "1", 1 },
 	{ "250", 250 },	    { "6.25", 6.25 }, { "0.1", 0.1 },
@@ -149,7 +150,7 @@
 
 static const struct bound {
 	const char *key, *setting;
-	double least, most;
+	double min, max;
 } bounds[] = {
 	{ "graceS", "fleet.grace_s", 0, 3600 },
 	{ "retryRatio", "fleet.retry_ratio", 0, 10 },
@@ -157,61 +158,64 @@
 	{ "retrySlack", "fleet.retry_slack", 0, 1000000 },
 };
 
-/* Some bounds, of which one at the most doesn't fit: its setting, or NULL. */
+/* Draws some bounds, at most one of them out of range, and returns the setting
+ * of that one or NULL. */
 static const char *draw_bounds(GString *out, uint64_t *seed)
 {
-	const char *wrong = NULL;
+	const char *invalid_setting = NULL;
 
 	for (size_t k = 0; k < G_N_ELEMENTS(bounds); k++) {
 		const struct bound *b = &bounds[k];
 		const struct number *v =
 			&numbers[ss_random(seed) % G_N_ELEMENTS(numbers)];
-		bool fits = v->value >= b->least && v->value <= b->most;
+		bool valid = v->value >= b->min && v->value <= b->max;
 
-		if (!v->text || (!fits && wrong))
+		if (!v->text || (!valid && invalid_setting))
 			continue;
-		if (!fits)
-			wrong = b->setting;
+		if (!valid)
+			invalid_setting = b->setting;
 		g_string_append_printf(out, "%s\"%s\":%s", out->len ? "," : "",
 				       b->key, v->text);
 	}
-	return wrong;
+	return invalid_setting;
 }
 
-/* A fault is named with its file, and its field unless the file is no JSON. */
-static void check_fault(const GError *error, const char *wrong)
+/* The error names the file, and also the field unless the file isn't JSON. */
+static void check_fault(const GError *error, const char *invalid_setting)
 {
 	if (error->code != SS_ERROR_SETTINGS ||
 	    !g_str_has_prefix(error->message, "node.json:") ||
-	    (!strstr(error->message, wrong) &&
+	    (!strstr(error->message, invalid_setting) &&
 	     !strstr(error->message, "not JSON")))
-		fail_msg("%s isn't named: %s", wrong, error->message);
+		fail_msg("%s isn't in the error: %s", invalid_setting,
+			 error->message);
 }
 
 /*
- * Symptom: every process ends at its start, again and again. Sequence: a
- * deployment at a small size has a bound of 6.25, or lacks one. Cause: the
- * settings wanted a whole number, and the template a value for each.
+ * Guards against processes that exit at every start because a small deployment
+ * has a bound of 6.25 or lacks a bound. That happens if the settings require an
+ * integer, or the template a value for each bound.
  */
-static void templates_take_any_bound(void **state)
+static void templates_accept_any_bound(void **state)
 {
 	uint64_t seed = 20261203;
 
 	(void)state;
-	for (int i = 0; i < FILLINGS; i++) {
+	for (int i = 0; i < FILL_ROUNDS; i++) {
 		GString *drawn = g_string_new(NULL);
-		const char *wrong = draw_bounds(drawn, &seed);
-		GString *text = filled("deploy/entry.json", drawn->str);
+		const char *invalid_setting = draw_bounds(drawn, &seed);
+		GString *text = fill_template("deploy/entry.json", drawn->str);
 		GError *error = NULL;
 		struct config c;
 
 		if (settings_parse(&config_type, &c, "node.json",
 				   ss_str_gs(text), &error)) {
-			if (wrong)
-				fail_msg("%s was taken: %s", wrong, drawn->str);
+			if (invalid_setting)
+				fail_msg("%s was accepted: %s", invalid_setting,
+					 drawn->str);
 			config_clear(&c);
-		} else if (wrong) {
-			check_fault(error, wrong);
+		} else if (invalid_setting) {
+			check_fault(error, invalid_setting);
 		} else {
 			fail_msg("%s: %s", drawn->str, error->message);
 		}
@@ -221,7 +225,7 @@
 	}
 }
 
-static void every_template_is_whole(void **state)
+static void every_template_is_valid(void **state)
 {
 	static const char *const files[] = { "deploy/entry.json",
 					     "deploy/control.json",
@@ -229,8 +233,8 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(files); i++) {
-		GString *text =
-			filled(files[i], "\"graceS\":8,\"leaseMs\":2.5e3");
+		GString *text = fill_template(files[i],
+					      "\"graceS\":8,\"leaseMs\":2.5e3");
 		GError *error = NULL;
 		struct config c;
 
@@ -250,16 +254,15 @@
 }
 
 /*
- * Symptom: an entry cuts all its answers as soon as a planned stop begins.
- * Sequence: the platform's grace time is 2.5 s; the template makes milliseconds
- * of it by writing zeros behind the figure, "2.5000". Cause: bounds needn't be
- * whole numbers.
+ * Guards against an entry that truncates all its answers as soon as a planned
+ * stop begins. That happens if the template turns a grace time of 2.5 s into
+ * milliseconds by appending zeros, "2.5000": bounds may be fractional.
  */
-static void seconds_need_not_be_whole(void **state)
+static void grace_time_may_be_fractional(void **state)
 {
-	GString *s = filled("deploy/entry.json",
-			    "\"graceS\":2.5,\"retryRatio\":0.2,"
-			    "\"retryWindowS\":0.5,\"retrySlack\":64");
+	GString *s = fill_template("deploy/entry.json",
+				   "\"graceS\":2.5,\"retryRatio\":0.2,"
+				   "\"retryWindowS\":0.5,\"retrySlack\":64");
 	char *name = g_strdup("settings-XXXXXX");
 	GError *error = NULL;
 	struct config c;
@@ -282,8 +285,9 @@
 	g_free(name);
 }
 
-/* A share of a repeat is no repeat: what all together may send is a bound. */
-static void share_of_a_bound_is_kept_exact(void **state)
+/* A bound on retries applies to all processes together, so the share of one may
+ * be fractional and must not be rounded. */
+static void fractional_bounds_are_kept_exact(void **state)
 {
 	static const char text[] =
 		"{\"role\":\"entry\",\"name\":\"e\",\"control\":[],"
@@ -303,10 +307,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(templates_take_any_bound),
-		cmocka_unit_test(every_template_is_whole),
-		cmocka_unit_test(seconds_need_not_be_whole),
-		cmocka_unit_test(share_of_a_bound_is_kept_exact),
+		cmocka_unit_test(templates_accept_any_bound),
+		cmocka_unit_test(every_template_is_valid),
+		cmocka_unit_test(grace_time_may_be_fractional),
+		cmocka_unit_test(fractional_bounds_are_kept_exact),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
