--- a/docs/example/embed.c
+++ b/docs/example/embed.c
@@ -1,7 +1,7 @@
 /*
- * Embedding the admission queue and the replicated log's types in another
- * program: a libevent loop that admits made-up calls by class and customer
- * and serves them one at a time.
+ * Example of embedding the admission queue in another program: a libevent loop
+ * that queues sample calls with a priority, a deadline and a customer, and
+ * serves them one at a time.
  */
 #include <event2/event.h>
 #include <sapphireshift/limit.h>
@@ -9,7 +9,8 @@
 #include <stdio.h>
 
 struct call {
-	struct ss_queue_item item; /* first, so that one is the other */
+	struct ss_queue_item
+		item; /* first member: the queue returns its address */
 	const char *name;
 };
 
@@ -38,7 +39,7 @@
 int main(void)
 {
 	struct ss_queue_options o = { .raise_ms = 1000 };
-	struct timeval every = { 0, 1000 };
+	struct timeval interval = { 0, 1000 };
 	struct server s = { .base = event_base_new(),
 			    .queue = ss_queue_new(&o) };
 	struct call calls[] = {
@@ -68,7 +69,7 @@
 			g_error_free(error);
 		}
 	}
-	event_add(timer, &every);
+	event_add(timer, &interval);
 	event_base_dispatch(s.base);
 	event_free(timer);
 	ss_queue_free(s.queue);
