--- a/include/sapphireshift/base.h
+++ b/include/sapphireshift/base.h
@@ -1,4 +1,7 @@
-/* Strings with a length, time in milliseconds, and typed errors. */
+/*
+ * Basic types of the library: string views, clocks in milliseconds, error
+ * codes and a seeded random number generator.
+ */
 #ifndef SAPPHIRESHIFT_BASE_H
 #define SAPPHIRESHIFT_BASE_H
 
@@ -15,7 +18,7 @@
 extern "C" {
 #endif
 
-/* A view of bytes; it owns nothing and need not end in a zero byte. */
+/* Non-owning view of n bytes; not necessarily NUL-terminated. */
 struct ss_str {
 	const char *p;
 	size_t n;
@@ -44,13 +47,13 @@
 	return a.n == b.n && (a.n == 0 || memcmp(a.p, b.p, a.n) == 0);
 }
 
-/* A copy that ends in a zero byte; free it with g_free(). */
+/* Returns a NUL-terminated copy, to be freed with g_free(). */
 static inline char *ss_str_dup(struct ss_str s)
 {
 	return g_strndup(s.p ? s.p : "", s.n);
 }
 
-/* Make *at, which is owned, a copy of s. */
+/* Replaces the owned string *at with a copy of s and frees the old one. */
 static inline void ss_str_set(char **at, struct ss_str s)
 {
 	char *copy = ss_str_dup(s);
@@ -60,8 +63,9 @@
 }
 
 /*
- * The one source of time. Milliseconds from an arbitrary start that never
- * go back; a test sets fake_ms and leaves now_ms at NULL.
+ * Monotonic time source, in milliseconds from an arbitrary origin. Code that
+ * needs the current time reads it from here, so that a test can control it by
+ * setting fake_ms and leaving now_ms NULL.
  */
 struct ss_clock {
 	int64_t (*now_ms)(const struct ss_clock *c);
@@ -75,56 +79,62 @@
 	return c->now_ms ? c->now_ms(c) : c->fake_ms;
 }
 
-/* A clock that reads the monotonic clock of the VM. */
+/* Initializes a clock that reads the VM's CLOCK_MONOTONIC. */
 void ss_clock_init(struct ss_clock *c);
 
-/* Milliseconds since 1970; a decision gets it as input and never reads it. */
+/*
+ * Wall-clock time in milliseconds since the Unix epoch. Decision code must not
+ * call this: it receives the time as an input, so that it stays deterministic.
+ */
 int64_t ss_wall_ms(void);
 
-/* A moment on the wall clock, with what the local hour then is. */
+/* Wall-clock time with the local time zone's offset at that moment. */
 struct ss_wall {
-	int64_t ms;	       /* since 1970, UTC */
-	int64_t utc_offset_ms; /* of local time; positive east of UTC */
+	int64_t ms;	       /* since the Unix epoch, UTC */
+	int64_t utc_offset_ms; /* local minus UTC; positive east of UTC */
 };
 
-/* Now, by the time zone of this process; for the shell around decisions. */
+/*
+ * Current wall-clock time in the time zone of this process. As with
+ * ss_wall_ms(), for callers of decision code, not for decision code itself.
+ */
 struct ss_wall ss_wall_now(void);
 
-/* Every failure has one of these codes, in the domain SS_ERROR. */
+/* Codes of the GError domain SS_ERROR, which covers every failure. */
 enum ss_error {
 	SS_ERROR_IO,	      /* a file or socket call failed */
 	SS_ERROR_DISK_FULL,   /* no space for a record */
 	SS_ERROR_CORRUPT,     /* a stored record fails its checksum */
-	SS_ERROR_SETTINGS,    /* a settings file or preset is wrong */
-	SS_ERROR_FRAME,	      /* a frame breaks the protocol */
-	SS_ERROR_VERSION,     /* the peer speaks another version */
-	SS_ERROR_TOO_LARGE,   /* a body, frame or header over its limit */
-	SS_ERROR_BAD_REQUEST, /* a request that can't be understood */
-	SS_ERROR_AUTH,	      /* the token is missing or wrong */
+	SS_ERROR_SETTINGS,    /* invalid settings file or preset */
+	SS_ERROR_FRAME,	      /* frame violates the protocol */
+	SS_ERROR_VERSION,     /* peer uses another protocol version */
+	SS_ERROR_TOO_LARGE,   /* body, frame or header exceeds its limit */
+	SS_ERROR_BAD_REQUEST, /* malformed request */
+	SS_ERROR_AUTH,	      /* missing or invalid token */
 	SS_ERROR_UNKNOWN_MODEL,
 	SS_ERROR_UNKNOWN_POOL,
-	SS_ERROR_CONFLICT, /* another change won the same version */
+	SS_ERROR_CONFLICT, /* a concurrent change took the expected version */
 	SS_ERROR_NOT_FOUND,
 	SS_ERROR_NOT_LEADER,
-	SS_ERROR_UNAVAILABLE, /* nobody can serve this now */
-	SS_ERROR_DEADLINE,    /* the deadline can't be or wasn't met */
-	SS_ERROR_OVERLOAD,    /* a limit of the class or customer is reached */
-	SS_ERROR_FENCED,      /* an order with an old fencing number */
-	SS_ERROR_MEMORY,      /* not enough accelerator memory */
+	SS_ERROR_UNAVAILABLE, /* nothing can serve the request at present */
+	SS_ERROR_DEADLINE,    /* deadline missed, or can't be met */
+	SS_ERROR_OVERLOAD,    /* class or customer limit reached */
+	SS_ERROR_FENCED,      /* order with an outdated fencing token */
+	SS_ERROR_MEMORY,      /* insufficient accelerator memory */
 	SS_ERROR_DRAINING,
 	SS_ERROR_CANCELLED,
-	SS_ERROR_LOST,	   /* the outcome isn't known */
-	SS_ERROR_ENDPOINT, /* the endpoint answered with a fault */
+	SS_ERROR_LOST,	   /* outcome unknown */
+	SS_ERROR_ENDPOINT, /* endpoint returned an error */
 	SS_ERROR_CODES
 };
 
 #define SS_ERROR ss_error_quark()
 GQuark ss_error_quark(void);
 
-/* The stable name of a code as callers and operators see it. */
+/* Stable name of an error code, as reported to callers and operators. */
 const char *ss_error_name(enum ss_error code);
 
-/* SplitMix64: a small seeded generator, so that runs can be repeated. */
+/* SplitMix64 generator; explicit state makes seeded runs reproducible. */
 static inline uint64_t ss_random(uint64_t *state)
 {
 	uint64_t z = (*state += 0x9e3779b97f4a7c15u);
@@ -134,7 +144,7 @@
 	return z ^ (z >> 31);
 }
 
-/* A 64-bit number that no other process has, from the kernel. */
+/* Random nonzero 64-bit id from the kernel, unique across processes. */
 uint64_t ss_unique_id(void);
 
 #ifdef __cplusplus
