--- a/src/base/base.c
+++ b/src/base/base.c
@@ -1,4 +1,4 @@
-/* Clocks, error names and unique numbers. */
+/* Clocks, error names and unique ids. */
 #include <sapphireshift/base.h>
 
 #include <errno.h>
@@ -81,7 +81,7 @@
 {
 	uint64_t id = 0;
 
-	/* Zero means "nobody" everywhere, so it is never handed out. */
+	/* 0 is reserved throughout to mean "no id". */
 	while (id == 0) {
 		if (getrandom(&id, sizeof(id), 0) != sizeof(id))
 			abort();
--- a/src/base/hist.h
+++ b/src/base/hist.h
@@ -1,14 +1,17 @@
-/* A log-linear histogram of milliseconds or any other unsigned value. */
+/*
+ * Log-linear histogram of unsigned values, such as latencies in milliseconds.
+ * Fixed size, so that it can be updated without allocation and merged.
+ */
 #ifndef SS_HIST_H
 #define SS_HIST_H
 
 #include <sapphireshift/base.h>
 
-/* 16 linear steps within each power of two: within 6.25 % of the truth. */
-#define HIST_SUB_BITS 4
-#define HIST_SUB (1 << HIST_SUB_BITS)
+/* 16 linear buckets per power of two: relative error of at most 6.25 %. */
+#define HIST_SUB_BUCKET_BITS 4
+#define HIST_SUB_BUCKETS (1 << HIST_SUB_BUCKET_BITS)
 #define HIST_POWERS 36
-#define HIST_BUCKETS (HIST_POWERS * HIST_SUB)
+#define HIST_BUCKETS (HIST_POWERS * HIST_SUB_BUCKETS)
 
 struct hist {
 	uint64_t count;
@@ -19,11 +22,11 @@
 
 void hist_add(struct hist *h, uint64_t value);
 
-/* The value below which a share q (0 to 1) of the samples lies. */
+/* Value at quantile q (0 to 1); 0 if the histogram is empty. */
 uint64_t hist_quantile(const struct hist *h, double q);
 
-/* Samples not above the value, to the histogram's own precision. */
-uint64_t hist_below(const struct hist *h, uint64_t value);
+/* Number of samples <= value, at bucket resolution. */
+uint64_t hist_count_le(const struct hist *h, uint64_t value);
 
 void hist_merge(struct hist *into, const struct hist *from);
 
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -1,4 +1,4 @@
-/* Structured log lines through log4c. */
+/* Structured, rate-limited log lines through log4c. */
 #include "log.h"
 
 #include <log4c.h>
@@ -8,16 +8,19 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Below PIPE_BUF, so that a line which a pipe has room for never blocks. */
+/*
+ * Below PIPE_BUF: a write of a whole line to a pipe is atomic, and doesn't
+ * block once poll() reports the pipe as writable.
+ */
 #define LINE_MAX_BYTES 1024
-/* Of a line, for time, level, node and event. */
+/* Part of a line that is reserved for time, level, node and event. */
 #define LINE_HEAD_BYTES 128
 /*
- * Lines a second, and lines that may come at once. An entry writes one a
- * request: twice what one is meant to carry, and a burst of some seconds.
+ * Token bucket for lines. An entry writes one line per request, so the rate is
+ * twice an entry's design load; the burst covers a few seconds at that rate.
  */
 #define LINES_PER_S 400
-#define LINES_BURST 2000
+#define LINE_BURST 2000
 
 static const int priorities[] = {
 	[LOG_LEVEL_ERROR] = LOG4C_PRIORITY_ERROR,
@@ -26,17 +29,17 @@
 	[LOG_LEVEL_DEBUG] = LOG4C_PRIORITY_DEBUG,
 };
 
-/* log4c keeps its categories for the whole process, and so this is too. */
+/* Global, as log4c's own categories are process-wide. */
 static log4c_category_t *category;
 static char *node_name;
 
-/* What may still be written, and what had to be left out. */
-static double tokens = LINES_BURST;
+/* Token bucket state, and lines dropped since the last reported count. */
+static double tokens = LINE_BURST;
 static int64_t tokens_ms;
-static uint64_t left_out;
+static uint64_t dropped_lines;
 
-/* A reader that stalls must not stop the process: look before each write. */
-static bool may_write(void)
+/* Checked before each write, so that a stalled reader can't block us. */
+static bool stdout_writable(void)
 {
 	struct pollfd p = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
@@ -51,7 +54,7 @@
 	ss_clock_init(&c);
 	now = ss_clock_now(&c);
 	tokens = MIN(tokens + (double)(now - tokens_ms) * LINES_PER_S / 1000.0,
-		     LINES_BURST);
+		     LINE_BURST);
 	tokens_ms = now;
 	if (tokens < 1)
 		return false;
@@ -64,22 +67,22 @@
 	char note[64];
 
 	(void)a;
-	if (!take_token() || !may_write()) {
-		left_out++;
+	if (!take_token() || !stdout_writable()) {
+		dropped_lines++;
 		return 0;
 	}
-	if (left_out) {
+	if (dropped_lines) {
 		int n = snprintf(note, sizeof(note),
 				 "event=log_left_out lines=%" PRIu64 "\n",
-				 left_out);
+				 dropped_lines);
 
-		left_out = 0;
+		dropped_lines = 0;
 		if (write(STDOUT_FILENO, note, (size_t)n) < 0)
-			left_out++;
+			dropped_lines++;
 	}
 	if (write(STDOUT_FILENO, e->evt_rendered_msg,
 		  strlen(e->evt_rendered_msg)) < 0)
-		left_out++;
+		dropped_lines++;
 	return 0;
 }
 
@@ -90,19 +93,19 @@
 			  const log4c_logging_event_t *e)
 {
 	static char line[LINE_MAX_BYTES];
-	char stamp[32];
+	char timestamp[32];
 	struct tm tm;
 	time_t sec = e->evt_timestamp.tv_sec;
 	int n;
 
 	(void)layout;
 	gmtime_r(&sec, &tm);
-	strftime(stamp, sizeof(stamp), "%Y-%m-%dT%H:%M:%S", &tm);
+	strftime(timestamp, sizeof(timestamp), "%Y-%m-%dT%H:%M:%S", &tm);
 	n = snprintf(line, sizeof(line), "ts=%s.%03dZ level=%s node=%s %s\n",
-		     stamp, (int)(e->evt_timestamp.tv_usec / 1000),
+		     timestamp, (int)(e->evt_timestamp.tv_usec / 1000),
 		     log4c_priority_to_string(e->evt_priority),
 		     node_name ? node_name : "-", e->evt_msg);
-	/* A line that was cut ends as others do. */
+	/* A truncated line must still end in a newline. */
 	if (n >= (int)sizeof(line))
 		line[sizeof(line) - 2] = '\n';
 	return line;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,14 +1,17 @@
 /*
- * One structured line an event on standard output: level, event, then
- * key=value pairs. Lines beyond a rate, or that a reader who stalls leaves no
- * room for, are left out and counted; nothing waits for them.
+ * Structured logging to standard output, one line per event: level, event
+ * name, then key=value pairs. Logging never blocks: lines that exceed the rate
+ * limit, or that a stalled reader leaves no room for, are dropped and counted.
  */
 #ifndef SS_LOG_H
 #define SS_LOG_H
 
 #include <sapphireshift/base.h>
 
-/* Open the log of a process; node stands on every line. Level by name. */
+/*
+ * Opens the process-wide log. node is written on every line; level is the
+ * name of a log4c priority.
+ */
 void log_open(const char *node, const char *level);
 void log_close(void);
 
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -1,16 +1,17 @@
-/* Counters, gauges and histograms by name and labels. */
+/* Registry of counters, gauges and histograms by name and labels. */
 #include "metrics.h"
 
 struct metrics {
 	GTree *values; /* "name{labels}" -> uint64_t */
-	GTree *hists;  /* "name\n labels" -> struct hist */
+	GTree *hists;  /* "name\nlabels" -> struct hist */
 };
 
+/* Upper bounds of the buckets that are exported. */
 static const uint64_t bounds_ms[] = { 1,     2,	    5,	   10,	  20,	50,
 				      100,   200,   500,   1000,  2000, 5000,
 				      10000, 20000, 60000, 300000 };
 
-static int compare(gconstpointer a, gconstpointer b, gpointer data)
+static int compare_keys(gconstpointer a, gconstpointer b, gpointer data)
 {
 	(void)data;
 	return strcmp(a, b);
@@ -20,8 +21,8 @@
 {
 	struct metrics *m = g_new0(struct metrics, 1);
 
-	m->values = g_tree_new_full(compare, NULL, g_free, g_free);
-	m->hists = g_tree_new_full(compare, NULL, g_free, g_free);
+	m->values = g_tree_new_full(compare_keys, NULL, g_free, g_free);
+	m->hists = g_tree_new_full(compare_keys, NULL, g_free, g_free);
 	return m;
 }
 
@@ -83,7 +84,7 @@
 				       "\"} %" PRIu64 "\n",
 				       n, (char *)key, labels, comma,
 				       bounds_ms[i],
-				       hist_below(h, bounds_ms[i]));
+				       hist_count_le(h, bounds_ms[i]));
 	g_string_append_printf(out,
 			       "%.*s_bucket{%s%sle=\"+Inf\"} %" PRIu64
 			       "\n%.*s_sum{%s} %" PRIu64
--- a/src/base/timeval.h
+++ b/src/base/timeval.h
@@ -1,4 +1,4 @@
-/* Milliseconds as the loop's timers and sockets want them. */
+/* Conversion of milliseconds for the event loop's timers and for sockets. */
 #ifndef SS_TIMEVAL_H
 #define SS_TIMEVAL_H
 
