--- a/src/base/pack.h
+++ b/src/base/pack.h
@@ -1,17 +1,20 @@
-/* Bytes packed for a link, by zstd, whose frames tell their size and carry a
- * checksum. */
+/*
+ * Compression of message bodies with zstd. Each frame states its content size
+ * and carries a checksum.
+ */
 #ifndef SS_PACK_H
 #define SS_PACK_H
 
 #include <sapphireshift/base.h>
 
-/* Append the packed bytes. */
+/* Compresses bytes and appends the frame to out. */
 void pack_add(GString *out, struct ss_str bytes);
 
 /*
- * The bytes that were packed; free with g_string_free(). NULL with
- * SS_ERROR_FRAME where they are cut, harmed or larger than most.
+ * Returns the decompressed bytes, to be freed with g_string_free(). Fails with
+ * SS_ERROR_FRAME if the frame is truncated or corrupt, or if its content is
+ * larger than max_size.
  */
-GString *pack_open(struct ss_str packed, size_t most, GError **error);
+GString *pack_open(struct ss_str packed, size_t max_size, GError **error);
 
 #endif
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -1,20 +1,23 @@
-/* Settings read from JSON with comments by tables of fields. */
+/* Table-driven reader of settings in JSON with comments. */
 #include "settings.h"
 
 #include <inttypes.h>
 #include <json-c/json.h>
 #include <math.h>
 
-/* Nesting of settings; ours have four levels. Bounds the parser's stack. */
+/* Bounds the parser's recursion; our settings nest four levels deep. */
 #define DEPTH_MAX 16
-/* Up to here a double holds each whole number. */
-#define WHOLE_MAX 9007199254740992.0
+/* 2^53: a double represents every integer up to here exactly. */
+#define EXACT_INT_MAX 9007199254740992.0
 
-/* The text with its comments blanked out, so that keys can be looked up. */
+/*
+ * Returns a copy with comments replaced by spaces, so that a search for a key
+ * can't match inside a comment. Offsets and lines stay the same.
+ */
 static GString *without_comments(struct ss_str text)
 {
 	GString *out = g_string_new_len(text.p, (gssize)text.n);
-	char in = 0; /* '"' in a string, '/' or '*' in a comment */
+	char in = 0; /* 0, or '"' in a string, '/' or '*' in a comment */
 
 	for (size_t i = 0; i < out->len; i++) {
 		char c = out->str[i];
@@ -42,7 +45,7 @@
 	return out;
 }
 
-static unsigned int line_at(const char *text, size_t offset)
+static unsigned int line_number(const char *text, size_t offset)
 {
 	unsigned int line = 1;
 
@@ -52,35 +55,36 @@
 }
 
 struct reader {
-	struct setting_faults *faults;
+	struct setting_errors *errors;
 	GString *bare; /* text without comments */
-	size_t at;     /* where the next key is searched from */
+	size_t offset; /* in bare, where the search for the next key starts */
 	GString *path;
 	unsigned int line;
 };
 
 G_GNUC_PRINTF(2, 3)
-static void fault(struct reader *r, const char *fmt, ...)
+static void add_error(struct reader *r, const char *fmt, ...)
 {
-	struct setting_faults *f = r->faults;
+	struct setting_errors *e = r->errors;
 	va_list ap;
 
-	g_string_append_printf(f->out, "%s%s:%u: %s: ", f->count ? "\n" : "",
-			       f->file, r->line, r->path->str);
+	g_string_append_printf(e->out, "%s%s:%u: %s: ", e->count ? "\n" : "",
+			       e->file, r->line, r->path->str);
 	va_start(ap, fmt);
-	g_string_append_vprintf(f->out, fmt, ap);
+	g_string_append_vprintf(e->out, fmt, ap);
 	va_end(ap);
-	f->count++;
+	e->count++;
 }
 
 /*
- * json-c keeps no positions, but walks keys in the order of the text. So
- * the line of a key is that of its next occurrence that a colon follows.
+ * Finds the line of a key for error messages. json-c keeps no positions but
+ * iterates over keys in text order, so the key is at its next occurrence that
+ * is followed by a colon.
  */
 static void seek_key(struct reader *r, const char *key)
 {
 	char *quoted = g_strdup_printf("\"%s\"", key);
-	const char *from = r->bare->str + r->at;
+	const char *from = r->bare->str + r->offset;
 	const char *hit = from;
 
 	while ((hit = strstr(hit, quoted))) {
@@ -95,11 +99,11 @@
 	g_free(quoted);
 	if (!hit)
 		return;
-	r->at = (size_t)(hit - r->bare->str) + 1;
-	r->line = line_at(r->bare->str, r->at);
+	r->offset = (size_t)(hit - r->bare->str) + 1;
+	r->line = line_number(r->bare->str, r->offset);
 }
 
-static GPtrArray *strs_at(void *into, const struct setting *f)
+static GPtrArray *list_at(void *into, const struct setting *f)
 {
 	return *(GPtrArray **)((char *)into + f->offset);
 }
@@ -113,20 +117,20 @@
 
 		switch (f->kind) {
 		case SETTING_INT:
-			*(int64_t *)at = f->preset_int;
+			*(int64_t *)at = f->default_int;
 			break;
 		case SETTING_BOOL:
-			*(bool *)at = f->preset_int != 0;
+			*(bool *)at = f->default_int != 0;
 			break;
 		case SETTING_NUM:
-			*(double *)at = (double)f->preset_int;
+			*(double *)at = (double)f->default_int;
 			break;
 		case SETTING_STR:
-			*(char **)at = g_strdup(f->preset_str);
+			*(char **)at = g_strdup(f->default_str);
 			break;
 		case SETTING_CHOICE:
-			for (int c = 0; f->preset_str && f->choices[c]; c++)
-				if (!strcmp(f->choices[c], f->preset_str))
+			for (int c = 0; f->default_str && f->choices[c]; c++)
+				if (!strcmp(f->choices[c], f->default_str))
 					*(int *)at = c;
 			break;
 		case SETTING_STRS:
@@ -184,14 +188,14 @@
 static void read_object(struct reader *r, const struct setting_type *t,
 			void *into, json_object *o, int depth);
 
-/* Also as 250.0 or 2.5e2: whoever fills in a template writes what it has. */
-static bool is_whole(json_object *v)
+/* Accepts 250.0 and 2.5e2 as well, which template engines produce. */
+static bool is_integer(json_object *v)
 {
 	double d = json_object_get_double(v);
 
 	return json_object_is_type(v, json_type_int) ||
 	       (json_object_is_type(v, json_type_double) && d == floor(d) &&
-		fabs(d) <= WHOLE_MAX);
+		fabs(d) <= EXACT_INT_MAX);
 }
 
 static void read_int(struct reader *r, const struct setting *f, void *at,
@@ -199,15 +203,15 @@
 {
 	int64_t n;
 
-	if (!is_whole(v)) {
-		fault(r, "expected a whole number from %.15g to %.15g", f->min,
-		      f->max);
+	if (!is_integer(v)) {
+		add_error(r, "expected a whole number from %.15g to %.15g",
+			  f->min, f->max);
 		return;
 	}
 	n = json_object_get_int64(v);
 	if ((double)n < f->min || (double)n > f->max) {
-		fault(r, "%" PRId64 " is out of range: %.15g to %.15g", n,
-		      f->min, f->max);
+		add_error(r, "%" PRId64 " is out of range: %.15g to %.15g", n,
+			  f->min, f->max);
 		return;
 	}
 	*(int64_t *)at = n;
@@ -221,8 +225,8 @@
 	if ((!json_object_is_type(v, json_type_int) &&
 	     !json_object_is_type(v, json_type_double)) ||
 	    !(n >= f->min && n <= f->max)) {
-		fault(r, "expected a number from %.15g to %.15g", f->min,
-		      f->max);
+		add_error(r, "expected a number from %.15g to %.15g", f->min,
+			  f->max);
 		return;
 	}
 	*(double *)at = n;
@@ -244,39 +248,39 @@
 		g_string_append_printf(all, "%s%s", c ? ", " : "",
 				       f->choices[c]);
 	}
-	fault(r, "expected one of %s", all->str);
+	add_error(r, "expected one of %s", all->str);
 	g_string_free(all, TRUE);
 }
 
 static void read_strs(struct reader *r, const struct setting *f, void *into,
 		      json_object *v)
 {
-	GPtrArray *list = strs_at(into, f);
+	GPtrArray *list = list_at(into, f);
 
 	if (!json_object_is_type(v, json_type_array)) {
-		fault(r, "expected a list of strings");
+		add_error(r, "expected a list of strings");
 		return;
 	}
 	for (size_t i = 0; i < json_object_array_length(v); i++) {
 		json_object *e = json_object_array_get_idx(v, i);
 
 		if (!json_object_is_type(e, json_type_string)) {
-			fault(r, "item %zu: expected a string", i);
+			add_error(r, "item %zu: expected a string", i);
 			return;
 		}
 		g_ptr_array_add(list, g_strdup(json_object_get_string(e)));
 	}
 	if (f->max > 0 && list->len > f->max)
-		fault(r, "%u items; at most %.15g", list->len, f->max);
+		add_error(r, "%u items; at most %.15g", list->len, f->max);
 }
 
 static void read_map(struct reader *r, const struct setting *f, void *into,
 		     json_object *v, int depth)
 {
-	GPtrArray *list = strs_at(into, f);
+	GPtrArray *list = list_at(into, f);
 
 	if (!json_object_is_type(v, json_type_object)) {
-		fault(r, "expected an object");
+		add_error(r, "expected an object");
 		return;
 	}
 	json_object_object_foreach(v, key, item) {
@@ -309,11 +313,11 @@
 		if (json_object_is_type(v, json_type_boolean))
 			*(bool *)at = json_object_get_boolean(v);
 		else
-			fault(r, "expected true or false");
+			add_error(r, "expected true or false");
 		break;
 	case SETTING_STR:
 		if (!json_object_is_type(v, json_type_string)) {
-			fault(r, "expected a string");
+			add_error(r, "expected a string");
 			break;
 		}
 		g_free(*(char **)at);
@@ -334,8 +338,8 @@
 	}
 }
 
-static const struct setting *field_named(const struct setting_type *t,
-					 const char *name)
+static const struct setting *find_field(const struct setting_type *t,
+					const char *name)
 {
 	for (size_t i = 0; i < t->n; i++)
 		if (!strcmp(t->fields[i].name, name))
@@ -350,18 +354,18 @@
 	gsize len = r->path->len;
 
 	if (!json_object_is_type(o, json_type_object) || depth > DEPTH_MAX) {
-		fault(r, "expected an object");
+		add_error(r, "expected an object");
 		return;
 	}
 	json_object_object_foreach(o, key, value) {
-		const struct setting *f = field_named(t, key);
+		const struct setting *f = find_field(t, key);
 
 		seek_key(r, key);
 		g_string_append_printf(r->path, "%s%s", len ? "." : "", key);
 		if (f)
 			read_field(r, f, into, value, depth);
 		else
-			fault(r, "unknown setting");
+			add_error(r, "unknown setting");
 		g_string_truncate(r->path, len);
 	}
 	for (size_t i = 0; i < t->n; i++) {
@@ -372,12 +376,12 @@
 		r->line = line;
 		g_string_append_printf(r->path, "%s%s", len ? "." : "",
 				       f->name);
-		fault(r, "missing, and it has no default");
+		add_error(r, "missing, and it has no default");
 		g_string_truncate(r->path, len);
 	}
 }
 
-/* Parse to a tree; NULL and a message with the line where it is no JSON. */
+/* Parses to a tree; on a syntax error returns NULL and reports the line. */
 static json_object *parse_tree(const char *file, struct ss_str text,
 			       GError **error)
 {
@@ -390,13 +394,13 @@
 	if (e == json_tokener_continue)
 		e = json_tokener_error_parse_eof;
 	if (e != json_tokener_success) {
-		char *z = ss_str_dup(text);
+		char *copy = ss_str_dup(text);
 
 		g_set_error(error, SS_ERROR, SS_ERROR_SETTINGS,
 			    "%s:%u: not JSON: %s", file,
-			    line_at(z, json_tokener_get_parse_end(tok)),
+			    line_number(copy, json_tokener_get_parse_end(tok)),
 			    json_tokener_error_desc(e));
-		g_free(z);
+		g_free(copy);
 		json_object_put(o);
 		o = NULL;
 	}
@@ -407,8 +411,8 @@
 bool settings_parse(const struct setting_type *t, void *into, const char *file,
 		    struct ss_str text, GError **error)
 {
-	struct setting_faults faults = { .file = file, .text = text };
-	struct reader r = { .faults = &faults, .line = 1 };
+	struct setting_errors errors = { .file = file, .text = text };
+	struct reader r = { .errors = &errors, .line = 1 };
 	json_object *o;
 
 	settings_defaults(t, into);
@@ -417,20 +421,20 @@
 		settings_clear(t, into);
 		return false;
 	}
-	faults.out = g_string_new(NULL);
+	errors.out = g_string_new(NULL);
 	r.bare = without_comments(text);
 	r.path = g_string_new(NULL);
 	read_object(&r, t, into, o, 0);
-	if (faults.count) {
+	if (errors.count) {
 		g_set_error(error, SS_ERROR, SS_ERROR_SETTINGS, "%s",
-			    faults.out->str);
+			    errors.out->str);
 		settings_clear(t, into);
 	}
 	json_object_put(o);
-	g_string_free(faults.out, TRUE);
+	g_string_free(errors.out, TRUE);
 	g_string_free(r.bare, TRUE);
 	g_string_free(r.path, TRUE);
-	return faults.count == 0;
+	return errors.count == 0;
 }
 
 bool settings_load(const struct setting_type *t, void *into, const char *file,
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,6 +1,7 @@
 /*
- * Settings and presets: JSON with comments, read into structs by tables.
- * Every fault is found in one pass and named with file, line and field.
+ * Reader for settings and presets: JSON with comments, read into structs that
+ * tables of fields describe. One pass reports all errors, each with file, line
+ * and field.
  */
 #ifndef SS_SETTINGS_H
 #define SS_SETTINGS_H
@@ -16,9 +17,9 @@
 	SETTING_STR,	/* char *, owned */
 	SETTING_CHOICE, /* int, an index into choices */
 	SETTING_STRS,	/* GPtrArray of char * */
-	SETTING_OBJECT, /* struct in place */
-	SETTING_MAP,	/* GPtrArray of structs whose first member is the
-			 * char *name, which is the key */
+	SETTING_OBJECT, /* nested struct */
+	SETTING_MAP,	/* GPtrArray of structs; their first member is a
+			 * char *name that holds the key */
 };
 
 struct setting_type;
@@ -27,9 +28,9 @@
 	const char *name;
 	enum setting_kind kind;
 	size_t offset;
-	double min, max;	/* of a number, or the count of a list */
-	int64_t preset_int;	/* default of an int or bool */
-	const char *preset_str; /* default of a string or choice */
+	double min, max;	 /* range of a number; max items of a list */
+	int64_t default_int;	 /* default of an int or bool */
+	const char *default_str; /* default of a string or choice */
 	const char *const *choices;
 	const struct setting_type *type;
 	bool required;
@@ -46,21 +47,24 @@
 		sizeof(type), (table), G_N_ELEMENTS(table)                     \
 	}
 
-/* All faults of one file: one line each, "file:line: field: text". */
-struct setting_faults {
+/* Errors found in one file, one line each: "file:line: field: text". */
+struct setting_errors {
 	const char *file;
 	struct ss_str text;
 	GString *out;
 	unsigned int count;
 };
 
-/* Fill a struct with the table's defaults; it owns what it points to. */
+/*
+ * Fills a struct with the table's defaults. The struct owns its strings and
+ * lists; settings_clear() frees them.
+ */
 void settings_defaults(const struct setting_type *t, void *into);
 void settings_clear(const struct setting_type *t, void *s);
 
 /*
- * Read text into a struct, over the defaults. False with SS_ERROR_SETTINGS
- * and all faults in the message, if any; then the struct is cleared.
+ * Sets the defaults, then reads text into the struct. On errors returns false
+ * with SS_ERROR_SETTINGS and all errors in the message, and clears the struct.
  */
 bool settings_parse(const struct setting_type *t, void *into, const char *file,
 		    struct ss_str text, GError **error);
@@ -68,7 +72,7 @@
 bool settings_load(const struct setting_type *t, void *into, const char *file,
 		   GError **error);
 
-/* A JSON text without comments, as it is kept and sent; NULL on fault. */
+/* Returns JSON without comments, as stored and sent; NULL on error. */
 char *settings_plain_json(const char *file, struct ss_str text, GError **error);
 
 #endif
--- a/src/base/wire.c
+++ b/src/base/wire.c
@@ -1,4 +1,4 @@
-/* Typed structs as msgpack. */
+/* Serialization of structs as msgpack. */
 #include "wire.h"
 
 int wire_write_gs(void *gs, const char *buf, size_t len)
@@ -162,10 +162,10 @@
 	return true;
 }
 
-/* What one msgpack header announces. */
-struct head {
-	size_t size;	/* of the header and its own payload */
-	uint64_t items; /* objects that follow inside */
+/* Sizes stated by the header of one msgpack object. */
+struct header {
+	size_t size;	/* bytes of the header and of its scalar payload */
+	uint64_t items; /* number of nested objects that follow */
 };
 
 static uint64_t read_be(const uint8_t *p, size_t n)
@@ -177,15 +177,15 @@
 	return v;
 }
 
-static struct head head_of(const uint8_t *p, size_t left)
+static struct header parse_header(const uint8_t *p, size_t left)
 {
-	/* Payload bytes of the scalars 0xca to 0xd3. */
+	/* Payload sizes of the scalar types 0xca to 0xd3. */
 	static const uint8_t scalar[] = { 4, 8, 1, 2, 4, 8, 1, 2, 4, 8 };
-	/* Width of the length of 0xc4 to 0xc6 and 0xd9 to 0xdf. */
+	/* Widths of the length field of types 0xc4 to 0xc6 and 0xd9 to 0xdf. */
 	static const uint8_t bin[] = { 1, 2, 4 };
 	static const uint8_t sized[] = { 1, 2, 4, 2, 4, 2, 4 };
 	uint8_t t = p[0];
-	struct head h = { 1, 0 };
+	struct header h = { 1, 0 };
 
 	if (t >= 0x80 && t <= 0x8f)
 		h.items = 2 * (uint64_t)(t & 15);
@@ -200,32 +200,33 @@
 	else if (t >= 0xd9 && t <= 0xdb && left > sized[t - 0xd9])
 		h.size += sized[t - 0xd9] + read_be(p + 1, sized[t - 0xd9]);
 	else if (t >= 0xdc && t <= 0xdf && left > sized[t - 0xd9])
-		h = (struct head){ 1u + sized[t - 0xd9],
-				   read_be(p + 1, sized[t - 0xd9]) *
-					   (t >= 0xde ? 2 : 1) };
+		h = (struct header){ 1u + sized[t - 0xd9],
+				     read_be(p + 1, sized[t - 0xd9]) *
+					     (t >= 0xde ? 2 : 1) };
 	else if (t == 0xc1 || (t >= 0xc7 && t <= 0xc9) ||
 		 (t >= 0xd4 && t <= 0xd8))
-		h.size = SIZE_MAX; /* extensions aren't used here */
+		h.size = SIZE_MAX; /* extension types are rejected */
 	return h;
 }
 
 /*
- * The library reserves memory for as many items as a header announces, so
- * five bytes could ask for 100 GB. Each item takes a byte at least: more
- * than there are bytes left is a lie.
+ * Checks item counts against the input's size. The msgpack library allocates
+ * as many items as a header states, so five bytes could make it allocate
+ * 100 GB. Each item takes at least one byte, so a count that exceeds the
+ * remaining bytes is invalid.
  */
-static bool is_plausible(struct ss_str bytes)
+static bool item_counts_valid(struct ss_str bytes)
 {
 	const uint8_t *p = (const uint8_t *)bytes.p;
 	size_t left = bytes.n;
 	uint64_t pending = 1;
 
 	while (pending) {
-		struct head h;
+		struct header h;
 
 		if (pending > left)
 			return false;
-		h = head_of(p, left);
+		h = parse_header(p, left);
 		if (h.size > left)
 			return false;
 		p += h.size;
@@ -242,11 +243,11 @@
 
 	msgpack_unpacked_init(&b->un);
 	memset(s, 0, t->size);
-	if (!is_plausible(bytes) ||
+	if (!item_counts_valid(bytes) ||
 	    msgpack_unpack_next(&b->un, bytes.p, bytes.n, &off) !=
 		    MSGPACK_UNPACK_SUCCESS)
 		return false;
-	/* A scalar leaves the zone unset; only a map is a struct anyway. */
+	/* A scalar leaves the zone unset; wire_unpack() then rejects it. */
 	if (!b->un.zone)
 		b->un.zone = msgpack_zone_new(MSGPACK_ZONE_CHUNK_SIZE);
 	return wire_unpack(&b->un.data, t, s, b->un.zone);
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -1,7 +1,7 @@
 /*
- * Typed structs as msgpack: a table per type names each field's tag, kind
- * and offset. A struct travels as a map from tag to value, so a reader
- * skips what it doesn't know, and a field that is zero isn't sent.
+ * Serialization of structs as msgpack. A table per type lists each field's
+ * tag, kind and offset. A struct is encoded as a map from tag to value: zero
+ * fields are omitted, and a decoder skips tags that it doesn't know.
  */
 #ifndef SS_WIRE_H
 #define SS_WIRE_H
@@ -28,7 +28,7 @@
 	uint8_t tag;
 	enum wire_kind kind;
 	size_t offset;
-	const struct wire_type *type; /* of a list's items */
+	const struct wire_type *type; /* item type of a WIRE_LIST */
 };
 
 struct wire_type {
@@ -42,32 +42,36 @@
 		sizeof(type), (table), G_N_ELEMENTS(table)                     \
 	}
 
-/* Lists within lists of a message; ours have three levels. */
+/* Limit on the nesting of lists; our messages use three levels. */
 #define WIRE_DEPTH_MAX 4
 
 void wire_pack(msgpack_packer *pk, const struct wire_type *t, const void *s);
 
-/* The packed struct as bytes; free with g_string_free(). */
+/* Returns the encoded struct, to be freed with g_string_free(). */
 GString *wire_encode(const struct wire_type *t, const void *s);
 
 /*
- * Fill a struct from a msgpack object. Strings point into the buffer that
- * the object was unpacked from, lists live in zone; both must outlive s.
+ * Decodes a msgpack object into a struct. Strings point into the buffer that
+ * the object was unpacked from, lists are allocated in zone; both must outlive
+ * s. Returns false if a field has the wrong type.
  */
 bool wire_unpack(const msgpack_object *o, const struct wire_type *t, void *s,
 		 msgpack_zone *zone);
 
-/* A decoded struct's memory: lists live here, strings in the buffer. */
+/* Memory of a decoded struct: lists are here, strings stay in the input. */
 struct wire_buf {
 	msgpack_unpacked un;
 };
 
-/* Decode bytes; false where they break the format. Always end with done. */
+/*
+ * Decodes bytes into a struct; false if they are malformed. Call wire_done()
+ * in either case.
+ */
 bool wire_decode(struct wire_buf *b, struct ss_str bytes,
 		 const struct wire_type *t, void *s);
 void wire_done(struct wire_buf *b);
 
-/* Append to a GString as a msgpack packer does. */
+/* Write callback of a msgpack packer that appends to a GString. */
 int wire_write_gs(void *gs, const char *buf, size_t len);
 
 #endif
