--- a/test/test_pack.c
+++ b/test/test_pack.c
@@ -1,13 +1,13 @@
-/* Packed bytes, and what harms them. */
+/* Compression round trips and rejection of corrupt compressed data. */
 #include "unit.h"
 
 #include "../src/base/pack.h"
 #include "../src/node/frame.h"
 
-#define MOST (1u << 20)
+#define MAX_SIZE (1u << 20)
 
-/* A routing's kind of text: many names, no two alike. */
-static GString *text_of(uint64_t seed, int routes)
+/* Sample text that resembles a routing document: many unique names. */
+static GString *routing_text(uint64_t seed, int routes)
 {
 	GString *s = g_string_new("{\"routes\":[");
 
@@ -19,68 +19,70 @@
 	return s;
 }
 
-static void bytes_survive(void **state)
+static void compression_round_trip(void **state)
 {
 	static const int routes[] = { 0, 1, 100, 8000 };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(routes); i++) {
-		GString *bytes = text_of(i + 1, routes[i]);
-		GString *whole = g_string_new("x"), *got;
+		GString *bytes = routing_text(i + 1, routes[i]);
+		GString *prefixed = g_string_new("x"), *decompressed;
 		struct ss_str packed;
 
-		pack_add(whole, ss_str_gs(bytes));
-		packed = (struct ss_str){ whole->str + 1, whole->len - 1 };
-		got = pack_open(packed, MOST, NULL);
-		assert_true(g_string_equal(got, bytes));
-		g_string_free(got, TRUE);
+		pack_add(prefixed, ss_str_gs(bytes));
+		packed =
+			(struct ss_str){ prefixed->str + 1, prefixed->len - 1 };
+		decompressed = pack_open(packed, MAX_SIZE, NULL);
+		assert_true(g_string_equal(decompressed, bytes));
+		g_string_free(decompressed, TRUE);
 		g_string_free(bytes, TRUE);
-		g_string_free(whole, TRUE);
+		g_string_free(prefixed, TRUE);
 	}
 }
 
-enum harm { CUT, EMPTY, TURNED, TOO_LARGE, DOUBLED };
+enum corruption { TRUNCATED, EMPTY, BIT_FLIPPED, TOO_LARGE, DOUBLED };
 
 static const struct {
 	const char *label;
-	enum harm harm;
-} harms[] = {
-	{ "cut", CUT },
-	{ "nothing", EMPTY },
-	{ "a byte turned", TURNED },
-	{ "larger than is taken", TOO_LARGE },
-	{ "twice in a row", DOUBLED },
+	enum corruption kind;
+} corruptions[] = {
+	{ "truncated", TRUNCATED },
+	{ "empty", EMPTY },
+	{ "one bit flipped", BIT_FLIPPED },
+	{ "content larger than the limit", TOO_LARGE },
+	{ "two frames in a row", DOUBLED },
 };
 
-static void harmed_bytes_are_refused(void **state)
+static void corrupt_data_is_rejected(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(harms); i++) {
-		GString *bytes = text_of(1, 100), *packed = g_string_new(NULL);
-		size_t most = MOST;
+	for (size_t i = 0; i < G_N_ELEMENTS(corruptions); i++) {
+		GString *bytes = routing_text(1, 100),
+			*packed = g_string_new(NULL);
+		size_t max_size = MAX_SIZE;
 		GError *error = NULL;
 
 		pack_add(packed, ss_str_gs(bytes));
-		switch (harms[i].harm) {
-		case CUT:
+		switch (corruptions[i].kind) {
+		case TRUNCATED:
 			g_string_truncate(packed, packed->len - 1);
 			break;
 		case EMPTY:
 			g_string_truncate(packed, 0);
 			break;
-		case TURNED:
+		case BIT_FLIPPED:
 			packed->str[packed->len / 2] ^= 0x40;
 			break;
 		case TOO_LARGE:
-			most = bytes->len - 1;
+			max_size = bytes->len - 1;
 			break;
 		case DOUBLED:
 			g_string_append_len(packed, packed->str,
 					    (gssize)packed->len);
 			break;
 		}
-		if (pack_open(ss_str_gs(packed), most, &error))
-			fail_msg("%s was taken", harms[i].label);
+		if (pack_open(ss_str_gs(packed), max_size, &error))
+			fail_msg("%s was accepted", corruptions[i].label);
 		assert_int_equal(error->code, SS_ERROR_FRAME);
 		g_error_free(error);
 		g_string_free(bytes, TRUE);
@@ -88,10 +90,10 @@
 	}
 }
 
-/* Long messages travel packed and look the same at the other end. */
-static void long_frames_are_packed(void **state)
+/* Long messages are compressed on the wire and decode to the same content. */
+static void long_frames_are_compressed(void **state)
 {
-	GString *text = text_of(3, 1000), *out = g_string_new(NULL);
+	GString *text = routing_text(3, 1000), *out = g_string_new(NULL);
 	struct msg_config m = { .version = 7, .body = ss_str_gs(text) };
 	struct frame f;
 	GError *error = NULL;
@@ -106,7 +108,7 @@
 	assert_int_equal(f.u.config.version, 7);
 	assert_true(ss_str_eq(f.u.config.body, m.body));
 	frame_done(&f);
-	/* Cut on the way, its head as if it were whole. */
+	/* A truncated frame whose header states the full length is rejected. */
 	assert_false(
 		frame_decode((uint8_t *)out->str, out->len - 9, &f, &error));
 	assert_int_equal(error->code, SS_ERROR_FRAME);
@@ -118,9 +120,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(bytes_survive),
-		cmocka_unit_test(harmed_bytes_are_refused),
-		cmocka_unit_test(long_frames_are_packed),
+		cmocka_unit_test(compression_round_trip),
+		cmocka_unit_test(corrupt_data_is_rejected),
+		cmocka_unit_test(long_frames_are_compressed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/unit.h
+++ b/test/unit.h
@@ -1,4 +1,4 @@
-/* What all unit tests include. */
+/* Common includes of the unit tests; cmocka needs the standard ones first. */
 #ifndef SS_UNIT_H
 #define SS_UNIT_H
 
