--- a/src/base/pack.c
+++ b/src/base/pack.c
@@ -1,4 +1,4 @@
-/* Compression of message bodies with zstd. */
+/* Compression of data for a link, with zstd. */
 #include "pack.h"
 
 #include <zstd.h>
--- a/src/base/pack.h
+++ b/src/base/pack.h
@@ -1,5 +1,5 @@
 /*
- * Compression of message bodies with zstd. Each frame states its content size
+ * Compression of data for a link, with zstd. Each frame states its content size
  * and carries a checksum.
  */
 #ifndef SS_PACK_H
--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -58,7 +58,7 @@
 	r->body = NULL;
 	http_get(&options);
 	event_base_dispatch(r->base);
-	/* Run the deferred callbacks that free the finished connection. */
+	/* Process pending events, so that the connection is freed. */
 	event_base_loop(r->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
 }
 
