--- a/bench/streams.c
+++ b/bench/streams.c
@@ -63,7 +63,7 @@
 	       entries, streams * entries, (double)c.told / s,
 	       (double)c.told_bytes / s, (double)c.spread / s,
 	       (double)c.spread_bytes / s, c.kept,
-	       c.kept * stream_log_bytes() / 1024, ms / s,
+	       c.kept * stream_log_record_bytes() / 1024, ms / s,
 	       (double)c.spread * entries / s,
 	       (double)c.spread_bytes * entries / s,
 	       2 * taken_up * entries * entries);
--- a/src/core/end_log.h
+++ b/src/core/crash_log.h
@@ -13,44 +13,44 @@
 #endif
 
 /* The outcome of one run of a request. */
-enum end_kind {
-	END_UNDER = 1, /* its endpoint crashed while running it */
-	END_ANSWERED,  /* it was answered completely */
-	END_NOTHING,   /* its trial run was inconclusive */
+enum run_outcome_kind {
+	OUTCOME_CRASHED = 1,  /* its endpoint crashed while running it */
+	OUTCOME_ANSWERED,     /* it was answered completely */
+	OUTCOME_INCONCLUSIVE, /* its trial run was inconclusive */
 };
 
-struct end_seen {
-	struct fingerprint print;
-	enum end_kind kind;
-	uint64_t life; /* of the endpoint that crashed */
+struct run_outcome {
+	struct fingerprint fingerprint;
+	enum run_outcome_kind kind;
+	uint64_t incarnation_no; /* of the endpoint that crashed */
 	int64_t at_ms;
 };
 
-struct end_log {
+struct crash_log {
 	GArray *outcomes;  /* struct run_outcome, oldest first */
 	size_t n_reported; /* the first ones, which the leader has */
 	size_t capacity;
 };
 
-void end_log_init(struct end_log *l, size_t capacity);
-void end_log_clear(struct end_log *l);
+void crash_log_init(struct crash_log *l, size_t capacity);
+void crash_log_clear(struct crash_log *l);
 
 /* Appends an outcome. Any outcome but a crash replaces the request's crashes.
  */
-void end_log_add(struct end_log *l, const struct end_seen *e);
+void crash_log_add(struct crash_log *l, const struct run_outcome *e);
 /* Removes the crashes of a request that was cleared. */
-void end_log_drop(struct end_log *l, const struct fingerprint *fp);
+void crash_log_drop(struct crash_log *l, const struct fingerprint *fp);
 /* Starts over for a new leader, which has received no reports: crashes are
  * reported again, other outcomes that the last leader has are removed. */
-void end_log_again(struct end_log *l);
+void crash_log_rewind(struct crash_log *l);
 /* Returns the next unreported outcomes, *n of them and at most max; NULL if
  * all are reported. */
-const struct end_seen *end_log_next(const struct end_log *l, size_t max,
-				    size_t *n);
+const struct run_outcome *crash_log_next(const struct crash_log *l, size_t max,
+					 size_t *n);
 /* Marks the next n outcomes as reported, once they are sent. */
-void end_log_told(struct end_log *l, size_t n);
+void crash_log_reported(struct crash_log *l, size_t n);
 /* Removes outcomes observed before a time. */
-void end_log_forget(struct end_log *l, int64_t before_ms);
+void crash_log_expire(struct crash_log *l, int64_t before_ms);
 
 #ifdef __cplusplus
 }
--- a/src/core/failing.c
+++ b/src/core/failure_rate.c
@@ -1,5 +1,5 @@
 /* Failure rate of an endpoint. */
-#include "failing.h"
+#include "failure_rate.h"
 
 #include <math.h>
 
@@ -10,34 +10,35 @@
  * endpoint gets some of its calls again. */
 #define HALF_LIFE_MS 10000.0
 
-double failing_share(const struct failing *f, int64_t now)
+double failure_rate_at(const struct failure_rate *f, int64_t now)
 {
 	return f->rate * exp2((double)(f->at_ms - now) / HALF_LIFE_MS);
 }
 
-void failing_note(struct failing *f, uint64_t failed, uint64_t answered,
-		  int64_t now)
+void failure_rate_record(struct failure_rate *f, uint64_t failed,
+			 uint64_t answered, int64_t now)
 {
 	uint64_t calls = failed + answered;
-	double rate = failing_share(f, now);
+	double rate = failure_rate_at(f, now);
 
 	if (calls) {
 		double weight = 1.0 - pow(1.0 - CALL_WEIGHT, (double)calls);
 
 		rate += weight * ((double)failed / (double)calls - rate);
 	}
-	*f = (struct failing){ rate, now };
+	*f = (struct failure_rate){ rate, now };
 }
 
-void failing_told(struct failing *f, int64_t permille, int64_t now)
+void failing_told(struct failure_rate *f, int64_t permille, int64_t now)
 {
 	if (permille > 0)
-		*f = (struct failing){ (double)MIN(permille, FAILING_WHOLE) /
-					       FAILING_WHOLE,
-				       now };
+		*f = (struct failure_rate){ (double)MIN(permille,
+							FAILURE_RATE_SCALE) /
+						    FAILURE_RATE_SCALE,
+					    now };
 }
 
-int64_t failing_of_whole(const struct failing *f, int64_t now)
+int64_t failure_rate_permille(const struct failure_rate *f, int64_t now)
 {
-	return (int64_t)(failing_share(f, now) * FAILING_WHOLE);
+	return (int64_t)(failure_rate_at(f, now) * FAILURE_RATE_SCALE);
 }
--- a/src/core/failing.h
+++ b/src/core/failure_rate.h
@@ -12,24 +12,24 @@
 #endif
 
 /* Processes exchange failure rates in permille: this is a rate of 1. */
-#define FAILING_WHOLE 1000
+#define FAILURE_RATE_SCALE 1000
 
 /* Zero-initialized: no call has failed. */
-struct failing {
+struct failure_rate {
 	double rate; /* at at_ms, 0 to 1 */
 	int64_t at_ms;
 };
 
 /* Adds the calls that finished since the last update. */
-void failing_note(struct failing *f, uint64_t failed, uint64_t answered,
-		  int64_t now);
+void failure_rate_record(struct failure_rate *f, uint64_t failed,
+			 uint64_t answered, int64_t now);
 /* Returns the decayed rate, 0 to 1. */
-double failing_share(const struct failing *f, int64_t now);
+double failure_rate_at(const struct failure_rate *f, int64_t now);
 /* Adopts the rate that another process reports. Ignores 0 and less: the process
  * has no rate to report. */
-void failing_told(struct failing *f, int64_t permille, int64_t now);
+void failing_told(struct failure_rate *f, int64_t permille, int64_t now);
 /* Returns the decayed rate in permille, as it is reported. */
-int64_t failing_of_whole(const struct failing *f, int64_t now);
+int64_t failure_rate_permille(const struct failure_rate *f, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/src/core/fingerprint.c
+++ b/src/core/fingerprint.c
@@ -31,9 +31,9 @@
 }
 
 const char *fingerprint_text(const struct fingerprint *f,
-			     char text[FINGERPRINT_TEXT])
+			     char text[FINGERPRINT_TEXT_SIZE])
 {
-	g_snprintf(text, FINGERPRINT_TEXT, "%016" PRIx64 "%016" PRIx64, f->hi,
-		   f->lo);
+	g_snprintf(text, FINGERPRINT_TEXT_SIZE, "%016" PRIx64 "%016" PRIx64,
+		   f->hi, f->lo);
 	return text;
 }
--- a/src/core/fingerprint.h
+++ b/src/core/fingerprint.h
@@ -22,10 +22,10 @@
 gboolean fingerprint_equal(const void *a, const void *b);
 
 /* Size of a fingerprint in hexadecimal with its terminating null, in bytes. */
-#define FINGERPRINT_TEXT 33
+#define FINGERPRINT_TEXT_SIZE 33
 /* Writes a fingerprint into text and returns text. */
 const char *fingerprint_text(const struct fingerprint *f,
-			     char text[FINGERPRINT_TEXT]);
+			     char text[FINGERPRINT_TEXT_SIZE]);
 
 #ifdef __cplusplus
 }
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -326,7 +326,7 @@
 	int64_t age_ms;	       /* of the load figures */
 	bool busy; /* loads or unloads a model: can't load an adapter */
 	int64_t started_ms; /* as in struct fleet_incarnation */
-	/* Failure rate over all entries, in parts of FAILING_WHOLE. */
+	/* Failure rate over all entries, in parts of FAILURE_RATE_SCALE. */
 	int64_t failing;
 	/* Its own rate limit, as sent by endpoint_limit_wire(), and the age. */
 	int64_t limit, limit_age;
@@ -450,15 +450,15 @@
 	struct ss_str text;
 };
 
-/* What an entry has observed of a suspected request, as struct end_seen. */
+/* What an entry has observed of a suspected request, as struct run_outcome. */
 struct end_item {
 	uint64_t print_hi, print_lo;
-	int64_t kind; /* enum end_kind */
+	int64_t kind; /* enum run_outcome_kind */
 	uint64_t life;
 	int64_t age_ms;
 };
 
-/* State of a suspected request, as struct suspect_word. */
+/* State of a suspected request, as struct suspect_state. */
 struct suspect_item {
 	uint64_t print_hi, print_lo;
 	bool cleared;
@@ -479,7 +479,7 @@
 struct msg_trial {
 	uint64_t sub; /* echoed */
 	uint64_t print_hi, print_lo;
-	int64_t leave;	 /* in the reply: enum suspect_leave */
+	int64_t leave;	 /* in the reply: enum suspect_admission */
 	int64_t wait_ms; /* with SUSPECT_WAIT: until the next request */
 };
 
--- a/src/core/stream_log.c
+++ b/src/core/stream_log.c
@@ -163,7 +163,7 @@
 void stream_log_add(struct stream_log *l, const struct stream_item *x,
 		    int64_t now)
 {
-	int64_t until = now + CLAMP(x->left_ms, 0, STREAM_LIFE_MOST_MS);
+	int64_t until = now + CLAMP(x->ttl_ms, 0, STREAM_LIFETIME_MAX_MS);
 
 	if (x->key)
 		add_stream(l, x, until);
@@ -188,8 +188,8 @@
 	return true;
 }
 
-const char *stream_log_only(const struct stream_log *l, const char *service,
-			    int64_t now)
+const char *stream_log_sole_version(const struct stream_log *l,
+				    const char *service, int64_t now)
 {
 	const char *found = NULL;
 	GHashTableIter it;
@@ -208,18 +208,18 @@
 	return found;
 }
 
-int64_t stream_log_seen(const struct stream_log *l, const char *service,
-			const char *version)
+int64_t stream_log_last_served(const struct stream_log *l, const char *service,
+			       const char *version)
 {
 	char *name = version_name(service, version);
 	const struct record *r = g_hash_table_lookup(l->versions, name);
 
 	g_free(name);
-	return r ? r->until_ms - STREAM_LIFE_MOST_MS : 0;
+	return r ? r->until_ms - STREAM_LIFETIME_MAX_MS : 0;
 }
 
-uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t max,
-			 int64_t now, GArray *out)
+uint64_t stream_log_changes(const struct stream_log *l, uint64_t mark,
+			    size_t max, int64_t now, GArray *out)
 {
 	const GList *at = l->changes.tail;
 
@@ -231,19 +231,19 @@
 		struct stream_item x = item_of(r, now);
 
 		mark = r->seq;
-		if (x.left_ms > 0)
+		if (x.ttl_ms > 0)
 			g_array_append_val(out, x);
 	}
 	return mark;
 }
 
-bool stream_log_told(const struct stream_log *l, uint64_t mark)
+bool stream_log_is_reported(const struct stream_log *l, uint64_t mark)
 {
 	return !l->changes.tail ||
 	       ((struct record *)l->changes.tail->data)->seq <= mark;
 }
 
-void stream_log_tidy(struct stream_log *l, int64_t now)
+void stream_log_expire(struct stream_log *l, int64_t now)
 {
 	GList *at = l->changes.head;
 
@@ -261,7 +261,7 @@
 	return g_hash_table_size(l->streams);
 }
 
-size_t stream_log_bytes(void)
+size_t stream_log_record_bytes(void)
 {
 	/* The hash table holds key, value and hash, and is half full. */
 	return sizeof(struct record) + 2 * (2 * sizeof(void *) + sizeof(guint));
--- a/src/core/stream_log.h
+++ b/src/core/stream_log.h
@@ -18,11 +18,11 @@
 
 /* Time for which a stream can be resumed after it began, in ms: longer than any
  * caller waits. */
-#define STREAM_LIFE_MOST_MS 60000
+#define STREAM_LIFETIME_MAX_MS 60000
 /* Streams that a process keeps: those of a minute at 1000 per second, some 6
  * MB.
  */
-#define STREAM_LOG_MOST 65536
+#define STREAM_LOG_CAPACITY 65536
 
 struct stream_log;
 
@@ -30,7 +30,7 @@
 struct stream_item {
 	uint64_t key;
 	const char *service, *version; /* valid until the log changes */
-	int64_t left_ms;	       /* until it expires */
+	int64_t ttl_ms;		       /* until it expires */
 };
 
 /* capacity is in streams. */
@@ -50,29 +50,29 @@
 		     struct stream_item *out);
 /* Returns the only version of a service that served within
  * STREAM_LIFETIME_MAX_MS; NULL if there were several, or none is known. */
-const char *stream_log_only(const struct stream_log *l, const char *service,
-			    int64_t now);
+const char *stream_log_sole_version(const struct stream_log *l,
+				    const char *service, int64_t now);
 
 /* Returns when a version was last reported to serve, on the callers' clock; 0:
  * never, or too long ago. */
-int64_t stream_log_seen(const struct stream_log *l, const char *service,
-			const char *version);
+int64_t stream_log_last_served(const struct stream_log *l, const char *service,
+			       const char *version);
 
 /*
  * Appends the changes after a mark to out, oldest first, until it has max
  * struct stream_item, and returns the mark after them. A mark is a position in
  * the log's sequence of changes; mark 0 is before the first one.
  */
-uint64_t stream_log_news(const struct stream_log *l, uint64_t mark, size_t max,
-			 int64_t now, GArray *out);
+uint64_t stream_log_changes(const struct stream_log *l, uint64_t mark,
+			    size_t max, int64_t now, GArray *out);
 /* True if there is no change after a mark. */
-bool stream_log_told(const struct stream_log *l, uint64_t mark);
+bool stream_log_is_reported(const struct stream_log *l, uint64_t mark);
 
 /* Drops what has expired. */
-void stream_log_tidy(struct stream_log *l, int64_t now);
+void stream_log_expire(struct stream_log *l, int64_t now);
 /* Returns the number of streams. */
 size_t stream_log_length(const struct stream_log *l);
 /* Memory of one stream with its share of the tables, in bytes. */
-size_t stream_log_bytes(void);
+size_t stream_log_record_bytes(void);
 
 #endif
--- a/src/core/stream_wire.c
+++ b/src/core/stream_wire.c
@@ -15,7 +15,7 @@
 {
 	struct stream_group g = { .service = ss_str(x->service),
 				  .version = ss_str(x->version),
-				  .life_ms = round_up(x->left_ms) };
+				  .life_ms = round_up(x->ttl_ms) };
 
 	for (guint i = 0; i < w->groups->len; i++) {
 		const struct stream_group *other =
@@ -62,8 +62,8 @@
 	g_ptr_array_unref(w->keys);
 }
 
-size_t stream_wire_take(struct stream_log *l, const struct msg_streams *m,
-			int64_t now)
+size_t stream_wire_apply(struct stream_log *l, const struct msg_streams *m,
+			 int64_t now)
 {
 	const struct stream_group *g = m->groups.items;
 	size_t n = 0;
@@ -73,7 +73,7 @@
 		char *version = ss_str_dup(g[i].version);
 		struct stream_item x = { .service = service,
 					 .version = version,
-					 .left_ms = g[i].life_ms };
+					 .ttl_ms = g[i].life_ms };
 
 		if (!g[i].keys.n)
 			stream_log_add(l, &x, now);
--- a/src/core/stream_wire.h
+++ b/src/core/stream_wire.h
@@ -20,7 +20,7 @@
 
 /* Adds the streams and versions of a message to a log. Returns the number of
  * streams. */
-size_t stream_wire_take(struct stream_log *l, const struct msg_streams *m,
-			int64_t now);
+size_t stream_wire_apply(struct stream_log *l, const struct msg_streams *m,
+			 int64_t now);
 
 #endif
--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -37,7 +37,8 @@
 
 struct suspect {
 	struct fingerprint fp;
-	uint64_t crashes[SUSPECT_ENDS]; /* incarnation numbers of endpoints */
+	uint64_t crashes[SUSPECT_CRASH_THRESHOLD]; /* incarnation numbers of
+						      endpoints */
 	unsigned int n_crashes;
 	uint64_t last_crash; /* the newest, also beyond those in crashes */
 	int64_t last_ms;
@@ -64,7 +65,7 @@
 
 	s->o = *o;
 	s->window = 1;
-	s->no_trial_until_ms = now + o->quiet_ms;
+	s->no_trial_until_ms = now + o->trial_hold_ms;
 	s->expired_ms = now;
 	s->all = g_hash_table_new_full(fingerprint_hash, fingerprint_equal,
 				       NULL, g_free);
@@ -135,7 +136,7 @@
 {
 	GPtrArray *all;
 
-	if (g_hash_table_size(s->all) < s->o.most)
+	if (g_hash_table_size(s->all) < s->o.capacity)
 		return;
 	all = all_suspects(s);
 	g_ptr_array_sort(all, by_eviction);
@@ -253,7 +254,7 @@
 		remove_crash(x, poison->last_crash);
 		/* A quarantine that another process reported stays: it doesn't
 		 * depend on the crashes known here. */
-		if (x->quarantined && before == SUSPECT_ENDS &&
+		if (x->quarantined && before == SUSPECT_CRASH_THRESHOLD &&
 		    x->n_crashes < before)
 			clear(s, x, now);
 	}
@@ -273,8 +274,9 @@
 	note_change(s, x);
 }
 
-unsigned int suspects_end(struct suspects *s, const struct fingerprint *fp,
-			  uint64_t incarnation_no, int64_t now)
+unsigned int suspects_add_crash(struct suspects *s,
+				const struct fingerprint *fp,
+				uint64_t incarnation_no, int64_t now)
 {
 	struct suspect *x = find_or_add(s, fp);
 
@@ -286,11 +288,11 @@
 		return x->n_crashes;
 	x->last_crash = incarnation_no;
 	x->last_ms = now;
-	if (x->n_crashes < SUSPECT_ENDS)
+	if (x->n_crashes < SUSPECT_CRASH_THRESHOLD)
 		x->crashes[x->n_crashes++] = incarnation_no;
 	if (x->quarantined)
 		extend(s, x, now);
-	else if (x->n_crashes == SUSPECT_ENDS)
+	else if (x->n_crashes == SUSPECT_CRASH_THRESHOLD)
 		quarantine(s, x, now);
 	return x->n_crashes;
 }
@@ -309,50 +311,50 @@
 	return true;
 }
 
-void suspects_told(struct suspects *s, const struct suspect_word *w,
-		   int64_t now)
+void suspects_apply(struct suspects *s, const struct suspect_state *w,
+		    int64_t now)
 {
-	struct suspect *x = find(s, &w->print);
+	struct suspect *x = find(s, &w->fingerprint);
 
 	if (w->cleared) {
 		if (x)
 			drop(s, x);
 		return;
 	}
-	x = find_or_add(s, &w->print);
+	x = find_or_add(s, &w->fingerprint);
 	set_quarantined(s, x, true);
 	x->cleared = false;
-	x->until_ms = now + MAX(w->left_ms, 0);
-	x->failed_trials = w->trials;
+	x->until_ms = now + MAX(w->remaining_ms, 0);
+	x->failed_trials = w->failed_trials;
 	x->last_ms = MAX(x->last_ms, now);
 	note_change(s, x);
 }
 
-void suspects_recalled(struct suspects *s, const struct suspect_word *w,
-		       int64_t now)
+void suspects_merge(struct suspects *s, const struct suspect_state *w,
+		    int64_t now)
 {
-	int64_t until = now + MAX(w->left_ms, 0);
-	struct suspect *x = find(s, &w->print);
+	int64_t until = now + MAX(w->remaining_ms, 0);
+	struct suspect *x = find(s, &w->fingerprint);
 
 	/* Stays cleared: processes that still remember a quarantine get this
 	 * change. */
 	if (w->cleared || (x && x->cleared))
 		return;
-	x = find_or_add(s, &w->print);
-	if (!x->quarantined || w->trials > x->failed_trials) {
+	x = find_or_add(s, &w->fingerprint);
+	if (!x->quarantined || w->failed_trials > x->failed_trials) {
 		set_quarantined(s, x, true);
-		x->failed_trials = w->trials;
+		x->failed_trials = w->failed_trials;
 		x->until_ms = until;
 		x->last_ms = now;
 		note_change(s, x);
 	}
 	/* Not a change: hundreds of processes may report the same. */
-	if (w->trials == x->failed_trials)
+	if (w->failed_trials == x->failed_trials)
 		x->until_ms = MAX(x->until_ms, until);
 }
 
-int64_t suspects_term(const struct suspects *s, const struct fingerprint *fp,
-		      int64_t now)
+int64_t suspects_remaining_ms(const struct suspects *s,
+			      const struct fingerprint *fp, int64_t now)
 {
 	const struct suspect *x = find(s, fp);
 
@@ -385,7 +387,7 @@
 
 static bool trial_open(const struct suspect *x, int64_t now)
 {
-	return x->trial_ms && now - x->trial_ms < SUSPECT_TRIAL_MS;
+	return x->trial_ms && now - x->trial_ms < SUSPECT_TRIAL_TIMEOUT_MS;
 }
 
 static unsigned int open_trials(const struct suspects *s, int64_t now)
@@ -400,9 +402,9 @@
 	return n;
 }
 
-enum suspect_leave suspects_ask(struct suspects *s,
-				const struct fingerprint *fp, int64_t now,
-				int64_t *wait_ms)
+enum suspect_admission suspects_admit(struct suspects *s,
+				      const struct fingerprint *fp, int64_t now,
+				      int64_t *wait_ms)
 {
 	struct suspect *x = find(s, fp);
 	int64_t allowed_ms;
@@ -421,7 +423,7 @@
 	return SUSPECT_TRIAL;
 }
 
-void suspects_trial_over(struct suspects *s, const struct fingerprint *fp)
+void suspects_cancel_trial(struct suspects *s, const struct fingerprint *fp)
 {
 	struct suspect *x = find(s, fp);
 
@@ -444,8 +446,8 @@
 	return s->mark;
 }
 
-uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t max,
-		       int64_t now, GArray *out)
+uint64_t suspects_changes(const struct suspects *s, uint64_t mark, size_t max,
+			  int64_t now, GArray *out)
 {
 	uint64_t end = s->mark;
 	GPtrArray *all;
@@ -456,10 +458,11 @@
 	g_ptr_array_sort(all, by_mark);
 	for (guint i = 0; i < all->len; i++) {
 		const struct suspect *x = all->pdata[i];
-		struct suspect_word w = { .print = x->fp,
-					  .cleared = x->cleared,
-					  .left_ms = MAX(x->until_ms - now, 0),
-					  .trials = x->failed_trials };
+		struct suspect_state w = { .fingerprint = x->fp,
+					   .cleared = x->cleared,
+					   .remaining_ms =
+						   MAX(x->until_ms - now, 0),
+					   .failed_trials = x->failed_trials };
 
 		if (x->changed <= mark || !(x->quarantined || x->cleared))
 			continue;
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -24,28 +24,28 @@
 
 /* Crashes that quarantine a request. Two may be chance: a harmless request that
  * is retried may meet the poison request again, which is retried, too. */
-#define SUSPECT_ENDS 3
+#define SUSPECT_CRASH_THRESHOLD 3
 /* An open trial run is given up after this time, in ms: longer than most
  * streams run. */
-#define SUSPECT_TRIAL_MS 30000
+#define SUSPECT_TRIAL_TIMEOUT_MS 30000
 
 struct suspects;
 
 struct suspects_options {
-	size_t most;	  /* requests in the table */
-	int64_t quiet_ms; /* no trial run opens for this time at first: those
-			   * of another process may still be open */
+	size_t capacity;       /* requests in the table */
+	int64_t trial_hold_ms; /* no trial run opens for this time at first:
+				* those of another process may still be open */
 };
 
 struct suspects *suspects_new(const struct suspects_options *o, int64_t now);
 void suspects_free(struct suspects *s);
 
 /* State of a suspected request, as processes exchange it. */
-struct suspect_word {
-	struct fingerprint print;
-	bool cleared;	 /* it was answered; the members below are ignored */
-	int64_t left_ms; /* until the first trial run is allowed */
-	uint64_t trials; /* trial runs that crashed an endpoint */
+struct suspect_state {
+	struct fingerprint fingerprint;
+	bool cleared; /* it was answered; the members below are ignored */
+	int64_t remaining_ms;	/* until the first trial run is allowed */
+	uint64_t failed_trials; /* trial runs that crashed an endpoint */
 };
 
 /*
@@ -53,24 +53,25 @@
  * request that it was running. Returns the request's number of crashes, at most
  * SUSPECT_CRASH_THRESHOLD.
  */
-unsigned int suspects_end(struct suspects *s, const struct fingerprint *fp,
-			  uint64_t incarnation_no, int64_t now);
+unsigned int suspects_add_crash(struct suspects *s,
+				const struct fingerprint *fp,
+				uint64_t incarnation_no, int64_t now);
 /* Clears a request that was answered completely. Returns false if it wasn't
  * suspected. */
 bool suspects_answered(struct suspects *s, const struct fingerprint *fp,
 		       int64_t now);
 /* Replaces a request's state by what the leader reports. */
-void suspects_told(struct suspects *s, const struct suspect_word *w,
-		   int64_t now);
+void suspects_apply(struct suspects *s, const struct suspect_state *w,
+		    int64_t now);
 /* Merges the state that another process remembers; the later end of the
  * quarantine period counts. */
-void suspects_recalled(struct suspects *s, const struct suspect_word *w,
-		       int64_t now);
+void suspects_merge(struct suspects *s, const struct suspect_state *w,
+		    int64_t now);
 
 /* Returns the rest of a request's quarantine period in ms, 0 if it may ask for
  * a trial run, and -1 if it isn't quarantined. */
-int64_t suspects_term(const struct suspects *s, const struct fingerprint *fp,
-		      int64_t now);
+int64_t suspects_remaining_ms(const struct suspects *s,
+			      const struct fingerprint *fp, int64_t now);
 /* True if any request is in the table, or quarantined. */
 bool suspects_any(const struct suspects *s);
 bool suspects_any_quarantined(const struct suspects *s);
@@ -78,7 +79,7 @@
 size_t suspects_count(const struct suspects *s);
 size_t suspects_quarantined(const struct suspects *s);
 
-enum suspect_leave {
+enum suspect_admission {
 	SUSPECT_FREE,  /* not quarantined */
 	SUSPECT_TRIAL, /* may run once; its outcome has to be reported */
 	SUSPECT_WAIT,  /* may not run before *wait_ms have passed */
@@ -86,20 +87,20 @@
 
 /* Decides whether a request may run now, and opens a trial run for
  * SUSPECT_TRIAL. Sets *wait_ms unless it returns SUSPECT_FREE. */
-enum suspect_leave suspects_ask(struct suspects *s,
-				const struct fingerprint *fp, int64_t now,
-				int64_t *wait_ms);
+enum suspect_admission suspects_admit(struct suspects *s,
+				      const struct fingerprint *fp, int64_t now,
+				      int64_t *wait_ms);
 /* Closes a trial run that was inconclusive: its caller left, or it never ran.
  */
-void suspects_trial_over(struct suspects *s, const struct fingerprint *fp);
+void suspects_cancel_trial(struct suspects *s, const struct fingerprint *fp);
 
 /*
  * Appends the quarantined and cleared requests that changed after a mark to
  * out, oldest change first, until it has max struct suspect_state. Returns the
  * mark after them. A mark is a position in the table's sequence of changes.
  */
-uint64_t suspects_news(const struct suspects *s, uint64_t mark, size_t max,
-		       int64_t now, GArray *out);
+uint64_t suspects_changes(const struct suspects *s, uint64_t mark, size_t max,
+			  int64_t now, GArray *out);
 /* Returns the mark of the last change. */
 uint64_t suspects_mark(const struct suspects *s);
 
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -202,8 +202,8 @@
 	if (f->kind == MSG_REMOTE && conn_peer(c)->role == ROLE_CONTROL)
 		remote_agents_told(k->remote, &f->u.remote);
 	else if (f->kind == MSG_STREAMS && conn_peer(c)->role == ROLE_CONTROL)
-		stream_wire_take(k->streams, &f->u.streams,
-				 ss_clock_now(&k->d->clock));
+		stream_wire_apply(k->streams, &f->u.streams,
+				  ss_clock_now(&k->d->clock));
 	else if (f->kind == MSG_ADAPTER)
 		remote_agents_adapter(k->remote, c, &f->u.adapter);
 	else if (k->lead && is_led(c))
@@ -277,7 +277,7 @@
 	if (k->lead || now - k->streams_ms < STREAMS_TIDY_MS)
 		return;
 	k->streams_ms = now;
-	stream_log_tidy(k->streams, now);
+	stream_log_expire(k->streams, now);
 }
 
 static void on_tick(evutil_socket_t fd, short what, void *arg)
@@ -543,7 +543,7 @@
 	k->d = d;
 	k->mirror = mirror_new(&mo, ss_clock_now(&d->clock));
 	k->follow = routing_follow_new(&fo);
-	k->streams = stream_log_new(STREAM_LOG_MOST);
+	k->streams = stream_log_new(STREAM_LOG_CAPACITY);
 	k->conns = g_hash_table_new(NULL, NULL);
 	k->leader = d->config.fleet.on ? &fleet_lead_ops : &lead_ops;
 	k->n_denied = metrics_value(d->metrics, "ss_operator_denied_total", "");
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -9,9 +9,9 @@
 #include "../core/owner.h"
 #include "../core/preset.h"
 #include "../core/send_window.h"
-#include "../core/end_log.h"
+#include "../core/crash_log.h"
 #include "../core/endpoint_limit.h"
-#include "../core/failing.h"
+#include "../core/failure_rate.h"
 #include "../core/slow_pool.h"
 #include "../core/stream_log.h"
 #include "../core/suspects.h"
@@ -59,10 +59,10 @@
 	bool reported;
 	int64_t report_ms;
 	struct fleet_report report;
-	GHashTable *calls;	/* conn of an entry -> GArray of model_calls */
-	struct failing failing; /* by what all entries see */
-	struct failing failing_told; /* as they were told last */
-	struct slow_pool slow;	     /* by what all entries see */
+	GHashTable *calls; /* conn of an entry -> GArray of model_calls */
+	struct failure_rate failing;	  /* by what all entries see */
+	struct failure_rate failing_told; /* as they were told last */
+	struct slow_pool slow;		  /* by what all entries see */
 	struct endpoint_limit limit;
 	int64_t rest_until_ms; /* that it has asked some entry for */
 	bool says_leaving;     /* in its answers to some entry */
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -56,7 +56,8 @@
 {
 	int64_t now = fleet_lead_now(l);
 	struct fleet_load x = { .addr = ss_str(ep->addr),
-				.failing = failing_of_whole(&ep->failing, now),
+				.failing = failure_rate_permille(&ep->failing,
+								 now),
 				.slow = slow_pool_ratio(&ep->slow, now) };
 
 	if (fleet_ep_reported(l, ep)) {
@@ -84,7 +85,8 @@
 		.leaving = !fleet_ep_usable(l, ep),
 		.gone = !ep->listed,
 		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
-		.failing = failing_of_whole(&ep->failing, fleet_lead_now(l)),
+		.failing =
+			failure_rate_permille(&ep->failing, fleet_lead_now(l)),
 		.slow = slow_pool_ratio(&ep->slow, fleet_lead_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
 		.limit_age = endpoint_limit_age(&ep->limit, fleet_lead_now(l)),
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -144,9 +144,11 @@
 		g_free(addr);
 		if (!ep || is_former(ep, e[i].started_ms))
 			continue;
-		failing_note(&ep->failing, e[i].failed, e[i].answered, now);
-		if (fabs(failing_share(&ep->failing, now) -
-			 failing_share(&ep->failing_told, now)) > FAILING_NEWS)
+		failure_rate_record(&ep->failing, e[i].failed, e[i].answered,
+				    now);
+		if (fabs(failure_rate_at(&ep->failing, now) -
+			 failure_rate_at(&ep->failing_told, now)) >
+		    FAILING_NEWS)
 			ep->load_changed = true;
 		slow_pool_add(&ep->slow, e[i].slow_ln, e[i].slow_n, now);
 		if (slow_pool_is_news(&ep->slow, now))
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -31,7 +31,7 @@
 void fleet_streams_seen(struct fleet_lead *l, const struct fleet_ep *ep)
 {
 	struct stream_item x = { 0, ep->service, fleet_version(&ep->self),
-				 STREAM_LIFE_MOST_MS };
+				 STREAM_LIFETIME_MAX_MS };
 
 	if (*x.version)
 		stream_log_add(l->streams, &x, fleet_lead_now(l));
@@ -40,7 +40,7 @@
 void fleet_streams_take(struct fleet_lead *l, const struct msg_streams *m)
 {
 	fleet_work(l, WORK_STREAMS,
-		   stream_wire_take(l->streams, m, fleet_lead_now(l)));
+		   stream_wire_apply(l->streams, m, fleet_lead_now(l)));
 }
 
 static void answer(struct fleet_lead *l, struct conn *c, uint64_t sub,
@@ -85,7 +85,8 @@
 	if (ok && !answer_known(l, k->conn, k->sub, k->key)) {
 		int64_t now = fleet_lead_now(l);
 
-		x.version = stream_log_only(l->streams, k->service, now);
+		x.version =
+			stream_log_sole_version(l->streams, k->service, now);
 		if (now - l->since_ms < YOUNG_MS || !l->list_seen)
 			answer(l, k->conn, k->sub, STREAM_LATER, NULL);
 		else if (x.version)
@@ -127,10 +128,10 @@
 		g_hash_table_insert(l->streams_told, g_memdup2(&id, sizeof(id)),
 				    told);
 	}
-	if (stream_log_told(l->streams, *told))
+	if (stream_log_is_reported(l->streams, *told))
 		return;
 	items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
-	mark = stream_log_news(l->streams, *told, SPREAD_MOST, now, items);
+	mark = stream_log_changes(l->streams, *told, SPREAD_MOST, now, items);
 	stream_wire_pack(&w, items);
 	*told = group_tell(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
 	fleet_work(l, WORK_SPREADS, 1);
@@ -145,7 +146,7 @@
 
 	if (now - l->streams_tidied_ms >= TIDY_MS) {
 		l->streams_tidied_ms = now;
-		stream_log_tidy(l->streams, now);
+		stream_log_expire(l->streams, now);
 		*l->n_streams = stream_log_length(l->streams);
 	}
 	if (now - l->streams_ms < SPREAD_MS)
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -15,8 +15,9 @@
 void fleet_suspects_begin(struct fleet_lead *l)
 {
 	/* A trial that a former leader has allowed may still be under way. */
-	struct suspects_options o = { .most = SUSPECTS_MOST,
-				      .quiet_ms = SUSPECT_TRIAL_MS };
+	struct suspects_options o = { .capacity = SUSPECTS_MOST,
+				      .trial_hold_ms =
+					      SUSPECT_TRIAL_TIMEOUT_MS };
 	struct metrics *m = l->d->metrics;
 
 	l->suspects = suspects_new(&o, l->since_ms);
@@ -27,7 +28,7 @@
 static bool is_quarantined(const struct fleet_lead *l,
 			   const struct fingerprint *print, int64_t now)
 {
-	return suspects_term(l->suspects, print, now) >= 0;
+	return suspects_remaining_ms(l->suspects, print, now) >= 0;
 }
 
 /* Log it where it wasn't quarantined before. */
@@ -35,12 +36,12 @@
 			     const struct fingerprint *print, bool before,
 			     const char *how, int64_t now)
 {
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 
 	if (!before && is_quarantined(l, print, now))
 		log_warn("quarantined", "print=%s by=\"%s\" term_ms=%" PRId64,
 			 fingerprint_text(print, text), how,
-			 suspects_term(l->suspects, print, now));
+			 suspects_remaining_ms(l->suspects, print, now));
 }
 
 static void take_end(struct fleet_lead *l, const struct end_item *x,
@@ -48,10 +49,10 @@
 {
 	struct fingerprint print = { x->print_hi, x->print_lo };
 	bool before = is_quarantined(l, &print, now);
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 	unsigned int n;
 
-	n = suspects_end(l->suspects, &print, x->life, now);
+	n = suspects_add_crash(l->suspects, &print, x->life, now);
 	/* One end says little: all that ran there are told of. */
 	if (n > 1)
 		log_info("suspect", "print=%s ends=%u told_late_ms=%" PRId64,
@@ -62,13 +63,13 @@
 static void take_recalled(struct fleet_lead *l, const struct suspect_item *x,
 			  int64_t now)
 {
-	struct suspect_word w = {
+	struct suspect_state w = {
 		{ x->print_hi, x->print_lo }, x->cleared, x->left_ms, x->trials
 	};
-	bool before = is_quarantined(l, &w.print, now);
+	bool before = is_quarantined(l, &w.fingerprint, now);
 
-	suspects_recalled(l->suspects, &w, now);
-	note_quarantined(l, &w.print, before, "an entry's word", now);
+	suspects_merge(l->suspects, &w, now);
+	note_quarantined(l, &w.fingerprint, before, "an entry's word", now);
 }
 
 static void take_answered(struct fleet_lead *l, const struct end_item *x,
@@ -76,7 +77,7 @@
 {
 	struct fingerprint print = { x->print_hi, x->print_lo };
 	bool before = is_quarantined(l, &print, now);
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 
 	if (suspects_answered(l->suspects, &print, now))
 		log_info("suspect_cleared", "print=%s quarantined=%d",
@@ -94,12 +95,12 @@
 	for (size_t i = 0; i < m->ends.n; i++) {
 		struct fingerprint print = { x[i].print_hi, x[i].print_lo };
 
-		if (x[i].kind == END_UNDER)
+		if (x[i].kind == OUTCOME_CRASHED)
 			take_end(l, &x[i], now);
-		else if (x[i].kind == END_ANSWERED)
+		else if (x[i].kind == OUTCOME_ANSWERED)
 			take_answered(l, &x[i], now);
 		else
-			suspects_trial_over(l->suspects, &print);
+			suspects_cancel_trial(l->suspects, &print);
 	}
 }
 
@@ -108,33 +109,35 @@
 {
 	struct fingerprint print = { m->print_hi, m->print_lo };
 	struct msg_trial answer = *m;
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 
-	answer.leave = suspects_ask(l->suspects, &print, fleet_lead_now(l),
-				    &answer.wait_ms);
+	answer.leave = suspects_admit(l->suspects, &print, fleet_lead_now(l),
+				      &answer.wait_ms);
 	log_info("trial_asked",
 		 "print=%s entry=%.*s leave=%" PRId64 " wait_ms=%" PRId64,
 		 fingerprint_text(&print, text), SS_FMT(conn_peer(c)->name),
 		 answer.leave, answer.wait_ms);
 	if (!conn_send(c, MSG_TRIAL, &answer) && answer.leave == SUSPECT_TRIAL)
-		suspects_trial_over(l->suspects, &print);
+		suspects_cancel_trial(l->suspects, &print);
 }
 
 /* What is new since a mark; *mark becomes what it goes up to. */
 static GString *news_frame(const struct fleet_lead *l, uint64_t *mark,
 			   int64_t now)
 {
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct suspect_item));
 	struct msg_quarantine m = { .fence = l->fence };
 	GString *frame = g_string_new(NULL);
 
-	*mark = suspects_news(l->suspects, *mark, WORDS_A_MESSAGE, now, words);
+	*mark = suspects_changes(l->suspects, *mark, WORDS_A_MESSAGE, now,
+				 words);
 	for (guint i = 0; i < words->len; i++) {
-		const struct suspect_word *w =
-			&g_array_index(words, struct suspect_word, i);
-		struct suspect_item x = { w->print.hi, w->print.lo, w->cleared,
-					  w->left_ms, w->trials };
+		const struct suspect_state *w =
+			&g_array_index(words, struct suspect_state, i);
+		struct suspect_item x = { w->fingerprint.hi, w->fingerprint.lo,
+					  w->cleared, w->remaining_ms,
+					  w->failed_trials };
 
 		g_array_append_val(items, x);
 	}
@@ -184,14 +187,14 @@
 
 void fleet_suspects_status(const struct fleet_lead *l, json_object *o)
 {
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	json_object *list = json_object_new_array();
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 
-	suspects_news(l->suspects, 0, STATUS_MOST, fleet_lead_now(l), words);
+	suspects_changes(l->suspects, 0, STATUS_MOST, fleet_lead_now(l), words);
 	for (guint i = 0; i < words->len; i++) {
-		const struct suspect_word *w =
-			&g_array_index(words, struct suspect_word, i);
+		const struct suspect_state *w =
+			&g_array_index(words, struct suspect_state, i);
 		json_object *x = json_object_new_object();
 
 		if (w->cleared) {
@@ -200,11 +203,12 @@
 		}
 		json_object_object_add(x, "print",
 				       json_object_new_string(fingerprint_text(
-					       &w->print, text)));
+					       &w->fingerprint, text)));
 		json_object_object_add(x, "left_ms",
-				       json_object_new_int64(w->left_ms));
+				       json_object_new_int64(w->remaining_ms));
 		json_object_object_add(
-			x, "trials", json_object_new_int64((int64_t)w->trials));
+			x, "trials",
+			json_object_new_int64((int64_t)w->failed_trials));
 		json_object_array_add(list, x);
 	}
 	json_object_object_add(o, "quarantined", list);
--- a/src/proxy/endings.c
+++ b/src/proxy/endings.c
@@ -137,7 +137,7 @@
 {
 	const struct gate_ep *ep = gate_ep_of(f);
 	struct gate *g = f->g;
-	char text[FINGERPRINT_TEXT];
+	char text[FINGERPRINT_TEXT_SIZE];
 	struct crash_check *c;
 
 	/* A draining endpoint stops as planned. */
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -222,7 +222,7 @@
 			  struct endpoint_ends *e)
 {
 	if (!ep->failed &&
-	    !(ep->answered && failing_of_whole(&ep->told, gate_now(g)))) {
+	    !(ep->answered && failure_rate_permille(&ep->told, gate_now(g)))) {
 		ep->answered = MIN(ep->answered, ANSWERED_KEPT);
 		return false;
 	}
@@ -415,7 +415,7 @@
 					"ss_gate_connections_reused_total", ""),
 	};
 
-	struct suspects_options so = { .most = SUSPECTS_MAX };
+	struct suspects_options so = { .capacity = SUSPECTS_MAX };
 
 	g->o = *o;
 	g->seed = o->seed;
@@ -434,7 +434,7 @@
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
 	g->endings = g_ptr_array_new_with_free_func(ending_free);
 	g->suspects = suspects_new(&so, g->since_ms);
-	end_log_init(&g->end_log, CRASH_REPORTS_MAX);
+	crash_log_init(&g->crash_log, CRASH_REPORTS_MAX);
 	g->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				       gate_ep_free);
 	lanes_init(g);
@@ -473,7 +473,7 @@
 	return_turns_free(g->turns);
 	g_array_unref(g->unnamed);
 	suspects_free(g->suspects);
-	end_log_clear(&g->end_log);
+	crash_log_clear(&g->crash_log);
 	g_hash_table_unref(g->forwards);
 	g_hash_table_unref(g->tickets);
 	lanes_clear(g);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -79,7 +79,7 @@
 	n->since = fresh ? ep->since : 0;
 	n->own = ep->own;
 	n->unseen = fresh ? unreported_calls(g, f, ep, now) : 0;
-	n->failing = MAX(ep->failing, failing_share(&ep->told, now));
+	n->failing = MAX(ep->failing, failure_rate_at(&ep->told, now));
 	n->affinity = affinity_of(f, ep);
 }
 
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -177,7 +177,7 @@
 static void take_failing(struct gate *g, struct gate_ep *ep, int64_t of_whole)
 {
 	int64_t now = gate_now(g);
-	int64_t before = failing_of_whole(&ep->told, now);
+	int64_t before = failure_rate_permille(&ep->told, now);
 
 	failing_told(&ep->told, of_whole, now);
 	if (of_whole >= before + FAILING_LOG_STEP)
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -10,9 +10,9 @@
 
 #include "../core/admission.h"
 #include "../core/balance.h"
-#include "../core/end_log.h"
+#include "../core/crash_log.h"
 #include "../core/endpoint_limit.h"
-#include "../core/failing.h"
+#include "../core/failure_rate.h"
 #include "../core/fleet.h"
 #include "../core/freshness.h"
 #include "../core/pace.h"
@@ -67,7 +67,7 @@
 	int64_t reported, since; /* as in struct balance_node */
 	int64_t reported_ms;
 	double failing;		   /* failure share seen by this gate */
-	struct failing told;	   /* failure share seen by all entries */
+	struct failure_rate told;  /* failure share seen by all entries */
 	uint64_t answered, failed; /* since the last report */
 	struct ss_breaker breaker;
 	int64_t shut_until_ms; /* no connects before, as one failed */
@@ -249,7 +249,7 @@
 	GArray *early;	    /* until routing and fleet are known */
 	GPtrArray *endings; /* struct ending: suspected crashes */
 	struct suspects *suspects;
-	struct end_log end_log;
+	struct crash_log crash_log;
 	uint64_t recall;	    /* up to which the leader knows them */
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -85,7 +85,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &ep))
 		if (may_fit(f, ep))
 			return false;
-	seen = stream_log_seen(g->streams, f->service->name, f->began_version);
+	seen = stream_log_last_served(g->streams, f->service->name,
+				      f->began_version);
 	return gate_now(g) - MAX(seen, g->since_ms) >= EP_RESTART_MS;
 }
 
@@ -156,7 +157,7 @@
 void go_on_seen(struct gate *g, const struct gate_ep *ep)
 {
 	if (ep->known && *fleet_version(&ep->self))
-		log_stream(g, 0, ep, STREAM_LIFE_MOST_MS);
+		log_stream(g, 0, ep, STREAM_LIFETIME_MAX_MS);
 }
 
 void go_on_named(struct gate *g, const struct gate_ep *ep)
@@ -176,7 +177,7 @@
 
 void go_on_tidy(struct gate *g, int64_t now)
 {
-	stream_log_tidy(g->streams, now);
+	stream_log_expire(g->streams, now);
 	drop_version_queues(g);
 	for (guint i = g->unnamed->len; i-- > 0;)
 		if (g_array_index(g->unnamed, struct unnamed_stream, i)
@@ -188,12 +189,12 @@
 {
 	GArray *items;
 
-	if (stream_log_told(g->streams, g->streams_told))
+	if (stream_log_is_reported(g->streams, g->streams_told))
 		return false;
 	items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
-	g->streams_sent = stream_log_news(g->streams, g->streams_told,
-					  STREAMS_PER_MESSAGE, gate_now(g),
-					  items);
+	g->streams_sent = stream_log_changes(g->streams, g->streams_told,
+					     STREAMS_PER_MESSAGE, gate_now(g),
+					     items);
 	stream_wire_pack(w, items);
 	g_array_unref(items);
 	return true;
@@ -325,8 +326,8 @@
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &ep))
 		go_on_seen(g, ep);
-	only = stream_log_only(g->streams, f->service->name, now);
-	if (only && now - g->since_ms >= STREAM_LIFE_MOST_MS)
+	only = stream_log_sole_version(g->streams, f->service->name, now);
+	if (only && now - g->since_ms >= STREAM_LIFETIME_MAX_MS)
 		resume_at_version(f, f->service->name, only, "alone");
 	else
 		refuse(f, "nobody can tell which version began it",
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -30,11 +30,11 @@
 /* Crashes and answers that this entry observes. */
 
 static void record(struct gate *g, const struct fingerprint *fp,
-		   enum end_kind kind, uint64_t life)
+		   enum run_outcome_kind kind, uint64_t life)
 {
-	struct end_seen e = { *fp, kind, life, gate_now(g) };
+	struct run_outcome e = { *fp, kind, life, gate_now(g) };
 
-	end_log_add(&g->end_log, &e);
+	crash_log_add(&g->crash_log, &e);
 }
 
 /* After a change of the suspects: stops waiting requests that are quarantined
@@ -56,11 +56,11 @@
 void quarantine_end(struct gate *g, const struct fingerprint *fp, uint64_t life)
 {
 	int64_t now = gate_now(g);
-	bool quarantined = suspects_term(g->suspects, fp, now) >= 0;
+	bool quarantined = suspects_remaining_ms(g->suspects, fp, now) >= 0;
 
-	record(g, fp, END_UNDER, life);
-	suspects_end(g->suspects, fp, life, now);
-	if (!quarantined && suspects_term(g->suspects, fp, now) >= 0)
+	record(g, fp, OUTCOME_CRASHED, life);
+	suspects_add_crash(g->suspects, fp, life, now);
+	if (!quarantined && suspects_remaining_ms(g->suspects, fp, now) >= 0)
 		stop_quarantined(g);
 }
 
@@ -71,14 +71,14 @@
 	if (!suspects_any(g->suspects) ||
 	    !suspects_answered(g->suspects, forward_print(f), gate_now(g)))
 		return;
-	record(g, &f->print, END_ANSWERED, 0);
+	record(g, &f->print, OUTCOME_ANSWERED, 0);
 	f->trial_told = true;
 }
 
 void quarantine_leave(struct forward *f)
 {
 	if (f->trial && !f->trial_told)
-		record(f->g, &f->print, END_NOTHING, 0);
+		record(f->g, &f->print, OUTCOME_INCONCLUSIVE, 0);
 }
 
 /* Refusals and trial runs. */
@@ -124,7 +124,8 @@
 
 	if (!suspects_any_quarantined(g->suspects))
 		return false;
-	left = suspects_term(g->suspects, forward_print(f), gate_now(g));
+	left = suspects_remaining_ms(g->suspects, forward_print(f),
+				     gate_now(g));
 	/* A trial runs at one endpoint only: once sent, it isn't sent again. */
 	if (left < 0 || (f->trial && f->sends == 0))
 		return false;
@@ -147,15 +148,15 @@
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 	struct fingerprint fp = { m->print_hi, m->print_lo };
-	struct suspect_word cleared = { .print = fp, .cleared = true };
+	struct suspect_state cleared = { .fingerprint = fp, .cleared = true };
 	char *service;
 
 	if (m->leave == SUSPECT_FREE)
-		suspects_told(g->suspects, &cleared, gate_now(g));
+		suspects_apply(g->suspects, &cleared, gate_now(g));
 	if (!f || f->state != FORWARD_ASKS) {
 		/* The caller has left meanwhile. */
 		if (m->leave == SUSPECT_TRIAL)
-			record(g, &fp, END_NOTHING, 0);
+			record(g, &fp, OUTCOME_INCONCLUSIVE, 0);
 		return;
 	}
 	if (m->leave == SUSPECT_WAIT) {
@@ -175,7 +176,7 @@
 
 void gate_leader_found(struct gate *g)
 {
-	end_log_again(&g->end_log);
+	crash_log_rewind(&g->crash_log);
 	g->recall = 0;
 	g->streams_told = 0;
 	quota_lease.entry_link(g->quota, NULL, true, gate_now(g));
@@ -192,14 +193,14 @@
 	if (m->fence < g->fence)
 		return;
 	for (size_t i = 0; i < m->words.n; i++) {
-		struct suspect_word w = { { x[i].print_hi, x[i].print_lo },
-					  x[i].cleared,
-					  x[i].left_ms,
-					  x[i].trials };
+		struct suspect_state w = { { x[i].print_hi, x[i].print_lo },
+					   x[i].cleared,
+					   x[i].left_ms,
+					   x[i].trials };
 
-		suspects_told(g->suspects, &w, now);
+		suspects_apply(g->suspects, &w, now);
 		if (w.cleared)
-			end_log_drop(&g->end_log, &w.print);
+			crash_log_drop(&g->crash_log, &w.fingerprint);
 	}
 	/* The leader knows what it has sent: that isn't reported back. */
 	if (leader_knows)
@@ -210,15 +211,16 @@
 static void add_recalled(struct gate *g, struct gate_ends *r)
 {
 	GArray *changes =
-		g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+		g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 
-	r->recall = suspects_news(g->suspects, g->recall, ITEMS_PER_MESSAGE,
-				  gate_now(g), changes);
+	r->recall = suspects_changes(g->suspects, g->recall, ITEMS_PER_MESSAGE,
+				     gate_now(g), changes);
 	for (guint i = 0; i < changes->len; i++) {
-		const struct suspect_word *w =
-			&g_array_index(changes, struct suspect_word, i);
-		struct suspect_item x = { w->print.hi, w->print.lo, w->cleared,
-					  w->left_ms, w->trials };
+		const struct suspect_state *w =
+			&g_array_index(changes, struct suspect_state, i);
+		struct suspect_item x = { w->fingerprint.hi, w->fingerprint.lo,
+					  w->cleared, w->remaining_ms,
+					  w->failed_trials };
 
 		if (!w->cleared)
 			g_array_append_val(r->recalled, x);
@@ -229,16 +231,17 @@
 bool gate_ends(struct gate *g, struct gate_ends *r)
 {
 	size_t n;
-	const struct end_seen *e =
-		end_log_next(&g->end_log, ITEMS_PER_MESSAGE, &n);
+	const struct run_outcome *e =
+		crash_log_next(&g->crash_log, ITEMS_PER_MESSAGE, &n);
 
 	if (!n && g->recall == suspects_mark(g->suspects))
 		return false;
 	r->ends = g_array_new(FALSE, FALSE, sizeof(struct end_item));
 	r->recalled = g_array_new(FALSE, FALSE, sizeof(struct suspect_item));
 	for (size_t i = 0; i < n; i++) {
-		struct end_item x = { e[i].print.hi, e[i].print.lo, e[i].kind,
-				      e[i].life, gate_now(g) - e[i].at_ms };
+		struct end_item x = { e[i].fingerprint.hi, e[i].fingerprint.lo,
+				      e[i].kind, e[i].incarnation_no,
+				      gate_now(g) - e[i].at_ms };
 
 		g_array_append_val(r->ends, x);
 	}
@@ -252,7 +255,7 @@
 void gate_ends_done(struct gate *g, struct gate_ends *r, bool sent)
 {
 	if (sent) {
-		end_log_told(&g->end_log, r->ends->len);
+		crash_log_reported(&g->crash_log, r->ends->len);
 		g->recall = r->recall;
 	}
 	g_array_unref(r->ends);
@@ -262,5 +265,5 @@
 void quarantine_tick(struct gate *g, int64_t now)
 {
 	suspects_tick(g->suspects, now);
-	end_log_forget(&g->end_log, now - CRASH_REPORT_MAX_AGE_MS);
+	crash_log_expire(&g->crash_log, now - CRASH_REPORT_MAX_AGE_MS);
 }
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -313,7 +313,7 @@
 
 static void take_spread(struct fleet_world *w, const struct msg_streams *m)
 {
-	stream_wire_take(w->follower, m, w->d.clock.fake_ms);
+	stream_wire_apply(w->follower, m, w->d.clock.fake_ms);
 	w->stream_cost.spread++;
 	w->stream_cost.spread_bytes += frame_bytes(MSG_STREAMS, m);
 }
@@ -939,8 +939,8 @@
 	w->engines = g_new0(struct engine, o->engines);
 	for (int i = 0; i < o->engines; i++)
 		engine_init(w, i);
-	w->streams = stream_log_new(STREAM_LOG_MOST);
-	w->follower = stream_log_new(STREAM_LOG_MOST);
+	w->streams = stream_log_new(STREAM_LOG_CAPACITY);
+	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
 	w->lead = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
 	w->entries = g_ptr_array_new_with_free_func(peer_free);
 	w->agents = g_ptr_array_new_with_free_func(peer_free);
@@ -1262,7 +1262,7 @@
 	fleet_lead_ops.end(w->lead);
 	stream_log_free(w->streams);
 	w->streams = w->follower;
-	w->follower = stream_log_new(STREAM_LOG_MOST);
+	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
 	w->lead = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
 	for (int i = 0; i < w->o.entries; i++)
 		fleet_lead_ops.open(w->lead, w->entries->pdata[i]);
--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -8,7 +8,7 @@
 #include <rapidcheck.h>
 
 extern "C" {
-#include "../src/core/end_log.h"
+#include "../src/core/crash_log.h"
 #include "../src/core/suspects.h"
 }
 
@@ -31,7 +31,7 @@
 
 struct Entry {
 	suspects *s = nullptr;
-	end_log log;
+	crash_log log;
 	uint64_t reported_to = 0; /* leadership that gets its reports */
 	uint64_t merged = 0; /* mark up to which the leader has its state */
 	int64_t connected_since = 0; /* running, and to the same leader */
@@ -42,7 +42,7 @@
 		suspects_options o = { 256, 0 };
 
 		s = suspects_new(&o, now);
-		end_log_init(&log, 256);
+		crash_log_init(&log, 256);
 		reported_to = merged = 0;
 		connected_since = now;
 	}
@@ -50,7 +50,7 @@
 	void stop()
 	{
 		suspects_free(s);
-		end_log_clear(&log);
+		crash_log_clear(&log);
 	}
 };
 
@@ -112,7 +112,7 @@
 
 	void elect()
 	{
-		suspects_options o = { 256, SUSPECT_TRIAL_MS };
+		suspects_options o = { 256, SUSPECT_TRIAL_TIMEOUT_MS };
 
 		suspects_free(leader);
 		leader = suspects_new(&o, now);
@@ -151,53 +151,53 @@
 	{
 		Entry &e = entries[static_cast<size_t>(i)];
 		GArray *states =
-			g_array_new(FALSE, FALSE, sizeof(suspect_word));
+			g_array_new(FALSE, FALSE, sizeof(suspect_state));
 		size_t n;
 
 		if (e.reported_to != leadership) {
-			end_log_again(&e.log);
+			crash_log_rewind(&e.log);
 			e.merged = 0;
 			e.reported_to = leadership;
 		}
-		e.merged = suspects_news(e.s, e.merged, 1000, now, states);
+		e.merged = suspects_changes(e.s, e.merged, 1000, now, states);
 		for (guint k = 0; k < states->len; k++)
-			suspects_recalled(
-				leader, &g_array_index(states, suspect_word, k),
+			suspects_merge(
+				leader, &g_array_index(states, suspect_state, k),
 				now);
-		const end_seen *outcomes = end_log_next(&e.log, 1000, &n);
+		const run_outcome *outcomes = crash_log_next(&e.log, 1000, &n);
 		for (size_t k = 0; k < n; k++)
 			receive(outcomes[k]);
-		end_log_told(&e.log, n);
+		crash_log_reported(&e.log, n);
 		g_array_set_size(states, 0);
-		marks[i] = suspects_news(leader, marks[i], 1000, now, states);
+		marks[i] = suspects_changes(leader, marks[i], 1000, now, states);
 		for (guint k = 0; k < states->len; k++) {
-			auto *w = &g_array_index(states, suspect_word, k);
+			auto *w = &g_array_index(states, suspect_state, k);
 
-			suspects_told(e.s, w, now);
+			suspects_apply(e.s, w, now);
 			if (w->cleared)
-				end_log_drop(&e.log, &w->print);
+				crash_log_drop(&e.log, &w->fingerprint);
 		}
 		e.merged = suspects_mark(e.s);
 		g_array_unref(states);
 	}
 
-	void receive(const end_seen &x)
+	void receive(const run_outcome &x)
 	{
-		if (x.kind == END_UNDER)
-			suspects_end(leader, &x.print, x.life, now);
-		else if (x.kind == END_ANSWERED)
-			suspects_answered(leader, &x.print, now);
+		if (x.kind == OUTCOME_CRASHED)
+			suspects_add_crash(leader, &x.fingerprint, x.incarnation_no, now);
+		else if (x.kind == OUTCOME_ANSWERED)
+			suspects_answered(leader, &x.fingerprint, now);
 		else
-			suspects_trial_over(leader, &x.print);
+			suspects_cancel_trial(leader, &x.fingerprint);
 	}
 
-	void log_outcome(Entry &e, uint64_t request, end_kind kind,
+	void log_outcome(Entry &e, uint64_t request, run_outcome_kind kind,
 			 uint64_t incarnation_no)
 	{
-		end_seen x = { fingerprint_no(request), kind, incarnation_no,
+		run_outcome x = { fingerprint_no(request), kind, incarnation_no,
 			       now };
 
-		end_log_add(&e.log, &x);
+		crash_log_add(&e.log, &x);
 	}
 
 	/* The endpoint's process crashes, and its VM reports that to all
@@ -208,8 +208,8 @@
 			Entry &e = entries[static_cast<size_t>(r.entry)];
 			fingerprint fp = fingerprint_no(r.request);
 
-			log_outcome(e, r.request, END_UNDER, p.incarnation_no);
-			suspects_end(e.s, &fp, p.incarnation_no, now);
+			log_outcome(e, r.request, OUTCOME_CRASHED, p.incarnation_no);
+			suspects_add_crash(e.s, &fp, p.incarnation_no, now);
 		}
 		power_off(p);
 	}
@@ -238,7 +238,7 @@
 	{
 		Entry &e = entries[static_cast<size_t>(i)];
 		fingerprint fp = fingerprint_no(request);
-		int64_t remaining = suspects_term(e.s, &fp, now), wait;
+		int64_t remaining = suspects_remaining_ms(e.s, &fp, now), wait;
 		Endpoint *p = any_up(choice);
 		bool trial = false;
 
@@ -247,7 +247,7 @@
 		if (remaining == 0) {
 			if (!reaches(e))
 				return;
-			auto admission = suspects_ask(leader, &fp, now, &wait);
+			auto admission = suspects_admit(leader, &fp, now, &wait);
 			if (admission == SUSPECT_WAIT)
 				return;
 			trial = admission == SUSPECT_TRIAL;
@@ -263,7 +263,7 @@
 		if (threshold_at.count(request) &&
 		    now - threshold_at[request] > kSpreadMs && is_connected(e))
 			late_crashes[request]++;
-		if (++crashes[request] == SUSPECT_ENDS)
+		if (++crashes[request] == SUSPECT_CRASH_THRESHOLD)
 			threshold_at[request] = now;
 		crash(p);
 	}
@@ -284,10 +284,10 @@
 					     static_cast<long>(k));
 				answered.insert(r.request);
 				if (suspects_answered(e.s, &fp, now))
-					log_outcome(e, r.request, END_ANSWERED,
+					log_outcome(e, r.request, OUTCOME_ANSWERED,
 						    0);
 				else if (r.trial)
-					log_outcome(e, r.request, END_NOTHING,
+					log_outcome(e, r.request, OUTCOME_INCONCLUSIVE,
 						    0);
 			}
 	}
--- a/test/test_failing.c
+++ b/test/test_failure_rate.c
@@ -1,7 +1,7 @@
 /* Failure rates of endpoints, as entries and the leader compute them. */
 #include "unit.h"
 
-#include "../src/core/failing.h"
+#include "../src/core/failure_rate.h"
 
 /* The rate approaches the part of calls that failed, whether they are recorded
  * together or one by one; a single failure among many calls counts little. */
@@ -21,13 +21,13 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct failing f = { 0 };
+		struct failure_rate f = { 0 };
 
 		for (int k = 0; k < cases[i].times; k++)
-			failing_note(&f, cases[i].failed, cases[i].answered,
-				     1000);
-		assert_true(failing_share(&f, 1000) >= cases[i].min - 1e-9);
-		assert_true(failing_share(&f, 1000) <= cases[i].max + 1e-9);
+			failure_rate_record(&f, cases[i].failed,
+					    cases[i].answered, 1000);
+		assert_true(failure_rate_at(&f, 1000) >= cases[i].min - 1e-9);
+		assert_true(failure_rate_at(&f, 1000) <= cases[i].max + 1e-9);
 	}
 }
 
@@ -37,34 +37,34 @@
  */
 static void rate_decays_without_calls(void **state)
 {
-	struct failing f = { 0 };
+	struct failure_rate f = { 0 };
 
 	(void)state;
-	failing_note(&f, 100, 0, 0);
-	assert_true(failing_share(&f, 10000) > 0.45);
-	assert_true(failing_share(&f, 10000) < 0.55);
-	assert_true(failing_share(&f, 40000) < 0.1);
-	failing_note(&f, 0, 40, 40000);
-	assert_int_equal(failing_of_whole(&f, 40000), 0);
+	failure_rate_record(&f, 100, 0, 0);
+	assert_true(failure_rate_at(&f, 10000) > 0.45);
+	assert_true(failure_rate_at(&f, 10000) < 0.55);
+	assert_true(failure_rate_at(&f, 40000) < 0.1);
+	failure_rate_record(&f, 0, 40, 40000);
+	assert_int_equal(failure_rate_permille(&f, 40000), 0);
 }
 
 /* A reported rate replaces the own one, and is capped; a rate of 0, as a new
  * leader reports it, changes nothing. */
 static void reported_rate_is_adopted(void **state)
 {
-	struct failing f = { 0 };
+	struct failure_rate f = { 0 };
 
 	(void)state;
 	failing_told(&f, 400, 1000);
-	assert_int_equal(failing_of_whole(&f, 1000), 400);
+	assert_int_equal(failure_rate_permille(&f, 1000), 400);
 	failing_told(&f, 0, 1000);
-	assert_int_equal(failing_of_whole(&f, 1000), 400);
+	assert_int_equal(failure_rate_permille(&f, 1000), 400);
 	failing_told(&f, 100, 1000);
-	assert_int_equal(failing_of_whole(&f, 1000), 100);
+	assert_int_equal(failure_rate_permille(&f, 1000), 100);
 	failing_told(&f, INT64_MAX, 1000);
-	assert_int_equal(failing_of_whole(&f, 1000), FAILING_WHOLE);
+	assert_int_equal(failure_rate_permille(&f, 1000), FAILURE_RATE_SCALE);
 	failing_told(&f, -5, 1000);
-	assert_int_equal(failing_of_whole(&f, 1000), FAILING_WHOLE);
+	assert_int_equal(failure_rate_permille(&f, 1000), FAILURE_RATE_SCALE);
 }
 
 int main(void)
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -1,7 +1,7 @@
 /* Failure shares of endpoints: reported by the leader, and reported to it. */
 #include "gate_fix.h"
 
-#include "../src/core/failing.h"
+#include "../src/core/failure_rate.h"
 
 #define FAILS                                                                  \
 	"HTTP/1.1 500 Internal Server Error\r\n" HEAD                          \
--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -1,7 +1,7 @@
 /* Quarantine: a gate whose endpoints crash on what they run. */
 #include "gate_fix.h"
 
-#include "../src/core/end_log.h"
+#include "../src/core/crash_log.h"
 #include "../src/core/suspects.h"
 
 /* A request of another content for the same model. */
@@ -47,9 +47,9 @@
 		const struct end_item *x = r.m.ends.items;
 
 		for (size_t i = 0; i < r.m.ends.n; i++) {
-			t->crashes += x[i].kind == END_UNDER;
-			t->answered += x[i].kind == END_ANSWERED;
-			t->nothing += x[i].kind == END_NOTHING;
+			t->crashes += x[i].kind == OUTCOME_CRASHED;
+			t->answered += x[i].kind == OUTCOME_ANSWERED;
+			t->nothing += x[i].kind == OUTCOME_INCONCLUSIVE;
 		}
 		t->recalled += (int)r.m.recalled.n;
 		gate_ends_done(f->gate, &r, sent);
@@ -105,7 +105,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	for (int i = 0; i < SUSPECT_ENDS; i++)
+	for (int i = 0; i < SUSPECT_CRASH_THRESHOLD; i++)
 		send_and_crash(&f, POST_CHAT);
 	before = requests(&f);
 	script(&f, 0, WHOLE_STREAM, false, false);
@@ -143,7 +143,7 @@
 			script(&f, 0, FIRST_EVENT, true, false);
 		if (cases[k] == RESET)
 			script(&f, 0, FIRST_EVENT, false, true);
-		for (int i = 0; i < SUSPECT_ENDS + 1; i++) {
+		for (int i = 0; i < SUSPECT_CRASH_THRESHOLD + 1; i++) {
 			c = ask(&f, "m", POST_CHAT);
 			UNTIL(&f, f.eps[0].requests == i + 1);
 			if (cases[k] == PLANNED) {
@@ -229,7 +229,7 @@
 	fix_close(&f);
 }
 
-static void answer_trial(struct fix *f, enum suspect_leave leave,
+static void answer_trial(struct fix *f, enum suspect_admission leave,
 			 int64_t wait_ms)
 {
 	struct msg_trial m = f->trial;
@@ -245,7 +245,7 @@
 {
 	static const struct {
 		bool leads, answers;
-		enum suspect_leave leave;
+		enum suspect_admission leave;
 		const char *status, *retry_after;
 	} cases[] = {
 		{ true, true, SUSPECT_TRIAL, "HTTP/1.1 200 ", "" },
--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -174,7 +174,7 @@
 	struct stream_wire w;
 
 	while (gate_streams(f->gate, &w)) {
-		stream_wire_take(log, &w.m, f->clock.fake_ms);
+		stream_wire_apply(log, &w.m, f->clock.fake_ms);
 		gate_streams_done(f->gate, &w, true);
 	}
 }
--- a/test/test_stream_log.c
+++ b/test/test_stream_log.c
@@ -48,7 +48,7 @@
 	  "a" },
 	{ "capped at the maximum lifetime",
 	  { { 0, 1, "a", INT64_MAX / 2 } },
-	  STREAM_LIFE_MOST_MS,
+	  STREAM_LIFETIME_MAX_MS,
 	  "" },
 	{ "expired when it is reported", { { 0, 1, "a", -5 } }, 0, "" },
 };
@@ -63,7 +63,7 @@
 		for (size_t k = 0; k < 3 && c->reports[k].key; k++)
 			add(l, c->reports[k].key, "lm", c->reports[k].version,
 			    c->reports[k].ttl_ms, c->reports[k].at);
-		stream_log_tidy(l, c->now);
+		stream_log_expire(l, c->now);
 		if (strcmp(version_of(l, 1, c->now), c->want))
 			fail_msg("%s: \"%s\"", c->label,
 				 version_of(l, 1, c->now));
@@ -91,13 +91,13 @@
 	{ "two", { { 0, "lm", "a" }, { 5, "lm", "b" } }, 10, NULL },
 	{ "another one served within a stream's lifetime",
 	  { { 0, "lm", "a" }, { 50000, "lm", "b" } },
-	  STREAM_LIFE_MOST_MS - 1,
+	  STREAM_LIFETIME_MAX_MS - 1,
 	  NULL },
 	{ "the streams of the other one have expired",
 	  { { 0, "lm", "a" }, { 50000, "lm", "b" } },
-	  STREAM_LIFE_MOST_MS,
+	  STREAM_LIFETIME_MAX_MS,
 	  "b" },
-	{ "expired", { { 0, "lm", "a" } }, STREAM_LIFE_MOST_MS, NULL },
+	{ "expired", { { 0, "lm", "a" } }, STREAM_LIFETIME_MAX_MS, NULL },
 };
 
 /* Guards against resuming a stream that isn't in the log at a version that has
@@ -112,8 +112,8 @@
 
 		for (size_t k = 0; k < 3 && c->served[k].service; k++)
 			add(l, 0, c->served[k].service, c->served[k].version,
-			    STREAM_LIFE_MOST_MS, c->served[k].at);
-		got = stream_log_only(l, "lm", c->now);
+			    STREAM_LIFETIME_MAX_MS, c->served[k].at);
+		got = stream_log_sole_version(l, "lm", c->now);
 		if (g_strcmp0(got, c->want))
 			fail_msg("%s: \"%s\"", c->label, got);
 		stream_log_free(l);
@@ -127,14 +127,14 @@
 	struct stream_log *l = stream_log_new(100);
 
 	(void)state;
-	add(l, 0, "lm", "a", STREAM_LIFE_MOST_MS, 0);
-	add(l, 0, "lm", "b", STREAM_LIFE_MOST_MS, 0);
+	add(l, 0, "lm", "a", STREAM_LIFETIME_MAX_MS, 0);
+	add(l, 0, "lm", "b", STREAM_LIFETIME_MAX_MS, 0);
 	for (uint64_t k = 1; k <= 1000; k++)
 		add(l, k, "lm", "a", TTL_MS, (int64_t)k);
 	assert_int_equal(stream_log_length(l), 100);
 	assert_string_equal(version_of(l, 900, 1000), "");
 	assert_string_equal(version_of(l, 901, 1000), "a");
-	assert_null(stream_log_only(l, "lm", 1000));
+	assert_null(stream_log_sole_version(l, "lm", 1000));
 	stream_log_free(l);
 }
 
@@ -149,12 +149,12 @@
 	for (int i = 0; i < 100000; i++) {
 		char *name = g_strdup_printf("service-%d", i);
 
-		add(l, 0, name, "a", STREAM_LIFE_MOST_MS, 0);
+		add(l, 0, name, "a", STREAM_LIFETIME_MAX_MS, 0);
 		g_free(name);
 	}
-	add(l, 0, "service-1", "b", STREAM_LIFE_MOST_MS, 0);
-	assert_null(stream_log_only(l, "service-1", 1));
-	stream_log_news(l, 0, 1000000, 1, out);
+	add(l, 0, "service-1", "b", STREAM_LIFETIME_MAX_MS, 0);
+	assert_null(stream_log_sole_version(l, "service-1", 1));
+	stream_log_changes(l, 0, 1000000, 1, out);
 	assert_true(out->len < 5000);
 	g_array_unref(out);
 	stream_log_free(l);
@@ -170,12 +170,12 @@
 	struct msg_streams m;
 	GString *bytes;
 
-	mark = stream_log_news(from, mark, max, now, items);
+	mark = stream_log_changes(from, mark, max, now, items);
 	stream_wire_pack(&w, items);
 	bytes = wire_encode(msg_type(MSG_STREAMS), &w.m);
 	assert_true(
 		wire_decode(&buf, ss_str_gs(bytes), msg_type(MSG_STREAMS), &m));
-	stream_wire_take(to, &m, now);
+	stream_wire_apply(to, &m, now);
 	wire_done(&buf);
 	g_string_free(bytes, TRUE);
 	stream_wire_clear(&w);
@@ -189,22 +189,22 @@
 	uint64_t mark = 0;
 
 	(void)state;
-	assert_true(stream_log_told(a, 0));
-	add(a, 0, "lm", "v1", STREAM_LIFE_MOST_MS, 0);
+	assert_true(stream_log_is_reported(a, 0));
+	add(a, 0, "lm", "v1", STREAM_LIFETIME_MAX_MS, 0);
 	for (uint64_t k = 1; k <= 10; k++)
 		add(a, k, "lm", k % 2 ? "v1" : "v2", TTL_MS, 0);
 	/* Three changes in a message. */
-	for (int i = 0; i < 4 && !stream_log_told(a, mark); i++)
+	for (int i = 0; i < 4 && !stream_log_is_reported(a, mark); i++)
 		mark = replicate(a, b, mark, 3, 5);
-	assert_true(stream_log_told(a, mark));
+	assert_true(stream_log_is_reported(a, mark));
 	for (uint64_t k = 1; k <= 10; k++)
 		assert_string_equal(version_of(b, k, 10), k % 2 ? "v1" : "v2");
-	assert_string_equal(stream_log_only(b, "lm", 10), "v1");
+	assert_string_equal(stream_log_sole_version(b, "lm", 10), "v1");
 	/* The same report again isn't a change, another version is. */
 	add(a, 3, "lm", "v1", TTL_MS, 10);
-	assert_true(stream_log_told(a, mark));
+	assert_true(stream_log_is_reported(a, mark));
 	add(a, 3, "lm", "v2", TTL_MS, 10);
-	assert_false(stream_log_told(a, mark));
+	assert_false(stream_log_is_reported(a, mark));
 	replicate(a, b, mark, 3, 10);
 	assert_string_equal(version_of(b, 3, 10), "v2");
 	stream_log_free(a);
@@ -223,10 +223,10 @@
 
 	(void)state;
 	/* Two keys of 0, and half of a third key. */
-	assert_int_equal(stream_wire_take(l, &m, 0), 0);
+	assert_int_equal(stream_wire_apply(l, &m, 0), 0);
 	assert_int_equal(stream_log_length(l), 0);
 	bytes[0] = 1;
-	assert_int_equal(stream_wire_take(l, &m, 0), 1);
+	assert_int_equal(stream_wire_apply(l, &m, 0), 1);
 	assert_string_equal(version_of(l, 1, 1), "v1");
 	stream_log_free(l);
 }
--- a/test/test_suspects.c
+++ b/test/test_suspects.c
@@ -6,7 +6,7 @@
 #define MINUTE_MS (60 * 1000LL)
 #define HOUR_MS (60 * MINUTE_MS)
 
-static const struct suspects_options options = { .most = 64 };
+static const struct suspects_options options = { .capacity = 64 };
 
 static struct fingerprint fingerprint_no(uint64_t i)
 {
@@ -18,7 +18,7 @@
 {
 	struct fingerprint fp = fingerprint_no(request);
 
-	suspects_end(s, &fp, incarnation_no, now);
+	suspects_add_crash(s, &fp, incarnation_no, now);
 }
 
 static int64_t remaining_ms(const struct suspects *s, uint64_t request,
@@ -26,16 +26,16 @@
 {
 	struct fingerprint fp = fingerprint_no(request);
 
-	return suspects_term(s, &fp, now);
+	return suspects_remaining_ms(s, &fp, now);
 }
 
-static enum suspect_leave admit(struct suspects *s, uint64_t request,
-				int64_t now, int64_t *wait_ms)
+static enum suspect_admission admit(struct suspects *s, uint64_t request,
+				    int64_t now, int64_t *wait_ms)
 {
 	struct fingerprint fp = fingerprint_no(request);
 
 	*wait_ms = -1;
-	return suspects_ask(s, &fp, now, wait_ms);
+	return suspects_admit(s, &fp, now, wait_ms);
 }
 
 static bool answered(struct suspects *s, uint64_t request, int64_t now)
@@ -49,7 +49,7 @@
 static void quarantine(struct suspects *s, uint64_t request,
 		       uint64_t first_incarnation, int64_t now)
 {
-	for (int i = 0; i < SUSPECT_ENDS; i++)
+	for (int i = 0; i < SUSPECT_CRASH_THRESHOLD; i++)
 		add_crash(s, request, first_incarnation + (uint64_t)i, now);
 }
 
@@ -126,7 +126,7 @@
 		struct suspects *s = suspects_new(&options, 0);
 		int64_t now = 0;
 
-		for (uint64_t k = 0; k < SUSPECT_ENDS; k++) {
+		for (uint64_t k = 0; k < SUSPECT_CRASH_THRESHOLD; k++) {
 			now += cases[i].gap_ms;
 			suspects_tick(s, now);
 			add_crash(s, 1, k, now);
@@ -199,9 +199,9 @@
 	(void)state;
 	quarantine(s, 1, 10, 0);
 	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
-	suspects_trial_over(s, &fp);
+	suspects_cancel_trial(s, &fp);
 	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
-	now += SUSPECT_TRIAL_MS - 1;
+	now += SUSPECT_TRIAL_TIMEOUT_MS - 1;
 	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_WAIT);
 	assert_int_equal(admit(s, 1, now + 1, &wait), SUSPECT_TRIAL);
 	suspects_free(s);
@@ -249,7 +249,7 @@
 static void two_shared_crashes_tie_requests(void **state)
 {
 	static const struct {
-		uint64_t a[SUSPECT_ENDS], b[SUSPECT_ENDS];
+		uint64_t a[SUSPECT_CRASH_THRESHOLD], b[SUSPECT_CRASH_THRESHOLD];
 		bool tied;
 	} cases[] = { { { 1, 2, 3 }, { 3, 2, 1 }, true },
 		      { { 1, 2, 3 }, { 1, 4, 3 }, true },
@@ -260,9 +260,9 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct suspects *s = suspects_new(&options, 0);
 
-		for (size_t k = 0; k < SUSPECT_ENDS; k++)
+		for (size_t k = 0; k < SUSPECT_CRASH_THRESHOLD; k++)
 			add_crash(s, 1, cases[i].a[k], 0);
-		for (size_t k = 0; k < SUSPECT_ENDS; k++)
+		for (size_t k = 0; k < SUSPECT_CRASH_THRESHOLD; k++)
 			add_crash(s, 2, cases[i].b[k], 0);
 		for (uint64_t k = 1; k <= 2; k++)
 			assert_int_equal(remaining_ms(s, k, 0),
@@ -276,12 +276,12 @@
 static void reported_quarantine_isnt_discounted(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = fingerprint_no(2),
-				  .left_ms = HOUR_MS };
+	struct suspect_state w = { .fingerprint = fingerprint_no(2),
+				   .remaining_ms = HOUR_MS };
 	int64_t now = 10 * MINUTE_MS, wait;
 
 	(void)state;
-	suspects_told(s, &w, 0);
+	suspects_apply(s, &w, 0);
 	add_crash(s, 2, 10, 0);
 	quarantine(s, 1, 10, 0);
 	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
@@ -307,13 +307,14 @@
 /* A new leader allows no trial run before those of the last one are over. */
 static void new_leader_holds_trials_back(void **state)
 {
-	struct suspects_options o = { .most = 64, .quiet_ms = 30000 };
+	struct suspects_options o = { .capacity = 64, .trial_hold_ms = 30000 };
 	struct suspects *s = suspects_new(&o, 1000);
-	struct suspect_word w = { .print = fingerprint_no(1), .trials = 1 };
+	struct suspect_state w = { .fingerprint = fingerprint_no(1),
+				   .failed_trials = 1 };
 	int64_t wait;
 
 	(void)state;
-	suspects_recalled(s, &w, 2000);
+	suspects_merge(s, &w, 2000);
 	assert_int_equal(admit(s, 1, 2000, &wait), SUSPECT_WAIT);
 	assert_int_equal(wait, 29000);
 	assert_int_equal(admit(s, 1, 31000, &wait), SUSPECT_TRIAL);
@@ -324,7 +325,7 @@
 		     GArray *out)
 {
 	g_array_set_size(out, 0);
-	*mark = suspects_news(s, *mark, max, 0, out);
+	*mark = suspects_changes(s, *mark, max, 0, out);
 	return out->len;
 }
 
@@ -332,7 +333,7 @@
  * aren't. */
 static void changes_come_once_and_in_batches(void **state)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	struct suspects *s = suspects_new(&options, 0);
 	uint64_t mark = 0;
 
@@ -342,14 +343,14 @@
 	for (uint64_t i = 1; i <= 6; i++)
 		quarantine(s, i, 10 * i, 0);
 	assert_int_equal(changes(s, &mark, 4, out), 4);
-	assert_int_equal(g_array_index(out, struct suspect_word, 0).print.lo,
-			 1);
+	assert_int_equal(
+		g_array_index(out, struct suspect_state, 0).fingerprint.lo, 1);
 	assert_int_equal(changes(s, &mark, 4, out), 2);
 	assert_int_equal(changes(s, &mark, 4, out), 0);
 	assert_int_equal(mark, suspects_mark(s));
 	answered(s, 3, 0);
 	assert_int_equal(changes(s, &mark, 4, out), 1);
-	assert_true(g_array_index(out, struct suspect_word, 0).cleared);
+	assert_true(g_array_index(out, struct suspect_state, 0).cleared);
 	assert_int_equal(changes(s, &mark, 4, out), 0);
 	suspects_free(s);
 	g_array_unref(out);
@@ -359,22 +360,23 @@
  * same quarantine to a new leader. */
 static void merged_state_is_one_change(void **state)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_word));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = fingerprint_no(1), .left_ms = 5000 };
+	struct suspect_state w = { .fingerprint = fingerprint_no(1),
+				   .remaining_ms = 5000 };
 	uint64_t mark = 0;
 
 	(void)state;
-	suspects_recalled(s, &w, 0);
+	suspects_merge(s, &w, 0);
 	assert_int_equal(changes(s, &mark, 4, out), 1);
 	for (int i = 0; i < 300; i++) {
-		w.left_ms = 5000 + i;
-		suspects_recalled(s, &w, 0);
+		w.remaining_ms = 5000 + i;
+		suspects_merge(s, &w, 0);
 	}
 	assert_int_equal(changes(s, &mark, 4, out), 0);
 	assert_int_equal(remaining_ms(s, 1, 0), 5299);
 	answered(s, 1, 0);
-	suspects_recalled(s, &w, 0);
+	suspects_merge(s, &w, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	suspects_free(s);
 	g_array_unref(out);
@@ -384,17 +386,18 @@
 static void leaders_state_is_applied(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_word w = { .print = fingerprint_no(1), .left_ms = 3000 };
+	struct suspect_state w = { .fingerprint = fingerprint_no(1),
+				   .remaining_ms = 3000 };
 
 	(void)state;
 	quarantine(s, 1, 10, 0);
-	suspects_told(s, &w, 0);
+	suspects_apply(s, &w, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), 3000);
-	w.left_ms = HOUR_MS;
-	suspects_told(s, &w, 0);
+	w.remaining_ms = HOUR_MS;
+	suspects_apply(s, &w, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), HOUR_MS);
 	w.cleared = true;
-	suspects_told(s, &w, 0);
+	suspects_apply(s, &w, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	assert_false(suspects_any(s));
 	suspects_free(s);
@@ -415,14 +418,14 @@
 	add_crash(s, 2, 2, 0);
 	for (uint64_t i = 100; i < 10100; i++) {
 		add_crash(s, i, i, (int64_t)i);
-		assert_true(suspects_count(s) <= options.most);
+		assert_true(suspects_count(s) <= options.capacity);
 	}
 	assert_int_equal(remaining_ms(s, 1, 100), 10 * MINUTE_MS - 100);
 	add_crash(s, 2, 3, 200);
 	assert_true(remaining_ms(s, 2, 200) >= 0);
 	for (uint64_t i = 100; i < 1100; i++) {
 		quarantine(s, i, i * 10, (int64_t)i);
-		assert_true(suspects_count(s) <= options.most);
+		assert_true(suspects_count(s) <= options.capacity);
 	}
 	assert_true(suspects_quarantined(s) <= suspects_count(s));
 	suspects_free(s);
