--- a/src/core/balance.c
+++ b/src/core/balance.c
@@ -19,10 +19,10 @@
 
 int64_t balance_load(const struct balance_node *n)
 {
-	return MAX(n->own, n->reported + n->since);
+	return MAX(n->own_calls, n->reported + n->sent_since);
 }
 
-double balance_draw(uint64_t *seed)
+double balance_random(uint64_t *seed)
 {
 	return (double)(ss_random(seed) >> 11) / (double)(1ULL << 53);
 }
@@ -37,7 +37,7 @@
 static double penalty(const struct balance_node *n,
 		      const struct choice_context *c)
 {
-	double s = FAILURE_PENALTY * n->failing;
+	double s = FAILURE_PENALTY * n->failure_rate;
 
 	if (!n->near)
 		s += c->far_penalty;
@@ -52,7 +52,7 @@
 
 static double slowness(const struct balance_node *n)
 {
-	return n->slow > 0 ? n->slow : 1;
+	return n->slowness > 0 ? n->slowness : 1;
 }
 
 /*
@@ -67,7 +67,7 @@
 {
 	double load = (double)balance_load(n), slow = slowness(n);
 
-	if (slow > 1 && is_first && balance_draw(seed) < 1 / slow)
+	if (slow > 1 && is_first && balance_random(seed) < 1 / slow)
 		return load;
 	return load * slow + MAX(slow - 1, 0);
 }
@@ -85,7 +85,7 @@
 {
 	double load = weighted_load(n, is_first, seed);
 
-	return load + n->unseen * balance_draw(seed) + penalty(n, c);
+	return load + n->unreported * balance_random(seed) + penalty(n, c);
 }
 
 static uint64_t max_affinity_of(const struct balance_node *n, size_t count)
@@ -114,7 +114,8 @@
 	for (size_t i = 0; i < count; i++) {
 		if (!n[i].usable || !n[i].near || is_full(&n[i], fill))
 			continue;
-		used = used < 0 ? n[i].late : MIN(used, n[i].late);
+		used = used < 0 ? n[i].objective_used :
+				  MIN(used, n[i].objective_used);
 	}
 	if (used <= FAR_DISCOUNT_FROM)
 		return FAR_PENALTY;
@@ -141,7 +142,7 @@
 	struct choice_context c = choice_context_of(n, count, fill);
 	uint64_t seed = tie;
 	double best_score = 0;
-	int best = BALANCE_NOBODY;
+	int best = BALANCE_NO_ENDPOINT;
 
 	for (size_t k = 0; k < count; k++) {
 		size_t i = (k + tie) % count;
@@ -150,7 +151,7 @@
 		if (!n[i].usable)
 			continue;
 		if (is_full(&n[i], fill)) {
-			if (best == BALANCE_NOBODY)
+			if (best == BALANCE_NO_ENDPOINT)
 				best = BALANCE_FULL;
 			continue;
 		}
@@ -178,8 +179,8 @@
 	return n_open ? sum / (double)n_open : 0;
 }
 
-int balance_share(const struct balance_node *n, size_t count, double fill,
-		  uint64_t tie)
+int balance_choose_weighted(const struct balance_node *n, size_t count,
+			    double fill, uint64_t tie)
 {
 	struct choice_context c = choice_context_of(n, count, fill);
 	uint64_t seed = tie;
@@ -198,7 +199,7 @@
 	}
 	if (total <= 0)
 		return balance_choose(n, count, fill, tie);
-	rest = balance_draw(&seed) * total;
+	rest = balance_random(&seed) * total;
 	for (size_t i = 0; i < count; i++) {
 		if (room[i] > rest)
 			return (int)i;
@@ -207,7 +208,7 @@
 	return balance_choose(n, count, fill, tie);
 }
 
-void balance_note(double *failing, bool failed)
+void balance_record_result(double *failing, bool failed)
 {
 	*failing += FAILURE_ALPHA * ((failed ? 1.0 : 0.0) - *failing);
 }
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -12,29 +12,29 @@
 #include <sapphireshift/base.h>
 
 struct balance_node {
-	bool usable;	   /* listed, not draining, not excluded */
-	bool near;	   /* in the entry's failure domain */
-	bool has_adapter;  /* holds the adapter, or the call needs none */
-	bool tried;	   /* has refused or failed this call */
-	int64_t slots;	   /* calls that it runs concurrently */
-	int64_t reported;  /* running and queued calls in its last report */
-	int64_t since;	   /* calls sent by this entry since that report */
-	int64_t own;	   /* calls of this entry in flight */
-	double unseen;	   /* calls that other entries may have sent since */
-	double failing;	   /* recent failure rate, a moving average */
-	uint64_t affinity; /* higher: its prompt cache is more likely warm */
-	double slow; /* response time / that of others; 0: unknown, as 1 */
-	double late; /* part of the latency objective that passes until
-			it answers; 0: unknown */
+	bool usable;	     /* listed, not draining, not excluded */
+	bool near;	     /* in the entry's failure domain */
+	bool has_adapter;    /* holds the adapter, or the call needs none */
+	bool tried;	     /* has refused or failed this call */
+	int64_t slots;	     /* calls that it runs concurrently */
+	int64_t reported;    /* running and queued calls in its last report */
+	int64_t sent_since;  /* calls sent by this entry since that report */
+	int64_t own_calls;   /* calls of this entry in flight */
+	double unreported;   /* calls that other entries may have sent since */
+	double failure_rate; /* recent failure rate, a moving average */
+	uint64_t affinity;   /* higher: its prompt cache is more likely warm */
+	double slowness; /* response time / that of others; 0: unknown, as 1 */
+	double objective_used; /* part of the latency objective that passes
+			until it answers; 0: unknown */
 };
 
 /* The reason why no endpoint was chosen. */
-enum balance_none {
-	BALANCE_NOBODY = -1,
+enum balance_refusal {
+	BALANCE_NO_ENDPOINT = -1,
 	BALANCE_FULL = -2,
 	BALANCE_LIMITED = -3, /* by the rate limit that an endpoint states */
-	BALANCE_RESTING = -4, /* an endpoint asked for a backoff */
-	BALANCE_STARTS = -5,  /* engines run as many prefills as allowed */
+	BALANCE_BACKOFF = -4, /* an endpoint asked for a backoff */
+	BALANCE_START_LIMIT = -5, /* engines run as many prefills as allowed */
 };
 
 /* Returns the index of the chosen node or an enum balance_refusal. fill: the
@@ -55,8 +55,8 @@
  * slow node is divided by its slowness. Its load isn't weighted in addition:
  * its calls run for longer and so count for longer.
  */
-int balance_share(const struct balance_node *n, size_t count, double fill,
-		  uint64_t tie);
+int balance_choose_weighted(const struct balance_node *n, size_t count,
+			    double fill, uint64_t tie);
 
 /* Whether the node has room for another call. */
 bool balance_has_room(const struct balance_node *n, double fill);
@@ -65,9 +65,9 @@
 int64_t balance_load(const struct balance_node *n);
 
 /* A random number from 0 to below 1. */
-double balance_draw(uint64_t *seed);
+double balance_random(uint64_t *seed);
 
 /* Adds the result of a call to a moving average of failures. */
-void balance_note(double *failing, bool failed);
+void balance_record_result(double *failing, bool failed);
 
 #endif
--- a/src/core/slow_pool.c
+++ b/src/core/fleet_slowness.c
@@ -1,5 +1,5 @@
 /* Estimates how slow an endpoint is from the observations of all entries. */
-#include "slow_pool.h"
+#include "fleet_slowness.h"
 
 #include <math.h>
 
@@ -33,7 +33,7 @@
 #define RECEIVED_WEIGHT 16.0
 #define RECEIVED_HALF_LIFE_MS 1000.0
 
-void slow_seen_note(struct slow_seen *s, double ratio)
+void slowness_observed_add(struct slowness_observed *s, double ratio)
 {
 	if (!(ratio > 0) || !isfinite(ratio))
 		return;
@@ -41,26 +41,27 @@
 	s->n++;
 }
 
-int64_t slow_seen_sum(const struct slow_seen *s)
+int64_t slowness_observed_sum(const struct slowness_observed *s)
 {
-	return llround(s->sum_ln * SLOW_WHOLE);
+	return llround(s->sum_ln * SLOWNESS_SCALE);
 }
 
-static double weight_at(const struct slow_pool *p, int64_t now)
+static double weight_at(const struct fleet_slowness *p, int64_t now)
 {
 	double age = (double)MAX(now - p->at_ms, 0);
 
 	return p->weight * exp2(-age / HALF_LIFE_MS);
 }
 
-void slow_pool_add(struct slow_pool *p, int64_t sum_ln, uint64_t n, int64_t now)
+void fleet_slowness_add(struct fleet_slowness *p, int64_t sum_ln, uint64_t n,
+			int64_t now)
 {
 	double limit = log(RATIO_MAX), before = weight_at(p, now);
 	double ln, added = (double)MIN(n, REPORT_ANSWERS_MAX);
 
 	if (!n)
 		return;
-	ln = (double)sum_ln / SLOW_WHOLE / (double)n;
+	ln = (double)sum_ln / SLOWNESS_SCALE / (double)n;
 	ln = CLAMP(ln, -limit, limit);
 	p->mean_ln = (before * p->mean_ln + added * ln) / (before + added);
 	p->weight = before + added;
@@ -69,26 +70,26 @@
 
 static bool is_usual_speed(int64_t ratio)
 {
-	return speed_weight((double)ratio / SLOW_WHOLE) == 1;
+	return speed_load_factor((double)ratio / SLOWNESS_SCALE) == 1;
 }
 
-int64_t slow_pool_ratio(const struct slow_pool *p, int64_t now)
+int64_t fleet_slowness_ratio(const struct fleet_slowness *p, int64_t now)
 {
 	double weight = weight_at(p, now);
 	int64_t ratio;
 
 	if (weight < WEIGHT_MIN)
 		return 0;
-	ratio = llround(SLOW_WHOLE *
+	ratio = llround(SLOWNESS_SCALE *
 			exp(p->mean_ln * weight / (weight + PRIOR_WEIGHT)));
 	if (!is_usual_speed(ratio))
 		return ratio;
-	return p->sent_ratio ? SLOW_WHOLE : 0;
+	return p->sent_ratio ? SLOWNESS_SCALE : 0;
 }
 
-bool slow_pool_is_news(const struct slow_pool *p, int64_t now)
+bool fleet_slowness_is_due(const struct fleet_slowness *p, int64_t now)
 {
-	int64_t ratio = slow_pool_ratio(p, now);
+	int64_t ratio = fleet_slowness_ratio(p, now);
 
 	if (!ratio || ratio == p->sent_ratio)
 		return ratio && now - p->sent_ms >= RESEND_MS;
@@ -98,33 +99,34 @@
 	       log(SIGNIFICANT_CHANGE);
 }
 
-void slow_pool_tell(struct slow_pool *p, int64_t now)
+void fleet_slowness_sent(struct fleet_slowness *p, int64_t now)
 {
-	int64_t ratio = slow_pool_ratio(p, now);
+	int64_t ratio = fleet_slowness_ratio(p, now);
 
-	p->sent_ratio = ratio == SLOW_WHOLE ? 0 : ratio;
+	p->sent_ratio = ratio == SLOWNESS_SCALE ? 0 : ratio;
 	p->sent_ms = now;
 }
 
-void slow_told_take(struct slow_told *t, int64_t ratio, int64_t now)
+void slowness_received_set(struct slowness_received *t, int64_t ratio,
+			   int64_t now)
 {
-	double received = (double)ratio / SLOW_WHOLE;
+	double received = (double)ratio / SLOWNESS_SCALE;
 
 	if (ratio > 0)
-		*t = (struct slow_told){
+		*t = (struct slowness_received){
 			CLAMP(received, 1 / RATIO_MAX, RATIO_MAX), now
 		};
 }
 
-double slow_told_ratio(const struct slow_told *t, int64_t now)
+double slowness_received_ratio(const struct slowness_received *t, int64_t now)
 {
 	return now - t->at_ms < VALID_MS ? t->ratio : 0;
 }
 
-double slow_told_or_own(const struct slow_told *t, double own, double weight,
-			int64_t now)
+double slowness_effective(const struct slowness_received *t, double own,
+			  double weight, int64_t now)
 {
-	double received = slow_told_ratio(t, now);
+	double received = slowness_received_ratio(t, now);
 	double age = (double)MAX(now - t->at_ms, 0);
 
 	if (received <= 0 ||
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -15,13 +15,13 @@
 
 /* From the announcement of a version until the older one is no longer used, in
  * ms: several times what a process on a tenth of a core takes to apply it. */
-#define FRESHNESS_TAKE_MS 1000
+#define FRESHNESS_APPLY_MS 1000
 /* A lost leader is found again or replaced within this time, in ms. */
-#define FRESHNESS_LOST_MS 300
+#define FRESHNESS_LEADER_LOST_MS 300
 /* An event loop that was stalled for at least this time, in ms, ... */
 #define FRESHNESS_STALL_MS 500
 /* ... first reads the messages that arrived meanwhile, for this time, in ms. */
-#define FRESHNESS_WAKE_MS 200
+#define FRESHNESS_CATCH_UP_MS 200
 /* How long requests wait for a process that is behind, in ms, once the delay is
  * its own fault. */
 #define FRESHNESS_HOLD_MS 500
@@ -30,9 +30,9 @@
 #define FRESHNESS_PENDING_MAX 8
 
 enum freshness_level {
-	FRESHNESS_CURRENT, /* the version held is in force */
-	FRESHNESS_UNSURE,  /* a route may be missing */
-	FRESHNESS_STALE,   /* another version has been in force for too long */
+	FRESHNESS_CURRENT,   /* the version held is in force */
+	FRESHNESS_UNCERTAIN, /* a route may be missing */
+	FRESHNESS_STALE, /* another version has been in force for too long */
 };
 
 struct announced_version {
@@ -53,14 +53,14 @@
 
 void freshness_init(struct freshness *f, int64_t now);
 /* A confirmed leader has announced the version in force. */
-void freshness_hear(struct freshness *f, uint64_t version, int64_t now);
-void freshness_take(struct freshness *f, uint64_t version);
-void freshness_lose(struct freshness *f, int64_t now);
+void freshness_received(struct freshness *f, uint64_t version, int64_t now);
+void freshness_applied(struct freshness *f, uint64_t version);
+void freshness_leader_lost(struct freshness *f, int64_t now);
 /* To be called in each iteration of the event loop. */
-void freshness_turn(struct freshness *f, int64_t now);
+void freshness_tick(struct freshness *f, int64_t now);
 
 /* The time without a leader; 0 if one is connected. */
-int64_t freshness_alone_ms(const struct freshness *f, int64_t now);
+int64_t freshness_disconnected_ms(const struct freshness *f, int64_t now);
 
 /* until: a request may wait for a better level until then; not at all if it is
  * not later than now. */
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -150,7 +150,7 @@
 	for (guint i = 0; i < changes->len; i++)
 		bytes += g_array_index(changes, struct routing_bytes, i)
 				 .packed.n;
-	open = send_window_open(&m->window, bytes);
+	open = send_window_allows(&m->window, bytes);
 	if (open && m->o.ops->send(m->o.arg, f->peer, &r)) {
 		f->waiting = false;
 		f->unacked = bytes;
@@ -277,7 +277,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct fetcher *f = p;
 
-		if (f->unacked && now - f->since_ms > SEND_WINDOW_LOST_MS) {
+		if (f->unacked && now - f->since_ms > SEND_WINDOW_TIMEOUT_MS) {
 			send_window_lost(&m->window, f->unacked);
 			f->unacked = 0;
 		}
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -332,7 +332,7 @@
 	int64_t limit, limit_age;
 	struct ss_str version; /* as in struct fleet_incarnation */
 	bool ending;	       /* about to stop for good */
-	/* Slowness over all entries, in parts of SLOW_WHOLE. */
+	/* Slowness over all entries, in parts of SLOWNESS_SCALE. */
 	int64_t slow;
 };
 
@@ -384,7 +384,7 @@
 	struct ss_str addr;
 	int64_t started_ms; /* as in struct endpoint_calls */
 	uint64_t failed, answered;
-	int64_t slow_ln; /* sum as of slow_seen_sum() */
+	int64_t slow_ln; /* sum as of slowness_observed_sum() */
 	uint64_t slow_n; /* answers in that sum */
 };
 
--- a/src/core/send_window.c
+++ b/src/core/send_window.c
@@ -8,7 +8,7 @@
 	w->round_start_ms = now;
 }
 
-bool send_window_open(struct send_window *w, size_t bytes)
+bool send_window_allows(struct send_window *w, size_t bytes)
 {
 	if (w->in_flight == 0 || w->in_flight + bytes <= w->size)
 		return true;
@@ -57,7 +57,7 @@
 
 	/* Earlier arrivals were sent under the previous window. */
 	if (age < SEND_WINDOW_TRANSIT_MS ||
-	    (w->blocked && !w->current_acked && age < SEND_WINDOW_LOST_MS))
+	    (w->blocked && !w->current_acked && age < SEND_WINDOW_TIMEOUT_MS))
 		return;
 	/* The rate of a link that was not saturated says nothing about its
 	 * capacity. */
--- a/src/core/send_window.h
+++ b/src/core/send_window.h
@@ -30,7 +30,7 @@
 /* Bulk that is not acknowledged within this time, in ms, went to a receiver
  * that is stalled or has a slower link. It no longer counts, so that it doesn't
  * block the others. */
-#define SEND_WINDOW_LOST_MS 250
+#define SEND_WINDOW_TIMEOUT_MS 250
 
 /* The rate counts as changed with the window if it changed by this factor. */
 #define SEND_WINDOW_RATE_CHANGE 1.6
@@ -55,7 +55,7 @@
 
 /* Whether that many bytes may be sent now. Always true if nothing is in
  * flight. */
-bool send_window_open(struct send_window *w, size_t bytes);
+bool send_window_allows(struct send_window *w, size_t bytes);
 void send_window_sent(struct send_window *w, size_t bytes);
 /* sent_ms: when the bytes were sent. */
 void send_window_acked(struct send_window *w, size_t bytes, int64_t sent_ms);
--- a/src/core/speed.c
+++ b/src/core/speed.c
@@ -64,7 +64,7 @@
 	s->half_life_set_ms = now;
 }
 
-void speed_note(struct speed *s, double ms, int64_t now)
+void speed_record(struct speed *s, double ms, int64_t now)
 {
 	double weight = weight_at(s, now), ln;
 
@@ -97,7 +97,8 @@
 	return MAX(median, exp(s->mean_ln));
 }
 
-void speed_note_least(struct speed *s, double ms, double median, int64_t now)
+void speed_record_at_least(struct speed *s, double ms, double median,
+			   int64_t now)
 {
 	double threshold = threshold_ms(s, median, now);
 	uint64_t n = s->n;
@@ -105,16 +106,16 @@
 	if (threshold <= 0 || !(ms > threshold))
 		return;
 	/* A lower bound is not an answer. */
-	speed_note(s, ms, now);
+	speed_record(s, ms, now);
 	s->n = n;
 }
 
-void speed_open_begin(struct speed *s)
+void speed_pending_reset(struct speed *s)
 {
 	s->pending_weight = s->pending_ln = 0;
 }
 
-void speed_open(struct speed *s, double ms, double median, int64_t now)
+void speed_pending_add(struct speed *s, double ms, double median, int64_t now)
 {
 	double threshold = threshold_ms(s, median, now);
 
@@ -124,7 +125,7 @@
 	s->pending_weight++;
 }
 
-void speed_work(struct speed *s, int64_t percent, int64_t now)
+void speed_work_received(struct speed *s, int64_t percent, int64_t now)
 {
 	if (percent < WORK_MIN_PERCENT || percent > WORK_MAX_PERCENT)
 		return;
@@ -132,7 +133,7 @@
 	s->work_ms = now;
 }
 
-double speed_reported(const struct speed *s, int64_t now)
+double speed_work_ratio(const struct speed *s, int64_t now)
 {
 	return now - s->work_ms <= WORK_VALID_MS ? s->work : 0;
 }
@@ -151,7 +152,7 @@
 	return (w * s->mean_ln + s->pending_ln) / *weight;
 }
 
-double speed_known(const struct speed *s, int64_t now)
+double speed_sample_weight(const struct speed *s, int64_t now)
 {
 	double weight;
 
@@ -190,14 +191,14 @@
 	return exp((ln - log(median)) * weight / (weight + PRIOR_WEIGHT));
 }
 
-double speed_weight(double ratio)
+double speed_load_factor(double ratio)
 {
 	if (ratio >= 1 / USUAL_VARIATION && ratio <= USUAL_VARIATION)
 		return 1;
 	return ratio;
 }
 
-double speed_start(int64_t age_ms, uint64_t answers)
+double speed_slow_start(int64_t age_ms, uint64_t answers)
 {
 	double by_age = (double)age_ms / SLOW_START_MS;
 	double by_answers = (1.0 + (double)answers) / SLOW_START_ANSWERS;
@@ -205,31 +206,31 @@
 	return MIN(MAX(by_age, by_answers), 1);
 }
 
-bool speed_needs_rest(double ratio, double first_ms, int64_t objective_ms)
+bool ejection_is_needed(double ratio, double first_ms, int64_t objective_ms)
 {
 	return ratio >= EJECTION_RATIO && objective_ms > 0 &&
 	       first_ms > (double)objective_ms;
 }
 
-bool speed_is_resting(const struct speed_rest *r, int64_t now)
+bool ejection_is_active(const struct ejection *r, int64_t now)
 {
 	return now < r->until_ms ||
 	       (r->probe_ms && now - r->probe_ms < PROBE_TIMEOUT_MS);
 }
 
 /* Whether the last ejection ended so long ago that it no longer counts. */
-static bool is_expired(const struct speed_rest *r, int64_t now)
+static bool is_expired(const struct ejection *r, int64_t now)
 {
 	return now - r->until_ms >= EJECTION_MAX_MS;
 }
 
-bool speed_rest_is_due(const struct speed_rest *r, int64_t now)
+bool ejection_is_due(const struct ejection *r, int64_t now)
 {
 	return !r->until_ms || is_expired(r, now) ||
 	       (r->probe_ms && now - r->probe_ms >= PROBE_TIMEOUT_MS);
 }
 
-void speed_rest_begin(struct speed_rest *r, int64_t now)
+void ejection_begin(struct ejection *r, int64_t now)
 {
 	if (is_expired(r, now))
 		r->duration_ms = 0;
@@ -239,24 +240,24 @@
 	r->probe_ms = 0;
 }
 
-void speed_rest_share(struct speed_rest *r, uint64_t entries, double draw,
-		      int64_t now)
+void ejection_spread(struct ejection *r, uint64_t entries, double draw,
+		     int64_t now)
 {
 	double ms = 2 * draw * (double)entries * EJECTION_MS;
 
 	r->until_ms = MAX(r->until_ms, now + (int64_t)ms);
 }
 
-void speed_rest_sent(struct speed_rest *r, int64_t now)
+void ejection_call_sent(struct ejection *r, int64_t now)
 {
 	if (r->until_ms && now >= r->until_ms && !r->probe_ms)
 		r->probe_ms = now;
 }
 
-bool speed_rest_answered(struct speed_rest *r, double ratio)
+bool ejection_call_answered(struct ejection *r, double ratio)
 {
 	if (ratio >= EJECTION_RATIO)
 		return r->probe_ms != 0;
-	*r = (struct speed_rest){ 0 };
+	*r = (struct ejection){ 0 };
 	return false;
 }
--- a/src/core/speed.h
+++ b/src/core/speed.h
@@ -27,30 +27,31 @@
 };
 
 /* The ejection of an endpoint that is too slow. All zero: none. */
-struct speed_rest {
+struct ejection {
 	int64_t until_ms, duration_ms;
 	int64_t probe_ms; /* when the probe was sent; 0: not yet */
 };
 
 /* Records the time of an answer. Ignored unless above 0. */
-void speed_note(struct speed *s, double ms, int64_t now);
+void speed_record(struct speed *s, double ms, int64_t now);
 /* Records that a call was abandoned after this time. Counts only if the answers
  * of the endpoint and the median of the service are faster. median: 0 if
  * unknown. */
-void speed_note_least(struct speed *s, double ms, double median, int64_t now);
+void speed_record_at_least(struct speed *s, double ms, double median,
+			   int64_t now);
 
 /* Resets the calls in flight, or adds one that has taken ms so far. */
-void speed_open_begin(struct speed *s);
-void speed_open(struct speed *s, double ms, double median, int64_t now);
+void speed_pending_reset(struct speed *s);
+void speed_pending_add(struct speed *s, double ms, double median, int64_t now);
 
 /* Records the work time that the endpoint reports, in percent of the usual.
  * Ignored if out of range or not reported (0). */
-void speed_work(struct speed *s, int64_t percent, int64_t now);
+void speed_work_received(struct speed *s, int64_t percent, int64_t now);
 /* The reported work time as a ratio; 0: none or too old. */
-double speed_reported(const struct speed *s, int64_t now);
+double speed_work_ratio(const struct speed *s, int64_t now);
 
 /* The weight of the estimate by now, in answers. */
-double speed_known(const struct speed *s, int64_t now);
+double speed_sample_weight(const struct speed *s, int64_t now);
 /* The response time by now, in ms; 0: unknown. */
 double speed_ms(const struct speed *s, int64_t now);
 /* The median of n times, the lower one of two; sorts them. 0 for fewer than
@@ -61,32 +62,32 @@
 double speed_ratio(const struct speed *s, double median, int64_t now);
 /* The ratio as a factor of load: 1 within the usual variation between calls; 0
  * stays 0. */
-double speed_weight(double ratio);
+double speed_load_factor(double ratio);
 
 /* Slow start: the part of its calls, from above 0 to 1, that an endpoint gets
  * at this age and after that many answers. */
-double speed_start(int64_t age_ms, uint64_t answers);
+double speed_slow_start(int64_t age_ms, uint64_t answers);
 
 /* Whether an endpoint is to be ejected: it is too slow, and its next caller
  * would miss the latency objective. */
-bool speed_needs_rest(double ratio, double first_ms, int64_t objective_ms);
+bool ejection_is_needed(double ratio, double first_ms, int64_t objective_ms);
 /* Whether no call may be sent, as it is ejected or its probe is in flight. */
-bool speed_is_resting(const struct speed_rest *r, int64_t now);
+bool ejection_is_active(const struct ejection *r, int64_t now);
 /* Whether a slow endpoint is to be ejected: it wasn't recently, or its probe
  * has timed out. */
-bool speed_rest_is_due(const struct speed_rest *r, int64_t now);
+bool ejection_is_due(const struct ejection *r, int64_t now);
 /* Starts an ejection. It lasts longer than one that ended shortly before. */
-void speed_rest_begin(struct speed_rest *r, int64_t now);
+void ejection_begin(struct ejection *r, int64_t now);
 /* Extends the current ejection if all entries eject the endpoint by a ratio
  * from the leader. The duration is random (draw: from 0 to below 1), so that
  * together they probe it as often as a single entry does after its first
  * ejection. */
-void speed_rest_share(struct speed_rest *r, uint64_t entries, double draw,
-		      int64_t now);
+void ejection_spread(struct ejection *r, uint64_t entries, double draw,
+		     int64_t now);
 /* Records that a call is sent; the first one after an ejection is the probe. */
-void speed_rest_sent(struct speed_rest *r, int64_t now);
+void ejection_call_sent(struct ejection *r, int64_t now);
 /* Records an answer at that ratio. Returns true if it was that of the probe and
  * the endpoint is to be ejected again. */
-bool speed_rest_answered(struct speed_rest *r, double ratio);
+bool ejection_call_answered(struct ejection *r, double ratio);
 
 #endif
--- a/src/core/pace.c
+++ b/src/core/stream_timing.c
@@ -1,6 +1,6 @@
 /* Estimates the duration of answers from the timing of earlier ones and of
  * those in flight. */
-#include "pace.h"
+#include "stream_timing.h"
 
 #include <math.h>
 
@@ -39,7 +39,7 @@
  * per 300, not 52. */
 #define EVENTS_ROUNDING 1e-6
 
-void pace_add(struct pace_estimate *e, double ms)
+void timing_estimate_add(struct timing_estimate *e, double ms)
 {
 	if (e->n++ == 0) {
 		e->mean_ms = ms;
@@ -50,7 +50,7 @@
 	e->mean_ms += MEAN_WEIGHT * (ms - e->mean_ms);
 }
 
-double pace_bound(const struct pace_estimate *e)
+double timing_estimate_bound(const struct timing_estimate *e)
 {
 	return e->n ? e->mean_ms + BOUND_DEVIATIONS * e->dev_ms : -1;
 }
@@ -71,72 +71,76 @@
 	return MAX(m->newer, m->older);
 }
 
-void pace_note_first(struct pace *p, double ms)
+void timing_record_first(struct stream_timing *p, double ms)
 {
-	pace_add(&p->first, ms);
+	timing_estimate_add(&p->first, ms);
 	timing_max_add(&p->first_max, ms);
 }
 
-void pace_note_event(struct pace *p, double ms)
+void timing_record_event(struct stream_timing *p, double ms)
 {
-	pace_add(&p->event, ms);
+	timing_estimate_add(&p->event, ms);
 	timing_max_add(&p->event_max, ms);
 }
 
-void pace_raise_first(struct pace *p, double ms)
+void timing_raise_first(struct stream_timing *p, double ms)
 {
 	if (p->first.n && ms > timing_max(&p->first_max))
-		pace_note_first(p, ms);
+		timing_record_first(p, ms);
 }
 
-void pace_raise_event(struct pace *p, double ms)
+void timing_raise_event(struct stream_timing *p, double ms)
 {
 	if (p->event.n && ms > timing_max(&p->event_max))
-		pace_note_event(p, ms);
+		timing_record_event(p, ms);
 }
 
-void pace_note_length(struct pace *p, uint64_t events, int64_t tokens)
+void timing_record_length(struct stream_timing *p, uint64_t events,
+			  int64_t tokens)
 {
 	if (tokens > 0 && events >= EVENTS_PER_SAMPLE)
 		timing_max_add(&p->events_per_token,
 			       (double)events / (double)tokens);
 }
 
-void pace_raise_length(struct pace *p, uint64_t events, int64_t tokens)
+void timing_raise_length(struct stream_timing *p, uint64_t events,
+			 int64_t tokens)
 {
 	double known = timing_max(&p->events_per_token);
 
 	if (known > 0 && (double)events > known * (double)tokens)
-		pace_note_length(p, events, tokens);
+		timing_record_length(p, events, tokens);
 }
 
-double pace_least_first(const struct pace *model, const struct pace *service)
+double timing_low_first_ms(const struct stream_timing *model,
+			   const struct stream_timing *service)
 {
-	const struct pace_estimate *e = model->first.n ? &model->first :
-							 &service->first;
+	const struct timing_estimate *e = model->first.n ? &model->first :
+							   &service->first;
 
 	return e->n ? MAX(e->mean_ms - e->dev_ms, 0) : -1;
 }
 
-bool pace_measure(struct pace_mark *m, uint64_t events, int64_t now,
-		  double *gap_ms)
+bool timing_measure_gap(struct timing_mark *m, uint64_t events, int64_t now,
+			double *gap_ms)
 {
 	uint64_t n = events - m->events;
 
 	if (n < EVENTS_PER_SAMPLE)
 		return false;
 	*gap_ms = (double)(now - m->ms) / (double)n;
-	*m = (struct pace_mark){ now, events };
+	*m = (struct timing_mark){ now, events };
 	return true;
 }
 
-double pace_open_event_ms(const struct pace_mark *m, int64_t now)
+double timing_pending_event_ms(const struct timing_mark *m, int64_t now)
 {
 	return (double)(now - m->ms) / EVENTS_PER_SAMPLE;
 }
 
 /* The bound for one part of a service; negative: unknown. */
-static double first_bound(const struct pace *p, const struct pace *service)
+static double first_bound(const struct stream_timing *p,
+			  const struct stream_timing *service)
 {
 	double own = p->first.n ? timing_max(&p->first_max) : -1;
 
@@ -146,9 +150,10 @@
 				  own;
 }
 
-static double event_bound(const struct pace *p, const struct pace *service)
+static double event_bound(const struct stream_timing *p,
+			  const struct stream_timing *service)
 {
-	double own = pace_bound(&p->event);
+	double own = timing_estimate_bound(&p->event);
 	double slowest = timing_max(&service->event_max);
 
 	if (p->event.n >= TRUSTED_SAMPLES || !service->event.n)
@@ -157,7 +162,7 @@
 }
 
 /* With few streams the maximum comes from short ones. */
-static double events_per_token(const struct pace *service)
+static double events_per_token(const struct stream_timing *service)
 {
 	const struct timing_max *m = &service->events_per_token;
 	bool known = m->older > 0 || m->n >= PREDICTION_SAMPLES;
@@ -165,9 +170,9 @@
 	return known ? timing_max(m) : DEFAULT_EVENTS_PER_TOKEN;
 }
 
-int64_t pace_stream_ms(const struct pace_ask *a)
+int64_t timing_stream_ms(const struct timing_request *a)
 {
-	const struct pace *s = a->service;
+	const struct stream_timing *s = a->service;
 	double first = first_bound(a->model, s);
 	double event = event_bound(a->model, s);
 	double rate = events_per_token(s);
@@ -181,15 +186,16 @@
 		first = MAX(first, first_bound(a->endpoint, s));
 		event = MAX(event, event_bound(a->endpoint, s));
 	}
-	first = MAX(first, a->open.first_ms);
-	event = MAX(event, a->open.event_ms);
+	first = MAX(first, a->pending.first_ms);
+	event = MAX(event, a->pending.event_ms);
 	events = MAX(ceil(rate * (double)a->tokens - EVENTS_ROUNDING) -
 			     (double)a->skip,
 		     0);
 	return (int64_t)ceil(first + events * event);
 }
 
-int64_t pace_plain_ms(const struct pace *route, const struct pace_open *pending)
+int64_t timing_plain_ms(const struct stream_timing *route,
+			const struct timing_pending *pending)
 {
 	if (route->first.n < PREDICTION_SAMPLES)
 		return SS_NEVER;
@@ -197,6 +203,6 @@
 	 * call was started with 1,305 ms left, as the maximum was 1,222 ms, and
 	 * took 1,310 ms. */
 	return (int64_t)ceil(MAX(MAX(timing_max(&route->first_max),
-				     pace_bound(&route->first)),
+				     timing_estimate_bound(&route->first)),
 				 pending->first_ms));
 }
--- a/src/core/pace.h
+++ b/src/core/stream_timing.h
@@ -10,7 +10,7 @@
 #include <sapphireshift/base.h>
 
 /* Moving mean and mean deviation of a duration. */
-struct pace_estimate {
+struct timing_estimate {
 	double mean_ms, dev_ms;
 	uint64_t n; /* samples; 0: no estimate */
 };
@@ -23,81 +23,84 @@
 
 /* Timing of the answers of a service, or of one of its models, endpoints or
  * routes. All zero: no samples. */
-struct pace {
+struct stream_timing {
 	/* From sending to the start of the answer. */
-	struct pace_estimate first;
+	struct timing_estimate first;
 	struct timing_max first_max;
 	/* From one event to the next. */
-	struct pace_estimate event;
+	struct timing_estimate event;
 	struct timing_max event_max;
 	struct timing_max events_per_token; /* events per allowed token */
 };
 
 /* The event up to which a stream in flight has been measured. */
-struct pace_mark {
+struct timing_mark {
 	int64_t ms;
 	uint64_t events;
 };
 
 /* Lower bounds from answers in flight that are still awaited. */
-struct pace_open {
+struct timing_pending {
 	double first_ms, event_ms;
 };
 
 /* The parameters of a prediction for a stream that has not started. */
-struct pace_ask {
-	const struct pace *service, *model;
-	const struct pace *endpoint; /* NULL: not chosen yet */
-	struct pace_open open;
+struct timing_request {
+	const struct stream_timing *service, *model;
+	const struct stream_timing *endpoint; /* NULL: not chosen yet */
+	struct timing_pending pending;
 	int64_t tokens; /* allowed output tokens; 0: unknown */
 	int64_t skip;	/* events that the caller has already received */
 };
 
-void pace_add(struct pace_estimate *e, double ms);
+void timing_estimate_add(struct timing_estimate *e, double ms);
 /* A duration that few samples exceed; negative if there are no samples. */
-double pace_bound(const struct pace_estimate *e);
+double timing_estimate_bound(const struct timing_estimate *e);
 
 void timing_max_add(struct timing_max *m, double x);
 double timing_max(const struct timing_max *m); /* 0: no samples */
 
-void pace_note_first(struct pace *p, double ms);
-void pace_note_event(struct pace *p, double ms);
+void timing_record_first(struct stream_timing *p, double ms);
+void timing_record_event(struct stream_timing *p, double ms);
 /*
  * Records that an answer, or the next event of one, took at least this long and
  * never arrived. As a lower bound it only raises an estimate from complete
  * answers: otherwise a caller who disconnects at once would count as a fast
  * answer.
  */
-void pace_raise_first(struct pace *p, double ms);
-void pace_raise_event(struct pace *p, double ms);
+void timing_raise_first(struct stream_timing *p, double ms);
+void timing_raise_event(struct stream_timing *p, double ms);
 /* Records a complete stream of that many events. */
-void pace_note_length(struct pace *p, uint64_t events, int64_t tokens);
+void timing_record_length(struct stream_timing *p, uint64_t events,
+			  int64_t tokens);
 /*
  * Records the number of events so far of a stream in flight. Streams that end
  * first are the short ones, so this lower bound raises the estimate from
  * complete streams. It is ignored while no stream is complete.
  */
-void pace_raise_length(struct pace *p, uint64_t events, int64_t tokens);
+void timing_raise_length(struct stream_timing *p, uint64_t events,
+			 int64_t tokens);
 
 /* A duration that most answers exceed before they start. Taken from the model,
  * or from its service if the model has no samples; negative if neither has
  * any. */
-double pace_least_first(const struct pace *model, const struct pace *service);
+double timing_low_first_ms(const struct stream_timing *model,
+			   const struct stream_timing *service);
 
 /* To be called when an event arrives; events: the number that the answer has so
  * far. Returns true once there are enough since the mark to measure the mean
  * gap, and moves the mark. */
-bool pace_measure(struct pace_mark *m, uint64_t events, int64_t now,
-		  double *gap_ms);
+bool timing_measure_gap(struct timing_mark *m, uint64_t events, int64_t now,
+			double *gap_ms);
 /* A lower bound of the mean gap of the current, incomplete sample. */
-double pace_open_event_ms(const struct pace_mark *m, int64_t now);
+double timing_pending_event_ms(const struct timing_mark *m, int64_t now);
 
 /*
  * The longest expected duration of an answer that starts now, in ms; SS_NEVER
  * if it can't be predicted.
  */
-int64_t pace_stream_ms(const struct pace_ask *a);
-int64_t pace_plain_ms(const struct pace *route,
-		      const struct pace_open *pending);
+int64_t timing_stream_ms(const struct timing_request *a);
+int64_t timing_plain_ms(const struct stream_timing *route,
+			const struct timing_pending *pending);
 
 #endif
--- a/src/customer/quota_purse.c
+++ b/src/customer/quota_purse.c
@@ -92,10 +92,10 @@
 /* Time without a reply after which an allocator counts as silent. */
 static int64_t reply_timeout_ms(const struct quota_client *u)
 {
-	const struct pace_estimate *a = &u->e->reply_times;
+	const struct timing_estimate *a = &u->e->reply_times;
 
-	return a->n ? CLAMP((int64_t)pace_bound(a), REPLY_TIMEOUT_MIN_MS,
-			    REPLY_TIMEOUT_MAX_MS) :
+	return a->n ? CLAMP((int64_t)timing_estimate_bound(a),
+			    REPLY_TIMEOUT_MIN_MS, REPLY_TIMEOUT_MAX_MS) :
 		      REPLY_TIMEOUT_MAX_MS;
 }
 
--- a/src/customer/quota_purse_ask.c
+++ b/src/customer/quota_purse_ask.c
@@ -228,7 +228,7 @@
 	credit_classes(u, w);
 	if (w->number != u->number)
 		return;
-	pace_add(&e->reply_times, (double)(now - u->requested_ms));
+	timing_estimate_add(&e->reply_times, (double)(now - u->requested_ms));
 	u->pending = false;
 	u->balance_until_ms = u->requested_ms + QUOTA_LEASE_MS;
 	u->rate = quota_from_milli(w->rate);
--- a/src/customer/quota_purse_int.h
+++ b/src/customer/quota_purse_int.h
@@ -6,7 +6,7 @@
 #ifndef SS_QUOTA_PURSE_INT_H
 #define SS_QUOTA_PURSE_INT_H
 
-#include "../core/pace.h"
+#include "../core/stream_timing.h"
 #include "quota_classes.h"
 #include "quota_lease.h"
 
@@ -66,9 +66,9 @@
 };
 
 struct quota_clients {
-	GHashTable *by_name;		  /* name -> struct quota_client */
-	GPtrArray *due;			  /* struct quota_client */
-	struct pace_estimate reply_times; /* of allocators */
+	GHashTable *by_name;		    /* name -> struct quota_client */
+	GPtrArray *due;			    /* struct quota_client */
+	struct timing_estimate reply_times; /* of allocators */
 	bool connected;
 	int64_t disconnected_ms, connected_ms; /* as in struct quota_client */
 	int64_t sweep_ms;
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -12,7 +12,7 @@
 #include "../core/crash_log.h"
 #include "../core/endpoint_limit.h"
 #include "../core/failure_rate.h"
-#include "../core/slow_pool.h"
+#include "../core/fleet_slowness.h"
 #include "../core/stream_log.h"
 #include "../core/suspects.h"
 #include "../vmlist/instances.h"
@@ -62,7 +62,7 @@
 	GHashTable *calls; /* conn of an entry -> GArray of model_calls */
 	struct failure_rate failing;	  /* by what all entries see */
 	struct failure_rate failing_told; /* as they were told last */
-	struct slow_pool slow;		  /* by what all entries see */
+	struct fleet_slowness slow;	  /* by what all entries see */
 	struct endpoint_limit limit;
 	int64_t rest_until_ms; /* that it has asked some entry for */
 	bool says_leaving;     /* in its answers to some entry */
--- a/src/daemon/fleet_listed.c
+++ b/src/daemon/fleet_listed.c
@@ -47,7 +47,7 @@
 
 	if (how == FLEET_RESTARTED) {
 		forget_words(ep);
-		ep->slow = (struct slow_pool){ 0 };
+		ep->slow = (struct fleet_slowness){ 0 };
 	}
 	if (how == FLEET_RESTARTED && ep->self.started_ms && told->started_ms &&
 	    ep->self.started_ms != told->started_ms)
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -58,7 +58,7 @@
 	struct fleet_load x = { .addr = ss_str(ep->addr),
 				.failing = failure_rate_permille(&ep->failing,
 								 now),
-				.slow = slow_pool_ratio(&ep->slow, now) };
+				.slow = fleet_slowness_ratio(&ep->slow, now) };
 
 	if (fleet_ep_reported(l, ep)) {
 		x.running = ep->report.running;
@@ -87,7 +87,7 @@
 		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
 		.failing =
 			failure_rate_permille(&ep->failing, fleet_lead_now(l)),
-		.slow = slow_pool_ratio(&ep->slow, fleet_lead_now(l)),
+		.slow = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
 		.limit_age = endpoint_limit_age(&ep->limit, fleet_lead_now(l)),
 		.ending = fleet_ep_ends(l, ep),
@@ -174,7 +174,7 @@
 static void send_whole(struct fleet_lead *l, struct fleet_peer *peer,
 		       const GString *frame)
 {
-	if (!takes_more(peer) || !send_window_open(&l->window, frame->len))
+	if (!takes_more(peer) || !send_window_allows(&l->window, frame->len))
 		return;
 	peer->whole = conn_send_frame(peer->conn, frame);
 	if (!peer->whole)
@@ -243,7 +243,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct fleet_peer *p = v;
 
-		if (p->whole_sent && now - p->whole_ms > SEND_WINDOW_LOST_MS)
+		if (p->whole_sent && now - p->whole_ms > SEND_WINDOW_TIMEOUT_MS)
 			fleet_push_lost(l, p);
 		if (wants_whole(p))
 			l->dirty = true;
@@ -294,7 +294,7 @@
 		ep->changed = ep->load_changed = false;
 		ep->adapters_changed = false;
 		ep->failing_told = ep->failing;
-		slow_pool_tell(&ep->slow, fleet_lead_now(l));
+		fleet_slowness_sent(&ep->slow, fleet_lead_now(l));
 	}
 	add_etas(l, &p, false);
 	g_hash_table_iter_init(&it, l->wants);
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -150,8 +150,8 @@
 			 failure_rate_at(&ep->failing_told, now)) >
 		    FAILING_NEWS)
 			ep->load_changed = true;
-		slow_pool_add(&ep->slow, e[i].slow_ln, e[i].slow_n, now);
-		if (slow_pool_is_news(&ep->slow, now))
+		fleet_slowness_add(&ep->slow, e[i].slow_ln, e[i].slow_n, now);
+		if (fleet_slowness_is_due(&ep->slow, now))
 			ep->load_changed = true;
 	}
 }
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -97,7 +97,7 @@
 static bool keys_may_be_revoked(const struct gate *g)
 {
 	return g->o.keys_trust_ms &&
-	       freshness_alone_ms(&g->freshness, gate_now(g)) >
+	       freshness_disconnected_ms(&g->freshness, gate_now(g)) >
 		       g->o.keys_trust_ms;
 }
 
@@ -148,7 +148,7 @@
 	f->service = routing_service_ref(s);
 	f->model = s->engine ? ss_str_dup(f->call.model) : g_strdup("");
 	f->adapter = s->engine ? ss_str_dup(f->call.adapter) : g_strdup("");
-	f->pace = gate_pace(f->g, f);
+	f->stream_timing = gate_pace(f->g, f);
 }
 
 static struct forward *forward_new(struct gate *g, struct caller_call *c,
@@ -231,8 +231,8 @@
 	readable = g->o.platform->read_call(h, &call, &error);
 	status = !rt ? 404 : readable ? identify(g, rt, &call, &customer) : 400;
 	fresh = freshness_level(&g->freshness, gate_now(g), &until);
-	if (fresh == FRESHNESS_STALE ||
-	    (fresh == FRESHNESS_UNSURE && (status == 404 || status == 401))) {
+	if (fresh == FRESHNESS_STALE || (fresh == FRESHNESS_UNCERTAIN &&
+					 (status == 404 || status == 401))) {
 		g_clear_error(&error);
 		if (early_hold_until(g, c, body, received_ms, until))
 			return;
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -112,18 +112,19 @@
 }
 
 /* What a request waits for that found no endpoint, for a log line. */
-static const char *wait_reason(const struct forward *f, enum balance_none none)
+static const char *wait_reason(const struct forward *f,
+			       enum balance_refusal none)
 {
 	switch (none) {
-	case BALANCE_NOBODY:
+	case BALANCE_NO_ENDPOINT:
 		return f->began_version ? "version" : "model";
 	case BALANCE_FULL:
 		return "place";
 	case BALANCE_LIMITED:
 		return "limit";
-	case BALANCE_RESTING:
+	case BALANCE_BACKOFF:
 		return "rest";
-	case BALANCE_STARTS:
+	case BALANCE_START_LIMIT:
 		return "starts";
 	}
 	return "-";
@@ -348,7 +349,7 @@
 	f->limit_per_s = ep->words.limit.per_s;
 	gate_words_sent(g, ep, now);
 	f->permits = 0;
-	f->mark = (struct pace_mark){ 0 };
+	f->mark = (struct timing_mark){ 0 };
 	if (g->end_ms)
 		f->stop_left_ms = g->end_ms - now;
 	if (f->waited_ms < 0) {
@@ -431,7 +432,7 @@
 
 bool forward_try(struct forward *f)
 {
-	enum balance_none none = BALANCE_NOBODY;
+	enum balance_refusal none = BALANCE_NO_ENDPOINT;
 	struct gate_ep *ep;
 
 	if (times_stop_cuts(f, NULL)) {
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -28,19 +28,19 @@
 static const struct callers_limits initial_limits = { 16 << 10, 4 << 20, 3000,
 						      15000 };
 
-struct pace *gate_pace(struct gate *g, const struct forward *f)
+struct stream_timing *gate_pace(struct gate *g, const struct forward *f)
 {
 	const char *service = f->service->name;
 	char *key = f->route->kind == ROUTE_STREAM ?
 			    g_strdup(service) :
 			    g_strdup_printf("%s\n%s", service, f->route->name);
-	struct pace *p = g_hash_table_lookup(g->paces, key);
+	struct stream_timing *p = g_hash_table_lookup(g->paces, key);
 
 	if (p) {
 		g_free(key);
 		return p;
 	}
-	p = g_new0(struct pace, 1);
+	p = g_new0(struct stream_timing, 1);
 	g_hash_table_insert(g->paces, key, p);
 	return p;
 }
@@ -107,7 +107,7 @@
 	routing_unref(g->routing);
 	g->routing = r;
 	g->routing_version = r->version;
-	freshness_take(&g->freshness, r->version);
+	freshness_applied(&g->freshness, r->version);
 	callers_set_limits(g->callers, &l);
 	gate_pump(g, NULL);
 }
@@ -119,12 +119,12 @@
 
 void gate_routing_told(struct gate *g, uint64_t version)
 {
-	freshness_hear(&g->freshness, version, gate_now(g));
+	freshness_received(&g->freshness, version, gate_now(g));
 }
 
 void gate_leader_lost(struct gate *g)
 {
-	freshness_lose(&g->freshness, gate_now(g));
+	freshness_leader_lost(&g->freshness, gate_now(g));
 	quota_lease.entry_link(g->quota, NULL, false, gate_now(g));
 	quota_lease.entry_link(g->limits, NULL, false, gate_now(g));
 }
@@ -312,7 +312,7 @@
 
 	if (g->end_ms)
 		times_look_at_open(g, now);
-	freshness_turn(&g->freshness, now);
+	freshness_tick(&g->freshness, now);
 	early_tick(g);
 	endings_tick(g, now);
 	quarantine_tick(g, now);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -76,10 +76,10 @@
 	n->tried = was_tried(f, ep);
 	n->slots = ep->slots;
 	n->reported = fresh ? ep->reported : 0;
-	n->since = fresh ? ep->since : 0;
-	n->own = ep->own;
-	n->unseen = fresh ? unreported_calls(g, f, ep, now) : 0;
-	n->failing = MAX(ep->failing, failure_rate_at(&ep->told, now));
+	n->sent_since = fresh ? ep->since : 0;
+	n->own_calls = ep->own;
+	n->unreported = fresh ? unreported_calls(g, f, ep, now) : 0;
+	n->failure_rate = MAX(ep->failing, failure_rate_at(&ep->told, now));
 	n->affinity = affinity_of(f, ep);
 }
 
@@ -162,23 +162,24 @@
 	double fill = gate_fill(f);
 	uint64_t tie = ss_random(&g->seed);
 
-	return is_burst(g, f) ? balance_share(n, c->nodes->len, fill, tie) :
-				balance_choose(n, c->nodes->len, fill, tie);
+	return is_burst(g, f) ?
+		       balance_choose_weighted(n, c->nodes->len, fill, tie) :
+		       balance_choose(n, c->nodes->len, fill, tie);
 }
 
-static enum balance_none why_none(int at, const struct candidates *c)
+static enum balance_refusal why_none(int at, const struct candidates *c)
 {
-	if (at == BALANCE_STARTS)
-		return BALANCE_STARTS;
+	if (at == BALANCE_START_LIMIT)
+		return BALANCE_START_LIMIT;
 	if (c->limited)
 		return BALANCE_LIMITED;
-	if (c->backoff && at == BALANCE_NOBODY)
-		return BALANCE_RESTING;
-	return (enum balance_none)at;
+	if (c->backoff && at == BALANCE_NO_ENDPOINT)
+		return BALANCE_BACKOFF;
+	return (enum balance_refusal)at;
 }
 
 /* The best endpoint whose limit admits the request; NULL with an enum
- * balance_none in at. */
+ * balance_refusal in at. */
 static struct gate_ep *take_best(struct gate *g, struct forward *f,
 				 struct candidates *c, int *at)
 {
@@ -220,7 +221,9 @@
 	double ms = (double)times_first_ms(f);
 
 	for (guint k = 0; k < c->start_limited->len; k++)
-		ms = MAX(ms, pace_bound(&start_limited_at(c, k)->pace.first));
+		ms = MAX(ms,
+			 timing_estimate_bound(
+				 &start_limited_at(c, k)->stream_timing.first));
 	return (int64_t)ms;
 }
 
@@ -248,7 +251,7 @@
 	struct gate_ep *found = NULL;
 
 	if (gate_start_waits(f, start_limited_first_ms(f, c))) {
-		*at = BALANCE_STARTS;
+		*at = BALANCE_START_LIMIT;
 		return NULL;
 	}
 	while (!found && c->start_limited->len) {
@@ -259,7 +262,7 @@
 }
 
 struct gate_ep *gate_choose(struct gate *g, struct forward *f,
-			    enum balance_none *none)
+			    enum balance_refusal *none)
 {
 	struct gate_ep *found;
 	struct candidates c = { 0 };
@@ -274,13 +277,13 @@
 	if (!found && c.start_limited->len)
 		found = take_start_limited(g, f, &c, &at);
 	if (found) {
-		speed_rest_sent(&found->slow_rest, gate_now(g));
+		ejection_call_sent(&found->slow_rest, gate_now(g));
 	} else {
 		*none = why_none(at, &c);
 		gate_start_held(f, *none);
 	}
 	/* A slot becomes free soon: the caller needn't wait for that time. */
-	if (found || at == BALANCE_FULL || at == BALANCE_STARTS)
+	if (found || at == BALANCE_FULL || at == BALANCE_START_LIMIT)
 		f->open_ms = 0;
 	g_array_unref(c.start_limited);
 	g_array_unref(c.nodes);
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -98,16 +98,16 @@
 	ep->life = ++g->lives;
 	ep->began_ms = gate_now(g);
 	ep->speed = (struct speed){ 0 };
-	ep->slow_rest = (struct speed_rest){ 0 };
+	ep->slow_rest = (struct ejection){ 0 };
 	ep->ratio = ep->own_ratio = 0;
-	ep->slow_seen = (struct slow_seen){ 0 };
-	ep->slow_told = (struct slow_told){ 0 };
+	ep->slowness_observed = (struct slowness_observed){ 0 };
+	ep->slowness_received = (struct slowness_received){ 0 };
 	ep->failing = 0;
 	memset(&ep->breaker, 0, sizeof(ep->breaker));
 	ep->shut_until_ms = 0;
 	gate_words_reset(g, ep);
 	gate_starts_reset(ep);
-	memset(&ep->pace, 0, sizeof(ep->pace));
+	memset(&ep->stream_timing, 0, sizeof(ep->stream_timing));
 	memset(&ep->told, 0, sizeof(ep->told));
 	ep->answered = ep->failed = 0;
 	ep->own = ep->reported = ep->since = ep->reported_ms = 0;
@@ -460,7 +460,7 @@
 {
 	bool open = ss_breaker_allows(&ep->breaker, gate_now(g));
 
-	balance_note(&ep->failing, failed);
+	balance_record_result(&ep->failing, failed);
 	ss_breaker_result(&ep->breaker, !failed, gate_now(g));
 	if (open && !ss_breaker_allows(&ep->breaker, gate_now(g)))
 		log_warn("endpoint_rests",
@@ -476,7 +476,7 @@
 	ep->reported = a->running + a->waiting;
 	ep->since = 0;
 	ep->reported_ms = gate_now(g);
-	speed_work(&ep->speed, a->work_percent, gate_now(g));
+	speed_work_received(&ep->speed, a->work_percent, gate_now(g));
 	if (a->slots > 0)
 		ep->slots = a->slots;
 }
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -15,10 +15,10 @@
 #include "../core/failure_rate.h"
 #include "../core/fleet.h"
 #include "../core/freshness.h"
-#include "../core/pace.h"
+#include "../core/stream_timing.h"
 #include "../core/retry_budget.h"
 #include "../core/return_turns.h"
-#include "../core/slow_pool.h"
+#include "../core/fleet_slowness.h"
 #include "../core/speed.h"
 #include "../core/start_limit.h"
 #include "../core/suspects.h"
@@ -72,20 +72,21 @@
 	struct ss_breaker breaker;
 	int64_t shut_until_ms; /* no connects before, as one failed */
 	struct gate_words words;
-	struct pace pace; /* timing of its streams, all models */
+	struct stream_timing
+		stream_timing; /* timing of its streams, all models */
 	struct start_limit start_limit;
 	/* This gate's prompts there without an event yet. */
 	int64_t starts;
 	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
-	struct pace_open open;
+	struct timing_pending open;
 	/* First report of this incarnation; 0: it came with the fleet. */
 	int64_t began_ms;
 	struct speed speed;
 	double own_ratio; /* latest own slowness ratio; 0: not known */
 	double ratio;	  /* slowness ratio in use: own or reported */
-	struct slow_seen slow_seen;
-	struct slow_told slow_told;
-	struct speed_rest slow_rest; /* ejection as an outlier */
+	struct slowness_observed slowness_observed;
+	struct slowness_received slowness_received;
+	struct ejection slow_rest; /* ejection as an outlier */
 };
 
 /* In the order that a request passes them. */
@@ -128,7 +129,7 @@
 	/* Model queue that it uses when it waits. */
 	struct lane *home;
 	/* Timing of a stream's service, or of a plain request's route. */
-	struct pace *pace;
+	struct stream_timing *stream_timing;
 	struct lane *lane;	  /* NULL: not queued */
 	enum admission_turn turn; /* by which it was sent last */
 	/* Sends. */
@@ -184,7 +185,7 @@
 	GString *held;	  /* until the answer is certain */
 	int64_t length;
 	struct events events;
-	struct pace_mark mark; /* of this send; zeroed: no event yet */
+	struct timing_mark mark; /* of this send; zeroed: no event yet */
 	/* The newest event, and the longest time between two events. */
 	uint64_t event;
 	int64_t event_ms, pause_ms;
@@ -209,8 +210,8 @@
 	/* Requests wait for a start limit since; 0: they don't. */
 	int64_t starts_ms;
 	int64_t starts_first_ms; /* time to a first event expected there */
-	struct pace pace;	 /* of the model's streams */
-	struct pace_open open;
+	struct stream_timing stream_timing; /* of the model's streams */
+	struct timing_pending open;
 	struct lane_group *group;
 	GList link; /* in the group's list, while a request waits here */
 	/* Last dispatch round in which its head couldn't be sent; the same for
@@ -313,7 +314,7 @@
 /* Chooses an endpoint and takes the grants that the request needs there; NULL
  * with the reason in none. */
 struct gate_ep *gate_choose(struct gate *g, struct forward *f,
-			    enum balance_none *none);
+			    enum balance_refusal *none);
 
 /* Calls that an endpoint of the request's service may have, in multiples of its
  * slots. */
@@ -378,7 +379,7 @@
 bool gate_start_waits(struct forward *f, int64_t first_ms);
 /* The request isn't sent, for this reason. If it heads its model queue and the
  * reason isn't a start limit, the queue no longer waits for one. */
-void gate_start_held(struct forward *f, enum balance_none none);
+void gate_start_held(struct forward *f, enum balance_refusal none);
 /* Whether the request has waited long enough in a model queue that waits for
  * start limits. */
 bool gate_start_wait_over(const struct forward *f, int64_t now);
@@ -557,7 +558,7 @@
 
 /* gate.c */
 /* Timing of the service for a stream, of the route for a plain request. */
-struct pace *gate_pace(struct gate *g, const struct forward *f);
+struct stream_timing *gate_pace(struct gate *g, const struct forward *f);
 
 /* gate_retries.c */
 /* The leader reported the number of entries. */
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -78,8 +78,9 @@
 	if (f->route->kind == ROUTE_STREAM)
 		return 1 + (double)MIN(f->call.tokens_in, PROMPT_TOKENS_MAX) /
 				   FIXED_COST_TOKENS;
-	return f->pace->first.n >= ROUTE_MIN_ANSWERS ? f->pace->first.mean_ms :
-						       0;
+	return f->stream_timing->first.n >= ROUTE_MIN_ANSWERS ?
+		       f->stream_timing->first.mean_ms :
+		       0;
 }
 
 /* The time since the request was sent, at least one step of the clock, divided
@@ -102,7 +103,7 @@
 static void record_ratio(struct gate_ep *ep, double ms, double median)
 {
 	if (median > 0)
-		slow_seen_note(&ep->slow_seen, ms / median);
+		slowness_observed_add(&ep->slowness_observed, ms / median);
 }
 
 static void record_pending(struct gate_ep *ep, struct forward *f, double ms,
@@ -125,7 +126,7 @@
 	if (!ep || ms <= 0 || !is_pending(f))
 		return;
 	median = service_at(g->speeds, ep->service)->median;
-	speed_open(&ep->speed, ms, median, now);
+	speed_pending_add(&ep->speed, ms, median, now);
 	record_pending(ep, f, ms, median);
 }
 
@@ -136,7 +137,7 @@
 
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		speed_open_begin(&((struct gate_ep *)p)->speed);
+		speed_pending_reset(&((struct gate_ep *)p)->speed);
 	g_hash_table_iter_init(&it, g->forwards);
 	while (g_hash_table_iter_next(&it, &p, NULL))
 		sample_forward(g, p, now);
@@ -168,8 +169,9 @@
 static void update_ratio(struct gate_ep *ep, double median, int64_t now)
 {
 	ep->own_ratio = speed_ratio(&ep->speed, median, now);
-	ep->ratio = slow_told_or_own(&ep->slow_told, ep->own_ratio,
-				     speed_known(&ep->speed, now), now);
+	ep->ratio = slowness_effective(&ep->slowness_received, ep->own_ratio,
+				       speed_sample_weight(&ep->speed, now),
+				       now);
 }
 
 static void update_speeds(struct gate *g, int64_t now)
@@ -193,17 +195,18 @@
 
 static bool is_unusual(double ratio)
 {
-	return ratio > 0 && speed_weight(ratio) != 1;
+	return ratio > 0 && speed_load_factor(ratio) != 1;
 }
 
 static void begin_ejection(struct gate *g, struct gate_ep *ep, double median_ms)
 {
 	int64_t now = gate_now(g);
 
-	speed_rest_begin(&ep->slow_rest, now);
-	if (speed_weight(slow_told_ratio(&ep->slow_told, now)) > 1)
-		speed_rest_share(&ep->slow_rest, MAX(g->entries, 1),
-				 balance_draw(&g->seed), now);
+	ejection_begin(&ep->slow_rest, now);
+	if (speed_load_factor(
+		    slowness_received_ratio(&ep->slowness_received, now)) > 1)
+		ejection_spread(&ep->slow_rest, MAX(g->entries, 1),
+				balance_random(&g->seed), now);
 	(*g->speeds->n_ejections)++;
 	log_info("endpoint_slow",
 		 "addr=%s id=%s ratio=%.1f first_ms=%.0f median_ms=%.0f "
@@ -221,14 +224,14 @@
 
 	if (!ep || ms <= 0)
 		return;
-	speed_note(&ep->speed, ms, now);
+	speed_record(&ep->speed, ms, now);
 	median = service_at(g->speeds, ep->service)->median;
 	update_ratio(ep, median, now);
 	record_ratio(ep, ms, median);
 	if (ep->own_ratio > 0)
 		hist_add(g->speeds->slowness,
 			 (uint64_t)(ep->own_ratio * PERCENT));
-	if (speed_rest_answered(&ep->slow_rest, ep->own_ratio))
+	if (ejection_call_answered(&ep->slow_rest, ep->own_ratio))
 		begin_ejection(g, ep, median * scale_of(f));
 }
 
@@ -241,18 +244,19 @@
 	if (!ep || ms <= 0 || !is_pending(f))
 		return;
 	median = service_at(f->g->speeds, ep->service)->median;
-	speed_note_least(&ep->speed, ms, median, now);
+	speed_record_at_least(&ep->speed, ms, median, now);
 	record_pending(ep, f, ms, median);
 }
 
 void gate_speed_told(struct gate *g, struct gate_ep *ep, int64_t ratio)
 {
 	int64_t now = gate_now(g);
-	double before = slow_told_ratio(&ep->slow_told, now), reported;
+	double before = slowness_received_ratio(&ep->slowness_received, now),
+	       reported;
 
-	slow_told_take(&ep->slow_told, ratio, now);
-	reported = slow_told_ratio(&ep->slow_told, now);
-	if (speed_weight(reported) <= 1 || speed_weight(before) > 1)
+	slowness_received_set(&ep->slowness_received, ratio, now);
+	reported = slowness_received_ratio(&ep->slowness_received, now);
+	if (speed_load_factor(reported) <= 1 || speed_load_factor(before) > 1)
 		return;
 	(*g->speeds->n_reported_slow)++;
 	log_info("endpoint_told_slow", "addr=%s id=%s ratio=%.1f own=%.1f",
@@ -263,14 +267,15 @@
 		       struct endpoint_ends *e)
 {
 	bool unusual = is_unusual(ep->own_ratio) ||
-		       is_unusual(slow_told_ratio(&ep->slow_told, gate_now(g)));
+		       is_unusual(slowness_received_ratio(
+			       &ep->slowness_received, gate_now(g)));
 
 	if (unusual) {
-		e->slow_ln = slow_seen_sum(&ep->slow_seen);
-		e->slow_n = ep->slow_seen.n;
+		e->slow_ln = slowness_observed_sum(&ep->slowness_observed);
+		e->slow_n = ep->slowness_observed.n;
 	}
 	/* An endpoint of usual speed takes no space in the report. */
-	ep->slow_seen = (struct slow_seen){ 0 };
+	ep->slowness_observed = (struct slowness_observed){ 0 };
 	return e->slow_n;
 }
 
@@ -283,8 +288,8 @@
 static double effective_ratio(const struct forward *f, const struct gate_ep *ep,
 			      int64_t now)
 {
-	double reported = f->service->engine ? 0 :
-					       speed_reported(&ep->speed, now);
+	double reported =
+		f->service->engine ? 0 : speed_work_ratio(&ep->speed, now);
 
 	if (reported > 0)
 		return reported;
@@ -295,7 +300,7 @@
 			       const struct gate_ep *ep, int64_t now)
 {
 	return has_objective(f) && ep->began_ms ?
-		       speed_start(now - ep->began_ms, ep->speed.n) :
+		       speed_slow_start(now - ep->began_ms, ep->speed.n) :
 		       1;
 }
 
@@ -306,12 +311,12 @@
 	double ratio = effective_ratio(f, ep, now),
 	       start = slow_start_share(f, ep, now);
 
-	n->slow = speed_weight(ratio);
+	n->slowness = speed_load_factor(ratio);
 	if (start < 1)
-		n->slow = MAX(n->slow, 1) / start;
+		n->slowness = MAX(n->slowness, 1) / start;
 	if (has_objective(f))
-		n->late = (ratio > 0 ? ratio : 1) * median_ms /
-			  (double)f->route->objective_ms;
+		n->objective_used = (ratio > 0 ? ratio : 1) * median_ms /
+				    (double)f->route->objective_ms;
 }
 
 /* Whether the endpoint is too slow for this request by the ratio that entries
@@ -320,8 +325,8 @@
 			double median_ms)
 {
 	return has_objective(f) &&
-	       speed_needs_rest(ep->ratio, ep->ratio * median_ms,
-				f->route->objective_ms);
+	       ejection_is_needed(ep->ratio, ep->ratio * median_ms,
+				  f->route->objective_ms);
 }
 
 static int slowest_first(const void *a, const void *b)
@@ -351,14 +356,14 @@
 	for (guint i = 0; i < slow->len; i++) {
 		struct gate_ep *ep = slow->pdata[i];
 
-		if (speed_rest_is_due(&ep->slow_rest, now))
+		if (ejection_is_due(&ep->slow_rest, now))
 			begin_ejection(g, ep, median_ms);
 	}
 }
 
 static bool is_ejected(const struct gate_ep *ep, GPtrArray *slow, int64_t now)
 {
-	return speed_is_resting(&ep->slow_rest, now) &&
+	return ejection_is_active(&ep->slow_rest, now) &&
 	       g_ptr_array_find(slow, ep, NULL);
 }
 
--- a/src/proxy/times.c
+++ b/src/proxy/times.c
@@ -21,16 +21,16 @@
 /* Adds a sample to the times of the service (of a plain request: of the route),
  * of the model and of the endpoint. */
 static void note_sample(const struct forward *f,
-			void (*add)(struct pace *, double), double ms)
+			void (*add)(struct stream_timing *, double), double ms)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
-	add(f->pace, ms);
+	add(f->stream_timing, ms);
 	if (!is_stream(f))
 		return;
-	add(&f->home->pace, ms);
+	add(&f->home->stream_timing, ms);
 	if (ep)
-		add(&ep->pace, ms);
+		add(&ep->stream_timing, ms);
 }
 
 /* Tracks the longest pause between events: a stream also counts as late where
@@ -59,40 +59,45 @@
 
 	if (f->mark.events == 0) {
 		gate_speed_answered(f);
-		note_sample(f, pace_note_first, (double)(now - f->sent_ms));
+		note_sample(f, timing_record_first, (double)(now - f->sent_ms));
 		gate_start_first(f, now - f->sent_ms);
-		f->mark = (struct pace_mark){ now, f->events.count };
-	} else if (pace_measure(&f->mark, f->events.count, now, &gap_ms)) {
-		note_sample(f, pace_note_event, gap_ms);
-		pace_raise_length(f->pace, f->events.count, f->call.tokens_out);
+		f->mark = (struct timing_mark){ now, f->events.count };
+	} else if (timing_measure_gap(&f->mark, f->events.count, now,
+				      &gap_ms)) {
+		note_sample(f, timing_record_event, gap_ms);
+		timing_raise_length(f->stream_timing, f->events.count,
+				    f->call.tokens_out);
 	}
 }
 
 static void note_plain(struct forward *f)
 {
 	gate_speed_answered(f);
-	note_sample(f, pace_note_first, (double)(gate_now(f->g) - f->sent_ms));
+	note_sample(f, timing_record_first,
+		    (double)(gate_now(f->g) - f->sent_ms));
 }
 
 void times_note_end(struct forward *f)
 {
 	/* Of a resumed stream only the rest was sent here. */
 	if (f->is_events && f->call.after_event > 0)
-		pace_raise_length(f->pace, f->events.count, f->call.tokens_out);
+		timing_raise_length(f->stream_timing, f->events.count,
+				    f->call.tokens_out);
 	else if (f->is_events)
-		pace_note_length(f->pace, f->events.count, f->call.tokens_out);
+		timing_record_length(f->stream_timing, f->events.count,
+				     f->call.tokens_out);
 	else if (f->status / 100 == 2)
 		note_plain(f);
 }
 
 /* How long a request that was sent has been waiting for the start of its answer
  * or for the next event. */
-static struct pace_open outstanding(const struct forward *f, int64_t now)
+static struct timing_pending outstanding(const struct forward *f, int64_t now)
 {
-	struct pace_open o = { 0 };
+	struct timing_pending o = { 0 };
 
 	if (f->mark.events)
-		o.event_ms = pace_open_event_ms(&f->mark, now);
+		o.event_ms = timing_pending_event_ms(&f->mark, now);
 	else
 		o.first_ms = (double)(now - f->sent_ms);
 	return o;
@@ -102,16 +107,16 @@
  * came: an engine that hangs shows in no other way. */
 void times_note_left(struct forward *f)
 {
-	struct pace_open o = outstanding(f, gate_now(f->g));
+	struct timing_pending o = outstanding(f, gate_now(f->g));
 
 	if (f->state < FORWARD_SENT)
 		return;
 	gate_speed_left(f);
-	note_sample(f, pace_raise_first, o.first_ms);
-	note_sample(f, pace_raise_event, o.event_ms);
+	note_sample(f, timing_raise_first, o.first_ms);
+	note_sample(f, timing_raise_event, o.event_ms);
 }
 
-static void raise_to(struct pace_open *o, const struct pace_open *by)
+static void raise_to(struct timing_pending *o, const struct timing_pending *by)
 {
 	o->first_ms = MAX(o->first_ms, by->first_ms);
 	o->event_ms = MAX(o->event_ms, by->event_ms);
@@ -119,7 +124,7 @@
 
 static void reset_outstanding(struct gate *g)
 {
-	const struct pace_open none = { 0 };
+	const struct timing_pending none = { 0 };
 	GHashTableIter it;
 	void *p;
 
@@ -140,7 +145,7 @@
 	g_hash_table_iter_init(&it, g->forwards);
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
 		const struct forward *f = p;
-		struct pace_open o = outstanding(f, now);
+		struct timing_pending o = outstanding(f, now);
 		struct gate_ep *ep;
 
 		if (f->state < FORWARD_SENT)
@@ -154,8 +159,9 @@
 
 int64_t times_first_ms(const struct forward *f)
 {
-	double ms = pace_least_first(is_stream(f) ? &f->home->pace : f->pace,
-				     f->pace);
+	double ms = timing_low_first_ms(is_stream(f) ? &f->home->stream_timing :
+						       f->stream_timing,
+					f->stream_timing);
 
 	return ms < 0 ? DEFAULT_FIRST_MS : (int64_t)ms;
 }
@@ -163,17 +169,17 @@
 /* The longest that the answer is expected to take from now on. */
 static int64_t answer_ms(const struct forward *f, const struct gate_ep *ep)
 {
-	struct pace_ask a = { .service = f->pace,
-			      .model = &f->home->pace,
-			      .endpoint = ep ? &ep->pace : NULL,
-			      .open = f->home->open,
-			      .tokens = f->call.tokens_out,
-			      .skip = MAX(f->call.after_event, 0) };
+	struct timing_request a = { .service = f->stream_timing,
+				    .model = &f->home->stream_timing,
+				    .endpoint = ep ? &ep->stream_timing : NULL,
+				    .pending = f->home->open,
+				    .tokens = f->call.tokens_out,
+				    .skip = MAX(f->call.after_event, 0) };
 
 	if (ep)
-		raise_to(&a.open, &ep->open);
-	return is_stream(f) ? pace_stream_ms(&a) :
-			      pace_plain_ms(f->pace, &a.open);
+		raise_to(&a.pending, &ep->open);
+	return is_stream(f) ? timing_stream_ms(&a) :
+			      timing_plain_ms(f->stream_timing, &a.pending);
 }
 
 /*
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -7,7 +7,7 @@
 #include "../platform/platform.h"
 #include "../src/core/endpoint_limit.h"
 #include "../src/core/fleet_wire.h"
-#include "../src/core/slow_pool.h"
+#include "../src/core/fleet_slowness.h"
 #include "../src/core/state.h"
 #include "../src/core/stream_wire.h"
 #include "../src/daemon/fleet_lead.h"
@@ -636,7 +636,8 @@
 	struct conn *c = w->entries->pdata[entry];
 	struct endpoint_ends e = { .addr = ss_str(w->engines[engine].addr),
 				   .started_ms = 1,
-				   .slow_ln = llround(log(ratio) * SLOW_WHOLE),
+				   .slow_ln =
+					   llround(log(ratio) * SLOWNESS_SCALE),
 				   .slow_n = 1 };
 	struct msg_demand m = { .round = c->round,
 				.routing = 1,
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -31,31 +31,31 @@
 	  0,
 	  0 },
 	{ "calls sent since the report count",
-	  { NODE(.reported = 1, .since = 5), NODE(.reported = 3) },
+	  { NODE(.reported = 1, .sent_since = 5), NODE(.reported = 3) },
 	  2,
 	  1,
 	  0,
 	  0 },
 	{ "own calls count if they exceed the report",
-	  { NODE(.own = 6), NODE(.reported = 3) },
+	  { NODE(.own_calls = 6), NODE(.reported = 3) },
 	  2,
 	  1,
 	  0,
 	  0 },
 	{ "the near node at equal load",
-	  { NODE(.own = 0), NODE(.own = 0) },
+	  { NODE(.own_calls = 0), NODE(.own_calls = 0) },
 	  2,
 	  1,
 	  1,
 	  0 },
 	{ "the far node if the near one has much more load",
-	  { NODE(.own = 0), NODE(.reported = 2) },
+	  { NODE(.own_calls = 0), NODE(.reported = 2) },
 	  2,
 	  0,
 	  1,
 	  0 },
 	{ "the node that holds the adapter",
-	  { NODE(.own = 0), NODE(.reported = 2) },
+	  { NODE(.own_calls = 0), NODE(.reported = 2) },
 	  2,
 	  1,
 	  0,
@@ -67,13 +67,13 @@
 	  0,
 	  0 },
 	{ "not a node with a failure rate of a third",
-	  { NODE(.failing = 0.33), NODE(.reported = 5) },
+	  { NODE(.failure_rate = 0.33), NODE(.reported = 5) },
 	  2,
 	  1,
 	  0,
 	  0 },
 	{ "a failing node if there is no other",
-	  { NODE(.failing = 0.9) },
+	  { NODE(.failure_rate = 0.9) },
 	  1,
 	  0,
 	  0,
@@ -87,16 +87,16 @@
 	{ "no usable endpoint",
 	  { { .usable = false } },
 	  1,
-	  BALANCE_NOBODY,
+	  BALANCE_NO_ENDPOINT,
 	  0,
 	  0 },
 	{ "all full",
-	  { NODE(.reported = 8), NODE(.own = 9) },
+	  { NODE(.reported = 8), NODE(.own_calls = 9) },
 	  2,
 	  BALANCE_FULL,
 	  0,
 	  0 },
-	{ "no endpoint at all", { { 0 } }, 0, BALANCE_NOBODY, 0, 0 },
+	{ "no endpoint at all", { { 0 } }, 0, BALANCE_NO_ENDPOINT, 0, 0 },
 };
 
 static void best_node_is_chosen(void **state)
@@ -120,8 +120,8 @@
 
 static void equal_nodes_share_calls(void **state)
 {
-	struct balance_node n[3] = { NODE(.own = 0), NODE(.own = 0),
-				     NODE(.own = 0) };
+	struct balance_node n[3] = { NODE(.own_calls = 0), NODE(.own_calls = 0),
+				     NODE(.own_calls = 0) };
 	int got[3] = { 0 };
 
 	(void)state;
@@ -306,7 +306,7 @@
 			for (int k = 0; k < 3; k++) {
 				n[k].slots = 64;
 				n[k].reported = c->loads[k];
-				n[k].unseen = c->unseen;
+				n[k].unreported = c->unseen;
 			}
 			first += balance_choose(n, 3, 1.0, ss_random(&seed)) ==
 				 0;
@@ -346,7 +346,7 @@
 	  { 0, 40, 40 },
 	  { 0, 60, 60 } },
 	{ "not a node with a failure rate of a half",
-	  { NODE(.reported = 4, .failing = 0.5), NODE(.reported = 4) },
+	  { NODE(.reported = 4, .failure_rate = 0.5), NODE(.reported = 4) },
 	  2,
 	  { 0, 100 },
 	  { 0, 100 } },
@@ -377,8 +377,8 @@
 			c.nodes[k].slots = 40;
 		}
 		for (int call = 0; call < 100; call++) {
-			int node = balance_share(c.nodes, c.n, 1.0,
-						 ss_random(&seed));
+			int node = balance_choose_weighted(c.nodes, c.n, 1.0,
+							   ss_random(&seed));
 
 			assert_in_range(node, 0, c.n - 1);
 			got[node]++;
@@ -393,13 +393,16 @@
 /* Reports why no node was chosen, as balance_choose() does. */
 static void reason_for_no_choice_is_returned(void **state)
 {
-	struct balance_node n[2] = { NODE(.reported = 8), NODE(.own = 9) };
+	struct balance_node n[2] = { NODE(.reported = 8),
+				     NODE(.own_calls = 9) };
 
 	(void)state;
-	assert_int_equal(balance_share(n, 2, 1.0, 1), BALANCE_FULL);
+	assert_int_equal(balance_choose_weighted(n, 2, 1.0, 1), BALANCE_FULL);
 	n[0].usable = n[1].usable = false;
-	assert_int_equal(balance_share(n, 2, 1.0, 1), BALANCE_NOBODY);
-	assert_int_equal(balance_share(n, 0, 1.0, 1), BALANCE_NOBODY);
+	assert_int_equal(balance_choose_weighted(n, 2, 1.0, 1),
+			 BALANCE_NO_ENDPOINT);
+	assert_int_equal(balance_choose_weighted(n, 0, 1.0, 1),
+			 BALANCE_NO_ENDPOINT);
 }
 
 /* Guards against a change in the choices between engines of equal speed, by one
@@ -418,14 +421,14 @@
 			n[i] = (struct balance_node)NODE(.has_adapter = true);
 			n[i].near = ss_random(&seed) % 2;
 			n[i].reported = (int64_t)(ss_random(&seed) % 9);
-			n[i].unseen = (double)(ss_random(&seed) % 5);
+			n[i].unreported = (double)(ss_random(&seed) % 5);
 			n[i].affinity = ss_random(&seed);
-			n[i].slow = call / 2 % 2;
-			n[i].late = (double)(call % 3) / 4;
+			n[i].slowness = call / 2 % 2;
+			n[i].objective_used = (double)(call % 3) / 4;
 		}
 		fingerprint =
 			fingerprint * 31 +
-			(uint64_t)(call % 2 ? balance_share :
+			(uint64_t)(call % 2 ? balance_choose_weighted :
 					      balance_choose)(n, 5, 1.0, tie);
 	}
 	assert_true(fingerprint == 0xa3f4c7c7cbb88945ULL);
@@ -459,8 +462,8 @@
 
 		for (int k = 0; k < 2; k++) {
 			n[k].near = true;
-			n[k].late = c->late[k];
-			n[k].failing = c->failing;
+			n[k].objective_used = c->late[k];
+			n[k].failure_rate = c->failing;
 		}
 		if ((balance_choose(n, 3, 1.0, 0) == 2) != c->far)
 			fail_msg("%s", c->label);
--- a/test/test_slow_pool.c
+++ b/test/test_fleet_slowness.c
@@ -3,7 +3,7 @@
 
 #include "../src/core/balance.h"
 #include "../src/core/msg.h"
-#include "../src/core/slow_pool.h"
+#include "../src/core/fleet_slowness.h"
 #include "../src/core/speed.h"
 #include "../src/node/frame.h"
 
@@ -11,21 +11,21 @@
 
 static int64_t report_sum(double ratio, int n)
 {
-	struct slow_seen s = { 0 };
+	struct slowness_observed s = { 0 };
 
 	while (n--)
-		slow_seen_note(&s, ratio);
-	return slow_seen_sum(&s);
+		slowness_observed_add(&s, ratio);
+	return slowness_observed_sum(&s);
 }
 
 /* Adds n reports of one answer each, one every 100 ms. Returns the time of the
  * last. */
-static int64_t add_reports(struct slow_pool *p, int n, double ratio,
+static int64_t add_reports(struct fleet_slowness *p, int n, double ratio,
 			   int64_t now)
 {
 	for (int i = 0; i < n; i++) {
 		now += 100;
-		slow_pool_add(p, report_sum(ratio, 1), 1, now);
+		fleet_slowness_add(p, report_sum(ratio, 1), 1, now);
 	}
 	return now;
 }
@@ -54,34 +54,34 @@
  * against one that counts as slow after it has recovered. */
 static void answers_of_all_entries_are_aggregated(void **state)
 {
-	struct slow_pool p = { 0 };
+	struct fleet_slowness p = { 0 };
 	int64_t now;
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(pools); i++) {
 		const struct pool_case *c = &pools[i];
-		struct slow_pool x = { 0 };
+		struct fleet_slowness x = { 0 };
 		int64_t got, at = add_reports(&x, c->n, c->ratio, 5000) +
 				  c->later_ms;
 
-		got = slow_pool_ratio(&x, at);
+		got = fleet_slowness_ratio(&x, at);
 		if (got < c->min || got > c->max)
 			fail_msg("%s: %" PRId64, c->label, got);
 	}
 	/* A ratio is sent once, again after a second, and the return to usual
 	 * speed once. */
 	now = add_reports(&p, 30, 5, 5000);
-	assert_true(slow_pool_is_news(&p, now));
-	slow_pool_tell(&p, now);
-	assert_false(slow_pool_is_news(&p, now));
+	assert_true(fleet_slowness_is_due(&p, now));
+	fleet_slowness_sent(&p, now);
+	assert_false(fleet_slowness_is_due(&p, now));
 	now = add_reports(&p, 10, 5, now);
-	assert_true(slow_pool_is_news(&p, now));
-	slow_pool_tell(&p, now);
+	assert_true(fleet_slowness_is_due(&p, now));
+	fleet_slowness_sent(&p, now);
 	now = add_reports(&p, 90, 1, now);
-	assert_int_equal(slow_pool_ratio(&p, now), SLOW_WHOLE);
-	slow_pool_tell(&p, now);
-	assert_int_equal(slow_pool_ratio(&p, now), 0);
-	assert_false(slow_pool_is_news(&p, now + 5000));
+	assert_int_equal(fleet_slowness_ratio(&p, now), SLOWNESS_SCALE);
+	fleet_slowness_sent(&p, now);
+	assert_int_equal(fleet_slowness_ratio(&p, now), 0);
+	assert_false(fleet_slowness_is_due(&p, now + 5000));
 }
 
 /* Guards against one entry of ten whose absurd reports turn all others away
@@ -98,14 +98,14 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(false_reports); i++) {
-		struct slow_pool p = { 0 };
+		struct fleet_slowness p = { 0 };
 		double share = false_reports[i].n > 1 ? 8.0 / 17 : 0.1;
 		int64_t now = 5000;
 
 		for (int k = 0; k < 50; k++) {
 			now = add_reports(&p, 9, 1, now);
-			slow_pool_add(&p, false_reports[i].sum_ln,
-				      false_reports[i].n, now);
+			fleet_slowness_add(&p, false_reports[i].sum_ln,
+					   false_reports[i].n, now);
 		}
 		/* The newest answers weigh slightly more than earlier ones. */
 		assert_true(fabs(p.mean_ln) <= 1.25 * share * log(100));
@@ -116,21 +116,21 @@
  * recovered, or that weighs less than the few calls of a single entry. */
 static void received_ratio_counts_while_valid(void **state)
 {
-	struct slow_told t = { 0 };
+	struct slowness_received t = { 0 };
 
 	(void)state;
-	assert_true(slow_told_or_own(&t, 0, 0, 1000) == 0);
-	assert_true(slow_told_or_own(&t, 2, 1, 1000) == 2);
-	slow_told_take(&t, 5000, 1000);
-	slow_told_take(&t, 0, 1100);
-	slow_told_take(&t, -7, 1100);
-	assert_true(slow_told_or_own(&t, 0, 0, 1200) == 5);
-	assert_true(slow_told_or_own(&t, 1, 5, 1200) == 5);
-	assert_true(slow_told_or_own(&t, 1, 5, 3500) == 1);
-	assert_true(slow_told_or_own(&t, 0, 0, 3500) == 5);
-	assert_true(slow_told_or_own(&t, 0, 0, 4000) == 0);
-	slow_told_take(&t, INT64_MAX, 5000);
-	assert_true(slow_told_ratio(&t, 5000) == 100);
+	assert_true(slowness_effective(&t, 0, 0, 1000) == 0);
+	assert_true(slowness_effective(&t, 2, 1, 1000) == 2);
+	slowness_received_set(&t, 5000, 1000);
+	slowness_received_set(&t, 0, 1100);
+	slowness_received_set(&t, -7, 1100);
+	assert_true(slowness_effective(&t, 0, 0, 1200) == 5);
+	assert_true(slowness_effective(&t, 1, 5, 1200) == 5);
+	assert_true(slowness_effective(&t, 1, 5, 3500) == 1);
+	assert_true(slowness_effective(&t, 0, 0, 3500) == 5);
+	assert_true(slowness_effective(&t, 0, 0, 4000) == 0);
+	slowness_received_set(&t, INT64_MAX, 5000);
+	assert_true(slowness_received_ratio(&t, 5000) == 100);
 }
 
 static size_t bytes_of(enum msg_kind kind, const void *m)
@@ -154,11 +154,11 @@
 	struct msg_demand d = { .ends = { &e, 1 } };
 	struct msg_fleet m = { .loads = { &x, 1 } };
 	size_t ends = bytes_of(MSG_DEMAND, &d), loads = bytes_of(MSG_FLEET, &m);
-	struct slow_pool p = { 0 };
+	struct fleet_slowness p = { 0 };
 	int64_t now = add_reports(&p, 50, 1, 5000);
 
 	(void)state;
-	x.slow = slow_pool_ratio(&p, now);
+	x.slow = fleet_slowness_ratio(&p, now);
 	assert_int_equal(bytes_of(MSG_FLEET, &m), loads);
 	x.slow = x.failing = e.answered = 1;
 	e.slow_n = e.slow_ln = 1;
@@ -181,7 +181,7 @@
 	(void)state;
 	for (int e = 0; e < ENTRIES; e++) {
 		uint64_t entry_seed = ss_random(&seed);
-		struct speed_rest r = { 0 };
+		struct ejection r = { 0 };
 
 		for (int i = 0; i < 1000; i++, calls++) {
 			struct balance_node n[NODES];
@@ -190,7 +190,7 @@
 				n[k] = (struct balance_node){
 					.usable = true,
 					.slots = 8,
-					.slow = k ? 1 : SLOW
+					.slowness = k ? 1 : SLOW
 				};
 			slow += !balance_choose(n, NODES, 1,
 						ss_random(&entry_seed));
@@ -199,9 +199,9 @@
 			if (r.until_ms > now)
 				continue;
 			probes += r.until_ms > 0;
-			speed_rest_begin(&r, now);
-			speed_rest_share(&r, ENTRIES, balance_draw(&entry_seed),
-					 now);
+			ejection_begin(&r, now);
+			ejection_spread(&r, ENTRIES,
+					balance_random(&entry_seed), now);
 		}
 	}
 	assert_in_range(slow * NODES * SLOW * 100 / calls, 80, 120);
--- a/test/test_freshness.c
+++ b/test/test_freshness.c
@@ -31,7 +31,7 @@
 	{ "a newer version was just announced",
 	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 4 }, { END, 0, 0 } },
 	  20,
-	  FRESHNESS_UNSURE,
+	  FRESHNESS_UNCERTAIN,
 	  1520 },
 	{ "a newer version was announced a second ago",
 	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 4 }, { END, 0, 0 } },
@@ -54,7 +54,7 @@
 	    { APPLIED, 1500, 5 },
 	    { END, 0, 0 } },
 	  1700,
-	  FRESHNESS_UNSURE,
+	  FRESHNESS_UNCERTAIN,
 	  2900 },
 	{ "successive changes, the first not applied",
 	  { { RECEIVED, 100, 4 },
@@ -93,7 +93,7 @@
 	    { LEADER_LOST, 100, 0 },
 	    { END, 0, 0 } },
 	  400,
-	  FRESHNESS_UNSURE,
+	  FRESHNESS_UNCERTAIN,
 	  900 },
 	{ "another leader announced its version",
 	  { { RECEIVED, 20, 3 },
@@ -145,13 +145,13 @@
 		freshness_init(&f, 0);
 		for (; s->event != END; s++) {
 			if (s->event == RECEIVED)
-				freshness_hear(&f, s->version, s->at_ms);
+				freshness_received(&f, s->version, s->at_ms);
 			else if (s->event == APPLIED)
-				freshness_take(&f, s->version);
+				freshness_applied(&f, s->version);
 			else if (s->event == LEADER_LOST)
-				freshness_lose(&f, s->at_ms);
+				freshness_leader_lost(&f, s->at_ms);
 			else
-				freshness_turn(&f, s->at_ms);
+				freshness_tick(&f, s->at_ms);
 		}
 		/* Only the ticks of the row itself show a stall. */
 		f.tick_ms = MAX(f.tick_ms, rows[i].at_ms - 1);
@@ -171,9 +171,9 @@
 
 	(void)state;
 	freshness_init(&f, 0);
-	freshness_hear(&f, 1, 0);
-	freshness_take(&f, 1);
-	freshness_turn(&f, 100);
+	freshness_received(&f, 1, 0);
+	freshness_applied(&f, 1);
+	freshness_tick(&f, 100);
 	assert_int_equal(freshness_level(&f, 100 + FRESHNESS_STALL_MS, &until),
 			 FRESHNESS_STALE);
 	assert_true(until > 100 + FRESHNESS_STALL_MS);
--- a/test/test_gate_behind.c
+++ b/test/test_gate_behind.c
@@ -77,7 +77,7 @@
 	old = call(&f, GET_SAFE);
 	UNTIL(&f, ends(old, "hello"));
 	new = call(&f, NEW_ROUTE);
-	advance_clock(&f, FRESHNESS_TAKE_MS + FRESHNESS_HOLD_MS + 100);
+	advance_clock(&f, FRESHNESS_APPLY_MS + FRESHNESS_HOLD_MS + 100);
 	UNTIL(&f, got(new, "HTTP/1.1 503 "));
 	assert_true(got(new, "Retry-After: 0.2"));
 	assert_true(got(new, "not_run"));
@@ -102,7 +102,7 @@
 	open_answering(&f);
 	gate_routing_told(f.gate, 1);
 	gate_leader_lost(f.gate);
-	advance_clock(&f, FRESHNESS_LOST_MS);
+	advance_clock(&f, FRESHNESS_LEADER_LOST_MS);
 	unknown = call(&f, NEW_ROUTE);
 	old = call(&f, GET_SAFE);
 	UNTIL(&f, ends(old, "hello"));
@@ -136,7 +136,7 @@
 	assert_int_equal(c->got->len, 0);
 	gate_routing_told(f.gate, 9);
 	set_newer_routing(&f);
-	advance_clock(&f, FRESHNESS_WAKE_MS);
+	advance_clock(&f, FRESHNESS_CATCH_UP_MS);
 	UNTIL(&f, ends(c, "hello"));
 	fix_close(&f);
 }
--- a/test/test_gate_customers.c
+++ b/test/test_gate_customers.c
@@ -276,7 +276,7 @@
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
 	gate_routing_told(f.gate, 3);
-	advance_clock(&f, FRESHNESS_TAKE_MS + FRESHNESS_HOLD_MS + 100);
+	advance_clock(&f, FRESHNESS_APPLY_MS + FRESHNESS_HOLD_MS + 100);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, got(c, "HTTP/1.1 503 "));
 	assert_true(got(c, "not_run"));
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -837,7 +837,7 @@
 	for (int i = 0; i < 10000 && processes_holding(w, 1) < 20; i++)
 		step(w);
 	assert_int_equal(processes_holding(w, 1), 20);
-	for (int i = 0; i < 2 * SEND_WINDOW_LOST_MS; i++)
+	for (int i = 0; i < 2 * SEND_WINDOW_TIMEOUT_MS; i++)
 		step(w);
 	assert_int_equal(mirror_in_flight(w->m[0].mirror), 0);
 	world_free(w);
@@ -864,7 +864,7 @@
 			/* They were sent before the queue that is left. */
 			send_window_acked(&w, (size_t)out,
 					  now - (int64_t)(queue / rate) - 1);
-			while (send_window_open(&w, 1000)) {
+			while (send_window_allows(&w, 1000)) {
 				send_window_sent(&w, 1000);
 				queue += 1000;
 			}
--- a/test/test_send_window.c
+++ b/test/test_send_window.c
@@ -45,7 +45,7 @@
 {
 	if (!r->sent || r->acked)
 		return;
-	if (now - r->sent_ms > SEND_WINDOW_LOST_MS) {
+	if (now - r->sent_ms > SEND_WINDOW_TIMEOUT_MS) {
 		send_window_lost(w, (size_t)c->bytes);
 		r->acked = true;
 	} else if (i >= c->silent &&
@@ -75,7 +75,7 @@
 				struct receiver *r = &all[i];
 
 				if (r->sent ||
-				    !send_window_open(&w, (size_t)c->bytes))
+				    !send_window_allows(&w, (size_t)c->bytes))
 					continue;
 				link_free_ms = MAX(link_free_ms, (double)now) +
 					       c->bytes / c->own_rate;
--- a/test/test_speed.c
+++ b/test/test_speed.c
@@ -13,7 +13,7 @@
 {
 	for (int i = 0; i < n; i++) {
 		now += 200;
-		speed_note(s, ms, now);
+		speed_record(s, ms, now);
 	}
 	return now;
 }
@@ -56,8 +56,9 @@
 		if (got < c->least || got > c->most)
 			fail_msg("%s: %.2f", c->label, got);
 	}
-	assert_true(speed_weight(1.45) == 1 && speed_weight(0.7) == 1);
-	assert_true(speed_weight(1.6) == 1.6 && speed_weight(0) == 0);
+	assert_true(speed_load_factor(1.45) == 1 &&
+		    speed_load_factor(0.7) == 1);
+	assert_true(speed_load_factor(1.6) == 1.6 && speed_load_factor(0) == 0);
 	assert_true(speed_median((double[]){ 9, 3 }, 2) == 3);
 	assert_true(speed_median((double[]){ 9 }, 1) == 0);
 }
@@ -70,23 +71,23 @@
 	int64_t now = add_answers(&s, 10, FIRST_MS, 100000) + 1200;
 
 	(void)state;
-	speed_open_begin(&s);
-	speed_open(&s, 50, FIRST_MS, now);
-	assert_true(speed_weight(speed_ratio(&s, FIRST_MS, now)) == 1);
+	speed_pending_reset(&s);
+	speed_pending_add(&s, 50, FIRST_MS, now);
+	assert_true(speed_load_factor(speed_ratio(&s, FIRST_MS, now)) == 1);
 	for (int i = 0; i < 3; i++)
-		speed_open(&s, 1200, FIRST_MS, now);
+		speed_pending_add(&s, 1200, FIRST_MS, now);
 	assert_true(speed_ratio(&s, FIRST_MS, now) > 4);
-	speed_open(&fresh, 1200, FIRST_MS, now);
+	speed_pending_add(&fresh, 1200, FIRST_MS, now);
 	assert_true(speed_ratio(&fresh, FIRST_MS, now) > 4);
 	/* A caller that disconnects has waited at least this long. */
-	speed_open_begin(&s);
-	speed_note_least(&s, 10, FIRST_MS, now);
-	assert_true(speed_weight(speed_ratio(&s, FIRST_MS, now)) == 1);
-	speed_note_least(&s, 1200, FIRST_MS, now);
+	speed_pending_reset(&s);
+	speed_record_at_least(&s, 10, FIRST_MS, now);
+	assert_true(speed_load_factor(speed_ratio(&s, FIRST_MS, now)) == 1);
+	speed_record_at_least(&s, 1200, FIRST_MS, now);
 	assert_true(speed_ratio(&s, FIRST_MS, now) > 2);
-	speed_open_begin(&s);
+	speed_pending_reset(&s);
 	now = add_answers(&s, 4, FIRST_MS, now);
-	assert_true(speed_weight(speed_ratio(&s, FIRST_MS, now)) == 1);
+	assert_true(speed_load_factor(speed_ratio(&s, FIRST_MS, now)) == 1);
 }
 
 /* Guards against reported work times that are absurd or outdated. */
@@ -96,57 +97,59 @@
 	struct speed s = { 0 };
 
 	(void)state;
-	assert_true(speed_reported(&s, 100) == 0);
+	assert_true(speed_work_ratio(&s, 100) == 0);
 	for (size_t i = 0; i < G_N_ELEMENTS(absurd); i++)
-		speed_work(&s, absurd[i], 1000);
-	assert_true(speed_reported(&s, 1000) == 0);
-	speed_work(&s, 250, 1000);
-	assert_true(speed_reported(&s, 1200) == 2.5);
-	speed_work(&s, 5000, 1150);
-	assert_true(speed_reported(&s, 1201) == 0);
+		speed_work_received(&s, absurd[i], 1000);
+	assert_true(speed_work_ratio(&s, 1000) == 0);
+	speed_work_received(&s, 250, 1000);
+	assert_true(speed_work_ratio(&s, 1200) == 2.5);
+	speed_work_received(&s, 5000, 1150);
+	assert_true(speed_work_ratio(&s, 1201) == 0);
 }
 
 /* Guards against a slow endpoint that is never probed, or is probed by all
  * callers at once. */
 static void ejections_end_with_one_probe(void **state)
 {
-	struct speed_rest r = { 0 };
+	struct ejection r = { 0 };
 	int64_t now = 100000, first;
 
 	(void)state;
-	assert_true(speed_rest_is_due(&r, now));
-	speed_rest_begin(&r, now);
+	assert_true(ejection_is_due(&r, now));
+	ejection_begin(&r, now);
 	first = r.duration_ms;
-	assert_true(speed_is_resting(&r, now) && !speed_rest_is_due(&r, now));
+	assert_true(ejection_is_active(&r, now) && !ejection_is_due(&r, now));
 	now = r.until_ms;
-	assert_false(speed_is_resting(&r, now) || speed_rest_is_due(&r, now));
-	speed_rest_sent(&r, now);
-	assert_true(speed_is_resting(&r, now + 100));
-	assert_true(speed_rest_answered(&r, 6));
-	speed_rest_begin(&r, now + 300);
+	assert_false(ejection_is_active(&r, now) || ejection_is_due(&r, now));
+	ejection_call_sent(&r, now);
+	assert_true(ejection_is_active(&r, now + 100));
+	assert_true(ejection_call_answered(&r, 6));
+	ejection_begin(&r, now + 300);
 	assert_int_equal(r.duration_ms, 2 * first);
 	now = r.until_ms;
-	speed_rest_sent(&r, now);
-	assert_false(speed_rest_answered(&r, 1.2));
-	assert_false(speed_is_resting(&r, now));
+	ejection_call_sent(&r, now);
+	assert_false(ejection_call_answered(&r, 1.2));
+	assert_false(ejection_is_active(&r, now));
 	/* A probe that is never answered. */
-	speed_rest_begin(&r, now);
+	ejection_begin(&r, now);
 	now = r.until_ms;
-	speed_rest_sent(&r, now);
-	assert_true(speed_rest_is_due(&r, now + 1000));
-	assert_false(speed_needs_rest(6, 250, 300));
-	assert_false(speed_needs_rest(3, 400, 300));
-	assert_true(speed_needs_rest(6, 400, 300));
+	ejection_call_sent(&r, now);
+	assert_true(ejection_is_due(&r, now + 1000));
+	assert_false(ejection_is_needed(6, 250, 300));
+	assert_false(ejection_is_needed(3, 400, 300));
+	assert_true(ejection_is_needed(6, 400, 300));
 }
 
 /* Guards against a burst of calls to an endpoint that has just started. */
 static void slow_start_raises_the_share(void **state)
 {
 	(void)state;
-	assert_true(speed_start(0, 0) > 0 && speed_start(0, 0) <= 0.2);
-	assert_true(speed_start(1500, 0) == 0.5);
-	assert_true(speed_start(100, 5) == 0.5);
-	assert_true(speed_start(100, 900) == 1 && speed_start(9000, 0) == 1);
+	assert_true(speed_slow_start(0, 0) > 0 &&
+		    speed_slow_start(0, 0) <= 0.2);
+	assert_true(speed_slow_start(1500, 0) == 0.5);
+	assert_true(speed_slow_start(100, 5) == 0.5);
+	assert_true(speed_slow_start(100, 900) == 1 &&
+		    speed_slow_start(9000, 0) == 1);
 }
 
 #define ENGINES 10
@@ -160,7 +163,8 @@
 struct sim_case {
 	const char *label;
 	int64_t gap_ms; /* interval between calls */
-	bool weighted;	/* balance_share() instead of balance_choose() */
+	bool weighted;	/* balance_choose_weighted() instead of balance_choose()
+			 */
 	bool all;
 	bool whole;  /* the whole call is slower, not only its first event */
 	double slow; /* factor; 0: they stall */
@@ -230,8 +234,8 @@
 		struct sim_call *x = &p->calls[i];
 
 		if (!x->received && x->first_ms <= now) {
-			speed_note(&p->speeds[x->at],
-				   (double)(x->first_ms - x->sent_ms), now);
+			speed_record(&p->speeds[x->at],
+				     (double)(x->first_ms - x->sent_ms), now);
 			x->received = true;
 		}
 		if (x->end_ms <= now && x->end_ms > now - 5)
@@ -245,12 +249,12 @@
 	size_t n = 0;
 
 	for (int i = 0; i < ENGINES; i++)
-		speed_open_begin(&p->speeds[i]);
+		speed_pending_reset(&p->speeds[i]);
 	for (int i = 0; i < p->n; i++)
 		if (!p->calls[i].received)
-			speed_open(&p->speeds[p->calls[i].at],
-				   (double)(now - p->calls[i].sent_ms),
-				   p->median, now);
+			speed_pending_add(&p->speeds[p->calls[i].at],
+					  (double)(now - p->calls[i].sent_ms),
+					  p->median, now);
 	for (int i = 0; i < ENGINES; i++)
 		if (speed_ms(&p->speeds[i], now) > 0)
 			ms[n++] = speed_ms(&p->speeds[i], now);
@@ -269,9 +273,9 @@
 					      .has_adapter = true,
 					      .slots = 64,
 					      .reported = p->running[i] };
-		n[i].slow = speed_weight(p->ratios[i]);
+		n[i].slowness = speed_load_factor(p->ratios[i]);
 	}
-	return (p->c->weighted ? balance_share : balance_choose)(
+	return (p->c->weighted ? balance_choose_weighted : balance_choose)(
 		n, ENGINES, 1.0, ss_random(&p->seed));
 }
 
--- a/test/test_pace.c
+++ b/test/test_stream_timing.c
@@ -1,7 +1,7 @@
 /* Tests the estimates of answer durations. */
 #include "unit.h"
 
-#include "../src/core/pace.h"
+#include "../src/core/stream_timing.h"
 
 /* n samples of one duration, then then_n of another. */
 struct bound_case {
@@ -27,14 +27,14 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bounds); i++) {
 		const struct bound_case *c = &bounds[i];
-		struct pace_estimate e = { 0 };
+		struct timing_estimate e = { 0 };
 		double got;
 
 		for (int k = 0; k < c->n; k++)
-			pace_add(&e, c->ms);
+			timing_estimate_add(&e, c->ms);
 		for (int k = 0; k < c->then_n; k++)
-			pace_add(&e, c->then_ms);
-		got = pace_bound(&e);
+			timing_estimate_add(&e, c->then_ms);
+		got = timing_estimate_bound(&e);
 		if (got < c->least || got > c->most)
 			fail_msg("%s: %f", c->label, got);
 	}
@@ -44,7 +44,7 @@
  * them. */
 static void few_samples_exceed_the_bound(void **state)
 {
-	struct pace_estimate e = { 0 };
+	struct timing_estimate e = { 0 };
 	uint64_t seed = 5;
 	int over = 0;
 
@@ -52,11 +52,11 @@
 	for (int i = 0; i < 2000; i++) {
 		double ms = 40 + (double)(ss_random(&seed) % 21);
 
-		over += i >= 20 && ms > pace_bound(&e);
-		pace_add(&e, ms);
+		over += i >= 20 && ms > timing_estimate_bound(&e);
+		timing_estimate_add(&e, ms);
 	}
 	assert_in_range(over, 0, 20);
-	assert_true(pace_bound(&e) < 90);
+	assert_true(timing_estimate_bound(&e) < 90);
 }
 
 /* The maximum is kept for some hundred samples, then dropped. */
@@ -87,7 +87,7 @@
 	int model, endpoint, service;
 	uint64_t events; /* of a stream with up to 60 tokens */
 	int64_t tokens, skip;
-	struct pace_open pending;
+	struct timing_pending pending;
 	int64_t want;
 };
 
@@ -196,15 +196,15 @@
 	  150 + 10 * 15 },
 };
 
-static void add_samples(struct pace *p, int amount, double first_ms,
+static void add_samples(struct stream_timing *p, int amount, double first_ms,
 			double event_ms)
 {
 	/* Enough equal samples to leave no deviation, or only a few. */
 	int n = amount == MANY ? 200 : amount == FEW ? 2 : 0;
 
 	for (int i = 0; i < n; i++) {
-		pace_note_first(p, first_ms);
-		pace_note_event(p, event_ms);
+		timing_record_first(p, first_ms);
+		timing_record_event(p, event_ms);
 	}
 }
 
@@ -213,21 +213,22 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(streams); i++) {
 		const struct stream_case *c = &streams[i];
-		struct pace model = { 0 }, endpoint = { 0 }, service = { 0 };
-		struct pace_ask a = { .service = &service,
-				      .model = &model,
-				      .endpoint = &endpoint,
-				      .open = c->pending,
-				      .tokens = c->tokens,
-				      .skip = c->skip };
+		struct stream_timing model = { 0 }, endpoint = { 0 },
+				     service = { 0 };
+		struct timing_request a = { .service = &service,
+					    .model = &model,
+					    .endpoint = &endpoint,
+					    .pending = c->pending,
+					    .tokens = c->tokens,
+					    .skip = c->skip };
 		int64_t got;
 
 		add_samples(&model, c->model, 100, 10);
 		add_samples(&endpoint, c->endpoint, 150, 15);
 		add_samples(&service, c->service, 200, 20);
 		for (int k = 0; k < ENOUGH; k++)
-			pace_note_length(&service, c->events, 60);
-		got = pace_stream_ms(&a);
+			timing_record_length(&service, c->events, 60);
+		got = timing_stream_ms(&a);
 		if (got != c->want)
 			fail_msg("%s: %" PRId64, c->label, got);
 	}
@@ -256,17 +257,17 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(lengths); i++) {
 		const struct length_case *c = &lengths[i];
-		struct pace p = { 0 };
-		struct pace_ask a = { .service = &p,
-				      .model = &p,
-				      .tokens = 60 };
+		struct stream_timing p = { 0 };
+		struct timing_request a = { .service = &p,
+					    .model = &p,
+					    .tokens = 60 };
 		int64_t got;
 
 		add_samples(&p, MANY, 0, 10);
 		for (int k = 0; k < c->n; k++)
-			pace_note_length(&p, c->complete, 60);
-		pace_raise_length(&p, c->in_flight, 60);
-		got = pace_stream_ms(&a);
+			timing_record_length(&p, c->complete, 60);
+		timing_raise_length(&p, c->in_flight, 60);
+		got = timing_stream_ms(&a);
 		if (got != c->want)
 			fail_msg("%s: %" PRId64, c->label, got);
 	}
@@ -275,69 +276,69 @@
 /* A lower bound is ignored without samples and never lowers an estimate. */
 static void unfinished_answers_only_raise(void **state)
 {
-	struct pace p = { 0 };
+	struct stream_timing p = { 0 };
 
 	(void)state;
-	pace_raise_first(&p, 30);
-	pace_raise_event(&p, 3);
+	timing_raise_first(&p, 30);
+	timing_raise_event(&p, 3);
 	assert_int_equal(p.first.n, 0);
 	assert_int_equal(p.event.n, 0);
 	add_samples(&p, MANY, 100, 10);
-	pace_raise_first(&p, 30);
-	pace_raise_event(&p, 3);
+	timing_raise_first(&p, 30);
+	timing_raise_event(&p, 3);
 	assert_true(timing_max(&p.first_max) == 100);
-	assert_true(pace_bound(&p.event) == 10);
-	pace_raise_first(&p, 300);
-	pace_raise_event(&p, 30);
+	assert_true(timing_estimate_bound(&p.event) == 10);
+	timing_raise_first(&p, 300);
+	timing_raise_event(&p, 30);
 	assert_true(timing_max(&p.first_max) == 300);
-	assert_true(pace_bound(&p.event) > 30);
+	assert_true(timing_estimate_bound(&p.event) > 30);
 }
 
 static void plain_answers_are_predicted(void **state)
 {
-	struct pace_open none = { 0 }, pending = { .first_ms = 90 };
-	struct pace p = { 0 };
+	struct timing_pending none = { 0 }, pending = { .first_ms = 90 };
+	struct stream_timing p = { 0 };
 
 	(void)state;
-	assert_int_equal(pace_plain_ms(&p, &none), SS_NEVER);
+	assert_int_equal(timing_plain_ms(&p, &none), SS_NEVER);
 	for (int i = 0; i < 100; i++)
-		pace_note_first(&p, i % 20 ? 20 : 70);
-	assert_int_equal(pace_plain_ms(&p, &none), 70);
-	assert_int_equal(pace_plain_ms(&p, &pending), 90);
+		timing_record_first(&p, i % 20 ? 20 : 70);
+	assert_int_equal(timing_plain_ms(&p, &none), 70);
+	assert_int_equal(timing_plain_ms(&p, &pending), 90);
 	/*
 	 * Guards against a planned stop that cuts a call for lack of samples:
 	 * one call in five of the route is slow, and a process that is some
 	 * seconds old has seen six quick ones and predicts that the next one is
 	 * quick.
 	 */
-	p = (struct pace){ 0 };
+	p = (struct stream_timing){ 0 };
 	for (int i = 0; i < 19; i++)
-		pace_note_first(&p, 20);
-	assert_int_equal(pace_plain_ms(&p, &none), SS_NEVER);
-	pace_note_first(&p, 20);
-	assert_true(pace_plain_ms(&p, &none) < 100);
+		timing_record_first(&p, 20);
+	assert_int_equal(timing_plain_ms(&p, &none), SS_NEVER);
+	timing_record_first(&p, 20);
+	assert_true(timing_plain_ms(&p, &none) < 100);
 	/* Few samples that differ widely: the next call may take longer than
 	 * all of them. */
-	p = (struct pace){ 0 };
-	pace_note_first(&p, 1200);
+	p = (struct stream_timing){ 0 };
+	timing_record_first(&p, 1200);
 	for (int i = 0; i < 3; i++)
-		pace_note_first(&p, 20);
-	assert_true(pace_plain_ms(&p, &none) > 1400);
+		timing_record_first(&p, 20);
+	assert_true(timing_plain_ms(&p, &none) > 1400);
 }
 
 /* Gaps are measured over several events, each of them once. */
 static void gaps_are_measured_over_several_events(void **state)
 {
-	struct pace_mark m = { 1000, 1 };
+	struct timing_mark m = { 1000, 1 };
 	double gap;
 
 	(void)state;
-	assert_false(pace_measure(&m, 8, 1350, &gap));
-	assert_true(pace_measure(&m, 9, 1400, &gap));
+	assert_false(timing_measure_gap(&m, 8, 1350, &gap));
+	assert_true(timing_measure_gap(&m, 9, 1400, &gap));
 	assert_true(gap == 50);
-	assert_false(pace_measure(&m, 10, 1500, &gap));
+	assert_false(timing_measure_gap(&m, 10, 1500, &gap));
 	/* Several events arrive in one read. */
-	assert_true(pace_measure(&m, 25, 2200, &gap));
+	assert_true(timing_measure_gap(&m, 25, 2200, &gap));
 	assert_true(gap == 50);
 }
 
