--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -54,8 +54,8 @@
 
 /* Customer shares. */
 
-uint64_t admission_share(const struct admission *a, int priority,
-			 const char *customer)
+uint64_t admission_virtual_time(const struct admission *a, int priority,
+				const char *customer)
 {
 	const uint64_t *virtual_time =
 		g_hash_table_lookup(a->virtual_time[priority], customer);
@@ -92,7 +92,7 @@
 		virtual_time = g_new0(uint64_t, 1);
 		g_hash_table_insert(all, g_strdup(customer), virtual_time);
 	}
-	*virtual_now = MAX(*virtual_now, h->share);
+	*virtual_now = MAX(*virtual_now, h->virtual_time);
 	*virtual_time = MAX(*virtual_time, *virtual_now) +
 			VIRTUAL_TIME_UNIT / MAX(share, 1);
 	limit_customers(all, virtual_now);
@@ -103,12 +103,12 @@
 static bool precedes(const struct admission_head *x,
 		     const struct admission_head *y)
 {
-	if (x->begun != y->begun)
-		return x->begun;
+	if (x->resumes != y->resumes)
+		return x->resumes;
 	if (x->priority != y->priority)
 		return x->priority < y->priority;
-	if (x->share != y->share)
-		return x->share < y->share;
+	if (x->virtual_time != y->virtual_time)
+		return x->virtual_time < y->virtual_time;
 	return x->latest_ms < y->latest_ms;
 }
 
@@ -131,7 +131,7 @@
 	int best = -1;
 
 	for (size_t i = 0; i < n; i++) {
-		if (!heads[i].by_time || heads[i].begun ||
+		if (!heads[i].by_time || heads[i].resumes ||
 		    heads[i].priority <= priority || heads[i].latest_ms < now)
 			continue;
 		if (best < 0 || heads[i].latest_ms < heads[best].latest_ms)
@@ -164,19 +164,19 @@
 	int best = first_in_order(heads, n), earliest;
 
 	a->contended = false;
-	a->turn = ADMISSION_NONE;
-	if (best < 0 || heads[best].begun)
+	a->rule = ADMISSION_NONE;
+	if (best < 0 || heads[best].resumes)
 		return best;
-	a->turn = ADMISSION_ORDER;
+	a->rule = ADMISSION_ORDER;
 	earliest = earliest_below(heads, n, heads[best].priority, now);
 	if (earliest < 0)
 		return best;
 	a->contended = true;
 	if (a->credit >= UNRESERVED_PER_ROUND)
-		a->turn = ADMISSION_GUARANTEED;
+		a->rule = ADMISSION_GUARANTEED;
 	else if (must_raise(a, heads[earliest].latest_ms, now))
-		a->turn = ADMISSION_RAISED;
-	return a->turn == ADMISSION_ORDER ? best : earliest;
+		a->rule = ADMISSION_RAISED;
+	return a->rule == ADMISSION_ORDER ? best : earliest;
 }
 
 static void measure_interval(struct admission *a, int64_t now)
@@ -188,36 +188,36 @@
 	a->last_ms = now;
 }
 
-enum admission_turn admission_taken(struct admission *a,
-				    const struct admission_head *h,
-				    const char *customer, unsigned int share,
-				    int64_t now)
+enum admission_rule admission_dispatched(struct admission *a,
+					 const struct admission_head *h,
+					 const char *customer,
+					 unsigned int share, int64_t now)
 {
 	/* Guaranteed and raised dispatches aren't charged: a customer who had
 	 * many of them would wait as long for the ones by shares. */
-	if (a->turn == ADMISSION_ORDER)
+	if (a->rule == ADMISSION_ORDER)
 		charge(a, h, customer, share);
-	if (a->turn != ADMISSION_NONE)
+	if (a->rule != ADMISSION_NONE)
 		measure_interval(a, now);
 	if (!a->contended)
-		return a->turn;
-	if (a->turn == ADMISSION_ORDER)
+		return a->rule;
+	if (a->rule == ADMISSION_ORDER)
 		a->credit = MIN(a->credit + 1, UNRESERVED_PER_ROUND);
 	else
 		a->credit -= UNRESERVED_PER_ROUND;
-	return a->turn;
+	return a->rule;
 }
 
-size_t admission_passed(const struct admission *a, struct admission_head *heads,
-			size_t n, size_t at)
+size_t admission_skipped(const struct admission *a,
+			 struct admission_head *heads, size_t n, size_t at)
 {
-	bool by_time = a->turn == ADMISSION_GUARANTEED ||
-		       a->turn == ADMISSION_RAISED;
-	const void *model_queue = heads[at].lane;
+	bool by_time = a->rule == ADMISSION_GUARANTEED ||
+		       a->rule == ADMISSION_RAISED;
+	const void *model_queue = heads[at].model_queue;
 	size_t kept = 0;
 
 	for (size_t i = 0; i < n; i++) {
-		if (heads[i].lane == model_queue) {
+		if (heads[i].model_queue == model_queue) {
 			heads[i].by_time = false;
 			heads[i].by_order &= by_time;
 		}
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -25,7 +25,7 @@
 #define ADMISSION_ROUND 4
 
 /* Rule by which a request was selected. */
-enum admission_turn {
+enum admission_rule {
 	ADMISSION_NONE, /* the request didn't wait, or resumes a stream */
 	ADMISSION_ORDER,
 	ADMISSION_GUARANTEED,
@@ -35,14 +35,14 @@
 /* A candidate for dispatch: the first request of each priority in a model
  * queue. */
 struct admission_head {
-	bool begun;	   /* it resumes a stream; its dispatch isn't counted */
-	int priority;	   /* 0 (highest) to SS_QUEUE_PRIORITIES - 1 */
-	uint64_t share;	   /* admission_share() of its customer */
-	int64_t latest_ms; /* its latest start */
+	bool resumes; /* it resumes a stream; its dispatch isn't counted */
+	int priority; /* 0 (highest) to SS_QUEUE_PRIORITIES - 1 */
+	uint64_t virtual_time; /* admission_virtual_time() of its customer */
+	int64_t latest_ms;     /* its latest start */
 	/* Rules that may select it: by_order as the next by the shares of its
 	 * model queue, by_time as the guaranteed or raised request. */
 	bool by_order, by_time;
-	const void *lane;
+	const void *model_queue;
 	void *request; /* opaque to admission */
 };
 
@@ -59,7 +59,7 @@
 	/* Customer -> virtual time, and the least that any customer has. */
 	GHashTable *virtual_time[SS_QUEUE_PRIORITIES];
 	uint64_t virtual_now[SS_QUEUE_PRIORITIES];
-	enum admission_turn turn; /* that selected the last request */
+	enum admission_rule rule; /* that selected the last request */
 	bool contended; /* a lower priority could have been selected */
 };
 
@@ -72,8 +72,8 @@
 void admission_leave(struct admission *a, int priority);
 
 /* Virtual time of a customer, for use in a head: the lowest goes first. */
-uint64_t admission_share(const struct admission *a, int priority,
-			 const char *customer);
+uint64_t admission_virtual_time(const struct admission *a, int priority,
+				const char *customer);
 
 /* Selects the head to try next and returns its index; -1: there is none. */
 int admission_next(struct admission *a, const struct admission_head *heads,
@@ -81,10 +81,10 @@
 
 /* The head that was selected last was sent: charges its customer, who has this
  * share, and counts the dispatch. Returns the rule that selected the head. */
-enum admission_turn admission_taken(struct admission *a,
-				    const struct admission_head *h,
-				    const char *customer, unsigned int share,
-				    int64_t now);
+enum admission_rule admission_dispatched(struct admission *a,
+					 const struct admission_head *h,
+					 const char *customer,
+					 unsigned int share, int64_t now);
 /*
  * The head that was selected last, at index at, can't be sent now. If it was
  * selected by order, all heads of its model queue are removed; otherwise its
@@ -92,7 +92,7 @@
  * lower priority that can't be sent doesn't block higher priorities. Returns
  * how many heads are left.
  */
-size_t admission_passed(const struct admission *a, struct admission_head *heads,
-			size_t n, size_t at);
+size_t admission_skipped(const struct admission *a,
+			 struct admission_head *heads, size_t n, size_t at);
 
 #endif
--- a/src/core/endpoint_limit.c
+++ b/src/core/endpoint_limit.c
@@ -38,39 +38,40 @@
 }
 
 /* Rates with the same wire value are equal. */
-bool endpoint_limit_say(struct endpoint_limit *l, double per_s, int64_t at_ms)
+bool endpoint_limit_update(struct endpoint_limit *l, double per_s,
+			   int64_t at_ms)
 {
 	bool changed = to_wire(per_s) != to_wire(l->per_s);
 
-	if (at_ms < l->said_ms)
+	if (at_ms < l->signal_ms)
 		return false;
 	l->per_s = per_s;
-	l->said_ms = at_ms;
+	l->signal_ms = at_ms;
 	return changed;
 }
 
-int64_t endpoint_limit_age(const struct endpoint_limit *l, int64_t now)
+int64_t endpoint_limit_wire_age(const struct endpoint_limit *l, int64_t now)
 {
-	return l->said_ms ? MAX(now - l->said_ms, 0) + 1 : 0;
+	return l->signal_ms ? MAX(now - l->signal_ms, 0) + 1 : 0;
 }
 
-bool endpoint_limit_told(struct endpoint_limit *l, int64_t wire, int64_t age,
-			 int64_t now)
+bool endpoint_limit_received(struct endpoint_limit *l, int64_t wire,
+			     int64_t age, int64_t now)
 {
 	double per_s = wire > 0 ? (double)(wire - 1) / QUOTA_MILLI :
 				  ENDPOINT_LIMIT_NONE;
 
-	return age > 0 && endpoint_limit_say(l, per_s, now - (age - 1));
+	return age > 0 && endpoint_limit_update(l, per_s, now - (age - 1));
 }
 
-bool endpoint_limit_is_narrow(const struct endpoint_limit *l, int64_t slots,
-			      int64_t now)
+bool endpoint_limit_is_low(const struct endpoint_limit *l, int64_t slots,
+			   int64_t now)
 {
 	return l->per_s >= 0 && l->per_s * SLOT_HOLD_S < (double)slots &&
-	       now - l->said_ms < LOW_MAX_AGE_MS;
+	       now - l->signal_ms < LOW_MAX_AGE_MS;
 }
 
-int64_t endpoint_limit_pause_ms(const struct endpoint_limit *l, int64_t min_ms)
+int64_t endpoint_limit_poll_ms(const struct endpoint_limit *l, int64_t min_ms)
 {
 	if (l->per_s < 0)
 		return min_ms;
@@ -79,8 +80,8 @@
 				POLL_MAX_MS));
 }
 
-struct customer endpoint_limit_account(const struct endpoint_limit *l,
-				       char *addr)
+struct customer endpoint_limit_as_customer(const struct endpoint_limit *l,
+					   char *addr)
 {
 	return (struct customer){ .name = addr,
 				  .limit = { .per_s = MAX(l->per_s, PER_S_MIN),
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -18,7 +18,7 @@
 	memset(b, 0, sizeof(*b));
 	b->slice_ms = MAX((o->window_ms + RETRY_SLICES - 1) / RETRY_SLICES, 1);
 	b->ratio = o->ratio;
-	b->start = b->newest = o->since_ms / b->slice_ms;
+	b->start = b->newest = o->start_ms / b->slice_ms;
 }
 
 /* Index of a slice in the arrays. */
@@ -91,7 +91,7 @@
 	return true;
 }
 
-void retry_budget_give_back(struct retry_budget *b, int64_t taken_ms)
+void retry_budget_refund(struct retry_budget *b, int64_t taken_ms)
 {
 	int64_t slice = taken_ms / b->slice_ms;
 
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -33,7 +33,7 @@
 struct retry_options {
 	int64_t window_ms;
 	double ratio;
-	int64_t since_ms; /* when the process started */
+	int64_t start_ms; /* when the process started */
 };
 
 /*
@@ -50,7 +50,7 @@
 /* Takes one retry; false if none is left. slack: this entry's part. */
 bool retry_budget_take(struct retry_budget *b, int64_t slack, int64_t now);
 /* Refunds the retry that was taken at a time, as it wasn't sent. */
-void retry_budget_give_back(struct retry_budget *b, int64_t taken_ms);
+void retry_budget_refund(struct retry_budget *b, int64_t taken_ms);
 
 /* Counts of the last window. */
 struct retry_counts {
--- a/src/core/return_turns.c
+++ b/src/core/return_slots.c
@@ -1,5 +1,5 @@
 /* Return slots: when refused callers are to return. */
-#include "return_turns.h"
+#include "return_slots.h"
 
 #include <sapphireshift/queue.h>
 
@@ -53,21 +53,21 @@
 	float reserved[SLOTS]; /* units */
 };
 
-struct return_turns {
+struct return_slots {
 	GHashTable *causes; /* &key -> struct cause */
 	GQueue by_age;	    /* the least recently refused is first */
 };
 
-struct return_turns *return_turns_new(void)
+struct return_slots *return_slots_new(void)
 {
-	struct return_turns *t = g_new0(struct return_turns, 1);
+	struct return_slots *t = g_new0(struct return_slots, 1);
 
 	t->causes = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					  g_free);
 	return t;
 }
 
-void return_turns_free(struct return_turns *t)
+void return_slots_free(struct return_slots *t)
 {
 	if (!t)
 		return;
@@ -75,19 +75,19 @@
 	g_free(t);
 }
 
-size_t return_slots_count(const struct return_turns *t)
+size_t return_slots_count(const struct return_slots *t)
 {
 	return g_hash_table_size(t->causes);
 }
 
 /* The links are embedded in the causes, so the queue frees none. */
-static void drop_cause(struct return_turns *t, struct cause *c)
+static void drop_cause(struct return_slots *t, struct cause *c)
 {
 	g_queue_unlink(&t->by_age, &c->link);
 	g_hash_table_remove(t->causes, &c->key);
 }
 
-static struct cause *new_cause(struct return_turns *t, uint64_t key,
+static struct cause *new_cause(struct return_slots *t, uint64_t key,
 			       int64_t now)
 {
 	struct cause *c;
@@ -104,7 +104,7 @@
 }
 
 /* Finds or adds a cause, and makes it the last one to be dropped. */
-static struct cause *cause_of(struct return_turns *t, uint64_t key, int64_t now)
+static struct cause *cause_of(struct return_slots *t, uint64_t key, int64_t now)
 {
 	struct cause *c = g_hash_table_lookup(t->causes, &key);
 
@@ -140,12 +140,12 @@
 	return max > 0 ? MIN(per_s, max) : per_s;
 }
 
-static int priority_of(const struct return_ask *a)
+static int priority_of(const struct return_request *a)
 {
 	return CLAMP(a->priority, 0, SS_QUEUE_PRIORITIES - 1);
 }
 
-static void record_refusal(struct cause *c, const struct return_ask *a,
+static void record_refusal(struct cause *c, const struct return_request *a,
 			   int64_t now)
 {
 	double fade = exp(-(double)(now - c->refused_ms) / DEMAND_DECAY_MS);
@@ -220,35 +220,36 @@
 	return CLAMP(ms / RETURN_SLOT_MS - c->first_slot, 0, SLOTS);
 }
 
-static struct return_turn assign_slot(const struct slots_view *v,
-				      const struct return_ask *a)
+static struct return_slot assign_slot(const struct slots_view *v,
+				      const struct return_request *a)
 {
-	int64_t from = slot_at(v->c, v->now + a->least_ms), i = from;
+	int64_t from = slot_at(v->c, v->now + a->min_ms), i = from;
 	double needs = MIN(a->cost, v->capacity - v->urgent) * ROOM_MIN;
-	struct return_turn slot = { .width_ms = RETURN_SLOT_MS };
+	struct return_slot slot = { .width_ms = RETURN_SLOT_MS };
 
 	while (i < SLOTS && room(v, i) < needs)
 		i++;
-	slot.ms = MAX(starts_in_ms(v, i), a->least_ms);
-	slot.taken = slot.ms <= a->most_ms;
-	if (slot.taken)
+	slot.delay_ms = MAX(starts_in_ms(v, i), a->min_ms);
+	slot.reserved = slot.delay_ms <= a->max_ms;
+	if (slot.reserved)
 		reserve(v, from, a->cost);
 	return slot;
 }
 
 /* Without a rate the caller returns as early as it can be served. */
-static struct return_turn
-slot_without_rate(struct cause *c, const struct return_ask *a, int64_t now)
+static struct return_slot
+slot_without_rate(struct cause *c, const struct return_request *a, int64_t now)
 {
-	int64_t i = slot_at(c, now + a->least_ms);
+	int64_t i = slot_at(c, now + a->min_ms);
 
-	if (a->least_ms <= a->most_ms && i < SLOTS)
+	if (a->min_ms <= a->max_ms && i < SLOTS)
 		c->reserved[i] += (float)MAX(a->cost, 0);
-	return (struct return_turn){ .ms = a->least_ms };
+	return (struct return_slot){ .delay_ms = a->min_ms };
 }
 
-struct return_turn return_turns_give(struct return_turns *t,
-				     const struct return_ask *a, int64_t now)
+struct return_slot return_slots_assign(struct return_slots *t,
+				       const struct return_request *a,
+				       int64_t now)
 {
 	struct cause *c = cause_of(t, a->key, now);
 	struct slots_view v = { .c = c, .now = now };
@@ -264,7 +265,7 @@
 	return assign_slot(&v, a);
 }
 
-void return_turns_served(struct return_turns *t, uint64_t key, double cost,
+void return_slots_served(struct return_slots *t, uint64_t key, double cost,
 			 int64_t now)
 {
 	struct cause *c = g_hash_table_lookup(t->causes, &key);
@@ -273,7 +274,7 @@
 		add_served(c, cost, now);
 }
 
-void return_turns_tidy(struct return_turns *t, int64_t now)
+void return_slots_expire(struct return_slots *t, int64_t now)
 {
 	struct cause *c;
 
--- a/src/core/return_turns.h
+++ b/src/core/return_slots.h
@@ -28,44 +28,45 @@
 /* Causes that are tracked, some 700 bytes each. */
 #define RETURN_CAUSES_MAX 1024
 
-struct return_turns;
+struct return_slots;
 
 /* A refused caller. */
-struct return_ask {
+struct return_request {
 	uint64_t key; /* identifies the cause */
 	int priority; /* 0 is the highest */
 	double cost;  /* in units of the cause: requests, or a limit's units */
 	double per_s; /* maximum rate, in units per second; 0: unknown */
-	int64_t least_ms; /* the caller can't be served earlier */
-	int64_t most_ms;  /* the caller won't return later */
+	int64_t min_ms; /* the caller can't be served earlier */
+	int64_t max_ms; /* the caller won't return later */
 };
 
 /* An assigned slot. */
-struct return_turn {
-	int64_t ms; /* from now to its start */
+struct return_slot {
+	int64_t delay_ms; /* from now to its start */
 	/* 0: the rate is unknown, and the slot starts as soon as the caller can
 	 * be served. */
 	int64_t width_ms;
 	/* False: the slot is too late for the caller and stays free for
 	 * others. */
-	bool taken;
+	bool reserved;
 };
 
-struct return_turns *return_turns_new(void);
-void return_turns_free(struct return_turns *t);
+struct return_slots *return_slots_new(void);
+void return_slots_free(struct return_slots *t);
 
 /* Assigns the next slot of the cause; callers of higher priority get earlier
  * ones. */
-struct return_turn return_turns_give(struct return_turns *t,
-				     const struct return_ask *a, int64_t now);
+struct return_slot return_slots_assign(struct return_slots *t,
+				       const struct return_request *a,
+				       int64_t now);
 /* Records that a request was served that could have been refused for this
  * cause. */
-void return_turns_served(struct return_turns *t, uint64_t key, double cost,
+void return_slots_served(struct return_slots *t, uint64_t key, double cost,
 			 int64_t now);
 /* Drops causes without a refusal within the last RETURN_HORIZON_MS. */
-void return_turns_tidy(struct return_turns *t, int64_t now);
+void return_slots_expire(struct return_slots *t, int64_t now);
 /* Number of tracked causes. */
-size_t return_slots_count(const struct return_turns *t);
+size_t return_slots_count(const struct return_slots *t);
 
 #ifdef __cplusplus
 }
--- a/src/core/start_limit.c
+++ b/src/core/start_limit.c
@@ -30,7 +30,8 @@
 
 bool start_limit_allows(const struct start_limit *l, int64_t in_flight)
 {
-	return l->most <= 0 || (double)in_flight + 1 <= l->most;
+	return l->max_in_flight <= 0 ||
+	       (double)in_flight + 1 <= l->max_in_flight;
 }
 
 static bool is_valid(int64_t ms, int64_t bound_ms, int64_t now)
@@ -64,15 +65,15 @@
 static bool decrease(struct start_limit *l, int64_t ms, int64_t now)
 {
 	double wait_ms = l->first_event_ms > 0 ? l->first_event_ms : (double)ms;
-	double before = l->most, used = (double)peak_of(l);
+	double before = l->max_in_flight, used = (double)peak_of(l);
 
 	if ((double)(now - l->decrease_ms) < wait_ms)
 		return false;
 	l->decrease_ms = now;
 	if (before > 0)
 		used = MIN(used, before);
-	l->most = MAX(used * DECREASE_FACTOR, 1);
-	return before <= 0 || l->most < before;
+	l->max_in_flight = MAX(used * DECREASE_FACTOR, 1);
+	return before <= 0 || l->max_in_flight < before;
 }
 
 /*
@@ -82,14 +83,14 @@
  */
 static void increase(struct start_limit *l, int64_t ms, int64_t now)
 {
-	if (l->most <= 0 || l->high_pause_ms >= now - ms ||
-	    (double)peak_of(l) + 1 <= l->most)
+	if (l->max_in_flight <= 0 || l->high_pause_ms >= now - ms ||
+	    (double)peak_of(l) + 1 <= l->max_in_flight)
 		return;
-	l->most += 1.0 / l->most;
+	l->max_in_flight += 1.0 / l->max_in_flight;
 }
 
-bool start_limit_first(struct start_limit *l, int64_t ms, int64_t objective_ms,
-		       int64_t now)
+bool start_limit_first_event(struct start_limit *l, int64_t ms,
+			     int64_t objective_ms, int64_t now)
 {
 	bool lowered = false;
 
@@ -97,7 +98,7 @@
 		return false;
 	if (ms <= objective_ms)
 		increase(l, ms, now);
-	else if (l->most > 0)
+	else if (l->max_in_flight > 0)
 		lowered = decrease(l, ms, now);
 	if (l->first_event_ms > 0)
 		l->first_event_ms +=
--- a/src/core/start_limit.h
+++ b/src/core/start_limit.h
@@ -15,7 +15,7 @@
 #include <sapphireshift/base.h>
 
 struct start_limit {
-	double most;	       /* prompts in flight, at least 1; 0: no limit */
+	double max_in_flight;  /* prompts in flight, at least 1; 0: no limit */
 	double first_event_ms; /* mean time to a first event; 0: unknown */
 	int64_t decrease_ms;   /* time of the last decrease, effective or not */
 	int64_t high_pause_ms; /* time of the last high pause */
@@ -37,8 +37,8 @@
  * objective lowers the limit if there is one. True if the limit was lowered. A
  * time that is 0, negative or above an hour is ignored.
  */
-bool start_limit_first(struct start_limit *l, int64_t ms, int64_t objective_ms,
-		       int64_t now);
+bool start_limit_first_event(struct start_limit *l, int64_t ms,
+			     int64_t objective_ms, int64_t now);
 
 /*
  * Records a pause between two events of a stream. One above what its route
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -89,7 +89,7 @@
 		fields[h.n_fields++] = (struct http1_field){ ss_str(x->key),
 							     ss_str(x->value) };
 	users_platform.read_answer(&h, &says);
-	if (endpoint_limit_say(&a->limit, says.limit_per_s, now_ms(a)))
+	if (endpoint_limit_update(&a->limit, says.limit_per_s, now_ms(a)))
 		log_info("endpoint_limit", "endpoint=%s per_s=%.3f", a->addr,
 			 a->limit.per_s);
 	if (says.leaving && !a->says_leaving)
@@ -539,7 +539,7 @@
 
 	/* Whoever waits for an order to end waits for this. */
 	if (!busy)
-		pause = endpoint_limit_pause_ms(&a->limit, calm);
+		pause = endpoint_limit_poll_ms(&a->limit, calm);
 	if (!a->reading && now - a->read_ms >= pause)
 		read_engine(a);
 	if (busy)
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -89,7 +89,8 @@
 			failure_rate_permille(&ep->failing, fleet_lead_now(l)),
 		.slow = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
-		.limit_age = endpoint_limit_age(&ep->limit, fleet_lead_now(l)),
+		.limit_age =
+			endpoint_limit_wire_age(&ep->limit, fleet_lead_now(l)),
 		.ending = fleet_ep_ends(l, ep),
 		.version = ss_str(fleet_version(&ep->self)),
 	};
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -58,7 +58,7 @@
 
 	if (!ep || ep->limit.per_s < 0)
 		return false;
-	*out = endpoint_limit_account(&ep->limit, ep->addr);
+	*out = endpoint_limit_as_customer(&ep->limit, ep->addr);
 	return true;
 }
 
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -166,7 +166,7 @@
 {
 	int64_t now = fleet_lead_now(l);
 
-	if (endpoint_limit_told(&ep->limit, w->limit, w->limit_age, now)) {
+	if (endpoint_limit_received(&ep->limit, w->limit, w->limit_age, now)) {
 		log_info("endpoint_limit", "addr=%s id=%s per_s=%.3f", ep->addr,
 			 ep->self.id, ep->limit.per_s);
 		ep->changed = l->dirty = l->urgent = true;
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -244,5 +244,5 @@
 	int64_t now = fleet_lead_now(l);
 
 	return now < ep->rest_until_ms ||
-	       endpoint_limit_is_narrow(&ep->limit, ep->slots, now);
+	       endpoint_limit_is_low(&ep->limit, ep->slots, now);
 }
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -329,7 +329,7 @@
 	callers_tidy(g->callers);
 	upstream_tidy(g->upstream);
 	go_on_tidy(g, now);
-	return_turns_tidy(g->turns, now);
+	return_slots_expire(g->turns, now);
 }
 
 void gate_drain(struct gate *g, int64_t end_ms)
@@ -430,7 +430,7 @@
 	g->quota_lines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					       quota_line_free);
 	g->streams = stream_log_new(STREAMS_MAX);
-	g->turns = return_turns_new();
+	g->turns = return_slots_new();
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
 	g->endings = g_ptr_array_new_with_free_func(ending_free);
 	g->suspects = suspects_new(&so, g->since_ms);
@@ -470,7 +470,7 @@
 	g_array_unref(g->early);
 	g_ptr_array_unref(g->endings);
 	stream_log_free(g->streams);
-	return_turns_free(g->turns);
+	return_slots_free(g->turns);
 	g_array_unref(g->unnamed);
 	suspects_free(g->suspects);
 	crash_log_clear(&g->crash_log);
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -17,7 +17,7 @@
 #include "../core/freshness.h"
 #include "../core/stream_timing.h"
 #include "../core/retry_budget.h"
-#include "../core/return_turns.h"
+#include "../core/return_slots.h"
 #include "../core/fleet_slowness.h"
 #include "../core/speed.h"
 #include "../core/start_limit.h"
@@ -131,7 +131,7 @@
 	/* Timing of a stream's service, or of a plain request's route. */
 	struct stream_timing *stream_timing;
 	struct lane *lane;	  /* NULL: not queued */
-	enum admission_turn turn; /* by which it was sent last */
+	enum admission_rule turn; /* by which it was sent last */
 	/* Sends. */
 	GPtrArray *tried; /* struct fleet_incarnation of endpoints tried */
 	unsigned int sends;
@@ -255,7 +255,7 @@
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
 	uint64_t streams_told, streams_sent; /* marks */
-	struct return_turns *turns;
+	struct return_slots *turns;
 	uint64_t *n_turns_given, *n_turns_beyond;
 	int64_t since_ms; /* start of this process */
 	/* Largest reported number of entries; they share the slack of retries.
--- a/src/proxy/gate_retries.c
+++ b/src/proxy/gate_retries.c
@@ -20,7 +20,7 @@
 	struct retry_options o = { .window_ms = g->o.retry_window_ms,
 				   .ratio =
 					   g->o.retry_ratio * RETRY_RATIO_SHARE,
-				   .since_ms = g->since_ms };
+				   .start_ms = g->since_ms };
 
 	if (s)
 		return s;
@@ -80,7 +80,7 @@
 {
 	if (!f->retry_ms)
 		return;
-	retry_budget_give_back(&retries_of(f->g, f->service->name)->budget,
-			       f->retry_ms);
+	retry_budget_refund(&retries_of(f->g, f->service->name)->budget,
+			    f->retry_ms);
 	f->retry_ms = 0;
 }
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -37,8 +37,8 @@
 	f->starting = true;
 	ep->starts++;
 	start_limit_sent(l, ep->starts, gate_now(f->g));
-	if (l->most > 0)
-		hist_add(f->g->start_limits, (uint64_t)l->most);
+	if (l->max_in_flight > 0)
+		hist_add(f->g->start_limits, (uint64_t)l->max_in_flight);
 }
 
 void gate_start_done(struct forward *f)
@@ -59,7 +59,7 @@
 		return;
 	ep->start_logged_ms = now;
 	log_info("start_limit", "addr=%s most=%.1f why=%s", ep->addr,
-		 ep->start_limit.most, why);
+		 ep->start_limit.max_in_flight, why);
 }
 
 void gate_start_first(struct forward *f, int64_t ms)
@@ -68,8 +68,8 @@
 
 	gate_start_done(f);
 	if (ep && is_limited(f) &&
-	    start_limit_first(&ep->start_limit, ms, f->route->objective_ms,
-			      gate_now(f->g)))
+	    start_limit_first_event(&ep->start_limit, ms,
+				    f->route->objective_ms, gate_now(f->g)))
 		record_cut(f->g, ep, "first");
 }
 
--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -42,7 +42,8 @@
 	if (a->limit_per_s < 0 && (f->limit_per_s < 0 || !a->authentic))
 		return;
 	ep->words.limit_heard_ms = gate_now(g);
-	if (!endpoint_limit_say(&ep->words.limit, a->limit_per_s, gate_now(g)))
+	if (!endpoint_limit_update(&ep->words.limit, a->limit_per_s,
+				   gate_now(g)))
 		return;
 	log_limit(ep, before, "answer");
 	ep->words.limit_owed = true;
@@ -60,7 +61,7 @@
 {
 	double before = ep->words.limit.per_s;
 
-	if (endpoint_limit_told(&ep->words.limit, limit, age, gate_now(g)))
+	if (endpoint_limit_received(&ep->words.limit, limit, age, gate_now(g)))
 		log_limit(ep, before, "leader");
 	ep->words.limit_owed = endpoint_limit_wire(&ep->words.limit) != limit;
 }
@@ -115,7 +116,7 @@
 	       (ep->words.leaving_ms &&
 		now - ep->words.leaving_ms < UNLISTED_KEEP_MS) ||
 	       (ep->words.limit.per_s >= 0 &&
-		now - ep->words.limit.said_ms < UNLISTED_KEEP_MS);
+		now - ep->words.limit.signal_ms < UNLISTED_KEEP_MS);
 }
 
 bool gate_words_admit(const struct gate *g, const struct gate_ep *ep)
@@ -141,7 +142,8 @@
 
 static void release_reservation(struct gate *g, struct gate_ep *ep)
 {
-	struct customer c = endpoint_limit_account(&ep->words.limit, ep->addr);
+	struct customer c =
+		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 
 	if (ep->words.seat > 0)
 		quota_lease.leave(g->limits, &c, ep->words.seat);
@@ -186,7 +188,7 @@
 		release_reservation(g, ep);
 	need.waits = ep->words.seat > 0;
 	ep->words.seat = 0;
-	c = endpoint_limit_account(&ep->words.limit, ep->addr);
+	c = endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 	switch (quota_lease.take(g->limits, &c, &need, now, &retry_after_ms)) {
 	case QUOTA_YES:
 		f->permits = need.cost;
@@ -204,7 +206,8 @@
 
 void gate_limit_unused(struct forward *f, struct gate_ep *ep)
 {
-	struct customer c = endpoint_limit_account(&ep->words.limit, ep->addr);
+	struct customer c =
+		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 
 	if (f->permits > 0)
 		quota_lease.give_back(f->g->limits, &c, f->permits,
@@ -270,7 +273,7 @@
 	}
 	if (limit) {
 		w.limit = endpoint_limit_wire(&x->limit);
-		w.limit_age = endpoint_limit_age(&x->limit, now);
+		w.limit_age = endpoint_limit_wire_age(&x->limit, now);
 		x->limit_told_ms = now;
 	}
 	g_array_append_val(signals, w);
--- a/src/proxy/lanes.c
+++ b/src/proxy/lanes.c
@@ -163,8 +163,8 @@
 
 	if (!h || h->request != f)
 		return;
-	f->turn = admission_taken(&gr->admission, h, forward_customer(f),
-				  f->item.share, gate_now(f->g));
+	f->turn = admission_dispatched(&gr->admission, h, forward_customer(f),
+				       f->item.share, gate_now(f->g));
 	*f->g->n_raised += f->turn == ADMISSION_RAISED;
 }
 
@@ -201,16 +201,16 @@
 		     bool by_time)
 {
 	struct forward *f = (struct forward *)i;
-	struct admission_head h = { .begun = *l->version,
+	struct admission_head h = { .resumes = *l->version,
 				    .priority = priority_of(i),
 				    .latest_ms = forward_latest_ms(f),
 				    .by_order = by_order,
 				    .by_time = by_time,
-				    .lane = l,
+				    .model_queue = l,
 				    .request = f };
 
-	h.share = admission_share(&l->group->admission, h.priority,
-				  forward_customer(f));
+	h.virtual_time = admission_virtual_time(
+		&l->group->admission, h.priority, forward_customer(f));
 	g_array_append_val(l->group->heads, h);
 }
 
@@ -256,14 +256,14 @@
 		collect_heads(g, gr);
 		return;
 	}
-	if (gr->admission.turn == ADMISSION_GUARANTEED ||
-	    gr->admission.turn == ADMISSION_RAISED)
+	if (gr->admission.rule == ADMISSION_GUARANTEED ||
+	    gr->admission.rule == ADMISSION_RAISED)
 		f->lane->passed_by_time = g->pumps;
 	else
 		f->lane->passed = g->pumps;
 	g_array_set_size(gr->heads,
-			 (guint)admission_passed(&gr->admission, heads,
-						 gr->heads->len, at));
+			 (guint)admission_skipped(&gr->admission, heads,
+						  gr->heads->len, at));
 }
 
 static void dispatch_group(struct gate *g, struct lane_group *gr)
--- a/src/proxy/turns.c
+++ b/src/proxy/turns.c
@@ -31,38 +31,39 @@
 
 /* Callers of one slot are spread over it, so that they don't return at the same
  * moment. */
-static int64_t assign_slot(struct forward *f, struct return_ask *a,
+static int64_t assign_slot(struct forward *f, struct return_request *a,
 			   int64_t spread_ms)
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
-	struct return_turn slot;
+	struct return_slot slot;
 
-	a->most_ms = (f->deadline_ms - now) / MAX_WAIT_DIVISOR;
-	slot = return_turns_give(g->turns, a, now);
+	a->max_ms = (f->deadline_ms - now) / MAX_WAIT_DIVISOR;
+	slot = return_slots_assign(g->turns, a, now);
 	if (slot.width_ms > 0) {
 		spread_ms = MIN(spread_ms, slot.width_ms);
-		(*(slot.taken ? g->n_turns_given : g->n_turns_beyond))++;
+		(*(slot.reserved ? g->n_turns_given : g->n_turns_beyond))++;
 	}
-	return slot.ms + (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
+	return slot.delay_ms +
+	       (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
 }
 
 int64_t turns_model_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
 {
-	struct return_ask a = { .key = model_key(f),
-				.priority = (int)forward_priority(f),
-				.cost = 1,
-				.least_ms = least_ms };
+	struct return_request a = { .key = model_key(f),
+				    .priority = (int)forward_priority(f),
+				    .cost = 1,
+				    .min_ms = least_ms };
 
 	return assign_slot(f, &a, spread_ms);
 }
 
 int64_t turns_quota_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
 {
-	struct return_ask a = { .key = quota_key(f),
-				.cost = f->cost,
-				.per_s = f->customer->limit.per_s,
-				.least_ms = least_ms };
+	struct return_request a = { .key = quota_key(f),
+				    .cost = f->cost,
+				    .per_s = f->customer->limit.per_s,
+				    .min_ms = least_ms };
 
 	return assign_slot(f, &a, spread_ms);
 }
@@ -72,7 +73,7 @@
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
 
-	return_turns_served(g->turns, model_key(f), 1, now);
+	return_slots_served(g->turns, model_key(f), 1, now);
 	if (f->charged_ms >= 0)
-		return_turns_served(g->turns, quota_key(f), f->cost, now);
+		return_slots_served(g->turns, quota_key(f), f->cost, now);
 }
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -999,7 +999,7 @@
 {
 	struct endpoint_limit l = { LIMIT_PER_S, 1 };
 	struct customer who =
-		endpoint_limit_account(&l, c->w->engines[engine].addr);
+		endpoint_limit_as_customer(&l, c->w->engines[engine].addr);
 	struct quota_need need = { 1, c->seats[engine], 2000 };
 	int64_t back;
 	enum quota_answer a = quota_lease.take(c->purses, &who, &need,
--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -263,8 +263,8 @@
 			ss_str(f->eps[i].version ? f->eps[i].version : "");
 		e[i].leaving = f->eps[i].leaving;
 		e[i].limit = endpoint_limit_wire(&f->limits[i]);
-		e[i].limit_age =
-			endpoint_limit_age(&f->limits[i], f->clock.fake_ms);
+		e[i].limit_age = endpoint_limit_wire_age(&f->limits[i],
+							 f->clock.fake_ms);
 		e[i].held = (struct wire_list){
 			&held, *model && !f->eps[i].empty ? 1 : 0
 		};
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -13,7 +13,7 @@
 					.latest_ms = latest_ms,
 					.by_order = true,
 					.by_time = true,
-					.lane = model_queue };
+					.model_queue = model_queue };
 }
 
 /* Requests of one class, of which one always waits, in a model queue of its
@@ -61,7 +61,7 @@
 			 c->priority);
 	if (h->latest_ms < now)
 		*h = head(c->priority, now + c->patience_ms, c);
-	h->share = admission_share(a, c->priority, c->customer);
+	h->virtual_time = admission_virtual_time(a, c->priority, c->customer);
 }
 
 /* Guards against urgent requests that wait behind others, classes that starve,
@@ -85,8 +85,9 @@
 			for (int k = 0; k < x->n; k++)
 				refill(&a, &x->classes[k], &heads[k], now);
 			at = admission_next(&a, heads, (size_t)x->n, now);
-			admission_taken(&a, &heads[at], x->classes[at].customer,
-					x->classes[at].share, now);
+			admission_dispatched(&a, &heads[at],
+					     x->classes[at].customer,
+					     x->classes[at].share, now);
 			heads[at].latest_ms = 0;
 			dispatched[at]++;
 		}
@@ -102,7 +103,7 @@
 struct raise_case {
 	int64_t interval_ms, left_ms;
 	int urgent_dispatches; /* dispatches of priority 0 before */
-	enum admission_turn want;
+	enum admission_rule want;
 };
 
 static const struct raise_case raises[] = {
@@ -134,13 +135,13 @@
 		for (int k = 0; k < x->urgent_dispatches; k++) {
 			now += x->interval_ms;
 			assert_int_equal(admission_next(&a, heads, 2, now), 0);
-			admission_taken(&a, &heads[0], "", 1, now);
+			admission_dispatched(&a, &heads[0], "", 1, now);
 		}
 		now += x->interval_ms;
 		heads[1].latest_ms = now + x->left_ms;
 		admission_next(&a, heads, 2, now);
-		if (a.turn != x->want)
-			fail_msg("row %zu: selected by rule %d", i, a.turn);
+		if (a.rule != x->want)
+			fail_msg("row %zu: selected by rule %d", i, a.rule);
 		admission_clear(&a);
 	}
 }
@@ -157,15 +158,15 @@
 	struct admission a;
 
 	(void)state;
-	heads[2].begun = true;
+	heads[2].resumes = true;
 	admission_init(&a);
 	a.credit = ADMISSION_ROUND - 1;
 	assert_int_equal(admission_next(&a, heads, 3, 0), 2);
-	assert_int_equal(admission_passed(&a, heads, 3, 2), 2);
+	assert_int_equal(admission_skipped(&a, heads, 3, 2), 2);
 	assert_int_equal(admission_next(&a, heads, 2, 0), 1);
-	assert_int_equal(admission_passed(&a, heads, 2, 1), 2);
+	assert_int_equal(admission_skipped(&a, heads, 2, 1), 2);
 	assert_int_equal(admission_next(&a, heads, 2, 0), 0);
-	assert_int_equal(admission_passed(&a, heads, 2, 0), 0);
+	assert_int_equal(admission_skipped(&a, heads, 2, 0), 0);
 	assert_int_equal(admission_next(&a, heads, 0, 0), -1);
 	admission_clear(&a);
 }
@@ -180,15 +181,15 @@
 	(void)state;
 	admission_init(&a);
 	for (int i = 0; i < 100; i++) {
-		h.share = admission_share(&a, 1, "here");
+		h.virtual_time = admission_virtual_time(&a, 1, "here");
 		admission_next(&a, &h, 1, 0);
-		admission_taken(&a, &h, "here", 1, 0);
+		admission_dispatched(&a, &h, "here", 1, 0);
 	}
-	h.share = admission_share(&a, 1, "away");
+	h.virtual_time = admission_virtual_time(&a, 1, "away");
 	admission_next(&a, &h, 1, 0);
-	admission_taken(&a, &h, "away", 1, 0);
-	assert_true(admission_share(&a, 1, "away") >=
-		    admission_share(&a, 1, "here"));
+	admission_dispatched(&a, &h, "away", 1, 0);
+	assert_true(admission_virtual_time(&a, 1, "away") >=
+		    admission_virtual_time(&a, 1, "here"));
 	admission_clear(&a);
 }
 
--- a/test/test_endpoint_limit.c
+++ b/test/test_endpoint_limit.c
@@ -56,7 +56,7 @@
 
 static void try_send(struct fleet *f, struct entry *e, int64_t now)
 {
-	struct customer c = endpoint_limit_account(&f->limit, f->addr);
+	struct customer c = endpoint_limit_as_customer(&f->limit, f->addr);
 	struct quota_need need = { 1, e->reservation > 0, 2000 };
 	int64_t retry_after_ms;
 
@@ -77,7 +77,7 @@
 
 static void request_grants(struct fleet *f, struct entry *e, int64_t now)
 {
-	struct customer c = endpoint_limit_account(&f->limit, f->addr);
+	struct customer c = endpoint_limit_as_customer(&f->limit, f->addr);
 	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 
 	if (f->allocator)
@@ -220,8 +220,8 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(signals); i++) {
-		assert_int_equal(endpoint_limit_say(&l, signals[i].per_s,
-						    signals[i].at_ms),
+		assert_int_equal(endpoint_limit_update(&l, signals[i].per_s,
+						       signals[i].at_ms),
 				 signals[i].changed);
 		assert_true(l.per_s == signals[i].per_s_after);
 	}
@@ -238,11 +238,11 @@
 		struct endpoint_limit a = { rates[i], 70000 };
 		struct endpoint_limit b = { .per_s = 7 };
 
-		assert_true(endpoint_limit_told(&b, endpoint_limit_wire(&a),
-						endpoint_limit_age(&a, 70250),
-						9000));
+		assert_true(endpoint_limit_received(
+			&b, endpoint_limit_wire(&a),
+			endpoint_limit_wire_age(&a, 70250), 9000));
 		assert_true(b.per_s == rates[i]);
-		assert_int_equal(b.said_ms, 8750);
+		assert_int_equal(b.signal_ms, 8750);
 	}
 }
 
@@ -260,10 +260,10 @@
 		};
 		int64_t wire = endpoint_limit_wire(&sender);
 
-		endpoint_limit_told(&receiver, wire, 1, 200);
+		endpoint_limit_received(&receiver, wire, 1, 200);
 		assert_int_equal(endpoint_limit_wire(&receiver), wire);
-		assert_false(endpoint_limit_told(&sender, wire, 1, 300));
-		assert_false(endpoint_limit_say(&sender, rates[i], 400));
+		assert_false(endpoint_limit_received(&sender, wire, 1, 300));
+		assert_false(endpoint_limit_update(&sender, rates[i], 400));
 	}
 }
 
@@ -274,12 +274,12 @@
 	struct endpoint_limit l = { 1, 1000 };
 
 	(void)state;
-	assert_true(endpoint_limit_is_narrow(&l, 8, 1100));
-	assert_false(endpoint_limit_is_narrow(&l, 8, 60000));
+	assert_true(endpoint_limit_is_low(&l, 8, 1100));
+	assert_false(endpoint_limit_is_low(&l, 8, 60000));
 	l.per_s = 100;
-	assert_false(endpoint_limit_is_narrow(&l, 8, 1100));
+	assert_false(endpoint_limit_is_low(&l, 8, 1100));
 	l.per_s = ENDPOINT_LIMIT_NONE;
-	assert_false(endpoint_limit_is_narrow(&l, 8, 1100));
+	assert_false(endpoint_limit_is_low(&l, 8, 1100));
 }
 
 struct poll_case {
@@ -303,7 +303,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(polls); i++) {
 		struct endpoint_limit l = { polls[i].per_s, 1 };
 
-		assert_int_equal(endpoint_limit_pause_ms(&l, polls[i].min_ms),
+		assert_int_equal(endpoint_limit_poll_ms(&l, polls[i].min_ms),
 				 polls[i].poll_ms);
 	}
 }
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -88,9 +88,9 @@
 	for (size_t k = 0; k < r.m.words.n; k++) {
 		int at = endpoint_at(c, w[k].addr);
 
-		changed |= endpoint_limit_told(&c->f.limits[at], w[k].limit,
-					       w[k].limit_age,
-					       c->f.clock.fake_ms);
+		changed |= endpoint_limit_received(&c->f.limits[at], w[k].limit,
+						   w[k].limit_age,
+						   c->f.clock.fake_ms);
 	}
 	gate_report_done(&r);
 	return changed;
@@ -108,8 +108,8 @@
 		const struct quota_ask *a =
 			&g_array_index(grant_requests, struct quota_ask, k);
 		int at = endpoint_at(c, a->customer);
-		struct customer who = endpoint_limit_account(&c->f.limits[at],
-							     c->f.eps[at].addr);
+		struct customer who = endpoint_limit_as_customer(
+			&c->f.limits[at], c->f.eps[at].addr);
 		struct quota_word w = { .customer = a->customer,
 					.number = a->number,
 					.wait_ms = UNKNOWN_WAIT_MS };
--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -50,7 +50,7 @@
 	struct retry_options o = {
 		.window_ms = WINDOW_MS,
 		.ratio = RATIO,
-		.since_ms = now,
+		.start_ms = now,
 	};
 
 	retry_budget_init(&f->entries[i].budget, &o);
--- a/test/test_return_turns.c
+++ b/test/test_return_slots.c
@@ -1,7 +1,7 @@
 /* Tests of the slots that refused callers are assigned. */
 #include "unit.h"
 
-#include "../src/core/return_turns.h"
+#include "../src/core/return_slots.h"
 
 #define START_MS 1000000
 #define KEY 7
@@ -9,17 +9,17 @@
 
 /* Runs a cause for two seconds in which it serves per_s units a second and
  * refuses ten callers a second. Returns the time at their end. */
-static int64_t saturate(struct return_turns *t, uint64_t key, int per_s)
+static int64_t saturate(struct return_slots *t, uint64_t key, int per_s)
 {
-	struct return_ask a = {
-		.key = key, .priority = 1, .cost = 1, .least_ms = 150
+	struct return_request a = {
+		.key = key, .priority = 1, .cost = 1, .min_ms = 150
 	};
 	int64_t now = START_MS;
 
 	for (; now < START_MS + 2000; now += 100) {
-		return_turns_give(t, &a, now);
+		return_slots_assign(t, &a, now);
 		for (int i = 0; i < per_s / 10; i++)
-			return_turns_served(t, key, 1, now + 50);
+			return_slots_served(t, key, 1, now + 50);
 	}
 	return now;
 }
@@ -32,28 +32,28 @@
 
 /* 500 callers are refused within a second, one in ten of them urgent; 100 more
  * are served. */
-static void run_burst(struct return_turns *t, int64_t now, struct burst *b)
+static void run_burst(struct return_slots *t, int64_t now, struct burst *b)
 {
-	struct return_ask a = {
-		.key = KEY, .cost = 1, .least_ms = 150, .most_ms = 10000
+	struct return_request a = {
+		.key = KEY, .cost = 1, .min_ms = 150, .max_ms = 10000
 	};
 
 	*b = (struct burst){ 0 };
 	for (int i = 0; i < 500; i++) {
 		int64_t at = now + (int64_t)i * 2;
-		struct return_turn slot;
+		struct return_slot slot;
 
 		a.priority = i % 10 ? 1 : 0;
-		slot = return_turns_give(t, &a, at);
-		b->too_late += !slot.taken;
-		b->returning[MIN((at - now + slot.ms - a.least_ms) / 1000,
+		slot = return_slots_assign(t, &a, at);
+		b->too_late += !slot.reserved;
+		b->returning[MIN((at - now + slot.delay_ms - a.min_ms) / 1000,
 				 SECONDS - 1)]++;
 		if (a.priority)
-			b->patient_ms += (double)slot.ms / 450;
+			b->patient_ms += (double)slot.delay_ms / 450;
 		else
-			b->urgent_ms += (double)slot.ms / 50;
+			b->urgent_ms += (double)slot.delay_ms / 50;
 		if (i % 5 == 0)
-			return_turns_served(t, KEY, 1, at);
+			return_slots_served(t, KEY, 1, at);
 	}
 }
 
@@ -61,7 +61,7 @@
  * refused again. */
 static void burst_returns_at_the_rate_served(void **state)
 {
-	struct return_turns *t = return_turns_new();
+	struct return_slots *t = return_slots_new();
 	int64_t now = saturate(t, KEY, 100);
 	struct burst b;
 
@@ -72,27 +72,27 @@
 	assert_int_equal(b.too_late, 0);
 	/* Urgent callers return before the others. */
 	assert_true(b.urgent_ms < b.patient_ms / 2);
-	return_turns_free(t);
+	return_slots_free(t);
 }
 
 /* Guards against the burst of one customer delaying the callers of another. */
 static void other_causes_are_not_delayed(void **state)
 {
-	struct return_turns *t = return_turns_new();
+	struct return_slots *t = return_slots_new();
 	int64_t now = saturate(t, KEY, 100);
-	struct return_ask a = {
-		.key = KEY + 1, .cost = 1, .least_ms = 150, .most_ms = 3000
+	struct return_request a = {
+		.key = KEY + 1, .cost = 1, .min_ms = 150, .max_ms = 3000
 	};
-	struct return_turn slot;
+	struct return_slot slot;
 	struct burst b;
 
 	(void)state;
 	saturate(t, a.key, 100);
 	run_burst(t, now, &b);
-	slot = return_turns_give(t, &a, now + 1000);
-	assert_true(slot.taken);
-	assert_in_range(slot.ms, 150, 150 + RETURN_SLOT_MS);
-	return_turns_free(t);
+	slot = return_slots_assign(t, &a, now + 1000);
+	assert_true(slot.reserved);
+	assert_in_range(slot.delay_ms, 150, 150 + RETURN_SLOT_MS);
+	return_slots_free(t);
 }
 
 struct slot_case {
@@ -122,101 +122,102 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(slot_cases); i++) {
 		const struct slot_case *c = &slot_cases[i];
-		struct return_turns *t = return_turns_new();
+		struct return_slots *t = return_slots_new();
 		int64_t now = saturate(t, KEY, c->served_per_s);
-		struct return_ask a = { .key = KEY,
-					.cost = 1,
-					.per_s = c->per_s,
-					.least_ms = c->least_ms,
-					.most_ms = 20000 };
-		struct return_turn slot;
+		struct return_request a = { .key = KEY,
+					    .cost = 1,
+					    .per_s = c->per_s,
+					    .min_ms = c->least_ms,
+					    .max_ms = 20000 };
+		struct return_slot slot;
 
 		for (int k = 0; k < c->refused_before; k++)
-			return_turns_give(t, &a, now);
-		a.most_ms = c->most_ms;
-		slot = return_turns_give(t, &a, now);
-		if (slot.ms < c->from_ms || slot.ms > c->to_ms ||
-		    slot.taken !=
+			return_slots_assign(t, &a, now);
+		a.max_ms = c->most_ms;
+		slot = return_slots_assign(t, &a, now);
+		if (slot.delay_ms < c->from_ms || slot.delay_ms > c->to_ms ||
+		    slot.reserved !=
 			    (c->served_per_s && c->from_ms <= c->most_ms) ||
 		    (slot.width_ms > 0) != (c->served_per_s > 0))
 			fail_msg("%s: %" PRId64 " ms, reserved=%d", c->label,
-				 slot.ms, slot.taken);
-		return_turns_free(t);
+				 slot.delay_ms, slot.reserved);
+		return_slots_free(t);
 	}
 }
 
 /* Guards against slots blocked by callers for whom they are too late. */
 static void unreserved_slot_stays_free(void **state)
 {
-	struct return_turns *t = return_turns_new();
+	struct return_slots *t = return_slots_new();
 	int64_t now = saturate(t, KEY, 10);
-	struct return_ask a = { .key = KEY, .cost = 1, .least_ms = 300 };
+	struct return_request a = { .key = KEY, .cost = 1, .min_ms = 300 };
 
 	(void)state;
 	for (int i = 0; i < 1000; i++)
-		assert_false(return_turns_give(t, &a, now).taken);
-	a.most_ms = 3000;
-	assert_int_equal(return_turns_give(t, &a, now).ms, 300);
-	return_turns_free(t);
+		assert_false(return_slots_assign(t, &a, now).reserved);
+	a.max_ms = 3000;
+	assert_int_equal(return_slots_assign(t, &a, now).delay_ms, 300);
+	return_slots_free(t);
 }
 
 /* Guards against a rate that is measured while nobody is refused: a burst of
  * refusals after few calls would wait for seconds. */
 static void calls_before_refusals_set_no_rate(void **state)
 {
-	struct return_turns *t = return_turns_new();
-	struct return_ask a = {
-		.key = KEY, .cost = 1, .least_ms = 300, .most_ms = 3000
+	struct return_slots *t = return_slots_new();
+	struct return_request a = {
+		.key = KEY, .cost = 1, .min_ms = 300, .max_ms = 3000
 	};
 
 	(void)state;
 	for (int i = 0; i < 20; i++)
-		return_turns_served(t, KEY, 1, START_MS + (int64_t)i * 500);
+		return_slots_served(t, KEY, 1, START_MS + (int64_t)i * 500);
 	for (int i = 0; i < 20; i++)
-		assert_int_equal(return_turns_give(t, &a, START_MS + 10000).ms,
-				 300);
-	return_turns_free(t);
+		assert_int_equal(
+			return_slots_assign(t, &a, START_MS + 10000).delay_ms,
+			300);
+	return_slots_free(t);
 }
 
 /* Guards against an outage of seconds that is taken for a low rate and keeps
  * callers away after it. */
 static void rate_survives_an_outage(void **state)
 {
-	struct return_turns *t = return_turns_new();
+	struct return_slots *t = return_slots_new();
 	int64_t now = saturate(t, KEY, 100), end = now + 10000;
-	struct return_ask a = { .key = KEY, .cost = 1, .least_ms = 300 };
+	struct return_request a = { .key = KEY, .cost = 1, .min_ms = 300 };
 
 	(void)state;
 	for (; now < end; now += 20)
-		return_turns_give(t, &a, now);
-	a.most_ms = 3000;
+		return_slots_assign(t, &a, now);
+	a.max_ms = 3000;
 	for (int i = 0; i < 50; i++)
-		assert_true(return_turns_give(t, &a, now).ms < 1500);
-	return_turns_free(t);
+		assert_true(return_slots_assign(t, &a, now).delay_ms < 1500);
+	return_slots_free(t);
 }
 
 /* Guards against memory that grows with each customer and model refused. */
 static void memory_is_bounded(void **state)
 {
-	struct return_turns *t = return_turns_new();
-	struct return_ask a = { .cost = 1, .least_ms = 150, .most_ms = 3000 };
+	struct return_slots *t = return_slots_new();
+	struct return_request a = { .cost = 1, .min_ms = 150, .max_ms = 3000 };
 	int64_t now = saturate(t, KEY, 10);
 
 	(void)state;
 	for (int i = 0; i < 3 * RETURN_CAUSES_MAX; i++) {
 		a.key = (uint64_t)(100 + i);
-		return_turns_give(t, &a, now);
+		return_slots_assign(t, &a, now);
 		/* A cause that is refused repeatedly stays. */
 		a.key = KEY;
-		return_turns_give(t, &a, now);
+		return_slots_assign(t, &a, now);
 	}
 	assert_int_equal(return_slots_count(t), RETURN_CAUSES_MAX);
-	assert_true(return_turns_give(t, &a, now).width_ms > 0);
-	return_turns_tidy(t, now + RETURN_HORIZON_MS - 1);
+	assert_true(return_slots_assign(t, &a, now).width_ms > 0);
+	return_slots_expire(t, now + RETURN_HORIZON_MS - 1);
 	assert_int_equal(return_slots_count(t), RETURN_CAUSES_MAX);
-	return_turns_tidy(t, now + RETURN_HORIZON_MS);
+	return_slots_expire(t, now + RETURN_HORIZON_MS);
 	assert_int_equal(return_slots_count(t), 0);
-	return_turns_free(t);
+	return_slots_free(t);
 }
 
 int main(void)
--- a/test/test_start_limit.c
+++ b/test/test_start_limit.c
@@ -52,8 +52,9 @@
 {
 	for (int i = 0; i < ENTRIES; i++) {
 		for (int k = 0; k < read[i]; k++)
-			start_limit_first(&s->limits[i], now - s->sent_ms[i][k],
-					  OBJECTIVE_MS, now);
+			start_limit_first_event(&s->limits[i],
+						now - s->sent_ms[i][k],
+						OBJECTIVE_MS, now);
 		s->sent[i] -= read[i];
 		memmove(s->sent_ms[i], s->sent_ms[i] + read[i],
 			(size_t)s->sent[i] * sizeof(s->sent_ms[i][0]));
@@ -165,8 +166,8 @@
 		start_limit_sent(&l, 50, now);
 		assert_false(
 			start_limit_pause(&l, ALLOWED_MS, ALLOWED_MS, now));
-		assert_false(start_limit_first(&l, OBJECTIVE_MS * 2,
-					       OBJECTIVE_MS, now));
+		assert_false(start_limit_first_event(&l, OBJECTIVE_MS * 2,
+						     OBJECTIVE_MS, now));
 		assert_true(start_limit_allows(&l, 1000000));
 	}
 }
@@ -175,10 +176,10 @@
 static void init_with_limit(struct start_limit *l)
 {
 	start_limit_init(l);
-	start_limit_first(l, 100, OBJECTIVE_MS, 9000);
+	start_limit_first_event(l, 100, OBJECTIVE_MS, 9000);
 	start_limit_sent(l, 8, 9900);
 	assert_true(start_limit_pause(l, 300, ALLOWED_MS, 10000));
-	assert_true(l->most == 4);
+	assert_true(l->max_in_flight == 4);
 }
 
 struct step {
@@ -219,12 +220,14 @@
 		bool lowered;
 
 		init_with_limit(&l);
-		lowered = s->pause ? start_limit_pause(&l, s->ms, s->bound_ms,
-						       s->now) :
-				     start_limit_first(&l, s->ms, s->bound_ms,
-						       s->now);
-		if (l.most != s->limit_after || lowered != (s->limit_after < 4))
-			fail_msg("%s: limit %f", s->label, l.most);
+		lowered = s->pause ?
+				  start_limit_pause(&l, s->ms, s->bound_ms,
+						    s->now) :
+				  start_limit_first_event(&l, s->ms,
+							  s->bound_ms, s->now);
+		if (l.max_in_flight != s->limit_after ||
+		    lowered != (s->limit_after < 4))
+			fail_msg("%s: limit %f", s->label, l.max_in_flight);
 	}
 }
 
@@ -238,9 +241,9 @@
 	for (int64_t now = 10200; now < 12000; now += 50) {
 		start_limit_sent(&l, 4, now);
 		start_limit_pause(&l, ALLOWED_MS * 3 / 5, ALLOWED_MS, now);
-		start_limit_first(&l, 100, OBJECTIVE_MS, now);
+		start_limit_first_event(&l, 100, OBJECTIVE_MS, now);
 	}
-	assert_true(l.most == 4);
+	assert_true(l.max_in_flight == 4);
 }
 
 /* Guards against a limit that blocks all prompts, or stays below what the
@@ -254,15 +257,15 @@
 	init_with_limit(&l);
 	for (; now < 60000; now += 200)
 		start_limit_pause(&l, 3000, ALLOWED_MS, now);
-	assert_true(l.most == 1);
+	assert_true(l.max_in_flight == 1);
 	assert_true(start_limit_allows(&l, 0));
 	for (int i = 0; i < 200; i++, now += 100) {
-		int64_t sent = (int64_t)l.most;
+		int64_t sent = (int64_t)l.max_in_flight;
 
 		start_limit_sent(&l, sent, now);
-		start_limit_first(&l, 90, OBJECTIVE_MS, now);
+		start_limit_first_event(&l, 90, OBJECTIVE_MS, now);
 	}
-	assert_true(l.most > 10);
+	assert_true(l.max_in_flight > 10);
 }
 
 int main(void)
