--- a/src/core/late.c
+++ b/src/core/delayed_orders.c
@@ -1,5 +1,5 @@
 /* Orders that an engine may still carry out after a restart. */
-#include "late.h"
+#include "delayed_orders.h"
 
 struct delayed_order {
 	char *model, *adapter; /* adapter NULL: the model itself */
--- a/src/core/late.h
+++ b/src/core/delayed_orders.h
@@ -10,8 +10,8 @@
  * the memory that such an order needs is kept free until the order can no
  * longer be carried out.
  */
-#ifndef SS_LATE_H
-#define SS_LATE_H
+#ifndef SS_DELAYED_ORDERS_H
+#define SS_DELAYED_ORDERS_H
 
 #include "fleet_types.h"
 
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -1,7 +1,7 @@
 /* Orders to one model engine. */
 #include "engine.h"
 
-#include "late.h"
+#include "delayed_orders.h"
 
 /* Adapters whose last use is kept, to choose the one to unload. */
 #define ADAPTER_USES_MAX 256
@@ -119,7 +119,7 @@
 	e->service = s;
 }
 
-bool engine_asking(const struct engine *e)
+bool engine_order_pending(const struct engine *e)
 {
 	return e->order_pending;
 }
@@ -470,13 +470,14 @@
 			 now);
 }
 
-void engine_term(struct engine *e, uint64_t fence, int64_t now)
+void engine_set_term(struct engine *e, uint64_t fence, int64_t now)
 {
 	e->fence = MAX(e->fence, fence);
 	advance(e, now);
 }
 
-void engine_report(struct engine *e, const struct fleet_report *r, int64_t now)
+void engine_report_received(struct engine *e, const struct fleet_report *r,
+			    int64_t now)
 {
 	switch (fleet_report_judge(&e->incarnation, e->orders, r)) {
 	case FLEET_LATE:
@@ -499,7 +500,7 @@
 	advance(e, now);
 }
 
-void engine_lost(struct engine *e, int64_t now)
+void engine_unavailable(struct engine *e, int64_t now)
 {
 	e->report = NULL;
 	if (e->step_active)
@@ -554,8 +555,9 @@
 	advance(e, now);
 }
 
-void engine_need_adapter(struct engine *e, uint64_t ticket, struct ss_str model,
-			 struct ss_str adapter, int64_t until_ms, int64_t now)
+void engine_request_adapter(struct engine *e, uint64_t ticket,
+			    struct ss_str model, struct ss_str adapter,
+			    int64_t until_ms, int64_t now)
 {
 	struct adapter_request r = { .ticket = ticket,
 				     .model = ss_str_dup(model),
@@ -580,7 +582,8 @@
 				   now);
 }
 
-void engine_answered(struct engine *e, enum fleet_order_answer a, int64_t now)
+void engine_order_answered(struct engine *e, enum fleet_order_answer a,
+			   int64_t now)
 {
 	bool load = e->pending.load && !e->pending.adapter &&
 		    !e->pending.prior_incarnation;
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -33,7 +33,7 @@
 };
 
 struct engine_ops {
-	/* Send the order; the answer goes to engine_answered(). */
+	/* Send the order; the answer goes to engine_order_answered(). */
 	void (*order)(void *arg, const struct fleet_order *o);
 	/* A step has ended; code 0 or an enum ss_error. */
 	void (*step_done)(void *arg, uint64_t fence, uint64_t step, int code,
@@ -64,7 +64,7 @@
  * with a fence that it no longer knows, and a leader that was cut off since
  * may not know of a newer one.
  */
-void engine_term(struct engine *e, uint64_t fence, int64_t now);
+void engine_set_term(struct engine *e, uint64_t fence, int64_t now);
 
 /*
  * A report of the engine, requested after the last order was answered. The
@@ -72,25 +72,28 @@
  * of an earlier incarnation, or one older than the last, is ignored and isn't
  * referenced. A restart aborts the step and clears the refused fence.
  */
-void engine_report(struct engine *e, const struct fleet_report *r, int64_t now);
+void engine_report_received(struct engine *e, const struct fleet_report *r,
+			    int64_t now);
 
 /* The engine can't be read: its state is unknown, and it may have restarted. */
-void engine_lost(struct engine *e, int64_t now);
+void engine_unavailable(struct engine *e, int64_t now);
 
 /* Start a step. A refusal is passed to step_done: SS_ERROR_UNAVAILABLE,
  * SS_ERROR_FENCED or SS_ERROR_OVERLOAD. */
 void engine_step(struct engine *e, const struct engine_step *s, int64_t now);
 
 /* A call needs an adapter until until_ms on the clock. */
-void engine_need_adapter(struct engine *e, uint64_t ticket, struct ss_str model,
-			 struct ss_str adapter, int64_t until_ms, int64_t now);
+void engine_request_adapter(struct engine *e, uint64_t ticket,
+			    struct ss_str model, struct ss_str adapter,
+			    int64_t until_ms, int64_t now);
 
-void engine_answered(struct engine *e, enum fleet_order_answer a, int64_t now);
+void engine_order_answered(struct engine *e, enum fleet_order_answer a,
+			   int64_t now);
 void engine_tick(struct engine *e, int64_t now);
 
 /* Work is in progress: the engine should be read often. */
 bool engine_busy(const struct engine *e);
 /* An order is outstanding, so a report may be older than its effect. */
-bool engine_asking(const struct engine *e);
+bool engine_order_pending(const struct engine *e);
 
 #endif
--- a/src/core/fetch.c
+++ b/src/core/fetch.c
@@ -83,7 +83,7 @@
 static void request_next(struct fetch *f, int64_t now)
 {
 	struct msg_fetch m = { f->need_full ? 0 : f->have, f->want,
-			       f->o.services };
+			       f->o.services_only };
 	char *addr = source_at(f, f->attempts);
 
 	f->next_attempt_ms = now + FETCH_TIMEOUT_MS;
@@ -116,7 +116,7 @@
 	f->next_attempt_ms = now + FETCH_RETRY_MS;
 }
 
-void fetch_useless(struct fetch *f, uint64_t have, int64_t now)
+void fetch_require_full(struct fetch *f, uint64_t have, int64_t now)
 {
 	f->have = have;
 	f->need_full = true;
@@ -126,7 +126,7 @@
 
 void fetch_answered(struct fetch *f, const struct msg_routing *m, int64_t now)
 {
-	struct msg_fetch ack = { .services = f->o.services };
+	struct msg_fetch ack = { .services = f->o.services_only };
 
 	if (!f->request_pending || m->version <= f->have)
 		return;
@@ -139,7 +139,7 @@
 		log_warn("routing_not_fetched",
 			 "version=%" PRIu64 " base=%" PRIu64 " held=%" PRIu64,
 			 m->version, m->base, f->have);
-		fetch_useless(f, f->have, now);
+		fetch_require_full(f, f->have, now);
 		return;
 	}
 	f->have = m->version;
--- a/src/core/fetch.h
+++ b/src/core/fetch.h
@@ -35,15 +35,15 @@
 	/* Acknowledge the answer to the control VM that was asked last. */
 	void (*acknowledge)(void *arg, const struct msg_fetch *m);
 	/* Apply changes up to a newer version; false if they are unusable. They
-	 * may be read later, with errors passed to fetch_useless(). */
+	 * may be read later, with errors passed to fetch_require_full(). */
 	bool (*apply)(void *arg, const struct msg_routing *m);
 };
 
 struct fetch_options {
 	const struct fetch_ops *ops;
 	void *arg;
-	const char *self; /* name of this process; copied */
-	bool services;	  /* no routes; versions are those of services */
+	const char *self;   /* name of this process; copied */
+	bool services_only; /* no routes; versions are those of services */
 };
 
 struct fetch *fetch_new(const struct fetch_options *o);
@@ -54,7 +54,7 @@
 /* The newest version that was received; 0: none. */
 uint64_t fetch_version(const struct fetch *f);
 /* Changes after version have can't be read: request a full copy. */
-void fetch_useless(struct fetch *f, uint64_t have, int64_t now);
+void fetch_require_full(struct fetch *f, uint64_t have, int64_t now);
 
 /* The control VM that was asked last has answered. */
 void fetch_answered(struct fetch *f, const struct msg_routing *m, int64_t now);
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -190,7 +190,8 @@
 	}
 }
 
-void mirror_set(struct mirror *m, const struct mirror_version *v, int64_t now)
+void mirror_add_version(struct mirror *m, const struct mirror_version *v,
+			int64_t now)
 {
 	struct change c = { .base = v->base };
 
@@ -212,7 +213,7 @@
 		g_array_remove_index(m->changes, 0);
 	}
 	m->version = v->version;
-	m->services_version = v->services;
+	m->services_version = v->services_version;
 	dispatch(m, now);
 }
 
@@ -235,8 +236,8 @@
 	f->waiting = false;
 }
 
-void mirror_ask(struct mirror *m, void *peer, const struct msg_fetch *request,
-		int64_t now)
+void mirror_request(struct mirror *m, void *peer,
+		    const struct msg_fetch *request, int64_t now)
 {
 	struct fetcher *f = fetcher_for(m, peer);
 
@@ -256,7 +257,7 @@
 	dispatch(m, now);
 }
 
-void mirror_gone(struct mirror *m, void *peer, int64_t now)
+void mirror_peer_closed(struct mirror *m, void *peer, int64_t now)
 {
 	struct fetcher *f = g_hash_table_lookup(m->fetchers, peer);
 
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -40,7 +40,7 @@
 /* A version that has been applied here. */
 struct mirror_version {
 	uint64_t version;
-	uint64_t services; /* version in which services last changed */
+	uint64_t services_version; /* version in which services last changed */
 	/* Change from version base; empty if it came as a full copy. */
 	struct ss_str change;
 	uint64_t base;
@@ -50,15 +50,16 @@
 void mirror_free(struct mirror *m);
 
 /* Add a version; one that isn't newer is ignored. */
-void mirror_set(struct mirror *m, const struct mirror_version *v, int64_t now);
+void mirror_add_version(struct mirror *m, const struct mirror_version *v,
+			int64_t now);
 uint64_t mirror_version(const struct mirror *m);
 
 /* A request, with the versions that the peer holds and wants; also the
  * acknowledgement of what it was sent. */
-void mirror_ask(struct mirror *m, void *peer, const struct msg_fetch *f,
-		int64_t now);
+void mirror_request(struct mirror *m, void *peer, const struct msg_fetch *f,
+		    int64_t now);
 /* The peer's connection has closed. */
-void mirror_gone(struct mirror *m, void *peer, int64_t now);
+void mirror_peer_closed(struct mirror *m, void *peer, int64_t now);
 void mirror_tick(struct mirror *m, int64_t now);
 
 /* Memory used by changes and full copies, in bytes. */
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -112,9 +112,9 @@
 	if (!d || document_version(d) <= mirror_version(k->mirror))
 		return;
 	v.version = document_version(d);
-	v.services = document_services(d);
+	v.services_version = document_services(d);
 	v.change = ss_state_routing_change(s, &v.base);
-	mirror_set(k->mirror, &v, ss_clock_now(&k->d->clock));
+	mirror_add_version(k->mirror, &v, ss_clock_now(&k->d->clock));
 	log_info("routing_held", "version=%" PRIu64, v.version);
 	if (v.change.n && routing_follow_add(k->follow, v.change))
 		return;
@@ -195,8 +195,8 @@
 	if (group_message(k->group, c, f))
 		return;
 	if (f->kind == MSG_FETCH) {
-		mirror_ask(k->mirror, c, &f->u.fetch,
-			   ss_clock_now(&k->d->clock));
+		mirror_request(k->mirror, c, &f->u.fetch,
+			       ss_clock_now(&k->d->clock));
 		return;
 	}
 	if (f->kind == MSG_REMOTE && conn_peer(c)->role == ROLE_CONTROL)
@@ -216,7 +216,7 @@
 
 	(void)why;
 	g_hash_table_remove(k->conns, c);
-	mirror_gone(k->mirror, c, ss_clock_now(&k->d->clock));
+	mirror_peer_closed(k->mirror, c, ss_clock_now(&k->d->clock));
 	remote_agents_left(k->remote, c);
 	group_conn_closed(k->group, c);
 	if (k->lead)
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -71,7 +71,7 @@
 static void forget_instance(struct engine_agent *a)
 {
 	g_clear_pointer(&a->self.id, g_free);
-	engine_lost(a->engine, now_ms(a));
+	engine_unavailable(a->engine, now_ms(a));
 }
 
 /* What an answer says of the engine itself, as those to callers do. */
@@ -195,9 +195,9 @@
 	a->unanswered = 0;
 	/* Without the incarnation nothing may be ordered. */
 	if (a->self.id)
-		engine_report(a->engine, a->report, now_ms(a));
+		engine_report_received(a->engine, a->report, now_ms(a));
 	else
-		engine_lost(a->engine, now_ms(a));
+		engine_unavailable(a->engine, now_ms(a));
 	report_free(old);
 	maybe_tell(a);
 }
@@ -220,7 +220,7 @@
  * A restarted engine counts its orders from zero again, so the count alone
  * doesn't keep out an order of before the restart that is carried out late.
  * Orders name the id; it is asked for after each start. Where the id is the
- * same, the engine's memory is kept free for such an order (late.h).
+ * same, the engine's memory is kept free for such an order (delayed_orders.h).
  */
 static void on_instance(void *arg, const struct keep_answer *r)
 {
@@ -312,7 +312,7 @@
 		return;
 	}
 	/* An order went out meanwhile: this says nothing of it. */
-	if (engine_asking(a->engine) || !is_current(a, &report)) {
+	if (engine_order_pending(a->engine) || !is_current(a, &report)) {
 		fleet_report_clear(&report);
 		return;
 	}
@@ -329,7 +329,7 @@
 
 	if (now_ms(a) < a->rest_until_ms)
 		return;
-	if (a->reachable && !a->self.id && !engine_asking(a->engine)) {
+	if (a->reachable && !a->self.id && !engine_order_pending(a->engine)) {
 		ask_instance(a);
 		return;
 	}
@@ -349,7 +349,7 @@
 	if (answer != FLEET_ORDER_TAKEN && answer != FLEET_ORDER_HOLDS)
 		log_info("order_answer", "endpoint=%s status=%d", a->addr,
 			 r->status);
-	engine_answered(a->engine, answer, now_ms(a));
+	engine_order_answered(a->engine, answer, now_ms(a));
 	if (answer == FLEET_ORDER_MISPLACED)
 		forget_instance(a);
 	/* What it did shows at once, and the next order waits for that. */
@@ -429,8 +429,8 @@
 	t->sub = m->sub;
 	g_hash_table_insert(a->tickets, &t->id, t);
 	(*a->n_adapters)++;
-	engine_need_adapter(a->engine, t->id, m->model, m->adapter,
-			    now + m->wait_ms, now);
+	engine_request_adapter(a->engine, t->id, m->model, m->adapter,
+			       now + m->wait_ms, now);
 }
 
 void engine_agent_left(struct engine_agent *a, const struct conn *c)
@@ -505,7 +505,7 @@
 {
 	log_info("term", "endpoint=%s fence=%" PRIu64 " routing=%" PRIu64,
 		 a->addr, m->fence, m->routing);
-	engine_term(a->engine, m->fence, now_ms(a));
+	engine_set_term(a->engine, m->fence, now_ms(a));
 	if (a->o.routing_told)
 		a->o.routing_told(a->o.arg, a->link, m->routing);
 }
--- a/src/daemon/routing_fetch.c
+++ b/src/daemon/routing_fetch.c
@@ -166,7 +166,7 @@
 {
 	struct routing_fetch *r = arg;
 
-	fetch_useless(r->fetch, have, now_ms(r));
+	fetch_require_full(r->fetch, have, now_ms(r));
 }
 
 static const struct fetch_ops fetch_table = { op_sources, op_leader, op_ask,
@@ -178,7 +178,7 @@
 	struct fetch_options fo = { .ops = &fetch_table,
 				    .arg = r,
 				    .self = o->daemon->config.name,
-				    .services = o->services };
+				    .services_only = o->services };
 	struct routing_follow_options wo = { o->daemon, on_taken, on_useless,
 					     r };
 
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -3,7 +3,7 @@
 #include "unit.h"
 
 #include "../src/core/engine.h"
-#include "../src/core/late.h"
+#include "../src/core/delayed_orders.h"
 
 struct fix {
 	struct engine *e;
@@ -93,7 +93,7 @@
 static void fix_open(struct fix *f)
 {
 	fix_open_fresh(f);
-	engine_term(f->e, 1, f->now);
+	engine_set_term(f->e, 1, f->now);
 }
 
 static void fix_close(struct fix *f)
@@ -135,7 +135,7 @@
 	}
 	g_strfreev(models);
 	f->now += 20;
-	engine_report(f->e, r, f->now);
+	engine_report_received(f->e, r, f->now);
 }
 
 static void step(struct fix *f, uint64_t fence, uint64_t number,
@@ -167,12 +167,12 @@
 	report(&f, 3, "big,other");
 	step(&f, 7, 1, "big", "small");
 	expect(&f, "unload big @3 #7;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	report(&f, 4, "big,other,!");
 	expect(&f, "");
 	report(&f, 4, "other");
 	expect(&f, "load small @4 #7;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	report(&f, 5, "other,!");
 	expect(&f, "");
 	report(&f, 5, "other,small");
@@ -195,7 +195,7 @@
 	report(&f, 3, "other");
 	step(&f, 7, 1, "", "small");
 	expect(&f, "load small @3 #7;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	report(&f, 3, "other");
 	report(&f, 3, "other");
 	expect(&f, "");
@@ -205,10 +205,10 @@
 	expect(&f, "step 1 ok;");
 	/* Reports that never count the order block the next one only for
 	 * ENGINE_REPORT_LAG_MS. */
-	engine_need_adapter(f.e, 1, SS_LIT("other"), SS_LIT("a1"), f.now + 5000,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("other"), SS_LIT("a1"),
+			       f.now + 5000, f.now);
 	expect(&f, "load other/a1 @4 #7;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	f.now += ENGINE_REPORT_LAG_MS;
 	report(&f, 4, "other,small");
 	expect(&f, "load other/a1 @4 #7;");
@@ -246,13 +246,13 @@
 	report(&f, 3, "big");
 	step(&f, 7, 1, "", "small");
 	expect(&f, "load small @3 #7;");
-	engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
 	report(&f, 3, "big");
 	expect(&f, "");
 	f.now += ENGINE_SETTLE_MS;
 	report(&f, 3, "big");
 	expect(&f, "load small @3 #7;");
-	engine_answered(f.e, FLEET_ORDER_BUSY, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_BUSY, f.now);
 	report(&f, 4, "big,!");
 	report(&f, 4, "big,small");
 	expect(&f, "step 1 ok;");
@@ -282,10 +282,10 @@
 	(void)state;
 	fix_open(&f);
 	report(&f, 0, "big");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
+			       f.now);
 	expect(&f, "load big/a1 @0 #1;");
-	engine_answered(f.e, FLEET_ORDER_FENCED, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_FENCED, f.now);
 	report(&f, 0, "big");
 	expect(&f, "");
 	engine_step(f.e, &newer, f.now);
@@ -305,13 +305,13 @@
 	(void)state;
 	fix_open(&f);
 	report(&f, 2, "big,!");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
+			       f.now);
 	report(&f, 2, "big,!");
 	expect(&f, "");
 	report(&f, 2, "big");
 	expect(&f, "load big/a1 @2 #1;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	report(&f, 3, "big/a1");
 	expect(&f, "adapter 1 ok;");
 	fix_close(&f);
@@ -324,13 +324,13 @@
 	(void)state;
 	fix_open(&f);
 	report(&f, 2, "big/a1/a2");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
+			       f.now);
 	expect(&f, "adapter 1 ok;");
-	engine_need_adapter(f.e, 2, SS_LIT("big"), SS_LIT("a3"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 2, SS_LIT("big"), SS_LIT("a3"), f.now + 400,
+			       f.now);
 	expect(&f, "unload big/a2 @2 #1;");
-	engine_answered(f.e, FLEET_ORDER_HOLDS, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_HOLDS, f.now);
 	report(&f, 3, "big/a1");
 	expect(&f, "load big/a3 @3 #1;");
 	fix_close(&f);
@@ -343,13 +343,13 @@
 	(void)state;
 	fix_open(&f);
 	report(&f, 2, "big,!");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 30,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 30,
+			       f.now);
 	f.now += 40;
 	engine_tick(f.e, f.now);
 	expect(&f, "adapter 1 deadline;");
-	engine_need_adapter(f.e, 2, SS_LIT("small"), SS_LIT("a1"), f.now + 30,
-			    f.now);
+	engine_request_adapter(f.e, 2, SS_LIT("small"), SS_LIT("a1"),
+			       f.now + 30, f.now);
 	expect(&f, "adapter 2 unknown_model;");
 	fix_close(&f);
 }
@@ -363,8 +363,8 @@
 	report(&f, 2, "big");
 	step(&f, 3, 5, "", "small");
 	expect(&f, "load small @2 #3;");
-	engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
-	engine_lost(f.e, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
+	engine_unavailable(f.e, f.now);
 	expect(&f, "step 5 unavailable;");
 	/* The engine is back with no models and accepts another step. */
 	f.now += ENGINE_SETTLE_MS;
@@ -389,7 +389,7 @@
 	report(&f, 0, "big");
 	step(&f, 7, 1, "", "small");
 	expect(&f, "load small @0 #7;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	report(&f, 1, "big,!");
 	f.started_ms = 200;
 	report(&f, 1, "");
@@ -411,10 +411,10 @@
 	fix_open(&f);
 	f.started_ms = 100;
 	report(&f, 0, "big");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
+			       f.now);
 	expect(&f, "load big/a1 @0 #1;");
-	engine_answered(f.e, FLEET_ORDER_FENCED, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_FENCED, f.now);
 	f.started_ms = 200;
 	report(&f, 0, "big");
 	expect(&f, "load big/a1 @0 #1;");
@@ -430,10 +430,10 @@
 	fix_open(&f);
 	f.started_ms = 100;
 	report(&f, 2, "big");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
+			       f.now);
 	expect(&f, "load big/a1 @2 #1;");
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
 	f.started_ms = 200;
 	report(&f, 2, "");
 	expect(&f, "adapter 1 unknown_model;");
@@ -496,7 +496,7 @@
 	fix_open(&f);
 	f.started_ms = 100;
 	report(&f, 3, "big");
-	engine_lost(f.e, f.now);
+	engine_unavailable(f.e, f.now);
 	f.planned_ms = 200;
 	step(&f, 7, 1, "", "small");
 	expect(&f, "");
@@ -551,7 +551,7 @@
 		f.started_ms = 100;
 		report(&f, 3, "big");
 		step(&f, 7, 1, "", c->lost);
-		engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
+		engine_order_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
 		f.started_ms = 200;
 		f.id = c->id;
 		report(&f, 0, "");
@@ -574,16 +574,16 @@
 	fix_open(&f);
 	f.started_ms = 100;
 	report(&f, 3, "big");
-	engine_need_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a2"), f.now + 100,
-			    f.now);
-	engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
+	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a2"), f.now + 100,
+			       f.now);
+	engine_order_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
 	f.started_ms = 200;
 	report(&f, 0, "");
 	f.now += ENGINE_SETTLE_MS;
 	report(&f, 1, "big/a3");
 	g_string_truncate(f.out, 0);
-	engine_need_adapter(f.e, 2, SS_LIT("big"), SS_LIT("a4"), f.now + 400,
-			    f.now);
+	engine_request_adapter(f.e, 2, SS_LIT("big"), SS_LIT("a4"), f.now + 400,
+			       f.now);
 	expect(&f, "unload big/a3 @1 #1;");
 	fix_close(&f);
 }
@@ -604,7 +604,7 @@
 	step(&f, 7, 1, "", "small");
 	f.started_ms = 200;
 	report(&f, 0, "");
-	engine_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_UNKNOWN, f.now);
 	f.now += ENGINE_SETTLE_MS;
 	report(&f, 1, "big");
 	g_string_truncate(f.out, 0);
@@ -626,16 +626,16 @@
 	(void)state;
 	fix_open_fresh(&f);
 	report(&f, 4, "big");
-	engine_need_adapter(f.e, 7, SS_LIT("big"), SS_LIT("a1"), f.now + 5000,
-			    f.now);
+	engine_request_adapter(f.e, 7, SS_LIT("big"), SS_LIT("a1"),
+			       f.now + 5000, f.now);
 	step(&f, 3, 1, "", "small");
 	report(&f, 4, "big");
 	expect(&f, "step 1 fenced;");
-	engine_term(f.e, 3, f.now);
+	engine_set_term(f.e, 3, f.now);
 	expect(&f, "load big/a1 @4 #3;");
 	/* The term of an earlier leader, delayed on a link. */
-	engine_answered(f.e, FLEET_ORDER_TAKEN, f.now);
-	engine_term(f.e, 2, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_set_term(f.e, 2, f.now);
 	report(&f, 5, "big/a1");
 	step(&f, 3, 2, "", "small");
 	expect(&f, "adapter 7 ok;load small @5 #3;");
@@ -650,8 +650,8 @@
 	(void)state;
 	fix_open_fresh(&f);
 	report(&f, 4, "big");
-	engine_need_adapter(f.e, 7, SS_LIT("big"), SS_LIT("a1"), f.now + 100,
-			    f.now);
+	engine_request_adapter(f.e, 7, SS_LIT("big"), SS_LIT("a1"), f.now + 100,
+			       f.now);
 	f.now += 101;
 	engine_tick(f.e, f.now);
 	expect(&f, "adapter 7 deadline;");
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -169,9 +169,9 @@
 		if (!strcmp(a, addr)) {
 			/* The previous connection closes. */
 			if (p->source >= 0 && p->source != i)
-				mirror_gone(at->w->m[p->source].mirror,
-					    &process_ref[at->index],
-					    at->w->now);
+				mirror_peer_closed(at->w->m[p->source].mirror,
+						   &process_ref[at->index],
+						   at->w->now);
 			p->source = i;
 		}
 		g_free(a);
@@ -351,7 +351,7 @@
 		v.change = ss_str_gs(packed);
 		v.base = before;
 	}
-	mirror_set(m->mirror, &v, w->now);
+	mirror_add_version(m->mirror, &v, w->now);
 	if (packed)
 		g_string_free(packed, TRUE);
 }
@@ -377,8 +377,8 @@
 
 	if (!x->answer) {
 		if (!m->down && !m->drops_incoming)
-			mirror_ask(m->mirror, &process_ref[x->process],
-				   &x->request, w->now);
+			mirror_request(m->mirror, &process_ref[x->process],
+				       &x->request, w->now);
 		return;
 	}
 	bytes = g_array_new(FALSE, FALSE, sizeof(struct routing_bytes));
@@ -749,13 +749,13 @@
 	g_string_set_size(change, MIRROR_CHANGES_MAX_BYTES / 3);
 	for (uint64_t i = 1; i < 10; i++) {
 		v = (struct mirror_version){ i, 1, ss_str_gs(change), i - 1 };
-		mirror_set(big, &v, w->now);
+		mirror_add_version(big, &v, w->now);
 		assert_true(mirror_bytes(big) <= MIRROR_CHANGES_MAX_BYTES);
 	}
 	g_string_set_size(change, 1);
 	for (uint64_t i = 10; i < 300; i++) {
 		v = (struct mirror_version){ i, 1, ss_str_gs(change), i - 1 };
-		mirror_set(big, &v, w->now);
+		mirror_add_version(big, &v, w->now);
 	}
 	assert_int_equal(mirror_bytes(big), MIRROR_CHANGES_MAX);
 	assert_int_equal(mirror_version(big), 299);
@@ -786,7 +786,7 @@
 	g_string_free(advance_document(w, w->m[0].document, 2), TRUE);
 	packed = advance_document(w, w->m[0].document, 3);
 	v.change = ss_str_gs(packed);
-	mirror_set(w->m[0].mirror, &v, w->now);
+	mirror_add_version(w->m[0].mirror, &v, w->now);
 	announce(w, 3);
 	assert_true(time_until_all_hold(w, 3, 1000) < 1000);
 	/* A process that holds the change's base gets the change. */
@@ -801,20 +801,20 @@
 static void services_come_without_routes(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
-	struct mirror_version v = { .version = 7, .services = 2 };
+	struct mirror_version v = { .version = 7, .services_version = 2 };
 	const struct packet *x;
 
 	(void)state;
 	g_string_free(advance_document(w, w->m[0].document, 1), TRUE);
-	mirror_set(w->m[0].mirror, &v, w->now);
-	mirror_ask(w->m[0].mirror, &process_ref[0],
-		   &(struct msg_fetch){ 0, 2, true }, w->now);
+	mirror_add_version(w->m[0].mirror, &v, w->now);
+	mirror_request(w->m[0].mirror, &process_ref[0],
+		       &(struct msg_fetch){ 0, 2, true }, w->now);
 	x = &g_array_index(w->packets, struct packet, 0);
 	assert_int_equal(x->routing.version, 2);
 	assert_int_equal(x->routing.base, 0);
 	assert_int_equal(x->changes->len, 1);
-	mirror_ask(w->m[0].mirror, &process_ref[0],
-		   &(struct msg_fetch){ 2, 2, true }, w->now);
+	mirror_request(w->m[0].mirror, &process_ref[0],
+		       &(struct msg_fetch){ 2, 2, true }, w->now);
 	assert_int_equal(w->packets->len, 1);
 	world_free(w);
 }
@@ -828,10 +828,10 @@
 	apply(w, 1);
 	/* Eighty processes that never acknowledge. */
 	for (int i = 0; i < 80; i++)
-		mirror_ask(w->m[0].mirror, &process_ref[i],
-			   &(struct msg_fetch){ 0, 1, false }, w->now);
+		mirror_request(w->m[0].mirror, &process_ref[i],
+			       &(struct msg_fetch){ 0, 1, false }, w->now);
 	for (int i = 0; i < 40; i++)
-		mirror_gone(w->m[0].mirror, &process_ref[i], w->now);
+		mirror_peer_closed(w->m[0].mirror, &process_ref[i], w->now);
 	for (int i = 80; i < 100; i++)
 		fetch_want(w->p[i].fetch, 1, w->now);
 	for (int i = 0; i < 10000 && processes_holding(w, 1) < 20; i++)
