--- a/bench/cores.c
+++ b/bench/cores.c
@@ -264,21 +264,21 @@
 		*n = (struct fleet_node){ .domain = g_strdup_printf(
 						  "domain-%zu", i % 8),
 					  .usable = true,
-					  .free = true,
+					  .accepts_step = true,
 					  .loading = -1,
 					  .slots = 32,
 					  .running = 20,
 					  .tier = tier };
-		n->places =
-			g_array_new(FALSE, FALSE, sizeof(struct fleet_place));
+		n->replicas =
+			g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
 		for (uint32_t k = 0; k < FLEET_HELD; k++) {
-			struct fleet_place p = {
+			struct fleet_replica p = {
 				.model = (uint32_t)(ss_random(&seed) %
 						    (full + others)),
 				.calls = 20 * k
 			};
 
-			g_array_append_val(n->places, p);
+			g_array_append_val(n->replicas, p);
 			v->models[p.model].calls += p.calls;
 		}
 	}
--- a/src/core/delayed_orders.c
+++ b/src/core/delayed_orders.c
@@ -73,8 +73,8 @@
 static bool is_held(const struct fleet_report *r, const struct delayed_order *o)
 {
 	for (guint i = 0; i < r->held->len; i++) {
-		const struct fleet_held *h =
-			&g_array_index(r->held, struct fleet_held, i);
+		const struct fleet_held_model *h =
+			&g_array_index(r->held, struct fleet_held_model, i);
 
 		if (strcmp(h->model, o->model))
 			continue;
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -139,12 +139,12 @@
 			    now - e->begun_ms);
 }
 
-static const struct fleet_held *find_held(const struct engine *e,
-					  const char *model)
+static const struct fleet_held_model *find_held(const struct engine *e,
+						const char *model)
 {
 	for (guint i = 0; e->report && i < e->report->held->len; i++) {
-		const struct fleet_held *h =
-			&g_array_index(e->report->held, struct fleet_held, i);
+		const struct fleet_held_model *h = &g_array_index(
+			e->report->held, struct fleet_held_model, i);
 
 		if (!strcmp(h->model, model))
 			return h;
@@ -152,7 +152,7 @@
 	return NULL;
 }
 
-static bool has_adapter(const struct fleet_held *h, const char *adapter)
+static bool has_adapter(const struct fleet_held_model *h, const char *adapter)
 {
 	return h && g_ptr_array_find_with_equal_func(h->adapters, adapter,
 						     g_str_equal, NULL);
@@ -181,7 +181,7 @@
 			   0;
 
 	for (guint i = 0; i < e->report->held->len; i++)
-		n += g_array_index(e->report->held, struct fleet_held, i)
+		n += g_array_index(e->report->held, struct fleet_held_model, i)
 			     .adapters->len;
 	return n;
 }
@@ -207,8 +207,8 @@
 	double sum = 0;
 
 	for (guint i = 0; i < e->report->held->len; i++) {
-		const struct fleet_held *h =
-			&g_array_index(e->report->held, struct fleet_held, i);
+		const struct fleet_held_model *h = &g_array_index(
+			e->report->held, struct fleet_held_model, i);
 		const struct routing_model *m =
 			routing_model(e->service, h->model);
 
@@ -363,8 +363,8 @@
 	int64_t oldest = INT64_MAX;
 
 	for (guint i = 0; i < e->report->held->len; i++) {
-		const struct fleet_held *h =
-			&g_array_index(e->report->held, struct fleet_held, i);
+		const struct fleet_held_model *h = &g_array_index(
+			e->report->held, struct fleet_held_model, i);
 
 		for (guint k = 0; k < h->adapters->len; k++) {
 			int64_t at =
@@ -397,7 +397,8 @@
 {
 	const struct adapter_request *r =
 		&g_array_index(e->requests, struct adapter_request, i);
-	const struct fleet_held *h = e->report ? find_held(e, r->model) : NULL;
+	const struct fleet_held_model *h = e->report ? find_held(e, r->model) :
+						       NULL;
 
 	if (has_adapter(h, r->adapter))
 		end_request(e, i, 0, "");
@@ -460,7 +461,7 @@
 	e->refused_fence = 0;
 	e->expected_orders = 0;
 	e->pending.prior_incarnation = e->order_pending;
-	if (fleet_other_id(&e->incarnation, &r->self))
+	if (fleet_id_differs(&e->incarnation, &r->self))
 		delayed_orders_clear(e->delayed);
 	else
 		delayed_orders_restarted(e->delayed);
@@ -479,8 +480,8 @@
 void engine_report_received(struct engine *e, const struct fleet_report *r,
 			    int64_t now)
 {
-	switch (fleet_report_judge(&e->incarnation, e->orders, r)) {
-	case FLEET_LATE:
+	switch (fleet_report_compare(&e->incarnation, e->orders, r)) {
+	case FLEET_STALE:
 		return;
 	case FLEET_RESTARTED:
 		e->report = r;
@@ -489,7 +490,7 @@
 	case FLEET_SAME:
 		break;
 	}
-	fleet_incarnation_learn(&e->incarnation, &r->self);
+	fleet_incarnation_update(&e->incarnation, &r->self);
 	e->orders = r->orders;
 	e->report = r;
 	/* The report predates the accepted order, as it may where the engine is
@@ -516,7 +517,8 @@
 {
 	struct fleet_incarnation planned = { .started_ms = s->started_ms };
 
-	return fleet_incarnation_judge(&e->incarnation, &planned) == FLEET_LATE;
+	return fleet_incarnation_compare(&e->incarnation, &planned) ==
+	       FLEET_STALE;
 }
 
 void engine_step(struct engine *e, const struct engine_step *s, int64_t now)
@@ -590,15 +592,15 @@
 
 	e->order_pending = false;
 	e->report_stale = true;
-	if (a == FLEET_ORDER_TAKEN && !e->pending.prior_incarnation) {
+	if (a == FLEET_ORDER_ACCEPTED && !e->pending.prior_incarnation) {
 		e->expected_orders = e->pending.expect + 1;
 		e->expected_until_ms = now + ENGINE_REPORT_LAG_MS;
 	}
 	switch (a) {
-	case FLEET_ORDER_TAKEN:
-	case FLEET_ORDER_HOLDS:
+	case FLEET_ORDER_ACCEPTED:
+	case FLEET_ORDER_UNCHANGED:
 		e->progress_ms = now;
-		e->load_accepted |= load && a == FLEET_ORDER_TAKEN;
+		e->load_accepted |= load && a == FLEET_ORDER_ACCEPTED;
 		break;
 	case FLEET_ORDER_FENCED:
 		/* The engine would refuse any order with this fence. */
@@ -616,7 +618,7 @@
 		record_delayed(e, now);
 		e->hold_until_ms = now + ENGINE_SETTLE_MS;
 		break;
-	case FLEET_ORDER_MISPLACED:
+	case FLEET_ORDER_MISDIRECTED:
 		e->hold_until_ms = now + ENGINE_SETTLE_MS;
 		break;
 	case FLEET_ORDER_BUSY:
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -76,18 +76,18 @@
 {
 	bool counted = n->usable || n->suspended;
 
-	for (guint i = 0; counted && i < n->places->len; i++) {
-		const struct fleet_place *p = fleet_replica_at(n, i);
+	for (guint i = 0; counted && i < n->replicas->len; i++) {
+		const struct fleet_replica *p = fleet_replica_at(n, i);
 		struct tally *t = &s->tally[p->model];
 
-		*(n->usable ? &t->serving : &t->suspended) += !p->closing;
+		*(n->usable ? &t->serving : &t->suspended) += !p->unloading;
 		s->calls += p->calls;
 	}
 	for (size_t m = 0; m < s->v->n_models; m++)
 		s->tally[m].copies += n->tier[m] != TIER_REMOTE;
 	/* An order of another leader that is still running is taken for a
 	 * load from the store: one from disk ends quickly. */
-	s->store_loads += n->engaged;
+	s->store_loads += n->foreign_order;
 	if (n->loading < 0)
 		return;
 	s->tally[n->loading].loading++;
@@ -130,11 +130,11 @@
 
 /* Cost of unloading a replica, in ms of waiting; negative if it must stay. */
 static double unload_cost(const struct pass *s, const struct fleet_node *n,
-			  const struct fleet_place *p)
+			  const struct fleet_replica *p)
 {
 	const struct fleet_model *m = &s->v->models[p->model];
 
-	if (p->closing || p->calls || m->waiting || is_pinned(s, n, p->model))
+	if (p->unloading || p->calls || m->waiting || is_pinned(s, n, p->model))
 		return -1;
 	return m->rate * UNLOAD_COST_MS /
 	       (double)MAX(s->tally[p->model].serving, 1);
@@ -166,8 +166,8 @@
 
 		if (c->step.n_victims == FLEET_VICTIMS_MAX)
 			return false;
-		for (guint i = 0; i < n->places->len; i++) {
-			const struct fleet_place *p = fleet_replica_at(n, i);
+		for (guint i = 0; i < n->replicas->len; i++) {
+			const struct fleet_replica *p = fleet_replica_at(n, i);
 			double cost = unload_cost(s, n, p);
 
 			if (cost < 0 || is_victim(&c->step, p->model) ||
@@ -189,7 +189,7 @@
 
 static bool holds_model(const struct fleet_node *n, uint32_t model)
 {
-	for (guint i = 0; i < n->places->len; i++)
+	for (guint i = 0; i < n->replicas->len; i++)
 		if (fleet_replica_at(n, i)->model == model)
 			return true;
 	return false;
@@ -253,7 +253,7 @@
 	int64_t load = fleet_load_ms(spec, tier);
 
 	memset(c, 0, sizeof(*c));
-	if (!n->free || !n->usable || n->loading >= 0 ||
+	if (!n->accepts_step || !n->usable || n->loading >= 0 ||
 	    holds_model(n, model) ||
 	    (pl->version && !fleet_has_version(n, pl->version)) ||
 	    !make_room(s, n, spec->weights_mb, c))
@@ -294,18 +294,18 @@
 	struct tally *t = &s->tally[c->step.load];
 
 	c->step.why = why;
-	n->free = false;
+	n->accepts_step = false;
 	n->loading = c->step.load;
 	t->loading++;
 	if (c->step.tier == TIER_REMOTE)
 		add_copy(s, (uint32_t)c->step.load);
 	t->ready_ms = MIN(t->ready_ms, c->step.expected_ms);
-	for (guint i = 0; i < n->places->len; i++) {
-		struct fleet_place *p = fleet_replica_at(n, i);
+	for (guint i = 0; i < n->replicas->len; i++) {
+		struct fleet_replica *p = fleet_replica_at(n, i);
 
 		if (!is_victim(&c->step, p->model))
 			continue;
-		p->closing = true;
+		p->unloading = true;
 		s->tally[p->model].serving--;
 	}
 	if (c->step.tier == TIER_REMOTE) {
@@ -350,11 +350,11 @@
 	if (!n->usable)
 		return;
 	if (n->tier[model] == TIER_REMOTE) {
-		b->free += can;
+		b->store_candidates += can;
 		return;
 	}
 	b->copies++;
-	if (!n->free || n->loading >= 0)
+	if (!n->accepts_step || n->loading >= 0)
 		b->copies_busy++;
 	else if (!can)
 		b->copies_full++;
@@ -373,14 +373,14 @@
 	*b = (struct fleet_blocked){ .waiting = need->waiting,
 				     .slack_ms = need->slack_ms,
 				     .version = need->version,
-				     .store = !store_allows(s) };
+				     .store_closed = !store_allows(s) };
 	for (size_t i = 0; i < s->v->n_nodes; i++) {
 		bool can = evaluate_node(s, &pl, i, &c);
 
 		if (!need->version ||
 		    fleet_has_version(&s->v->nodes[i], need->version))
 			count_blocked(b, &s->v->nodes[i], model, can);
-		if (!can || (c.step.tier == TIER_REMOTE && b->store) ||
+		if (!can || (c.step.tier == TIER_REMOTE && b->store_closed) ||
 		    (found && c.cost >= best.cost))
 			continue;
 		best = c;
@@ -586,7 +586,7 @@
 		count_node(&s, &v->nodes[i]);
 	count_sole_copies(&s);
 	place_needed_replicas(&s);
-	if (v->ahead)
+	if (v->preload)
 		preload_models(&s);
 	fleet_set_etas(&s);
 	g_array_unref(s.needs);
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -30,10 +30,10 @@
 };
 
 /* A replica: a model in the accelerator memory of an engine. */
-struct fleet_place {
+struct fleet_replica {
 	uint32_t model; /* index */
 	uint32_t calls; /* running, as reported by the entries */
-	bool closing;	/* about to be unloaded: gets no new calls */
+	bool unloading; /* about to be unloaded: gets no new calls */
 };
 
 /*
@@ -54,14 +54,14 @@
 	bool usable;	     /* its models can be called */
 	/* Healthy, but not usable for now: gets no new calls and no steps. */
 	bool suspended;
-	bool free;   /* accepts a step now */
-	int loading; /* index of the model; -1: none */
+	bool accepts_step; /* accepts a step now */
+	int loading;	   /* index of the model; -1: none */
 	enum ss_tier loading_tier;
 	int64_t loading_left_ms; /* expected remaining time */
 	double free_mb;		 /* free memory for weights */
 	int64_t running, slots;
-	bool engaged;	     /* runs an order that this leader didn't give */
-	GArray *places;	     /* struct fleet_place */
+	bool foreign_order;  /* runs an order that this leader didn't give */
+	GArray *replicas;    /* struct fleet_replica */
 	const uint8_t *tier; /* enum ss_tier of each model */
 };
 
@@ -85,8 +85,8 @@
 	int64_t slots;	       /* of one engine */
 	size_t store_parallel; /* loads that the store serves at full speed */
 	double store_tokens;   /* loads from the store that may begin now */
-	bool all_known;	       /* every engine has reported its copies */
-	bool ahead;	       /* preload models that have no copy */
+	bool all_reported;     /* every engine has reported its copies */
+	bool preload;	       /* preload models that have no copy */
 };
 
 /* Why a model that callers wait for can't be loaded now: counts of the usable
@@ -94,12 +94,13 @@
 struct fleet_blocked {
 	uint32_t waiting; /* callers */
 	int64_t slack_ms;
-	const char *version;  /* that the callers need; NULL: any */
-	uint32_t copies;      /* engines that have a copy */
-	uint32_t copies_busy; /* of these: can't accept a step now */
-	uint32_t copies_full; /* of these: can't unload enough */
-	uint32_t free;	      /* engines that could load it from the store */
-	bool store;	      /* the store accepts no load now */
+	const char *version;	   /* that the callers need; NULL: any */
+	uint32_t copies;	   /* engines that have a copy */
+	uint32_t copies_busy;	   /* of these: can't accept a step now */
+	uint32_t copies_full;	   /* of these: can't unload enough */
+	uint32_t store_candidates; /* engines that could load it from the store
+				    */
+	bool store_closed;	   /* the store accepts no load now */
 };
 
 struct fleet_plan_ops {
@@ -132,15 +133,15 @@
  * longer. Initialize with {0}.
  */
 struct fleet_store {
-	size_t most; /* 0: nothing learned yet */
+	size_t max_loads; /* 0: nothing learned yet */
 };
 
 /* Returns the present bound; limit is the maximum that the settings allow. */
-size_t fleet_store_most(const struct fleet_store *s, size_t limit);
+size_t fleet_store_max_loads(const struct fleet_store *s, size_t limit);
 /* Records that a load has taken took_ms so far, or until it was done. n loads
  * were running when it began, itself included; alone it takes alone_ms. */
-void fleet_store_seen(struct fleet_store *s, size_t n, int64_t took_ms,
-		      int64_t alone_ms, bool done);
+void fleet_store_observe(struct fleet_store *s, size_t n, int64_t took_ms,
+			 int64_t alone_ms, bool done);
 /* Returns the duration above which a load counts as slowed down by others. */
 int64_t fleet_store_slow_ms(int64_t alone_ms);
 
--- a/src/core/fleet_eta.c
+++ b/src/core/fleet_eta.c
@@ -20,10 +20,10 @@
 						 n->loading_left_ms :
 						 s->tally[pin->model].ready_ms);
 		}
-		for (guint k = 0; k < n->places->len; k++) {
-			const struct fleet_place *p = fleet_replica_at(n, k);
+		for (guint k = 0; k < n->replicas->len; k++) {
+			const struct fleet_replica *p = fleet_replica_at(n, k);
 
-			if (p->model != pin->model || p->closing)
+			if (p->model != pin->model || p->unloading)
 				continue;
 			t.serving++;
 			t.calls += p->calls;
@@ -41,9 +41,9 @@
 
 	for (size_t i = 0; i < s->v->n_nodes; i++) {
 		const struct fleet_node *n = &s->v->nodes[i];
-		int64_t left = n->engaged ? load_ms : n->loading_left_ms;
+		int64_t left = n->foreign_order ? load_ms : n->loading_left_ms;
 
-		if (n->engaged ||
+		if (n->foreign_order ||
 		    (n->loading >= 0 && n->loading_tier == TIER_REMOTE))
 			g_array_append_val(ends, left);
 	}
@@ -109,6 +109,6 @@
 
 		pin->eta_ms = t.serving ? 0 : t.loading ? t.ready_ms : -1;
 	}
-	if (s->v->all_known)
+	if (s->v->all_reported)
 		set_store_etas(s);
 }
--- a/src/core/fleet_int.h
+++ b/src/core/fleet_int.h
@@ -25,10 +25,10 @@
 	GArray *needs;	       /* struct replica_need, by priority */
 };
 
-static inline struct fleet_place *fleet_replica_at(const struct fleet_node *n,
-						   guint i)
+static inline struct fleet_replica *fleet_replica_at(const struct fleet_node *n,
+						     guint i)
 {
-	return &g_array_index(n->places, struct fleet_place, i);
+	return &g_array_index(n->replicas, struct fleet_replica, i);
 }
 
 /* A model that needs another replica. */
--- a/src/core/fleet_list.c
+++ b/src/core/fleet_list.c
@@ -17,7 +17,7 @@
 	l->unreadable =
 		g_array_new(FALSE, FALSE, sizeof(struct fleet_unreadable));
 	g_array_set_clear_func(l->unreadable, unreadable_clear);
-	l->whole = true;
+	l->complete = true;
 	l->torn = false;
 }
 
@@ -43,7 +43,7 @@
 	return !r || !r->version || routing_service(r, service);
 }
 
-bool fleet_service_spoiled(const struct routing *r, const char *known,
+bool fleet_service_corrupt(const struct routing *r, const char *known,
 			   const char *listed)
 {
 	return !is_routed(r, listed) && is_routed(r, known);
@@ -72,7 +72,7 @@
 	return names;
 }
 
-void fleet_list_settle(struct fleet_list *l, const struct routing *r)
+void fleet_list_drop_conflicts(struct fleet_list *l, const struct routing *r)
 {
 	GHashTable *names = routed_names(l, r);
 
@@ -102,9 +102,9 @@
 			return FLEET_UNREADABLE;
 		unattributed |= !u->id && !u->addr;
 	}
-	if (!l->whole)
-		return FLEET_UNTOLD;
-	return unattributed && unread_ms < FLEET_UNREADABLE_MS ?
+	if (!l->complete)
+		return FLEET_UNKNOWN;
+	return unattributed && unread_ms < FLEET_UNREADABLE_GRACE_MS ?
 		       FLEET_UNREADABLE :
 		       FLEET_GONE;
 }
--- a/src/core/fleet_list.h
+++ b/src/core/fleet_list.h
@@ -11,7 +11,7 @@
  * from the store that runs alone (6 s), so that no engine is given up during a
  * load.
  */
-#define FLEET_UNREADABLE_MS 18000
+#define FLEET_UNREADABLE_GRACE_MS 18000
 
 /* An entry that can't be read, so that its endpoint can't be used. */
 struct fleet_unreadable {
@@ -23,7 +23,7 @@
 	GArray *instances;  /* struct fleet_instance */
 	GArray *unreadable; /* struct fleet_unreadable */
 	/* False if pages are missing: they may list further endpoints. */
-	bool whole;
+	bool complete;
 	/* A fragment couldn't be read that may hold any number of entries. */
 	bool torn;
 };
@@ -40,16 +40,16 @@
  * same id or address and a service of the routing: that entry is the valid one.
  * Without a routing nothing is dropped.
  */
-void fleet_list_settle(struct fleet_list *l, const struct routing *r);
+void fleet_list_drop_conflicts(struct fleet_list *l, const struct routing *r);
 
 /* Whether the list moves an endpoint from a service of the routing to one that
  * isn't in the routing. Such an entry counts as corrupt and proves nothing
  * about the endpoint. */
-bool fleet_service_spoiled(const struct routing *r, const char *known,
+bool fleet_service_corrupt(const struct routing *r, const char *known,
 			   const char *listed);
 
 enum fleet_presence {
-	FLEET_UNTOLD,	  /* the list is incomplete: nothing changes */
+	FLEET_UNKNOWN,	  /* the list is incomplete: nothing changes */
 	FLEET_UNREADABLE, /* present, but its entry can't be read */
 	FLEET_GONE,
 };
--- a/src/core/fleet_measure.c
+++ b/src/core/fleet_measure.c
@@ -15,9 +15,10 @@
  * that is called every few seconds. */
 #define RATE_DECAY_MS 8000.0
 
-size_t fleet_store_most(const struct fleet_store *s, size_t limit)
+size_t fleet_store_max_loads(const struct fleet_store *s, size_t limit)
 {
-	return CLAMP(s->most ? s->most : STORE_INITIAL_LOADS, 1, MAX(limit, 1));
+	return CLAMP(s->max_loads ? s->max_loads : STORE_INITIAL_LOADS, 1,
+		     MAX(limit, 1));
 }
 
 int64_t fleet_pause_ms(int64_t took_ms, int64_t ratio, int64_t min_ms,
@@ -31,19 +32,19 @@
 	return (int64_t)((double)alone_ms * STORE_SLOW_FACTOR);
 }
 
-void fleet_store_seen(struct fleet_store *s, size_t n, int64_t took_ms,
-		      int64_t alone_ms, bool done)
+void fleet_store_observe(struct fleet_store *s, size_t n, int64_t took_ms,
+			 int64_t alone_ms, bool done)
 {
-	size_t max = s->most ? s->most : STORE_INITIAL_LOADS;
+	size_t max = s->max_loads ? s->max_loads : STORE_INITIAL_LOADS;
 
 	if (took_ms > fleet_store_slow_ms(alone_ms)) {
 		double parallel =
 			done ? (double)n * (double)alone_ms / (double)took_ms :
 			       (double)n - 1;
 
-		s->most = MAX(MIN(max, (size_t)(parallel + 0.5)), 1);
+		s->max_loads = MAX(MIN(max, (size_t)(parallel + 0.5)), 1);
 	} else if (done && n >= max) {
-		s->most = max * 2;
+		s->max_loads = max * 2;
 	}
 }
 
--- a/src/core/fleet_types.c
+++ b/src/core/fleet_types.c
@@ -11,8 +11,8 @@
 	return i->version ? i->version : "";
 }
 
-bool fleet_other_id(const struct fleet_incarnation *known,
-		    const struct fleet_incarnation *reported)
+bool fleet_id_differs(const struct fleet_incarnation *known,
+		      const struct fleet_incarnation *reported)
 {
 	return is_set(known->id) && is_set(reported->id) &&
 	       strcmp(known->id, reported->id) != 0;
@@ -25,11 +25,11 @@
 	       strcmp(known->version, reported->version) != 0;
 }
 
-enum fleet_told
-fleet_incarnation_judge(const struct fleet_incarnation *known,
-			const struct fleet_incarnation *reported)
+enum fleet_relation
+fleet_incarnation_compare(const struct fleet_incarnation *known,
+			  const struct fleet_incarnation *reported)
 {
-	if (fleet_other_id(known, reported))
+	if (fleet_id_differs(known, reported))
 		return FLEET_RESTARTED;
 	if (known->started_ms && known->started_ms == reported->started_ms)
 		return FLEET_SAME;
@@ -37,13 +37,13 @@
 		return version_differs(known, reported) ? FLEET_RESTARTED :
 							  FLEET_SAME;
 	return reported->started_ms > known->started_ms ? FLEET_RESTARTED :
-							  FLEET_LATE;
+							  FLEET_STALE;
 }
 
-void fleet_incarnation_learn(struct fleet_incarnation *known,
-			     const struct fleet_incarnation *reported)
+void fleet_incarnation_update(struct fleet_incarnation *known,
+			      const struct fleet_incarnation *reported)
 {
-	bool other_id = fleet_other_id(known, reported);
+	bool other_id = fleet_id_differs(known, reported);
 	bool later = known->started_ms &&
 		     reported->started_ms > known->started_ms;
 	bool stale = !other_id && reported->started_ms < known->started_ms &&
@@ -100,7 +100,7 @@
 {
 	struct fleet_incarnation *copy = g_new0(struct fleet_incarnation, 1);
 
-	fleet_incarnation_learn(copy, i);
+	fleet_incarnation_update(copy, i);
 	return copy;
 }
 
@@ -110,7 +110,8 @@
 	g_free(incarnation);
 }
 
-struct fleet_incarnation fleet_instance_self(const struct fleet_instance *i)
+struct fleet_incarnation
+fleet_instance_incarnation(const struct fleet_instance *i)
 {
 	return (struct fleet_incarnation){ i->id, i->started_ms, i->version };
 }
@@ -132,15 +133,16 @@
 	return by_addr;
 }
 
-enum fleet_told fleet_report_judge(const struct fleet_incarnation *known,
-				   uint64_t orders,
-				   const struct fleet_report *r)
+enum fleet_relation fleet_report_compare(const struct fleet_incarnation *known,
+					 uint64_t orders,
+					 const struct fleet_report *r)
 {
-	enum fleet_told relation = fleet_incarnation_judge(known, &r->self);
+	enum fleet_relation relation =
+		fleet_incarnation_compare(known, &r->self);
 
 	if (relation != FLEET_SAME || r->orders >= orders)
 		return relation;
-	return known->started_ms && r->self.started_ms ? FLEET_LATE :
+	return known->started_ms && r->self.started_ms ? FLEET_STALE :
 							 FLEET_RESTARTED;
 }
 
@@ -148,8 +150,8 @@
 {
 	fleet_incarnation_clear(&r->self);
 	for (guint i = 0; r->held && i < r->held->len; i++) {
-		struct fleet_held *h =
-			&g_array_index(r->held, struct fleet_held, i);
+		struct fleet_held_model *h =
+			&g_array_index(r->held, struct fleet_held_model, i);
 
 		g_free(h->model);
 		names_unref(h->adapters);
@@ -177,10 +179,10 @@
 	if (!a || !b || a->len != b->len)
 		return false;
 	for (guint i = 0; i < a->len; i++) {
-		const struct fleet_held *x =
-			&g_array_index(a, struct fleet_held, i);
-		const struct fleet_held *y =
-			&g_array_index(b, struct fleet_held, i);
+		const struct fleet_held_model *x =
+			&g_array_index(a, struct fleet_held_model, i);
+		const struct fleet_held_model *y =
+			&g_array_index(b, struct fleet_held_model, i);
 
 		if (strcmp(x->model, y->model) ||
 		    (adapters && !fleet_same_names(x->adapters, y->adapters)))
--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -18,10 +18,10 @@
 };
 
 /* Relation of a reported incarnation to the one known at that address. */
-enum fleet_told {
+enum fleet_relation {
 	FLEET_SAME,	 /* the known incarnation */
 	FLEET_RESTARTED, /* a later one: invalidates all that is known */
-	FLEET_LATE,	 /* an earlier one: changes nothing that is known */
+	FLEET_STALE,	 /* an earlier one: changes nothing that is known */
 };
 
 /*
@@ -32,21 +32,21 @@
  * A part that isn't reported proves nothing: a message without a start is
  * compared by its other parts, and leaves the known start as it is.
  */
-enum fleet_told
-fleet_incarnation_judge(const struct fleet_incarnation *known,
-			const struct fleet_incarnation *reported);
+enum fleet_relation
+fleet_incarnation_compare(const struct fleet_incarnation *known,
+			  const struct fleet_incarnation *reported);
 /* Returns the version; an empty string if it isn't known. */
 const char *fleet_version(const struct fleet_incarnation *i);
 /* Whether both ids are known and differ. */
-bool fleet_other_id(const struct fleet_incarnation *known,
-		    const struct fleet_incarnation *reported);
+bool fleet_id_differs(const struct fleet_incarnation *known,
+		      const struct fleet_incarnation *reported);
 /*
  * Updates the known incarnation with the reported one. An id that isn't known
  * yet is accepted from any report, also a stale one; the start only grows,
  * unless the id differs.
  */
-void fleet_incarnation_learn(struct fleet_incarnation *known,
-			     const struct fleet_incarnation *reported);
+void fleet_incarnation_update(struct fleet_incarnation *known,
+			      const struct fleet_incarnation *reported);
 void fleet_incarnation_clear(struct fleet_incarnation *i);
 struct fleet_incarnation *
 fleet_incarnation_dup(const struct fleet_incarnation *i);
@@ -61,13 +61,14 @@
 	char *addr;
 	char *domain;
 	int64_t slots;
-	bool leaving;
+	bool draining;
 	GPtrArray *models; /* char *, held in accelerator memory */
 };
 
 void fleet_instance_clear(void *instance);
 /* Returns the incarnation of an instance; its strings are borrowed. */
-struct fleet_incarnation fleet_instance_self(const struct fleet_instance *i);
+struct fleet_incarnation
+fleet_instance_incarnation(const struct fleet_instance *i);
 /*
  * Returns one instance for each address: addr -> const struct fleet_instance,
  * borrowed from the list. An endpoint that crashed stays listed for some
@@ -77,7 +78,7 @@
 GHashTable *fleet_instances_by_addr(const GArray *instances);
 
 /* A model in an engine's accelerator memory. */
-struct fleet_held {
+struct fleet_held_model {
 	char *model;
 	int64_t version;
 	GPtrArray *adapters; /* char * */
@@ -91,9 +92,9 @@
 	uint64_t orders; /* accepted since its start */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
-	bool leaving;
+	bool draining;
 	int64_t remaining_ms;	     /* until it is removed; -1: not reported */
-	GArray *held;		     /* struct fleet_held */
+	GArray *held;		     /* struct fleet_held_model */
 	GPtrArray *loading_adapters; /* char *, "model/adapter" */
 	GPtrArray *in_memory;	     /* char *, copies of weights */
 	GPtrArray *on_disk;	     /* char * */
@@ -106,14 +107,14 @@
  * count only grows within one incarnation: a lower one is an older report if
  * both have the same start, and a restart if a start isn't reported.
  */
-enum fleet_told fleet_report_judge(const struct fleet_incarnation *known,
-				   uint64_t orders,
-				   const struct fleet_report *r);
+enum fleet_relation fleet_report_compare(const struct fleet_incarnation *known,
+					 uint64_t orders,
+					 const struct fleet_report *r);
 
 /* Whether two lists have the same names (char *) in the same order; false if a
  * list is NULL. The two functions below compare lists likewise. */
 bool fleet_same_names(const GPtrArray *a, const GPtrArray *b);
-/* Compares models and adapters (struct fleet_held). */
+/* Compares models and adapters (struct fleet_held_model). */
 bool fleet_same_held(const GArray *a, const GArray *b);
 /* Compares models without their adapters. */
 bool fleet_same_models(const GArray *a, const GArray *b);
@@ -128,11 +129,11 @@
 };
 
 enum fleet_order_answer {
-	FLEET_ORDER_TAKEN,     /* accepted and being carried out */
-	FLEET_ORDER_HOLDS,     /* nothing to do: already in this state */
-	FLEET_ORDER_BUSY,      /* another order runs, or expect is outdated */
-	FLEET_ORDER_FENCED,    /* the engine has seen a higher fence */
-	FLEET_ORDER_MISPLACED, /* another incarnation answered */
+	FLEET_ORDER_ACCEPTED,	 /* accepted and being carried out */
+	FLEET_ORDER_UNCHANGED,	 /* nothing to do: already in this state */
+	FLEET_ORDER_BUSY,	 /* another order runs, or expect is outdated */
+	FLEET_ORDER_FENCED,	 /* the engine has seen a higher fence */
+	FLEET_ORDER_MISDIRECTED, /* another incarnation answered */
 	FLEET_ORDER_INVALID,
 	FLEET_ORDER_UNKNOWN, /* no clear answer: it may still be accepted */
 };
--- a/src/core/fleet_wire.c
+++ b/src/core/fleet_wire.c
@@ -13,7 +13,8 @@
 	return out;
 }
 
-void fleet_wire_held(GArray *held, GPtrArray *lists, const struct fleet_held *x)
+void fleet_wire_add_held(GArray *held, GPtrArray *lists,
+			 const struct fleet_held_model *x)
 {
 	GArray *names = fleet_wire_names(x->adapters);
 	struct held_model h = { .model = ss_str(x->model),
@@ -41,18 +42,18 @@
 	r->self.started_ms = m->started_ms;
 	r->self.id = m->id.n ? ss_str_dup(m->id) : NULL;
 	r->busy = m->busy;
-	r->leaving = m->leaving;
+	r->draining = m->leaving;
 	r->remaining_ms = m->remaining_ms;
 	r->orders = m->orders;
 	r->running = m->running;
 	r->waiting = m->waiting;
 	r->tokens_used = m->tokens_used;
 	r->tokens_total = m->tokens_total;
-	r->held = g_array_new(FALSE, TRUE, sizeof(struct fleet_held));
+	r->held = g_array_new(FALSE, TRUE, sizeof(struct fleet_held_model));
 	for (size_t i = 0; i < m->held.n; i++) {
-		struct fleet_held x = { .model = ss_str_dup(h[i].model),
-					.adapters =
-						read_names(&h[i].adapters) };
+		struct fleet_held_model x = { .model = ss_str_dup(h[i].model),
+					      .adapters = read_names(
+						      &h[i].adapters) };
 
 		g_array_append_val(r->held, x);
 	}
--- a/src/core/fleet_wire.h
+++ b/src/core/fleet_wire.h
@@ -12,8 +12,8 @@
 
 /* Appends x to held (struct held_model). The item borrows its strings from x
  * and its adapter list from a GArray that is added to lists. */
-void fleet_wire_held(GArray *held, GPtrArray *lists,
-		     const struct fleet_held *x);
+void fleet_wire_add_held(GArray *held, GPtrArray *lists,
+			 const struct fleet_held_model *x);
 
 /* Copies an agent's report into r; free it with fleet_report_clear(). */
 void fleet_report_read(struct fleet_report *r, const struct msg_endpoint *m);
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -26,8 +26,8 @@
 	return o->name && now - o->renewed_ms < o->lease_ms;
 }
 
-enum owner_claim owner_hear(struct owner *o, const char *name, bool remote,
-			    int64_t now)
+enum owner_claim owner_acquire(struct owner *o, const char *name, bool remote,
+			       int64_t now)
 {
 	if (is_owner(o, name, remote)) {
 		if (!o->recalled)
@@ -38,14 +38,14 @@
 	 * recalled, and keeps the ownership until its lease ends. */
 	o->recalled |= !remote && o->remote;
 	if (owner_is_leased(o, now))
-		return OWNER_WAITS;
-	o->turn += o->name != NULL;
+		return OWNER_DENIED;
+	o->generation += o->name != NULL;
 	g_free(o->name);
 	o->name = g_strdup(name);
 	o->remote = remote;
 	o->recalled = false;
 	o->renewed_ms = now;
-	return OWNER_TAKES;
+	return OWNER_ACQUIRED;
 }
 
 bool owner_is_missing(const struct owner *o, int64_t now)
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -33,13 +33,13 @@
 	int64_t renewed_ms; /* last renewal of the lease */
 	int64_t known_ms;   /* when this leader first knew the engine */
 	int64_t lease_ms;
-	uint64_t turn; /* number of previous owners under this leader */
+	uint64_t generation; /* number of previous owners under this leader */
 };
 
 enum owner_claim {
-	OWNER_SAME,  /* the agent is the owner already */
-	OWNER_TAKES, /* the agent is the new owner, with a new fence */
-	OWNER_WAITS, /* the lease of another owner hasn't ended */
+	OWNER_SAME,	/* the agent is the owner already */
+	OWNER_ACQUIRED, /* the agent is the new owner, with a new fence */
+	OWNER_DENIED,	/* the lease of another owner hasn't ended */
 };
 
 /* engine_ms: how long the engine holds to one owner. */
@@ -48,8 +48,8 @@
 
 /* Claims the ownership, or renews the lease, for an agent that reports on the
  * engine. */
-enum owner_claim owner_hear(struct owner *o, const char *name, bool remote,
-			    int64_t now);
+enum owner_claim owner_acquire(struct owner *o, const char *name, bool remote,
+			       int64_t now);
 /* Whether orders of the owner may still be in transit. */
 bool owner_is_leased(const struct owner *o, int64_t now);
 /* Whether a control VM has to run the agent, as the one on the engine's VM has
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -123,7 +123,7 @@
 		.remote = a->o.remote,
 		.reachable = a->reachable,
 		.busy = r->busy,
-		.leaving = r->leaving,
+		.leaving = r->draining,
 		.remaining_ms = MAX(r->remaining_ms, 0),
 		.orders = r->orders,
 		.running = r->running,
@@ -137,8 +137,9 @@
 	};
 
 	for (guint i = 0; r->held && i < r->held->len; i++)
-		fleet_wire_held(held, lists,
-				&g_array_index(r->held, struct fleet_held, i));
+		fleet_wire_add_held(held, lists,
+				    &g_array_index(r->held,
+						   struct fleet_held_model, i));
 	m.held = (struct wire_list){ held->data, held->len };
 	if (link_send(a->link, MSG_ENDPOINT, &m)) {
 		a->told_ms = now_ms(a);
@@ -163,7 +164,7 @@
 static bool same_holdings(const struct fleet_report *x,
 			  const struct fleet_report *y)
 {
-	return x->busy == y->busy && x->leaving == y->leaving &&
+	return x->busy == y->busy && x->draining == y->draining &&
 	       fleet_same_names(x->in_memory, y->in_memory) &&
 	       fleet_same_names(x->on_disk, y->on_disk) &&
 	       fleet_same_held(x->held, y->held);
@@ -183,7 +184,7 @@
 
 	a->report = g_memdup2(new, sizeof(*new));
 	a->report->self.id = g_strdup(a->self.id);
-	a->report->leaving |= a->says_leaving;
+	a->report->draining |= a->says_leaving;
 	a->news |= !a->reachable || !old || !same_holdings(old, a->report);
 	a->load_news |= old && (old->running != new->running ||
 				old->waiting != new->waiting);
@@ -268,9 +269,9 @@
 static bool is_current(struct engine_agent *a, const struct fleet_report *r)
 {
 	uint64_t orders = a->report ? a->report->orders : 0;
-	enum fleet_told told = fleet_report_judge(&a->self, orders, r);
+	enum fleet_relation told = fleet_report_compare(&a->self, orders, r);
 
-	if (told == FLEET_LATE) {
+	if (told == FLEET_STALE) {
 		log_info("report_late",
 			 "started=%" PRId64 " known=%" PRId64 " orders=%" PRIu64
 			 " known_orders=%" PRIu64,
@@ -288,7 +289,7 @@
 		a->news = true;
 		g_clear_pointer(&a->self.id, g_free);
 	}
-	fleet_incarnation_learn(&a->self, &r->self);
+	fleet_incarnation_update(&a->self, &r->self);
 	return true;
 }
 
@@ -346,11 +347,11 @@
 	enum fleet_order_answer answer = users_platform.order_answer(r->status);
 
 	hear(a, r);
-	if (answer != FLEET_ORDER_TAKEN && answer != FLEET_ORDER_HOLDS)
+	if (answer != FLEET_ORDER_ACCEPTED && answer != FLEET_ORDER_UNCHANGED)
 		log_info("order_answer", "endpoint=%s status=%d", a->addr,
 			 r->status);
 	engine_order_answered(a->engine, answer, now_ms(a));
-	if (answer == FLEET_ORDER_MISPLACED)
+	if (answer == FLEET_ORDER_MISDIRECTED)
 		forget_instance(a);
 	/* What it did shows at once, and the next order waits for that. */
 	if (!a->reading)
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -259,8 +259,8 @@
 void fleet_take_list(struct fleet_lead *l, struct fleet_list *all);
 /* An endpoint's start was told of: what of a former one no longer holds is
  * forgotten. */
-enum fleet_told fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-			       const struct fleet_incarnation *told);
+enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
+				   const struct fleet_incarnation *told);
 
 /* fleet_unread.c */
 /* Its entry can't be read; is read; none of the entries names it. */
--- a/src/daemon/fleet_listed.c
+++ b/src/daemon/fleet_listed.c
@@ -40,10 +40,10 @@
  * Whose word it is. The list tells a new id long after the agent told the new
  * start: what has come since of that start holds, only the id is news.
  */
-enum fleet_told fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-			       const struct fleet_incarnation *told)
+enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
+				   const struct fleet_incarnation *told)
 {
-	enum fleet_told how = fleet_incarnation_judge(&ep->self, told);
+	enum fleet_relation how = fleet_incarnation_compare(&ep->self, told);
 
 	if (how == FLEET_RESTARTED) {
 		forget_words(ep);
@@ -52,7 +52,7 @@
 	if (how == FLEET_RESTARTED && ep->self.started_ms && told->started_ms &&
 	    ep->self.started_ms != told->started_ms)
 		forget_former(l, ep, told->started_ms);
-	fleet_incarnation_learn(&ep->self, told);
+	fleet_incarnation_update(&ep->self, told);
 	return how;
 }
 
@@ -67,7 +67,7 @@
 			const struct fleet_incarnation *listed)
 {
 	return ep->conn && fleet_ep_reported(l, ep) &&
-	       fleet_other_id(&ep->report.self, listed);
+	       fleet_id_differs(&ep->report.self, listed);
 }
 
 /*
@@ -79,25 +79,25 @@
 {
 	static const GPtrArray none;
 	struct fleet_ep *ep = fleet_ep_for(l, i->addr);
-	struct fleet_incarnation told = fleet_instance_self(i);
+	struct fleet_incarnation told = fleet_instance_incarnation(i);
 	bool first = !*ep->self.id;
 	bool late, leaving, news;
-	enum fleet_told how;
+	enum fleet_relation how;
 	const GPtrArray *models;
 	char *version = g_strdup(ep->self.version);
 
 	if (ep->listed &&
-	    fleet_incarnation_judge(&ep->self, &told) == FLEET_SAME &&
-	    fleet_service_spoiled(l->routing, ep->service, i->service)) {
+	    fleet_incarnation_compare(&ep->self, &told) == FLEET_SAME &&
+	    fleet_service_corrupt(l->routing, ep->service, i->service)) {
 		fleet_ep_unreadable(l, ep, now);
 		g_free(version);
 		return;
 	}
 	fleet_ep_readable(l, ep, now);
-	how = is_outdated(l, ep, &told) ? FLEET_LATE :
+	how = is_outdated(l, ep, &told) ? FLEET_STALE :
 					  fleet_ep_learn(l, ep, &told);
-	late = how == FLEET_LATE;
-	leaving = i->leaving && !late;
+	late = how == FLEET_STALE;
+	leaving = i->draining && !late;
 	models = late ? &none : i->models;
 	news = first || how == FLEET_RESTARTED ||
 	       strcmp(ep->service, i->service) || !ep->listed ||
@@ -132,7 +132,7 @@
 	GHashTableIter it;
 	void *p;
 
-	fleet_list_settle(all, l->routing);
+	fleet_list_drop_conflicts(all, l->routing);
 	by_addr = fleet_instances_by_addr(all->instances);
 	g_hash_table_iter_init(&it, by_addr);
 	while (g_hash_table_iter_next(&it, NULL, &p))
@@ -151,5 +151,5 @@
 			g_hash_table_iter_remove(&it);
 	}
 	/* What is missing from a list in parts would pass for gone. */
-	l->list_seen |= all->whole || now - l->since_ms > LIST_PARTS_MS;
+	l->list_seen |= all->complete || now - l->since_ms > LIST_PARTS_MS;
 }
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -34,11 +34,11 @@
 		return;
 	}
 	for (guint i = 0; i < ep->report.held->len; i++) {
-		const struct fleet_held *x =
-			&g_array_index(ep->report.held, struct fleet_held, i);
+		const struct fleet_held_model *x = &g_array_index(
+			ep->report.held, struct fleet_held_model, i);
 
 		if (!fleet_step_closes(ep, x->model))
-			fleet_wire_held(held, lists, x);
+			fleet_wire_add_held(held, lists, x);
 	}
 }
 
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -16,15 +16,15 @@
 {
 	char *name = ss_str_dup(conn_peer(c)->name);
 	enum owner_claim claim =
-		owner_hear(&ep->owner, name, remote, fleet_lead_now(l));
+		owner_acquire(&ep->owner, name, remote, fleet_lead_now(l));
 	struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 
-	if (claim == OWNER_TAKES)
+	if (claim == OWNER_ACQUIRED)
 		log_info("engine_owner",
 			 "endpoint=%s name=%s remote=%d fence=%" PRIu64,
 			 ep->addr, name, remote, fleet_ep_fence(l, ep));
 	g_free(name);
-	if (claim == OWNER_WAITS)
+	if (claim == OWNER_DENIED)
 		return false;
 	if (ep->conn == c)
 		return true;
@@ -40,7 +40,7 @@
 	char *addr = ss_str_dup(m->addr);
 	struct fleet_ep *ep = fleet_ep_for(l, addr);
 	struct fleet_report r;
-	enum fleet_told how;
+	enum fleet_relation how;
 
 	g_free(addr);
 	if (!owns(l, ep, c, m->remote))
@@ -57,12 +57,12 @@
 	ep->down = false;
 	fleet_report_read(&r, m);
 	how = fleet_ep_learn(l, ep, &r.self);
-	if (how == FLEET_LATE) {
+	if (how == FLEET_STALE) {
 		fleet_report_clear(&r);
 		return;
 	}
 	if (how == FLEET_RESTARTED || !ep->reported ||
-	    ep->report.leaving != r.leaving || ep->report.busy != r.busy ||
+	    ep->report.draining != r.draining || ep->report.busy != r.busy ||
 	    !fleet_same_models(ep->report.held, r.held))
 		ep->changed = l->urgent = true;
 	ep->adapters_changed |= !fleet_same_held(ep->report.held, r.held);
@@ -108,7 +108,7 @@
 {
 	struct fleet_incarnation told = { .started_ms = started_ms };
 
-	return fleet_incarnation_judge(&ep->self, &told) == FLEET_LATE;
+	return fleet_incarnation_compare(&ep->self, &told) == FLEET_STALE;
 }
 
 static void take_calls(struct fleet_lead *l, struct fleet_peer *p,
@@ -197,7 +197,7 @@
 		};
 
 		if (ep &&
-		    fleet_incarnation_judge(&ep->self, &told) == FLEET_SAME)
+		    fleet_incarnation_compare(&ep->self, &told) == FLEET_SAME)
 			take_word(l, ep, &w[i]);
 		g_free(addr);
 		g_free(id);
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -146,21 +146,21 @@
 
 	n->free_mb = w->service->weights_mb - adapters_mb(w->service);
 	for (guint i = 0; held && i < held->len; i++) {
-		const struct fleet_held *h =
-			&g_array_index(held, struct fleet_held, i);
-		struct fleet_place p = { 0 };
+		const struct fleet_held_model *h =
+			&g_array_index(held, struct fleet_held_model, i);
+		struct fleet_replica p = { 0 };
 		int m = model_index(w, h->model);
 
 		if (m < 0)
 			continue;
 		p.model = (uint32_t)m;
 		p.calls = fleet_ep_calls(ep, h->model);
-		p.closing = fleet_step_closes(ep, h->model);
+		p.unloading = fleet_step_closes(ep, h->model);
 		g_array_index(w->models, struct fleet_model, m).calls +=
 			p.calls;
 		n->free_mb -= g_array_index(w->models, struct fleet_model, m)
 				      .spec->weights_mb;
-		g_array_append_val(n->places, p);
+		g_array_append_val(n->replicas, p);
 	}
 }
 
@@ -213,9 +213,9 @@
 					   ep->report.waiting };
 	uint8_t *tiers = g_new0(uint8_t, w->models->len + 1);
 
-	n.places = g_array_new(FALSE, FALSE, sizeof(struct fleet_place));
-	n.engaged = is_engaged(w->l, ep);
-	n.free = can_take_step(w->l, ep, w->now);
+	n.replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
+	n.foreign_order = is_engaged(w->l, ep);
+	n.accepts_step = can_take_step(w->l, ep, w->now);
 	n.tier = tiers;
 	if (ep->reported)
 		add_places(w, ep, &n);
@@ -294,7 +294,7 @@
 		 " copies=%u busy=%u full=%u others=%u store_closed=%d",
 		 want->model, b->version ? b->version : "-", b->waiting,
 		 b->slack_ms, b->copies, b->copies_busy, b->copies_full,
-		 b->free, b->store);
+		 b->store_candidates, b->store_closed);
 }
 
 static const struct fleet_plan_ops plan_table = { begin_step, on_blocked };
@@ -329,7 +329,7 @@
 
 static void node_clear(void *p)
 {
-	g_array_unref(((struct fleet_node *)p)->places);
+	g_array_unref(((struct fleet_node *)p)->replicas);
 }
 
 /* Every engine that the list shows has been heard of. */
@@ -389,11 +389,11 @@
 		.nodes = (struct fleet_node *)w.nodes->data,
 		.n_nodes = w.nodes->len,
 		.slots = service->slots,
-		.store_parallel = fleet_store_most(
+		.store_parallel = fleet_store_max_loads(
 			&l->store, (size_t)l->preset.store_parallel),
 		.store_tokens = l->store_tokens,
-		.all_known = all_reported(l),
-		.ahead = may_go_ahead(l, now),
+		.all_reported = all_reported(l),
+		.preload = may_go_ahead(l, now),
 	};
 	fleet_plan(&w.v, &plan_table, &w);
 	l->store_tokens = w.v.store_tokens;
@@ -524,19 +524,19 @@
 			int64_t took_ms, bool done)
 {
 	int64_t alone = s->plan.expected_ms;
-	size_t before = l->store.most;
+	size_t before = l->store.max_loads;
 
 	if (!s->sent || s->plan.tier != TIER_REMOTE || s->slow ||
 	    (!done && took_ms <= fleet_store_slow_ms(alone)))
 		return;
 	s->slow = !done;
-	fleet_store_seen(&l->store, s->beside, took_ms, alone, done);
-	if (l->store.most != before)
+	fleet_store_observe(&l->store, s->beside, took_ms, alone, done);
+	if (l->store.max_loads != before)
 		log_info("store_speed",
 			 "at_once=%zu step=%" PRIu64 " beside=%zu ms=%" PRId64
 			 " alone_ms=%" PRId64 " done=%d",
-			 l->store.most, s->number, s->beside, took_ms, alone,
-			 done);
+			 l->store.max_loads, s->number, s->beside, took_ms,
+			 alone, done);
 }
 
 static void send_step(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -55,7 +55,7 @@
 
 uint64_t fleet_ep_fence(const struct fleet_lead *l, const struct fleet_ep *ep)
 {
-	return l->fence << OWNER_BITS | (ep->owner.turn & OWNER_MASK);
+	return l->fence << OWNER_BITS | (ep->owner.generation & OWNER_MASK);
 }
 
 void fleet_want_free(void *p)
@@ -220,7 +220,7 @@
 bool fleet_ep_ends(const struct fleet_lead *l, const struct fleet_ep *ep)
 {
 	return ep->leaving_listed || ep->says_leaving ||
-	       (fleet_ep_reported(l, ep) && ep->report.leaving);
+	       (fleet_ep_reported(l, ep) && ep->report.draining);
 }
 
 /* Nothing but its entry may say that it gets no new work. */
--- a/src/daemon/fleet_unread.c
+++ b/src/daemon/fleet_unread.c
@@ -46,7 +46,7 @@
 	int64_t unread_ms = alive ? 0 : now - ep->unread_ms;
 
 	switch (fleet_list_presence(all, ep->self.id, ep->addr, unread_ms)) {
-	case FLEET_UNTOLD:
+	case FLEET_UNKNOWN:
 		return;
 	case FLEET_UNREADABLE:
 		fleet_ep_unreadable(l, ep, now);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -26,7 +26,7 @@
 static bool was_tried(const struct forward *f, const struct gate_ep *ep)
 {
 	for (guint i = 0; i < f->tried->len; i++)
-		if (fleet_incarnation_judge(f->tried->pdata[i], &ep->self) ==
+		if (fleet_incarnation_compare(f->tried->pdata[i], &ep->self) ==
 		    FLEET_SAME)
 			return true;
 	return false;
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -117,11 +117,12 @@
 	upstream_forget(g->upstream, ep->addr);
 }
 
-static enum fleet_told
+static enum fleet_relation
 update_incarnation(struct gate *g, struct gate_ep *ep,
 		   const struct fleet_incarnation *reported)
 {
-	enum fleet_told how = fleet_incarnation_judge(&ep->self, reported);
+	enum fleet_relation how =
+		fleet_incarnation_compare(&ep->self, reported);
 
 	go_on_seen(g, ep);
 	if (how == FLEET_RESTARTED) {
@@ -133,7 +134,7 @@
 			 ep->self.started_ms, fleet_version(&ep->self));
 		reset_incarnation(g, ep);
 	}
-	fleet_incarnation_learn(&ep->self, reported);
+	fleet_incarnation_update(&ep->self, reported);
 	go_on_named(g, ep);
 	return how;
 }
@@ -191,7 +192,7 @@
 	struct gate_ep *ep = get_or_add_ep(g, e->addr);
 	char *id = ss_str_dup(e->id), *version = ss_str_dup(e->version);
 	struct fleet_incarnation reported = { id, e->started_ms, version };
-	enum fleet_told how = update_incarnation(g, ep, &reported);
+	enum fleet_relation how = update_incarnation(g, ep, &reported);
 
 	g_free(id);
 	g_free(version);
@@ -202,7 +203,7 @@
 	ep->known = !e->gone;
 	if (!ep->known)
 		upstream_forget(g->upstream, ep->addr);
-	if (how == FLEET_LATE)
+	if (how == FLEET_STALE)
 		return;
 	ep->leaving = e->leaving;
 	ep->ending = e->ending;
@@ -330,11 +331,12 @@
 static void take_instance(struct gate *g, struct gate_ep *ep,
 			  const struct fleet_instance *x)
 {
-	struct fleet_incarnation reported = fleet_instance_self(x);
-	enum fleet_told how = fleet_incarnation_judge(&ep->self, &reported);
+	struct fleet_incarnation reported = fleet_instance_incarnation(x);
+	enum fleet_relation how =
+		fleet_incarnation_compare(&ep->self, &reported);
 
 	if (ep->known && how == FLEET_SAME &&
-	    fleet_service_spoiled(g->routing, ep->service, x->service)) {
+	    fleet_service_corrupt(g->routing, ep->service, x->service)) {
 		suspend(g, ep);
 		return;
 	}
@@ -344,9 +346,9 @@
 	ep->slots = x->slots;
 	ep->known = true;
 	ep->unread_ms = 0;
-	if (how == FLEET_LATE)
+	if (how == FLEET_STALE)
 		return;
-	ep->leaving = ep->ending = x->leaving;
+	ep->leaving = ep->ending = x->draining;
 	/* Models that an agent reported are newer than the list. */
 	if (g_hash_table_size(ep->held))
 		return;
@@ -361,7 +363,7 @@
 	int64_t unread_ms = ep->unread_ms ? gate_now(g) - ep->unread_ms : 0;
 
 	switch (fleet_list_presence(list, ep->self.id, ep->addr, unread_ms)) {
-	case FLEET_UNTOLD:
+	case FLEET_UNKNOWN:
 		break;
 	case FLEET_UNREADABLE:
 		suspend(g, ep);
@@ -380,7 +382,7 @@
 	GHashTableIter it;
 	void *p;
 
-	fleet_list_settle(list, g->routing);
+	fleet_list_drop_conflicts(list, g->routing);
 	by_addr = fleet_instances_by_addr(list->instances);
 	g_hash_table_iter_init(&it, by_addr);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
@@ -399,7 +401,7 @@
 	g_hash_table_unref(seen);
 	drop_unlisted(g);
 	/* The endpoints of an incomplete list can be called, too. */
-	if (list->whole || list->instances->len)
+	if (list->complete || list->instances->len)
 		mark_fleet_known(g, "list");
 	gate_pump(g, NULL);
 }
--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -67,13 +67,13 @@
 	int64_t now = ss_clock_now(&v->clock);
 
 	*v->n_unreadable += u->len;
-	*v->n_incomplete += !v->list.whole;
-	if ((!u->len && v->list.whole) ||
+	*v->n_incomplete += !v->list.complete;
+	if ((!u->len && v->list.complete) ||
 	    (v->logged_ms && now - v->logged_ms < UNREADABLE_LOG_INTERVAL_MS))
 		return;
 	v->logged_ms = now;
 	log_warn("list_unreadable", "addr=%s entries=%u readable=%u whole=%d",
-		 v->addr, u->len, v->list.instances->len, v->list.whole);
+		 v->addr, u->len, v->list.instances->len, v->list.complete);
 	for (guint i = 0; i < MIN(u->len, UNREADABLE_LOG_ENTRIES_MAX); i++) {
 		const struct fleet_unreadable *x =
 			&g_array_index(u, struct fleet_unreadable, i);
@@ -99,7 +99,7 @@
 		request_page(v);
 		return;
 	}
-	v->list.whole &= !next;
+	v->list.complete &= !next;
 	g_free(next);
 	if (v->failed)
 		log_info("list_back", "addr=%s", v->addr);
--- a/test/fuzz/fuzz.c
+++ b/test/fuzz/fuzz.c
@@ -107,7 +107,7 @@
 		require(*u->why && g_utf8_validate(u->why, -1, NULL));
 		require(!strchr(u->why, '"') && !strchr(u->why, '\n'));
 	}
-	require(!next || (*next && list->whole));
+	require(!next || (*next && list->complete));
 }
 
 /* Applies the change from a held configuration to the input. If the input is
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -116,10 +116,10 @@
 	r->self = (struct fleet_incarnation){ .id = g_strdup(f->id),
 					      .started_ms = f->started_ms };
 	r->orders = orders;
-	r->held = g_array_new(FALSE, TRUE, sizeof(struct fleet_held));
+	r->held = g_array_new(FALSE, TRUE, sizeof(struct fleet_held_model));
 	for (int i = 0; models[i] && *models[i]; i++) {
 		char **parts = g_strsplit(models[i], "/", -1);
-		struct fleet_held h = { .model = g_strdup(parts[0]) };
+		struct fleet_held_model h = { .model = g_strdup(parts[0]) };
 
 		if (!strcmp(parts[0], "!")) {
 			r->busy = true;
@@ -167,12 +167,12 @@
 	report(&f, 3, "big,other");
 	step(&f, 7, 1, "big", "small");
 	expect(&f, "unload big @3 #7;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	report(&f, 4, "big,other,!");
 	expect(&f, "");
 	report(&f, 4, "other");
 	expect(&f, "load small @4 #7;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	report(&f, 5, "other,!");
 	expect(&f, "");
 	report(&f, 5, "other,small");
@@ -195,7 +195,7 @@
 	report(&f, 3, "other");
 	step(&f, 7, 1, "", "small");
 	expect(&f, "load small @3 #7;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	report(&f, 3, "other");
 	report(&f, 3, "other");
 	expect(&f, "");
@@ -208,7 +208,7 @@
 	engine_request_adapter(f.e, 1, SS_LIT("other"), SS_LIT("a1"),
 			       f.now + 5000, f.now);
 	expect(&f, "load other/a1 @4 #7;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	f.now += ENGINE_REPORT_LAG_MS;
 	report(&f, 4, "other,small");
 	expect(&f, "load other/a1 @4 #7;");
@@ -311,7 +311,7 @@
 	expect(&f, "");
 	report(&f, 2, "big");
 	expect(&f, "load big/a1 @2 #1;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	report(&f, 3, "big/a1");
 	expect(&f, "adapter 1 ok;");
 	fix_close(&f);
@@ -330,7 +330,7 @@
 	engine_request_adapter(f.e, 2, SS_LIT("big"), SS_LIT("a3"), f.now + 400,
 			       f.now);
 	expect(&f, "unload big/a2 @2 #1;");
-	engine_order_answered(f.e, FLEET_ORDER_HOLDS, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_UNCHANGED, f.now);
 	report(&f, 3, "big/a1");
 	expect(&f, "load big/a3 @3 #1;");
 	fix_close(&f);
@@ -389,7 +389,7 @@
 	report(&f, 0, "big");
 	step(&f, 7, 1, "", "small");
 	expect(&f, "load small @0 #7;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	report(&f, 1, "big,!");
 	f.started_ms = 200;
 	report(&f, 1, "");
@@ -433,7 +433,7 @@
 	engine_request_adapter(f.e, 1, SS_LIT("big"), SS_LIT("a1"), f.now + 400,
 			       f.now);
 	expect(&f, "load big/a1 @2 #1;");
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	f.started_ms = 200;
 	report(&f, 2, "");
 	expect(&f, "adapter 1 unknown_model;");
@@ -634,7 +634,7 @@
 	engine_set_term(f.e, 3, f.now);
 	expect(&f, "load big/a1 @4 #3;");
 	/* The term of an earlier leader, delayed on a link. */
-	engine_order_answered(f.e, FLEET_ORDER_TAKEN, f.now);
+	engine_order_answered(f.e, FLEET_ORDER_ACCEPTED, f.now);
 	engine_set_term(f.e, 2, f.now);
 	report(&f, 5, "big/a1");
 	step(&f, 3, 2, "", "small");
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -442,7 +442,8 @@
 			       "blocked:%u copies %u busy %u full %u "
 			       "others %u%s",
 			       model, b->copies, b->copies_busy, b->copies_full,
-			       b->free, b->store ? " store" : "");
+			       b->store_candidates,
+			       b->store_closed ? " store" : "");
 }
 
 static const struct fleet_plan_ops ops = { .step = on_step };
@@ -469,20 +470,22 @@
 	*n = (struct fleet_node){ .domain = row->domain,
 				  .usable = !row->unusable,
 				  .suspended = row->unusable == 2,
-				  .free = !row->engaged,
+				  .accepts_step = !row->engaged,
 				  .loading = -1,
 				  .free_mb = 80,
 				  .running = row->running,
-				  .engaged = row->engaged == 2,
+				  .foreign_order = row->engaged == 2,
 				  .slots = 10,
 				  .tier = tiers };
-	n->places = g_array_new(FALSE, FALSE, sizeof(struct fleet_place));
+	n->replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
 	for (int i = 0; i < row->n_held; i++) {
-		struct fleet_place p = { .model = (uint32_t)row->held[i].model,
-					 .calls = (uint32_t)row->held[i].calls,
-					 .closing = row->held[i].closing };
+		struct fleet_replica p = {
+			.model = (uint32_t)row->held[i].model,
+			.calls = (uint32_t)row->held[i].calls,
+			.unloading = row->held[i].closing
+		};
 
-		g_array_append_val(n->places, p);
+		g_array_append_val(n->replicas, p);
 		n->free_mb -= specs[p.model].weights_mb;
 		models[p.model].calls += p.calls;
 	}
@@ -506,7 +509,7 @@
 					.slots = 10,
 					.store_parallel = 4,
 					.store_tokens = pc->tokens,
-					.ahead = pc->ahead };
+					.preload = pc->ahead };
 		GString *out = g_string_new(NULL);
 
 		for (int m = 0; m < MODELS; m++)
@@ -523,7 +526,7 @@
 			fail_msg("%s: \"%s\", not \"%s\"", pc->label, out->str,
 				 pc->steps);
 		for (size_t i = 0; i < pc->n_nodes; i++)
-			g_array_unref(nodes[i].places);
+			g_array_unref(nodes[i].replicas);
 		g_string_free(out, TRUE);
 	}
 }
@@ -543,7 +546,7 @@
 				.loading_left_ms = 320,
 				.slots = 10,
 				.tier = tiers };
-	struct fleet_place held = { .model = 0 };
+	struct fleet_replica held = { .model = 0 };
 	struct fleet_view v = { .models = models,
 				.n_models = 3,
 				.nodes = &n,
@@ -556,13 +559,13 @@
 	for (int m = 0; m < MODELS; m++)
 		models[m] = (struct fleet_model){ .spec = &specs[m] };
 	models[2].waiting = 1;
-	n.places = g_array_new(FALSE, FALSE, sizeof(struct fleet_place));
-	g_array_append_val(n.places, held);
+	n.replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
+	g_array_append_val(n.replicas, held);
 	fleet_plan(&v, &ops, out);
 	assert_int_equal(models[0].eta_ms, 0);
 	assert_int_equal(models[1].eta_ms, 320);
 	assert_int_equal(models[2].eta_ms, -1);
-	g_array_unref(n.places);
+	g_array_unref(n.replicas);
 	g_string_free(out, TRUE);
 }
 
@@ -608,10 +611,10 @@
 		models[3].waiting = 2;
 		models[4].rate = 1; /* its callers are to retry later */
 		models[5].waiting = 1;
-		v.all_known = known;
+		v.all_reported = known;
 		for (int i = 0; i < 2; i++)
-			nodes[i].places = g_array_new(
-				FALSE, FALSE, sizeof(struct fleet_place));
+			nodes[i].replicas = g_array_new(
+				FALSE, FALSE, sizeof(struct fleet_replica));
 		fleet_plan(&v, &ops, out);
 		assert_int_equal(models[0].eta_ms, 1000);
 		assert_int_equal(models[2].eta_ms, known ? 7000 : -1);
@@ -620,7 +623,7 @@
 		/* An engine has a copy, but when it is free is unknown. */
 		assert_int_equal(models[5].eta_ms, -1);
 		for (int i = 0; i < 2; i++)
-			g_array_unref(nodes[i].places);
+			g_array_unref(nodes[i].replicas);
 	}
 	g_string_free(out, TRUE);
 }
@@ -675,7 +678,7 @@
 	assert_string_equal(out->str, "blocked:2 copies 2 busy 1 full 1 "
 				      "others 1 store");
 	for (int i = 0; i < 3; i++)
-		g_array_unref(nodes[i].places);
+		g_array_unref(nodes[i].replicas);
 	g_string_free(out, TRUE);
 }
 
@@ -726,11 +729,12 @@
 		struct fleet_store s = { 0 };
 
 		for (const struct store_row *r = c->rows; r->n; r++) {
-			fleet_store_seen(&s, r->n, r->took_ms, 1000, r->done);
-			if (fleet_store_most(&s, c->limit) != r->most)
+			fleet_store_observe(&s, r->n, r->took_ms, 1000,
+					    r->done);
+			if (fleet_store_max_loads(&s, c->limit) != r->most)
 				fail_msg("%s: row %d: %zu", c->label,
 					 (int)(r - c->rows),
-					 fleet_store_most(&s, c->limit));
+					 fleet_store_max_loads(&s, c->limit));
 		}
 	}
 }
@@ -855,7 +859,7 @@
 			fail_msg("%s: in %" PRId64 " ms", pc->label,
 				 pin.eta_ms);
 		for (size_t i = 0; i < pc->n_nodes; i++)
-			g_array_unref(nodes[i].places);
+			g_array_unref(nodes[i].replicas);
 		g_string_free(out, TRUE);
 	}
 }
--- a/test/test_fleet_report.c
+++ b/test/test_fleet_report.c
@@ -18,8 +18,8 @@
 
 static void add_held(GArray *held, const char *model, const char *adapters)
 {
-	struct fleet_held h = { .model = g_strdup(model),
-				.adapters = split_names(adapters) };
+	struct fleet_held_model h = { .model = g_strdup(model),
+				      .adapters = split_names(adapters) };
 
 	g_array_append_val(held, h);
 }
@@ -51,8 +51,8 @@
 		struct fleet_report r[2] = { 0 };
 
 		for (int k = 0; k < 2; k++) {
-			r[k].held = g_array_new(FALSE, FALSE,
-						sizeof(struct fleet_held));
+			r[k].held = g_array_new(
+				FALSE, FALSE, sizeof(struct fleet_held_model));
 			if (c->model[k])
 				add_held(r[k].held, c->model[k],
 					 c->adapters[k]);
@@ -69,11 +69,11 @@
 /* The leader plans with exactly what the agent has read from the engine. */
 static void report_is_encoded_unchanged(void **state)
 {
-	struct fleet_report r = {
-		.held = g_array_new(FALSE, FALSE, sizeof(struct fleet_held)),
-		.in_memory = split_names("x y"),
-		.on_disk = split_names("z")
-	};
+	struct fleet_report r = { .held = g_array_new(
+					  FALSE, FALSE,
+					  sizeof(struct fleet_held_model)),
+				  .in_memory = split_names("x y"),
+				  .on_disk = split_names("z") };
 	GArray *held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
 	GPtrArray *lists =
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
@@ -95,14 +95,15 @@
 	add_held(r.held, "m", "a b");
 	add_held(r.held, "n", "");
 	for (guint i = 0; i < r.held->len; i++)
-		fleet_wire_held(held, lists,
-				&g_array_index(r.held, struct fleet_held, i));
+		fleet_wire_add_held(held, lists,
+				    &g_array_index(r.held,
+						   struct fleet_held_model, i));
 	m.held = (struct wire_list){ held->data, held->len };
 	fleet_report_read(&got, &m);
 	assert_true(fleet_same_held(r.held, got.held));
 	assert_true(fleet_same_names(r.in_memory, got.in_memory));
 	assert_true(fleet_same_names(r.on_disk, got.on_disk));
-	assert_true(got.busy && !got.leaving && got.orders == 7);
+	assert_true(got.busy && !got.draining && got.orders == 7);
 	assert_true(got.self.started_ms == 4000);
 	assert_true(got.running == 3 && got.waiting == 2);
 	assert_true(got.tokens_used == 50 && got.tokens_total == 90);
@@ -119,7 +120,7 @@
 struct incarnation_case {
 	const char *label;
 	struct fleet_incarnation known, reported;
-	enum fleet_told expected;
+	enum fleet_relation expected;
 	struct fleet_incarnation updated; /* known, after the update */
 };
 
@@ -143,7 +144,7 @@
 	{ "stale",
 	  { "a", 6, NULL },
 	  { "a", 5, NULL },
-	  FLEET_LATE,
+	  FLEET_STALE,
 	  { "a", 6, NULL } },
 	{ "a different id",
 	  { "a", 5, NULL },
@@ -178,12 +179,12 @@
 	{ "stale without an id",
 	  { "a", 6, NULL },
 	  { NULL, 5, NULL },
-	  FLEET_LATE,
+	  FLEET_STALE,
 	  { "a", 6, NULL } },
 	{ "stale, with an id that wasn't known",
 	  { "", 6, NULL },
 	  { "a", 5, NULL },
-	  FLEET_LATE,
+	  FLEET_STALE,
 	  { "a", 6, NULL } },
 	{ "nothing known",
 	  { NULL, 0, NULL },
@@ -223,12 +224,12 @@
 	{ "the earlier version, stale",
 	  { "a", 6, "2" },
 	  { "a", 5, "1" },
-	  FLEET_LATE,
+	  FLEET_STALE,
 	  { "a", 6, "2" } },
 	{ "the earlier version, stale, and the current one isn't known",
 	  { "a", 6, NULL },
 	  { "a", 5, "1" },
-	  FLEET_LATE,
+	  FLEET_STALE,
 	  { "a", 6, NULL } },
 	{ "a different id, version not reported yet",
 	  { "a", 5, "1" },
@@ -248,9 +249,9 @@
 			.version = g_strdup(c->known.version),
 		};
 
-		if (fleet_incarnation_judge(&k, &c->reported) != c->expected)
+		if (fleet_incarnation_compare(&k, &c->reported) != c->expected)
 			fail_msg("%s: wrong relation", c->label);
-		fleet_incarnation_learn(&k, &c->reported);
+		fleet_incarnation_update(&k, &c->reported);
 		if (g_strcmp0(k.version, c->updated.version))
 			fail_msg("%s: updated version %s", c->label, k.version);
 		if (g_strcmp0(k.id, c->updated.id) ||
@@ -265,18 +266,18 @@
 	const char *label;
 	int64_t known_ms, reported_ms;
 	uint64_t known, reported;
-	enum fleet_told expected;
+	enum fleet_relation expected;
 };
 
 static const struct order_count_case order_count_cases[] = {
 	{ "one additional order", 5, 5, 2, 3, FLEET_SAME },
-	{ "an older report", 5, 5, 3, 2, FLEET_LATE },
+	{ "an older report", 5, 5, 3, 2, FLEET_STALE },
 	{ "the count restarts, no start reported", 0, 0, 3, 0,
 	  FLEET_RESTARTED },
 	{ "the count restarts, start known", 5, 0, 3, 0, FLEET_RESTARTED },
 	{ "restarted, with a higher count", 5, 6, 3, 4, FLEET_RESTARTED },
 	{ "the earlier incarnation, with a higher count", 6, 5, 0, 9,
-	  FLEET_LATE },
+	  FLEET_STALE },
 };
 
 static void report_order_counts_are_compared(void **state)
@@ -290,7 +291,7 @@
 							    c->reported_ms },
 					  .orders = c->reported };
 
-		if (fleet_report_judge(&k, c->known, &r) != c->expected)
+		if (fleet_report_compare(&k, c->known, &r) != c->expected)
 			fail_msg("%s", c->label);
 	}
 }
--- a/test/test_gate_list.c
+++ b/test/test_gate_list.c
@@ -45,7 +45,7 @@
 		add_instance(f, l, i, "web");
 		g_array_index(l->instances, struct fleet_instance,
 			      l->instances->len - 1)
-			.leaving = true;
+			.draining = true;
 		break;
 	case UNKNOWN_SERVICE:
 		add_instance(f, l, i, "who");
@@ -57,7 +57,7 @@
 					  g_strdup("x"));
 		break;
 	case INCOMPLETE:
-		l->whole = false;
+		l->complete = false;
 		break;
 	case MISSING:
 		break;
@@ -211,7 +211,7 @@
 
 	(void)state;
 	read_list(&f, i, UNREADABLE);
-	f.clock.fake_ms += FLEET_UNREADABLE_MS - 1;
+	f.clock.fake_ms += FLEET_UNREADABLE_GRACE_MS - 1;
 	read_list(&f, i, UNREADABLE);
 	turn(&f);
 	assert_int_equal(f.eps[i].closed, 0);
--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -50,7 +50,7 @@
 	struct fixture *w = arg;
 
 	w->polls++;
-	w->complete = list->whole;
+	w->complete = list->complete;
 	g_string_truncate(w->ids, 0);
 	for (guint i = 0; i < list->instances->len; i++)
 		g_string_append_printf(w->ids, "%s ",
--- a/test/test_list.c
+++ b/test/test_list.c
@@ -50,7 +50,7 @@
 	assert_true(users_platform.read_list(SS_LIT(json), &l, &next, NULL));
 	assert_int_equal(l.instances->len, 2);
 	assert_int_equal(l.unreadable->len, 0);
-	assert_true(l.whole && !l.torn);
+	assert_true(l.complete && !l.torn);
 	assert_string_equal(next, "p-2");
 	x = &g_array_index(l.instances, struct fleet_instance, 0);
 	assert_string_equal(x->id, "i-9");
@@ -58,11 +58,11 @@
 	assert_string_equal(x->addr, "a:1");
 	assert_string_equal(x->domain, "z");
 	assert_int_equal(x->slots, 7);
-	assert_true(x->leaving);
+	assert_true(x->draining);
 	assert_int_equal(x->models->len, 2);
 	assert_string_equal(x->models->pdata[1], "n");
 	assert_false(
-		g_array_index(l.instances, struct fleet_instance, 1).leaving);
+		g_array_index(l.instances, struct fleet_instance, 1).draining);
 	g_free(next);
 	fleet_list_clear(&l);
 }
@@ -133,7 +133,7 @@
 	ids = ids_of(&l);
 	if (strcmp(ids, "i-1 i-3 "))
 		fail_msg("%s %s: instances are %s", key, value, ids);
-	if (g_strcmp0(next, "p-2") || !l.whole || l.torn)
+	if (g_strcmp0(next, "p-2") || !l.complete || l.torn)
 		fail_msg("%s %s: next %s", key, value, next);
 	if (l.unreadable->len != 1 ||
 	    !g_str_has_prefix(unreadable(&l, 0)->why, key))
@@ -272,11 +272,11 @@
 			fail_msg("%s: %s", c->label, error->message);
 		if (ok && (strcmp(ids, c->ids) || g_strcmp0(next, c->next) ||
 			   (int)l.unreadable->len != c->unreadable ||
-			   l.whole != c->complete || l.torn != c->torn))
+			   l.complete != c->complete || l.torn != c->torn))
 			fail_msg("%s: read %s, unreadable %u, next %s, "
 				 "complete %d, torn %d",
 				 c->label, ids, l.unreadable->len, next,
-				 l.whole, l.torn);
+				 l.complete, l.torn);
 		g_clear_error(&error);
 		g_free(ids);
 		g_free(next);
@@ -320,14 +320,14 @@
 	  1,
 	  true,
 	  false,
-	  10 * FLEET_UNREADABLE_MS,
+	  10 * FLEET_UNREADABLE_GRACE_MS,
 	  FLEET_UNREADABLE },
 	{ "its own unreadable entry, by its address",
 	  { { NULL, "a:1" } },
 	  1,
 	  true,
 	  false,
-	  10 * FLEET_UNREADABLE_MS,
+	  10 * FLEET_UNREADABLE_GRACE_MS,
 	  FLEET_UNREADABLE },
 	{ "its address under another id",
 	  { { "i-7", "a:1" } },
@@ -348,14 +348,14 @@
 	  2,
 	  true,
 	  false,
-	  FLEET_UNREADABLE_MS - 1,
+	  FLEET_UNREADABLE_GRACE_MS - 1,
 	  FLEET_UNREADABLE },
 	{ "an entry of an unknown endpoint, for too long",
 	  { { NULL, NULL } },
 	  1,
 	  true,
 	  false,
-	  FLEET_UNREADABLE_MS,
+	  FLEET_UNREADABLE_GRACE_MS,
 	  FLEET_GONE },
 	{ "a torn fragment that names another, and may contain more",
 	  { { "i-2", NULL } },
@@ -364,14 +364,14 @@
 	  true,
 	  0,
 	  FLEET_UNREADABLE },
-	{ "an incomplete list", { { 0 } }, 0, false, false, 0, FLEET_UNTOLD },
+	{ "an incomplete list", { { 0 } }, 0, false, false, 0, FLEET_UNKNOWN },
 	{ "an incomplete list, for long",
 	  { { NULL, NULL } },
 	  1,
 	  false,
 	  true,
-	  10 * FLEET_UNREADABLE_MS,
-	  FLEET_UNTOLD },
+	  10 * FLEET_UNREADABLE_GRACE_MS,
+	  FLEET_UNKNOWN },
 	{ "an incomplete list, with its own unreadable entry",
 	  { { "i-1", "a:1" } },
 	  1,
@@ -395,7 +395,7 @@
 		enum fleet_presence got;
 
 		fleet_list_init(&l);
-		l.whole = c->complete;
+		l.complete = c->complete;
 		l.torn = c->torn;
 		for (int k = 0; k < c->n; k++)
 			fleet_list_add_unreadable(
@@ -471,18 +471,18 @@
 		fleet_list_init(&l);
 		for (int k = 0; k < 3 && c->entries[k]; k++)
 			add_entry(&l, c->entries[k]);
-		fleet_list_settle(&l, NULL);
-		fleet_list_settle(&l, r);
+		fleet_list_drop_conflicts(&l, NULL);
+		fleet_list_drop_conflicts(&l, r);
 		ids = ids_of(&l);
 		if (strcmp(ids, c->ids))
 			fail_msg("%s: %s", c->label, ids);
 		g_free(ids);
 		fleet_list_clear(&l);
 	}
-	assert_true(fleet_service_spoiled(r, "web", "other"));
-	assert_false(fleet_service_spoiled(r, "web", "lm"));
-	assert_false(fleet_service_spoiled(r, "third", "other"));
-	assert_false(fleet_service_spoiled(NULL, "web", "other"));
+	assert_true(fleet_service_corrupt(r, "web", "other"));
+	assert_false(fleet_service_corrupt(r, "web", "lm"));
+	assert_false(fleet_service_corrupt(r, "third", "other"));
+	assert_false(fleet_service_corrupt(NULL, "web", "other"));
 	routing_unref(r);
 }
 
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -30,28 +30,28 @@
 
 static const struct owner_case owner_cases[] = {
 	{ "the first agent that reports becomes the owner",
-	  { { LOCAL, 10, OWNER_TAKES, 0, false },
+	  { { LOCAL, 10, OWNER_ACQUIRED, 0, false },
 	    { LOCAL, 20, OWNER_SAME, 0, false } } },
 	{ "a remote agent takes over after a lease",
-	  { { LOCAL, 10, OWNER_TAKES, 0, false },
-	    { REMOTE, 10 + LEASE_MS - 1, OWNER_WAITS, 0, false },
-	    { REMOTE, 10 + LEASE_MS, OWNER_TAKES, 1, true },
+	  { { LOCAL, 10, OWNER_ACQUIRED, 0, false },
+	    { REMOTE, 10 + LEASE_MS - 1, OWNER_DENIED, 0, false },
+	    { REMOTE, 10 + LEASE_MS, OWNER_ACQUIRED, 1, true },
 	    { REMOTE, 11 + LEASE_MS, OWNER_SAME, 1, true } } },
 	{ "the local agent is back and waits for the end of the lease",
-	  { { REMOTE, 10, OWNER_TAKES, 0, true },
-	    { LOCAL, 100, OWNER_WAITS, 0, false },
+	  { { REMOTE, 10, OWNER_ACQUIRED, 0, true },
+	    { LOCAL, 100, OWNER_DENIED, 0, false },
 	    /* It can't renew the lease any more. */
 	    { REMOTE, 1000, OWNER_SAME, 0, false },
-	    { LOCAL, 9 + LEASE_MS, OWNER_WAITS, 0, false },
-	    { LOCAL, 10 + LEASE_MS, OWNER_TAKES, 1, false },
-	    { REMOTE, 20 + LEASE_MS, OWNER_WAITS, 1, false } } },
+	    { LOCAL, 9 + LEASE_MS, OWNER_DENIED, 0, false },
+	    { LOCAL, 10 + LEASE_MS, OWNER_ACQUIRED, 1, false },
+	    { REMOTE, 20 + LEASE_MS, OWNER_DENIED, 1, false } } },
 	{ "another control VM takes over only after a lease",
-	  { { REMOTE, 10, OWNER_TAKES, 0, true },
-	    { REMOTE_2, 1000, OWNER_WAITS, 0, true },
-	    { REMOTE_2, 10 + LEASE_MS, OWNER_TAKES, 1, true },
-	    { REMOTE, 20 + LEASE_MS, OWNER_WAITS, 1, true } } },
+	  { { REMOTE, 10, OWNER_ACQUIRED, 0, true },
+	    { REMOTE_2, 1000, OWNER_DENIED, 0, true },
+	    { REMOTE_2, 10 + LEASE_MS, OWNER_ACQUIRED, 1, true },
+	    { REMOTE, 20 + LEASE_MS, OWNER_DENIED, 1, true } } },
 	{ "an agent that has restarted is still the owner",
-	  { { LOCAL, 10, OWNER_TAKES, 0, false },
+	  { { LOCAL, 10, OWNER_ACQUIRED, 0, false },
 	    { LOCAL, 10 + 9 * LEASE_MS, OWNER_SAME, 0, false } } },
 };
 
@@ -71,15 +71,15 @@
 		for (const struct report_row *r = c->reports; r->at_ms; r++) {
 			int64_t now = T0 + r->at_ms;
 			enum owner_claim got =
-				owner_hear(&o, agents[r->agent].name,
-					   agents[r->agent].remote, now);
+				owner_acquire(&o, agents[r->agent].name,
+					      agents[r->agent].remote, now);
 
-			if (got != r->claim || o.turn != r->generation ||
+			if (got != r->claim || o.generation != r->generation ||
 			    owner_is_missing(&o, now) != r->missing)
 				fail_msg("%s, at %" PRId64
 					 ": claim %d generation %" PRIu64
 					 " missing %d",
-					 c->label, r->at_ms, got, o.turn,
+					 c->label, r->at_ms, got, o.generation,
 					 owner_is_missing(&o, now));
 		}
 		owner_clear(&o);
@@ -113,7 +113,7 @@
 		struct owner o;
 
 		owner_init(&o, rows[i].engine_ms, T0);
-		owner_hear(&o, "side-1", false, T0);
+		owner_acquire(&o, "side-1", false, T0);
 		assert_true(owner_is_leased(&o, T0 + rows[i].lease_ms - 1));
 		assert_false(owner_is_leased(&o, T0 + rows[i].lease_ms));
 		owner_clear(&o);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -449,8 +449,8 @@
 		struct fleet_report r;
 
 		assert_true(users_platform.read_report(ss_str(json), &r, NULL));
-		if (r.leaving != rows[i].draining)
-			fail_msg("%s: %d", rows[i].value, r.leaving);
+		if (r.draining != rows[i].draining)
+			fail_msg("%s: %d", rows[i].value, r.draining);
 		fleet_report_clear(&r);
 		g_free(json);
 	}
@@ -479,12 +479,14 @@
 	static const struct {
 		int status;
 		enum fleet_order_answer answer;
-	} rows[] = {
-		{ 202, FLEET_ORDER_TAKEN },	{ 200, FLEET_ORDER_HOLDS },
-		{ 409, FLEET_ORDER_BUSY },	{ 412, FLEET_ORDER_FENCED },
-		{ 421, FLEET_ORDER_MISPLACED }, { 400, FLEET_ORDER_INVALID },
-		{ 500, FLEET_ORDER_UNKNOWN },	{ 0, FLEET_ORDER_UNKNOWN }
-	};
+	} rows[] = { { 202, FLEET_ORDER_ACCEPTED },
+		     { 200, FLEET_ORDER_UNCHANGED },
+		     { 409, FLEET_ORDER_BUSY },
+		     { 412, FLEET_ORDER_FENCED },
+		     { 421, FLEET_ORDER_MISDIRECTED },
+		     { 400, FLEET_ORDER_INVALID },
+		     { 500, FLEET_ORDER_UNKNOWN },
+		     { 0, FLEET_ORDER_UNKNOWN } };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
