--- a/bench/cores.c
+++ b/bench/cores.c
@@ -288,9 +288,9 @@
 {
 	static const struct fleet_plan_ops ops = { no_step, no_blocked };
 	static const struct routing_model spec = { .weights_mb = 34300,
-						   .store_ms = 13200,
-						   .disk_ms = 510,
-						   .memory_ms = 390 };
+						   .store_load_ms = 13200,
+						   .disk_load_ms = 510,
+						   .memory_load_ms = 390 };
 	struct fleet_view v = { .models = g_new0(struct fleet_model, models),
 				.n_models = models,
 				.nodes = g_new0(struct fleet_node, nodes),
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -86,7 +86,7 @@
 		step = routing_update_step(u, NULL);
 		add_turn(c, cpu_ms() - from);
 	}
-	g_assert(step == ROUTING_READ);
+	g_assert(step == ROUTING_VALID);
 	from = cpu_ms();
 	packed = document_pack(routing_update_change(u));
 	routing_update_free(u);
@@ -98,7 +98,7 @@
 static void apply(struct document *d, const GString *packed, struct cost *c)
 {
 	double from = cpu_ms();
-	struct document_patch *n = document_open(ss_str_gs(packed), NULL);
+	struct document_patch *n = document_unpack(ss_str_gs(packed), NULL);
 
 	document_apply(d, &n->change, NULL);
 	document_patch_free(n);
--- a/src/core/document.c
+++ b/src/core/document.c
@@ -57,7 +57,7 @@
 	return true;
 }
 
-struct document_patch *document_open(struct ss_str packed, GError **error)
+struct document_patch *document_unpack(struct ss_str packed, GError **error)
 {
 	struct document_patch *n;
 	GString *unpacked = pack_open(packed, 2 * TEXT_MAX_BYTES, error);
@@ -250,7 +250,7 @@
 	return d->version;
 }
 
-uint64_t document_services(const struct document *d)
+uint64_t document_services_version(const struct document *d)
 {
 	return d->services_version;
 }
@@ -308,7 +308,7 @@
 	return true;
 }
 
-void document_put(struct document *d, uint64_t version, struct ss_str text)
+void document_set_text(struct document *d, uint64_t version, struct ss_str text)
 {
 	struct document_piece p = { DOCUMENT_OTHER, text };
 	struct document_edit e = { .pieces = { &p, 1 } };
@@ -319,7 +319,7 @@
 	document_apply(d, &c, NULL);
 }
 
-GString *document_whole(const struct document *d, bool routes)
+GString *document_pack_full(const struct document *d, bool routes)
 {
 	GArray *pieces =
 		g_array_new(FALSE, FALSE, sizeof(struct document_piece));
--- a/src/core/document.h
+++ b/src/core/document.h
@@ -55,7 +55,7 @@
 /* The version; 0 while the document is empty. */
 uint64_t document_version(const struct document *d);
 /* The version in which a service was last added, changed or removed. */
-uint64_t document_services(const struct document *d);
+uint64_t document_services_version(const struct document *d);
 /* The text as operators sent it; free with g_string_free(). */
 GString *document_text(const struct document *d);
 
@@ -75,7 +75,7 @@
  * Packs the full document as a change with base 0. Without routes, it leaves
  * out the routes and the customers, for receivers that use neither.
  */
-GString *document_whole(const struct document *d, bool routes);
+GString *document_pack_full(const struct document *d, bool routes);
 
 /* Serializes and compresses a change. */
 GString *document_pack(const struct document_change *c);
@@ -83,7 +83,7 @@
  * Reverses document_pack(). NULL with SS_ERROR_FRAME if the bytes are
  * truncated, corrupt or larger than what operators may send.
  */
-struct document_patch *document_open(struct ss_str packed, GError **error);
+struct document_patch *document_unpack(struct ss_str packed, GError **error);
 void document_patch_free(struct document_patch *n);
 
 /*
@@ -94,7 +94,8 @@
 		    GError **error);
 
 /* Stores a text of an old log, whose records hold full texts, as one piece. */
-void document_put(struct document *d, uint64_t version, struct ss_str text);
+void document_set_text(struct document *d, uint64_t version,
+		       struct ss_str text);
 
 /* One object for each piece of a document, in document order. */
 struct document_pieces {
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -63,13 +63,13 @@
 {
 	switch (tier) {
 	case TIER_MEMORY:
-		return m->memory_ms;
+		return m->memory_load_ms;
 	case TIER_DISK:
-		return m->disk_ms;
+		return m->disk_load_ms;
 	case TIER_REMOTE:
 		break;
 	}
-	return m->store_ms;
+	return m->store_load_ms;
 }
 
 static void count_node(struct pass *s, const struct fleet_node *n)
@@ -324,10 +324,10 @@
 				const struct replica_need *need)
 {
 	const struct routing_model *spec = s->v->models[need->model].spec;
-	double max_wait_ms = COPY_WAIT_SHARE * (double)spec->store_ms;
+	double max_wait_ms = COPY_WAIT_SHARE * (double)spec->store_load_ms;
 	uint32_t model = need->model;
 
-	if (need->waiting && need->slack_ms < -spec->store_ms)
+	if (need->waiting && need->slack_ms < -spec->store_load_ms)
 		return false;
 	for (size_t i = 0; i < s->v->n_nodes; i++) {
 		const struct fleet_node *n = &s->v->nodes[i];
--- a/src/core/fleet_eta.c
+++ b/src/core/fleet_eta.c
@@ -78,7 +78,7 @@
 			&g_array_index(s->needs, struct replica_need, i);
 		uint32_t m = n->model;
 		const struct tally *t = &s->tally[m];
-		int64_t load = s->v->models[m].spec->store_ms;
+		int64_t load = s->v->models[m].spec->store_load_ms;
 		int64_t *end;
 
 		if (n->version || t->serving || t->loading || t->copies ||
--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -214,10 +214,10 @@
 	u = routing_update_new(r, f, patch);
 	while (step == ROUTING_MORE)
 		step = routing_update_step(u, error);
-	if (step == ROUTING_READ)
+	if (step == ROUTING_VALID)
 		routing_update_commit(u);
 	routing_update_free(u);
-	if (step == ROUTING_READ)
+	if (step == ROUTING_VALID)
 		return r;
 	routing_unref(r);
 	return NULL;
@@ -276,7 +276,7 @@
 	return rt;
 }
 
-bool routing_leads_to(const struct routing_route *rt, const char *service)
+bool routing_route_targets(const struct routing_route *rt, const char *service)
 {
 	for (guint i = 0; i < rt->shares->len; i++) {
 		const struct routing_share *s =
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -25,7 +25,7 @@
 	double adapter_mb;
 	int64_t adapters;
 	/* Time to load it from the weight store, local disk or memory. */
-	int64_t store_ms, disk_ms, memory_ms;
+	int64_t store_load_ms, disk_load_ms, memory_load_ms;
 };
 
 struct routing_service {
@@ -59,11 +59,11 @@
 	enum route_kind kind;
 	int64_t timeout_ms;
 	int64_t objective_ms; /* until the first byte; later counts as late */
-	int64_t pause_ms;     /* maximum gap between events; 0: not set */
-	int64_t priority;     /* 0 is the highest */
-	int64_t attempts;     /* endpoints that a request may be sent to */
+	int64_t max_event_gap_ms; /* maximum gap between events; 0: not set */
+	int64_t priority;	  /* 0 is the highest */
+	int64_t attempts;	  /* endpoints that a request may be sent to */
 	bool resumable;
-	bool open;	/* requests need no customer's key */
+	bool is_public; /* requests need no customer's key */
 	GArray *shares; /* struct routing_share */
 	int64_t total_weight;
 	char *lookup_key; /* lower-case host, space, prefix */
@@ -77,10 +77,10 @@
 };
 
 /* Settings of a configuration outside of its lists. */
-struct routing_rest {
+struct routing_settings {
 	uint64_t version;
 	struct routing_limits limits;
-	bool keyed; /* requests need a customer's key */
+	bool needs_key; /* requests need a customer's key */
 };
 
 /* The platform's format of a configuration. */
@@ -99,17 +99,18 @@
 	struct customer *(*read_customer)(struct ss_str text, const char *path,
 					  GError **error);
 	/* Parses the settings from a text whose lists are empty. */
-	bool (*read_rest)(struct ss_str text, struct routing_rest *settings,
-			  GError **error);
+	bool (*read_settings)(struct ss_str text,
+			      struct routing_settings *settings,
+			      GError **error);
 };
 
 struct routing {
 	int refs;
 	uint64_t version;    /* 0: no configuration yet */
-	guint routes;	     /* number of routes */
+	guint route_count;   /* number of routes */
 	GPtrArray *services; /* struct routing_service */
 	struct routing_limits limits;
-	bool keyed; /* requests need a customer's key */
+	bool needs_key; /* requests need a customer's key */
 	struct customers customers;
 	GHashTable *routes_by_key; /* lookup_key -> struct routing_route */
 	size_t longest_prefix;	   /* in bytes, of any route so far */
@@ -138,7 +139,7 @@
 bool routing_service_finish(struct routing_service *s, GError **error);
 
 /* Whether the route sends a share of its requests to the service. */
-bool routing_leads_to(const struct routing_route *rt, const char *service);
+bool routing_route_targets(const struct routing_route *rt, const char *service);
 
 /*
  * Builds a table from a full text. NULL with SS_ERROR_BAD_REQUEST; the message
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -9,7 +9,7 @@
 	struct document_pieces parsed; /* items of the patch, in order */
 	guint committed;	       /* number of items passed to the table */
 	GString *other_text; /* of the new version, outside of the lists */
-	struct routing_rest settings;
+	struct routing_settings settings;
 };
 
 static void free_item(void *arg, enum document_part part, void *item)
@@ -184,7 +184,7 @@
 		at = (guint)(e[i].at + e[i].drop);
 	}
 	append_other_text(u, at, end);
-	if (!u->f->read_rest(ss_str_gs(u->other_text), &u->settings, error))
+	if (!u->f->read_settings(ss_str_gs(u->other_text), &u->settings, error))
 		return false;
 	c->version = u->settings.version;
 	return true;
@@ -412,7 +412,7 @@
 	if (u->edit < c->edits.n)
 		return read_items(u, error) ? ROUTING_MORE : ROUTING_INVALID;
 	return parse_settings(u, error) && check_change(u, error) ?
-		       ROUTING_READ :
+		       ROUTING_VALID :
 		       ROUTING_INVALID;
 }
 
@@ -446,7 +446,7 @@
 	if (part != DOCUMENT_ROUTE)
 		return;
 	count_shares(r, rt, -1);
-	r->routes--;
+	r->route_count--;
 	g_hash_table_remove(r->routes_by_key, rt->lookup_key);
 }
 
@@ -481,7 +481,7 @@
 {
 	g_hash_table_insert(r->routes_by_key, rt->lookup_key, rt);
 	r->longest_prefix = MAX(r->longest_prefix, strlen(rt->prefix));
-	r->routes++;
+	r->route_count++;
 	count_shares(r, rt, 1);
 }
 
@@ -505,7 +505,7 @@
 	/* The table has taken the references. */
 	g_ptr_array_set_size(u->parsed.items, 0);
 	r->limits = u->settings.limits;
-	r->keyed = u->settings.keyed;
+	r->needs_key = u->settings.needs_key;
 	r->version = c->version;
 }
 
@@ -566,9 +566,9 @@
 }
 
 /*
- * Splits a full text that is stored as one piece, as document_put() does for
- * old logs, into the pieces of its items. Takes the patch; returns it as it is
- * if it's divided already.
+ * Splits a full text that is stored as one piece, as document_set_text() does
+ * for old logs, into the pieces of its items. Takes the patch; returns it as it
+ * is if it's divided already.
  */
 static struct document_patch *split_text(const struct routing_follower *w,
 					 struct document_patch *n,
@@ -599,7 +599,7 @@
 bool routing_follower_add(struct routing_follower *w, struct ss_str packed,
 			  GError **error)
 {
-	struct document_patch *n = document_open(packed, error);
+	struct document_patch *n = document_unpack(packed, error);
 
 	if (n && n->change.base && n->change.base != w->version) {
 		g_set_error(error, SS_ERROR, SS_ERROR_FRAME,
@@ -637,7 +637,7 @@
 		return false;
 	if (!w->checked) {
 		step = routing_update_step(w->u, error);
-		w->checked = step == ROUTING_READ;
+		w->checked = step == ROUTING_VALID;
 		if (step == ROUTING_INVALID)
 			discard_all(w);
 		return false;
--- a/src/core/routing_update.h
+++ b/src/core/routing_update.h
@@ -27,7 +27,7 @@
 
 enum routing_step {
 	ROUTING_MORE,	 /* call again */
-	ROUTING_READ,	 /* parsed and checked; may be committed */
+	ROUTING_VALID,	 /* parsed and checked; may be committed */
 	ROUTING_INVALID, /* error is set */
 };
 
@@ -40,7 +40,7 @@
  */
 enum routing_step routing_update_step(struct routing_update *u, GError **error);
 
-/* The change; its version is set once the step returned ROUTING_READ. */
+/* The change; its version is set once the step returned ROUTING_VALID. */
 const struct document_change *routing_update_change(struct routing_update *u);
 
 /* Applies a checked change to the table. */
--- a/src/core/state_store.c
+++ b/src/core/state_store.c
@@ -249,10 +249,10 @@
 
 	g_string_truncate(s->routing_change, 0);
 	if (!r->change.n) {
-		document_put(s->routing, r->version, r->body);
+		document_set_text(s->routing, r->version, r->body);
 		return true;
 	}
-	patch = document_open(r->change, error);
+	patch = document_unpack(r->change, error);
 	ok = patch && patch->change.version == r->version &&
 	     document_apply(s->routing, &patch->change, error);
 	if (!ok && error && !*error)
@@ -298,7 +298,7 @@
 	GString *out, *full = NULL;
 
 	if (routing.version) {
-		full = document_whole(s->routing, true);
+		full = document_pack_full(s->routing, true);
 		routing.change = ss_str_gs(full);
 	}
 
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -112,13 +112,13 @@
 	if (!d || document_version(d) <= mirror_version(k->mirror))
 		return;
 	v.version = document_version(d);
-	v.services_version = document_services(d);
+	v.services_version = document_services_version(d);
 	v.change = ss_state_routing_change(s, &v.base);
 	mirror_add_version(k->mirror, &v, ss_clock_now(&k->d->clock));
 	log_info("routing_held", "version=%" PRIu64, v.version);
 	if (v.change.n && routing_follow_add(k->follow, v.change))
 		return;
-	all = document_whole(d, true);
+	all = document_pack_full(d, true);
 	routing_follow_add(k->follow, ss_str_gs(all));
 	g_string_free(all, TRUE);
 }
@@ -150,7 +150,8 @@
 {
 	struct control_role *k = arg;
 
-	return document_whole(ss_state_routing(group_state(k->group)), routes);
+	return document_pack_full(ss_state_routing(group_state(k->group)),
+				  routes);
 }
 
 static const struct mirror_ops mirror_table = { send_routing, whole_routing };
--- a/src/daemon/fleet_peers.c
+++ b/src/daemon/fleet_peers.c
@@ -13,7 +13,7 @@
 {
 	const struct document *d = ss_state_routing(group_state(l->g));
 
-	return p->entry ? document_version(d) : document_services(d);
+	return p->entry ? document_version(d) : document_services_version(d);
 }
 
 /*
--- a/src/daemon/routing_follow.c
+++ b/src/daemon/routing_follow.c
@@ -34,7 +34,7 @@
 		log_info("routing",
 			 "version=%" PRIu64
 			 " routes=%u services=%u ms=%" PRId64,
-			 r->version, r->routes, r->services->len,
+			 r->version, r->route_count, r->services->len,
 			 now_ms(f) - f->came_ms);
 		f->came_ms = now_ms(f);
 		f->o.taken(f->o.arg, r);
--- a/src/operator/routing_http.c
+++ b/src/operator/routing_http.c
@@ -179,7 +179,7 @@
 		step = routing_update_step(p->update, &error);
 	if (p && step != ROUTING_MORE) {
 		g_queue_pop_head(&h->puts);
-		if (step == ROUTING_READ)
+		if (step == ROUTING_VALID)
 			propose(p);
 		else
 			refuse_put(p, error);
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -90,7 +90,7 @@
 	const struct gate_patience *p = &g->o.patience;
 	int64_t ms = MAX(p->ms, p->objectives * rt->objective_ms);
 
-	return MAX(ms, p->pauses * rt->pause_ms);
+	return MAX(ms, p->pauses * rt->max_event_gap_ms);
 }
 
 /* A key may have been revoked while no leader could report it. */
@@ -108,12 +108,12 @@
 		    struct customer **customer)
 {
 	*customer = NULL;
-	if (!g->routing->keyed)
+	if (!g->routing->needs_key)
 		return 0;
 	if (call->keys_clash)
 		return 400;
 	*customer = customers_find(&g->routing->customers, call->key);
-	if (rt->open)
+	if (rt->is_public)
 		return 0;
 	if (!*customer)
 		return 401;
@@ -168,7 +168,7 @@
 	f->routing = g->routing->version;
 	f->route = routing_route_ref(rt);
 	f->customer = customer_ref(customer);
-	f->keyed = g->routing->keyed;
+	f->keyed = g->routing->needs_key;
 	f->call = *call;
 	f->id = ss_str_dup(call->id);
 	forward_set_service(f,
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -18,7 +18,7 @@
 /* The start limit applies only to routes that state a pause limit. */
 static bool is_limited(const struct forward *f)
 {
-	return needs_prefill(f) && f->route->pause_ms > 0;
+	return needs_prefill(f) && f->route->max_event_gap_ms > 0;
 }
 
 void gate_starts_reset(struct gate_ep *ep)
@@ -78,7 +78,7 @@
 	struct gate_ep *ep = gate_ep_of(f);
 
 	if (ep && is_limited(f) &&
-	    start_limit_pause(&ep->start_limit, ms, f->route->pause_ms,
+	    start_limit_pause(&ep->start_limit, ms, f->route->max_event_gap_ms,
 			      gate_now(f->g)))
 		record_cut(f->g, ep, "pause");
 }
--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -236,7 +236,7 @@
 	struct routing_service *s = routing_service(g->routing, service);
 	struct ss_str model = f->call.model;
 	char *name = ss_str_dup(model);
-	bool usable = s && routing_leads_to(f->route, service) &&
+	bool usable = s && routing_route_targets(f->route, service) &&
 		      (!s->engine || !model.n || routing_model(s, name));
 
 	g_free(name);
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -33,7 +33,7 @@
 	n->change.version = version;
 	packed = document_pack(&n->change);
 	document_patch_free(n);
-	n = document_open(ss_str_gs(packed), NULL);
+	n = document_unpack(ss_str_gs(packed), NULL);
 	assert_non_null(n);
 	assert_true(document_apply(d, &n->change, NULL));
 	document_patch_free(n);
@@ -213,8 +213,8 @@
 	void *key, *v;
 
 	assert_int_equal(a->version, b->version);
-	assert_int_equal(a->routes, b->routes);
-	assert_int_equal(g_hash_table_size(a->routes_by_key), b->routes);
+	assert_int_equal(a->route_count, b->route_count);
+	assert_int_equal(g_hash_table_size(a->routes_by_key), b->route_count);
 	assert_int_equal(a->services->len, b->services->len);
 	g_hash_table_iter_init(&it, b->routes_by_key);
 	while (g_hash_table_iter_next(&it, &key, &v)) {
@@ -404,7 +404,7 @@
 		if (g_strcmp0(c ? c->name : NULL, customer_changes[i].holder))
 			fail_msg("%s: %s", customer_changes[i].label,
 				 c ? c->name : "-");
-		assert_true(r->keyed);
+		assert_true(r->needs_key);
 	}
 	routing_follower_free(w);
 	document_free(d);
@@ -421,8 +421,8 @@
 	g_string_free(update_document(d, KEYED("1", CUSTOMER("a", "\"k1\"")),
 				      1),
 		      TRUE);
-	whole = document_whole(d, false);
-	n = document_open(ss_str_gs(whole), NULL);
+	whole = document_pack_full(d, false);
+	n = document_unpack(ss_str_gs(whole), NULL);
 	assert_non_null(n);
 	assert_null(
 		g_strstr_len(n->unpacked->str, (gssize)n->unpacked->len, "k1"));
@@ -523,7 +523,7 @@
 		all += reads;
 	}
 	assert_int_equal(all, 12000);
-	assert_int_equal(routing_follower_table(w)->routes, 12000);
+	assert_int_equal(routing_follower_table(w)->route_count, 12000);
 	g_string_free(packed, TRUE);
 	g_string_free(text, TRUE);
 	routing_follower_free(w);
@@ -641,11 +641,11 @@
 	assert_int_equal(apply(s, &rec, &version), 0);
 	assert_int_equal(version, 4);
 	assert_text(s, old);
-	whole = document_whole(ss_state_routing(s), true);
+	whole = document_pack_full(ss_state_routing(s), true);
 	assert_true(routing_follower_add(w, ss_str_gs(whole), NULL));
 	while (routing_follower_busy(w))
 		routing_follower_step(w, NULL);
-	assert_int_equal(routing_follower_table(w)->routes, 1);
+	assert_int_equal(routing_follower_table(w)->route_count, 1);
 	assert_int_equal(apply_text(s, TEXT("5", ROUTE("b", "s1")), 5, NULL),
 			 0);
 	assert_text(s, TEXT("5", ROUTE("b", "s1")));
@@ -670,12 +670,12 @@
 	assert_int_equal(apply_text(s, TEXT("2", ROUTE("a", "s1")), 2, NULL),
 			 0);
 	assert_int_equal(apply_text(s, last, 3, NULL), 0);
-	assert_int_equal(document_services(ss_state_routing(s)), 1);
+	assert_int_equal(document_services_version(ss_state_routing(s)), 1);
 	image = ss_state_snapshot(s);
 	assert_true(ss_state_restore(copy, ss_str_gs(image)));
 	assert_text(copy, last);
 	assert_int_equal(document_version(ss_state_routing(copy)), 3);
-	assert_int_equal(document_services(ss_state_routing(copy)), 1);
+	assert_int_equal(document_services_version(ss_state_routing(copy)), 1);
 	g_string_free(image, TRUE);
 	ss_state_free(s);
 	ss_state_free(copy);
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -454,9 +454,9 @@
 	for (int i = 0; i < MODELS; i++)
 		specs[i] =
 			(struct routing_model){ .weights_mb = i == 5 ? 80 : 40,
-						.store_ms = 6000,
-						.disk_ms = 500,
-						.memory_ms = 300 };
+						.store_load_ms = 6000,
+						.disk_load_ms = 500,
+						.memory_load_ms = 300 };
 }
 
 static uint8_t tier_of(char c)
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -116,7 +116,7 @@
 {
 	const struct node_ref *at = arg;
 
-	return document_whole(at->w->m[at->index].document, routes);
+	return document_pack_full(at->w->m[at->index].document, routes);
 }
 
 static const struct mirror_ops mirror_table = { mirror_send, mirror_pack_full };
@@ -209,7 +209,7 @@
 
 	assert_true(m->version > p->version);
 	for (size_t i = 0; i < m->changes.n; i++) {
-		struct document_patch *n = document_open(b[i].packed, NULL);
+		struct document_patch *n = document_unpack(b[i].packed, NULL);
 		bool ok = n && document_apply(p->document, &n->change, NULL);
 
 		/* The real process reads a few routes at a time, and sends in
@@ -329,7 +329,7 @@
 				 uint64_t version)
 {
 	GString *packed = change_to(w, d, version);
-	struct document_patch *n = document_open(ss_str_gs(packed), NULL);
+	struct document_patch *n = document_unpack(ss_str_gs(packed), NULL);
 
 	assert_true(document_apply(d, &n->change, NULL));
 	document_patch_free(n);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -178,7 +178,7 @@
 
 	(void)state;
 	assert_non_null(r);
-	assert_true(r->keyed);
+	assert_true(r->needs_key);
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
 		const struct customer *c =
 			customers_named(&r->customers, rows[i].name);
