--- a/src/core/choose.c
+++ b/src/core/choose.c
@@ -9,7 +9,7 @@
 
 uint64_t target_load(const struct target *t)
 {
-	return MAX(t->own, t->reported + t->sent_since);
+	return MAX(t->own_calls, t->reported_calls + t->sent_since);
 }
 
 /* The usable slots grow linearly during slow start, from one. */
@@ -39,7 +39,7 @@
 
 	if (!t->same_domain)
 		s += OTHER_DOMAIN_PENALTY;
-	if (t->prefix && load < PREFIX_LOAD_MAX)
+	if (t->prefix_cached && load < PREFIX_LOAD_MAX)
 		s -= PREFIX_BONUS;
 	return s;
 }
--- a/src/core/choose.h
+++ b/src/core/choose.h
@@ -13,13 +13,13 @@
 /* A candidate replica. */
 struct target {
 	uint64_t slots;
-	uint64_t own;	     /* running calls of this entry */
-	uint64_t reported;   /* running calls by its last reply */
-	uint64_t sent_since; /* calls of this entry sent after that reply */
-	int64_t age_ms;	     /* time since it became ready */
+	uint64_t own_calls;	 /* running calls of this entry */
+	uint64_t reported_calls; /* running calls by its last reply */
+	uint64_t sent_since;	 /* calls of this entry sent after that reply */
+	int64_t age_ms;		 /* time since it became ready */
 	bool same_domain;
-	bool prefix; /* probably has the call's prompt prefix cached */
-	bool usable; /* connected, and its breaker allows a call */
+	bool prefix_cached; /* probably has the call's prompt prefix cached */
+	bool usable;	    /* connected, and its breaker allows a call */
 };
 
 /* Estimated running calls: the report corrected by what was sent since, and at
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -103,8 +103,8 @@
 			struct replica_view *v = view_at(rt, i);
 
 			refresh(v, domain, pass, now);
-			v->t.prefix = prefix_replica &&
-				      v->replica == prefix_replica;
+			v->t.prefix_cached = prefix_replica &&
+					     v->replica == prefix_replica;
 			any |= v->t.usable;
 			t[i] = v->t;
 		}
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -306,7 +306,8 @@
 	g_ptr_array_unref(list);
 }
 
-void router_route(struct router *r, const struct msg_route *m, int64_t now)
+void router_update_route(struct router *r, const struct msg_route *m,
+			 int64_t now)
 {
 	char *name = ss_str_dup(m->model);
 	struct route *rt = g_hash_table_lookup(r->routes, name);
@@ -428,7 +429,7 @@
 	g_list_free(all);
 }
 
-void router_leader(struct router *r, int64_t now)
+void router_leader_changed(struct router *r, int64_t now)
 {
 	GHashTableIter it;
 	void *rt;
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -32,7 +32,7 @@
 struct rcall;
 
 /* How a call ended. */
-struct router_end {
+struct router_result {
 	int64_t code; /* 0: the whole answer was delivered */
 	enum outcome outcome;
 	const char *text;
@@ -54,7 +54,8 @@
 	/* The next piece of the answer. */
 	void (*deliver)(void *arg, struct rcall *c, const struct msg_reply *m);
 	/* The call has ended; c is freed on return. */
-	void (*finish)(void *arg, struct rcall *c, const struct router_end *e);
+	void (*finish)(void *arg, struct rcall *c,
+		       const struct router_result *e);
 };
 
 struct router_options {
@@ -98,7 +99,8 @@
 void router_cancel(struct router *r, struct rcall *c);
 
 /* Messages and events. */
-void router_route(struct router *r, const struct msg_route *m, int64_t now);
+void router_update_route(struct router *r, const struct msg_route *m,
+			 int64_t now);
 void router_claimed(struct router *r, const struct msg_claimed *m, int64_t now);
 void router_agent_up(struct router *r, const char *node, uint64_t incarnation,
 		     int64_t now);
@@ -107,7 +109,7 @@
 		  int64_t now);
 void router_tick(struct router *r, int64_t now);
 /* Reports the demand of all routes to a new leader. */
-void router_leader(struct router *r, int64_t now);
+void router_leader_changed(struct router *r, int64_t now);
 
 void *rcall_data(const struct rcall *c);
 /* For logs: the id of the latest attempt; zero before the first. */
--- a/src/core/router_attempt.c
+++ b/src/core/router_attempt.c
@@ -102,7 +102,7 @@
 	c->next = 0;
 	c->attempts++;
 	c->counted = true;
-	v->t.own++;
+	v->t.own_calls++;
 	if (c->prefix) {
 		r->prefixes[c->prefix % PREFIX_TABLE_SIZE].prefix = c->prefix;
 		r->prefixes[c->prefix % PREFIX_TABLE_SIZE].replica = c->replica;
@@ -351,7 +351,7 @@
 	rt = c->route;
 	v = route_view(rt, c->replica);
 	if (v && c->counted) {
-		v->t.reported = m->active;
+		v->t.reported_calls = m->active;
 		v->t.sent_since = 0;
 		v->refusals = 0;
 	}
@@ -360,8 +360,8 @@
 		return;
 	if (c->counted) {
 		update_service_time(c, now);
-		if (v && v->t.reported)
-			v->t.reported--;
+		if (v && v->t.reported_calls)
+			v->t.reported_calls--;
 	}
 	ss_breaker_result(&c->agent->breaker, true, now);
 	router_finish_ok(r, c);
--- a/src/core/router_call.c
+++ b/src/core/router_call.c
@@ -38,8 +38,8 @@
 	struct replica_view *v = c->counted ? route_view(c->route, c->replica) :
 					      NULL;
 
-	if (v && v->t.own)
-		v->t.own--;
+	if (v && v->t.own_calls)
+		v->t.own_calls--;
 	if (v && v->t.sent_since)
 		v->t.sent_since--;
 	c->counted = false;
@@ -61,7 +61,7 @@
 }
 
 static void end_call(struct router *r, struct rcall *c,
-		     const struct router_end *e)
+		     const struct router_result *e)
 {
 	if (r->submitting == c)
 		r->submitting = NULL;
@@ -76,17 +76,18 @@
 {
 	/* The outcome covers all attempts of the call, not only the last. */
 	bool unknown = outcome == OUTCOME_NOT_RUN && c->maybe_ran;
-	struct router_end e = { .code = code,
-				.outcome = unknown ? OUTCOME_UNKNOWN : outcome,
-				.text = text,
-				.retry_after_ms = retry_after_ms };
+	struct router_result e = { .code = code,
+				   .outcome = unknown ? OUTCOME_UNKNOWN :
+							outcome,
+				   .text = text,
+				   .retry_after_ms = retry_after_ms };
 
 	end_call(r, c, &e);
 }
 
 void router_finish_ok(struct router *r, struct rcall *c)
 {
-	struct router_end e = { .outcome = OUTCOME_RAN, .text = "" };
+	struct router_result e = { .outcome = OUTCOME_RAN, .text = "" };
 
 	end_call(r, c, &e);
 }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -105,7 +105,7 @@
 }
 
 /* An answer that had begun can't be completed: say so, and cut it. */
-static void cut(struct request *q, const struct router_end *end)
+static void cut(struct request *q, const struct router_result *end)
 {
 	(*q->e->n_cut)++;
 	log_warn("answer_cut", "request=%s type=%s why=\"%s\"", q->id,
@@ -222,7 +222,8 @@
 	caller_chunk(q->req, m->data);
 }
 
-static void op_finish(void *arg, struct rcall *c, const struct router_end *end)
+static void op_finish(void *arg, struct rcall *c,
+		      const struct router_result *end)
 {
 	struct entry_role *e = arg;
 	struct request *q = rcall_data(c);
@@ -412,7 +413,7 @@
 
 	if (!e->d->hello.group)
 		e->d->hello.group = group;
-	router_leader(e->router, entry_now(e));
+	router_leader_changed(e->router, entry_now(e));
 }
 
 static void link_down(void *arg)
@@ -429,7 +430,7 @@
 		take_config(e, &f->u.config);
 		break;
 	case MSG_ROUTE:
-		router_route(e->router, &f->u.route, entry_now(e));
+		router_update_route(e->router, &f->u.route, entry_now(e));
 		break;
 	case MSG_CLAIMED:
 		router_claimed(e->router, &f->u.claimed, entry_now(e));
--- a/test/test_router.c
+++ b/test/test_router.c
@@ -10,7 +10,7 @@
 	struct msg_call last; /* its strings aren't valid */
 	struct msg_attach attach;
 	struct msg_claim claim;
-	struct router_end end;
+	struct router_result end;
 	char text[128];
 	bool refuse_send;
 	int64_t now;
@@ -67,7 +67,7 @@
 	g_string_append_printf(f->actions, "got:%.*s ", SS_FMT(m->data));
 }
 
-static void op_finish(void *arg, struct rcall *c, const struct router_end *e)
+static void op_finish(void *arg, struct rcall *c, const struct router_result *e)
 {
 	static const char *const outcomes[] = { "ran", "not_run", "unknown" };
 	struct fake *f = arg;
@@ -144,7 +144,7 @@
 			       .code = code,
 			       .replicas = { rr, n } };
 
-	router_route(f->r, &m, f->now);
+	router_update_route(f->r, &m, f->now);
 }
 
 static void send_reply(struct fake *f, const char *node, uint64_t sub,
@@ -574,9 +574,9 @@
 					   .eta_ms = -1,
 					   .version = 6 };
 
-		router_route(f.r, &newer, f.now);
+		router_update_route(f.r, &newer, f.now);
 	}
-	router_route(f.r, &m, f.now);
+	router_update_route(f.r, &m, f.now);
 	expect(&f, "");
 	teardown(&f);
 }
