--- a/bench/policy.c
+++ b/bench/policy.c
@@ -241,7 +241,7 @@
 	if (d.waiting == 0) {
 		if (!w->ahead[m])
 			return;
-		d.ahead = true;
+		d.preload = true;
 	}
 	g_array_append_val(demands, d);
 }
--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -226,8 +226,8 @@
 		subscribe(t, c, peer, sub, have);
 }
 
-void calls_call(struct calls *t, void *peer, const struct msg_call *m,
-		const GError *refusal, void *data, int64_t now)
+void calls_submit(struct calls *t, void *peer, const struct msg_call *m,
+		  const GError *refusal, void *data, int64_t now)
 {
 	struct call *c = find(t, m->entry, m->seq);
 
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -48,8 +48,8 @@
  * id can't run and OUTCOME_NOT_RUN stays true. A known id is answered as by
  * calls_attach(), from its first piece.
  */
-void calls_call(struct calls *t, void *peer, const struct msg_call *m,
-		const GError *refusal, void *data, int64_t now);
+void calls_submit(struct calls *t, void *peer, const struct msg_call *m,
+		  const GError *refusal, void *data, int64_t now);
 
 /* Returns whether the id was seen before, in any state or evicted. */
 bool calls_known(const struct calls *t, uint64_t entry, uint64_t seq);
@@ -75,7 +75,7 @@
 /* Evicts expired calls and cancels orphaned ones. */
 void calls_tick(struct calls *t, int64_t now);
 
-/* The data given to calls_call(); NULL once the call has finished. */
+/* The data given to calls_submit(); NULL once the call has finished. */
 void *call_data(const struct call *c);
 uint64_t call_entry(const struct call *c);
 uint64_t call_seq(const struct call *c);
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -138,7 +138,7 @@
 	}
 }
 
-void ledger_leader_heard(struct ledger *l, int64_t now)
+void ledger_leader_contact(struct ledger *l, int64_t now)
 {
 	l->leader_ms = now;
 }
@@ -190,7 +190,7 @@
 	}
 	l->fence = a->fence;
 	l->draining_by_leader = a->draining;
-	ledger_leader_heard(l, now);
+	ledger_leader_contact(l, now);
 	if (l->o.service)
 		return true;
 	for (guint i = 0; i < l->replicas->len; i++) {
@@ -304,8 +304,8 @@
 	(void)now;
 }
 
-struct ledger_replica *ledger_begin(struct ledger *l, struct ss_str model,
-				    GError **error)
+struct ledger_replica *ledger_begin_call(struct ledger *l, struct ss_str model,
+					 GError **error)
 {
 	struct ledger_replica *r;
 
@@ -337,7 +337,7 @@
 	return r;
 }
 
-void ledger_end(struct ledger *l, struct ledger_replica *r, int64_t now)
+void ledger_end_call(struct ledger *l, struct ledger_replica *r, int64_t now)
 {
 	r->active--;
 	l->active--;
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -77,7 +77,7 @@
 		   GError **error);
 
 /* Records that a message of the leader has arrived. */
-void ledger_leader_heard(struct ledger *l, int64_t now);
+void ledger_leader_contact(struct ledger *l, int64_t now);
 
 /*
  * Reads of the models that the endpoint holds. A read gets its number when it
@@ -96,9 +96,9 @@
  * SS_ERROR_DRAINING, SS_ERROR_UNKNOWN_MODEL if no replica is ready here,
  * SS_ERROR_OVERLOAD if all slots are taken.
  */
-struct ledger_replica *ledger_begin(struct ledger *l, struct ss_str model,
-				    GError **error);
-void ledger_end(struct ledger *l, struct ledger_replica *r, int64_t now);
+struct ledger_replica *ledger_begin_call(struct ledger *l, struct ss_str model,
+					 GError **error);
+void ledger_end_call(struct ledger *l, struct ledger_replica *r, int64_t now);
 
 /* Starts the loads and unloads that are possible now. */
 void ledger_tick(struct ledger *l, int64_t now);
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -328,7 +328,7 @@
 
 	if (t->serving + t->loading == 0)
 		return true;
-	if (t->all >= (size_t)v->preset->max_replicas || d->ahead)
+	if (t->all >= (size_t)v->preset->max_replicas || d->preload)
 		return false;
 	need = (int64_t)(d->waiting / MAX(t->slots, 1)) * SERVICE_MS;
 	return d->waiting > t->slots &&
@@ -340,8 +340,8 @@
 	const struct plan_demand *x = *(struct plan_demand *const *)a;
 	const struct plan_demand *y = *(struct plan_demand *const *)b;
 
-	if (x->ahead != y->ahead)
-		return x->ahead ? 1 : -1;
+	if (x->preload != y->preload)
+		return x->preload ? 1 : -1;
 	if (x->priority != y->priority)
 		return x->priority > y->priority ? -1 : 1;
 	if (x->slack_ms != y->slack_ms)
@@ -393,7 +393,7 @@
 	d->eta_ms = load_ms_of(s->p, d, tier);
 	if (n->used + d->bytes > n->bytes) {
 		d->why = "another model is unloaded first";
-		if (!d->ahead)
+		if (!d->preload)
 			evict(s, victims);
 		return;
 	}
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -48,7 +48,7 @@
 	uint64_t waiting; /* queued calls */
 	int64_t slack_ms; /* to the earliest deadline */
 	int priority;
-	bool ahead;	 /* no call waits; history predicts one */
+	bool preload;	 /* no call waits; history predicts one */
 	int64_t load_ms; /* expected from the store; 0: unknown */
 	int64_t eta_ms;	 /* out: until a replica is ready; -1: unknown */
 	const char *why; /* out: static text */
--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -66,7 +66,7 @@
 {
 	struct agent_role *a = j->a;
 
-	ledger_end(a->ledger, j->replica, now_ms(a));
+	ledger_end_call(a->ledger, j->replica, now_ms(a));
 	g_free(j->request_id);
 	g_free(j);
 	a->report_due = true;
@@ -151,7 +151,7 @@
 	if (!calls_known(a->calls, m->entry, m->seq) &&
 	    m->incarnation == a->d->hello.incarnation) {
 		struct ledger_replica *r =
-			ledger_begin(a->ledger, m->model, &refusal);
+			ledger_begin_call(a->ledger, m->model, &refusal);
 
 		if (r) {
 			j = g_new0(struct job, 1);
@@ -161,7 +161,7 @@
 			(*a->n_refused)++;
 		}
 	}
-	calls_call(a->calls, c, m, refusal, j, now_ms(a));
+	calls_submit(a->calls, c, m, refusal, j, now_ms(a));
 	g_clear_error(&refusal);
 }
 
@@ -338,7 +338,7 @@
 	struct agent_role *a = arg;
 	GError *error = NULL;
 
-	ledger_leader_heard(a->ledger, now_ms(a));
+	ledger_leader_contact(a->ledger, now_ms(a));
 	switch (f->kind) {
 	case MSG_ASSIGN:
 		if (ledger_assign(a->ledger, &f->u.assign, now_ms(a), &error)) {
--- a/src/daemon/lead_plan.c
+++ b/src/daemon/lead_plan.c
@@ -160,7 +160,7 @@
 		if (d.waiting == 0) {
 			if (!m->ahead)
 				continue;
-			d.ahead = true;
+			d.preload = true;
 		}
 		add_demand(w, m, &d);
 	}
@@ -211,7 +211,7 @@
 
 	(*w->l->n_loads)++;
 	log_info("decide_load", "model=%s node=%s waiting=%" PRIu64 " ahead=%d",
-		 d->model, n->name, d->waiting, d->ahead);
+		 d->model, n->name, d->waiting, d->preload);
 	group_change(w->l->g, &c, decided(w->l));
 }
 
--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -201,7 +201,7 @@
 		break;
 	case 9:
 		w.now += x % 9000;
-		ledger_leader_heard(w.l, w.now);
+		ledger_leader_contact(w.l, w.now);
 		ledger_tick(w.l, w.now);
 		break;
 	case 10:
@@ -317,7 +317,7 @@
 	m.once = id % 2;
 	if ((v >> 20) % 5 == 0)
 		full = g_error_new(SS_ERROR, SS_ERROR_OVERLOAD, "full");
-	calls_call(w.t, peer, &m, full, nullptr, w.now);
+	calls_submit(w.t, peer, &m, full, nullptr, w.now);
 	g_clear_error(&full);
 }
 
--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -191,7 +191,7 @@
 	b.now += LEDGER_LEASE_MS + 1;
 	read_engine(&b, NULL, 0);
 	assert_string_equal(b.f.orders->str, "-x");
-	ledger_leader_heard(b.l, b.now);
+	ledger_leader_contact(b.l, b.now);
 	ledger_tick(b.l, b.now);
 	assert_string_equal(b.f.orders->str, "-x+a");
 	fixture_free(&b);
@@ -212,15 +212,15 @@
 	assign(&b, 5, &a, 1);
 	ledger_answered(b.l, "a", true, b.now);
 	read_engine(&b, &h, 1);
-	r = ledger_begin(b.l, SS_LIT("a"), NULL);
+	r = ledger_begin_call(b.l, SS_LIT("a"), NULL);
 	assert_non_null(r);
 	a.unload = true;
 	assign(&b, 6, &a, 1);
 	assert_string_equal(b.f.orders->str, "+a");
-	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
+	assert_null(ledger_begin_call(b.l, SS_LIT("a"), &error));
 	assert_int_equal(error->code, SS_ERROR_UNKNOWN_MODEL);
 	g_clear_error(&error);
-	ledger_end(b.l, r, b.now);
+	ledger_end_call(b.l, r, b.now);
 	assert_string_equal(b.f.orders->str, "+a-a");
 	fixture_free(&b);
 }
@@ -239,13 +239,13 @@
 	assign(&b, 5, &a, 1);
 	ledger_answered(b.l, "a", true, b.now);
 	read_engine(&b, &h, 1);
-	assert_non_null(ledger_begin(b.l, SS_LIT("a"), NULL));
-	assert_non_null(ledger_begin(b.l, SS_LIT("a"), NULL));
-	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
+	assert_non_null(ledger_begin_call(b.l, SS_LIT("a"), NULL));
+	assert_non_null(ledger_begin_call(b.l, SS_LIT("a"), NULL));
+	assert_null(ledger_begin_call(b.l, SS_LIT("a"), &error));
 	assert_int_equal(error->code, SS_ERROR_OVERLOAD);
 	g_clear_error(&error);
 	ledger_drain(b.l);
-	assert_null(ledger_begin(b.l, SS_LIT("a"), &error));
+	assert_null(ledger_begin_call(b.l, SS_LIT("a"), &error));
 	assert_int_equal(error->code, SS_ERROR_DRAINING);
 	g_clear_error(&error);
 	fixture_free(&b);
@@ -266,7 +266,7 @@
 		ledger_answered(b.l, "a", false, b.now);
 		read_engine(&b, NULL, 0);
 		b.now += 60000;
-		ledger_leader_heard(b.l, b.now);
+		ledger_leader_contact(b.l, b.now);
 		ledger_tick(b.l, b.now);
 	}
 	assert_string_equal(b.f.orders->str, "+a+a+a");
@@ -351,7 +351,7 @@
 			      .incarnation = SELF,
 			      .once = once };
 
-	calls_call(x->t, peer, &m, NULL, NULL, 0);
+	calls_submit(x->t, peer, &m, NULL, NULL, 0);
 }
 
 static void attach(struct table *x, char *peer, uint64_t seq, uint64_t have,
@@ -424,8 +424,8 @@
 
 	(void)state;
 	table_start(&x);
-	calls_call(x.t, "a", &m, full, NULL, 0);
-	calls_call(x.t, "a", &m, NULL, NULL, 0);
+	calls_submit(x.t, "a", &m, full, NULL, 0);
+	calls_submit(x.t, "a", &m, NULL, NULL, 0);
 	assert_string_equal(x.l.events->str, "a:not_run a:not_run ");
 	g_error_free(full);
 	table_free(&x);
