--- a/src/core/fleet_wire.c
+++ b/src/core/fleet_wire.c
@@ -42,7 +42,7 @@
 	r->self.started_ms = m->started_ms;
 	r->self.id = m->id.n ? ss_str_dup(m->id) : NULL;
 	r->busy = m->busy;
-	r->draining = m->leaving;
+	r->draining = m->draining;
 	r->remaining_ms = m->remaining_ms;
 	r->orders = m->orders;
 	r->running = m->running;
--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -60,7 +60,7 @@
 static const struct wire_field leader_fields[] = {
 	F(1, WIRE_UINT, msg_leader, group),
 	F(2, WIRE_STR, msg_leader, addr),
-	F(3, WIRE_BOOL, msg_leader, here),
+	F(3, WIRE_BOOL, msg_leader, from_leader),
 	L(4, msg_leader, members, control_addr_type),
 };
 static const struct wire_field held_fields[] = {
@@ -231,7 +231,7 @@
 	F(2, WIRE_STR, msg_endpoint, agent),
 	F(3, WIRE_BOOL, msg_endpoint, reachable),
 	F(4, WIRE_BOOL, msg_endpoint, busy),
-	F(5, WIRE_BOOL, msg_endpoint, leaving),
+	F(5, WIRE_BOOL, msg_endpoint, draining),
 	F(6, WIRE_INT, msg_endpoint, remaining_ms),
 	F(7, WIRE_UINT, msg_endpoint, orders),
 	F(8, WIRE_INT, msg_endpoint, running),
@@ -262,7 +262,7 @@
 	F(4, WIRE_STR, fleet_endpoint, domain),
 	F(5, WIRE_STR, fleet_endpoint, agent),
 	F(6, WIRE_INT, fleet_endpoint, slots),
-	F(7, WIRE_BOOL, fleet_endpoint, leaving),
+	F(7, WIRE_BOOL, fleet_endpoint, unusable),
 	F(8, WIRE_BOOL, fleet_endpoint, gone),
 	F(9, WIRE_INT, fleet_endpoint, running),
 	F(10, WIRE_INT, fleet_endpoint, waiting),
@@ -272,12 +272,12 @@
 	F(14, WIRE_INT, fleet_endpoint, age_ms),
 	F(15, WIRE_BOOL, fleet_endpoint, busy),
 	F(16, WIRE_INT, fleet_endpoint, started_ms),
-	F(17, WIRE_INT, fleet_endpoint, failing),
+	F(17, WIRE_INT, fleet_endpoint, failure_rate),
 	F(18, WIRE_INT, fleet_endpoint, limit),
 	F(19, WIRE_INT, fleet_endpoint, limit_age),
 	F(20, WIRE_STR, fleet_endpoint, version),
-	F(21, WIRE_BOOL, fleet_endpoint, ending),
-	F(22, WIRE_INT, fleet_endpoint, slow),
+	F(21, WIRE_BOOL, fleet_endpoint, draining),
+	F(22, WIRE_INT, fleet_endpoint, slowness),
 };
 static const struct wire_type fleet_endpoint_type =
 	T(fleet_endpoint, fleet_endpoint_fields);
@@ -295,15 +295,15 @@
 	F(4, WIRE_INT, fleet_load, tokens_used),
 	F(5, WIRE_INT, fleet_load, tokens_total),
 	F(6, WIRE_INT, fleet_load, age_ms),
-	F(7, WIRE_INT, fleet_load, failing),
-	F(8, WIRE_INT, fleet_load, slow),
+	F(7, WIRE_INT, fleet_load, failure_rate),
+	F(8, WIRE_INT, fleet_load, slowness),
 };
 static const struct wire_type fleet_load_type =
 	T(fleet_load, fleet_load_fields);
 static const struct wire_field fleet_fields[] = {
 	F(1, WIRE_UINT, msg_fleet, fence),
 	F(2, WIRE_UINT, msg_fleet, round),
-	F(3, WIRE_BOOL, msg_fleet, whole),
+	F(3, WIRE_BOOL, msg_fleet, full),
 	L(4, msg_fleet, endpoints, fleet_endpoint_type),
 	L(5, msg_fleet, etas, fleet_eta_type),
 	F(6, WIRE_UINT, msg_fleet, entries),
@@ -327,33 +327,33 @@
 static const struct wire_type endpoint_calls_type =
 	T(endpoint_calls, endpoint_calls_fields);
 static const struct wire_field endpoint_results_fields[] = {
-	F(1, WIRE_STR, endpoint_ends, addr),
-	F(2, WIRE_INT, endpoint_ends, started_ms),
-	F(3, WIRE_UINT, endpoint_ends, failed),
-	F(4, WIRE_UINT, endpoint_ends, answered),
-	F(5, WIRE_INT, endpoint_ends, slow_ln),
-	F(6, WIRE_UINT, endpoint_ends, slow_n),
+	F(1, WIRE_STR, endpoint_results, addr),
+	F(2, WIRE_INT, endpoint_results, started_ms),
+	F(3, WIRE_UINT, endpoint_results, failed),
+	F(4, WIRE_UINT, endpoint_results, answered),
+	F(5, WIRE_INT, endpoint_results, slowness_ln),
+	F(6, WIRE_UINT, endpoint_results, slowness_count),
 };
 static const struct wire_type endpoint_results_type =
-	T(endpoint_ends, endpoint_results_fields);
+	T(endpoint_results, endpoint_results_fields);
 static const struct wire_field endpoint_signals_fields[] = {
-	F(1, WIRE_STR, endpoint_word, addr),
-	F(2, WIRE_STR, endpoint_word, id),
-	F(3, WIRE_INT, endpoint_word, started_ms),
-	F(4, WIRE_INT, endpoint_word, limit),
-	F(5, WIRE_INT, endpoint_word, limit_age),
-	F(6, WIRE_INT, endpoint_word, rest_ms),
-	F(7, WIRE_BOOL, endpoint_word, leaving),
+	F(1, WIRE_STR, endpoint_signals, addr),
+	F(2, WIRE_STR, endpoint_signals, id),
+	F(3, WIRE_INT, endpoint_signals, started_ms),
+	F(4, WIRE_INT, endpoint_signals, limit),
+	F(5, WIRE_INT, endpoint_signals, limit_age),
+	F(6, WIRE_INT, endpoint_signals, backoff_ms),
+	F(7, WIRE_BOOL, endpoint_signals, draining),
 };
 static const struct wire_type endpoint_signals_type =
-	T(endpoint_word, endpoint_signals_fields);
+	T(endpoint_signals, endpoint_signals_fields);
 static const struct wire_field demand_fields[] = {
 	F(1, WIRE_UINT, msg_demand, round),
 	F(2, WIRE_UINT, msg_demand, routing),
 	L(3, msg_demand, models, model_demand_type),
 	L(4, msg_demand, calls, endpoint_calls_type),
-	L(5, msg_demand, ends, endpoint_results_type),
-	L(6, msg_demand, words, endpoint_signals_type),
+	L(5, msg_demand, results, endpoint_results_type),
+	L(6, msg_demand, signals, endpoint_signals_type),
 };
 static const struct wire_field routing_bytes_fields[] = {
 	F(1, WIRE_STR, routing_bytes, packed),
@@ -392,36 +392,36 @@
 };
 
 static const struct wire_field run_outcome_fields[] = {
-	F(1, WIRE_UINT, end_item, print_hi),
-	F(2, WIRE_UINT, end_item, print_lo),
-	F(3, WIRE_INT, end_item, kind),
-	F(4, WIRE_UINT, end_item, life),
-	F(5, WIRE_INT, end_item, age_ms),
+	F(1, WIRE_UINT, run_outcome_item, fingerprint_hi),
+	F(2, WIRE_UINT, run_outcome_item, fingerprint_lo),
+	F(3, WIRE_INT, run_outcome_item, kind),
+	F(4, WIRE_UINT, run_outcome_item, incarnation_no),
+	F(5, WIRE_INT, run_outcome_item, age_ms),
 };
 static const struct wire_type run_outcome_type =
-	T(end_item, run_outcome_fields);
+	T(run_outcome_item, run_outcome_fields);
 static const struct wire_field suspect_item_fields[] = {
-	F(1, WIRE_UINT, suspect_item, print_hi),
-	F(2, WIRE_UINT, suspect_item, print_lo),
+	F(1, WIRE_UINT, suspect_item, fingerprint_hi),
+	F(2, WIRE_UINT, suspect_item, fingerprint_lo),
 	F(3, WIRE_BOOL, suspect_item, cleared),
-	F(4, WIRE_INT, suspect_item, left_ms),
-	F(5, WIRE_UINT, suspect_item, trials),
+	F(4, WIRE_INT, suspect_item, remaining_ms),
+	F(5, WIRE_UINT, suspect_item, failed_trials),
 };
 static const struct wire_type suspect_item_type =
 	T(suspect_item, suspect_item_fields);
 static const struct wire_field run_outcomes_fields[] = {
-	L(1, msg_ends, ends, run_outcome_type),
-	L(2, msg_ends, recalled, suspect_item_type),
+	L(1, msg_run_outcomes, outcomes, run_outcome_type),
+	L(2, msg_run_outcomes, suspects, suspect_item_type),
 };
 static const struct wire_field quarantine_fields[] = {
 	F(1, WIRE_UINT, msg_quarantine, fence),
-	L(2, msg_quarantine, words, suspect_item_type),
+	L(2, msg_quarantine, suspects, suspect_item_type),
 };
 static const struct wire_field trial_fields[] = {
 	F(1, WIRE_UINT, msg_trial, sub),
-	F(2, WIRE_UINT, msg_trial, print_hi),
-	F(3, WIRE_UINT, msg_trial, print_lo),
-	F(4, WIRE_INT, msg_trial, leave),
+	F(2, WIRE_UINT, msg_trial, fingerprint_hi),
+	F(3, WIRE_UINT, msg_trial, fingerprint_lo),
+	F(4, WIRE_INT, msg_trial, admission),
 	F(5, WIRE_INT, msg_trial, wait_ms),
 };
 
@@ -465,16 +465,16 @@
 static const struct wire_type quota_reply_type =
 	T(quota_word, quota_reply_item_fields);
 static const struct wire_field quota_request_fields[] = {
-	L(1, msg_quota_ask, asks, quota_request_type),
+	L(1, msg_quota_request, requests, quota_request_type),
 };
 static const struct wire_field quota_reply_fields[] = {
-	L(1, msg_quota_word, words, quota_reply_type),
+	L(1, msg_quota_reply, replies, quota_reply_type),
 };
 
 static const struct wire_field stream_group_fields[] = {
 	F(1, WIRE_STR, stream_group, service),
 	F(2, WIRE_STR, stream_group, version),
-	F(3, WIRE_INT, stream_group, life_ms),
+	F(3, WIRE_INT, stream_group, ttl_ms),
 	F(4, WIRE_STR, stream_group, keys),
 };
 static const struct wire_type stream_group_type =
@@ -483,15 +483,15 @@
 	L(1, msg_streams, groups, stream_group_type),
 };
 static const struct wire_field stream_request_fields[] = {
-	F(1, WIRE_UINT, msg_stream_ask, sub),
-	F(2, WIRE_UINT, msg_stream_ask, key),
-	F(3, WIRE_STR, msg_stream_ask, service),
+	F(1, WIRE_UINT, msg_stream_request, sub),
+	F(2, WIRE_UINT, msg_stream_request, key),
+	F(3, WIRE_STR, msg_stream_request, service),
 };
 static const struct wire_field stream_reply_fields[] = {
-	F(1, WIRE_UINT, msg_stream_word, sub),
-	F(2, WIRE_INT, msg_stream_word, word),
-	F(3, WIRE_STR, msg_stream_word, service),
-	F(4, WIRE_STR, msg_stream_word, version),
+	F(1, WIRE_UINT, msg_stream_reply, sub),
+	F(2, WIRE_INT, msg_stream_reply, result),
+	F(3, WIRE_STR, msg_stream_reply, service),
+	F(4, WIRE_STR, msg_stream_reply, version),
 };
 
 static const struct wire_type types[MSG_KINDS] = {
@@ -527,16 +527,16 @@
 	[MSG_TERM] = T(msg_term, term_fields),
 	[MSG_FETCH] = T(msg_fetch, fetch_fields),
 	[MSG_REMOTE] = T(msg_remote, remote_fields),
-	[MSG_ENDS] = T(msg_ends, run_outcomes_fields),
+	[MSG_RUN_OUTCOMES] = T(msg_run_outcomes, run_outcomes_fields),
 	[MSG_QUARANTINE] = T(msg_quarantine, quarantine_fields),
 	[MSG_TRIAL] = T(msg_trial, trial_fields),
-	[MSG_QUOTA_ASK] = T(msg_quota_ask, quota_request_fields),
-	[MSG_QUOTA_WORD] = T(msg_quota_word, quota_reply_fields),
-	[MSG_LIMIT_ASK] = T(msg_quota_ask, quota_request_fields),
-	[MSG_LIMIT_WORD] = T(msg_quota_word, quota_reply_fields),
+	[MSG_QUOTA_REQUEST] = T(msg_quota_request, quota_request_fields),
+	[MSG_QUOTA_REPLY] = T(msg_quota_reply, quota_reply_fields),
+	[MSG_LIMIT_REQUEST] = T(msg_quota_request, quota_request_fields),
+	[MSG_LIMIT_REPLY] = T(msg_quota_reply, quota_reply_fields),
 	[MSG_STREAMS] = T(msg_streams, streams_fields),
-	[MSG_STREAM_ASK] = T(msg_stream_ask, stream_request_fields),
-	[MSG_STREAM_WORD] = T(msg_stream_word, stream_reply_fields),
+	[MSG_STREAM_REQUEST] = T(msg_stream_request, stream_request_fields),
+	[MSG_STREAM_REPLY] = T(msg_stream_reply, stream_reply_fields),
 };
 
 const struct wire_type *msg_type(enum msg_kind kind)
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -41,16 +41,18 @@
 	MSG_TERM,	  /* leader to others: its term, once confirmed */
 	MSG_FETCH,  /* to any control VM: routing versions held and wanted */
 	MSG_REMOTE, /* leader to control: engines to run agents for */
-	MSG_ENDS,   /* entry to leader: outcomes of suspected requests */
-	MSG_QUARANTINE, /* leader to entry: requests that must not run */
-	MSG_TRIAL,	/* both ways: trial run of a request, and the reply */
-	MSG_QUOTA_ASK,	/* entry to leader: grants that customers need */
-	MSG_QUOTA_WORD, /* reply to MSG_QUOTA_ASK */
-	MSG_LIMIT_ASK,	/* entry to leader: grants of endpoints' rate limits */
-	MSG_LIMIT_WORD, /* reply to MSG_LIMIT_ASK */
-	MSG_STREAMS,	/* entry to leader to members: origins of streams */
-	MSG_STREAM_ASK, /* entry to leader: asks which version began a stream */
-	MSG_STREAM_WORD, /* reply to MSG_STREAM_ASK */
+	MSG_RUN_OUTCOMES, /* entry to leader: outcomes of suspected requests */
+	MSG_QUARANTINE,	  /* leader to entry: requests that must not run */
+	MSG_TRIAL,	  /* both ways: trial run of a request, and the reply */
+	MSG_QUOTA_REQUEST,  /* entry to leader: grants that customers need */
+	MSG_QUOTA_REPLY,    /* reply to MSG_QUOTA_REQUEST */
+	MSG_LIMIT_REQUEST,  /* entry to leader: grants of endpoints' rate limits
+			     */
+	MSG_LIMIT_REPLY,    /* reply to MSG_LIMIT_REQUEST */
+	MSG_STREAMS,	    /* entry to leader to members: origins of streams */
+	MSG_STREAM_REQUEST, /* entry to leader: asks which version began a
+			       stream */
+	MSG_STREAM_REPLY,   /* reply to MSG_STREAM_REQUEST */
 	MSG_KINDS
 };
 
@@ -82,7 +84,7 @@
 struct msg_leader {
 	uint64_t group;
 	struct ss_str addr;	  /* empty: no leader known */
-	bool here;		  /* the sender is the leader */
+	bool from_leader;	  /* the sender is the leader */
 	struct wire_list members; /* struct control_addr: the Raft group */
 };
 
@@ -285,7 +287,7 @@
 	struct ss_str addr;  /* of the endpoint */
 	struct ss_str agent; /* address of the agent's listener */
 	bool reachable;
-	bool busy, leaving;
+	bool busy, draining;
 	int64_t remaining_ms; /* until the VM is taken away; 0: unknown */
 	uint64_t orders;      /* accepted since its start */
 	int64_t running, waiting;
@@ -318,8 +320,8 @@
 	struct ss_str addr, id, service, domain;
 	struct ss_str agent; /* empty: unknown */
 	int64_t slots;
-	bool leaving; /* accepts no new calls, perhaps only for a time */
-	bool gone;    /* no longer listed */
+	bool unusable; /* accepts no new calls, perhaps only for a time */
+	bool gone;     /* no longer listed */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	struct wire_list held; /* struct held_model that accept new calls */
@@ -327,13 +329,13 @@
 	bool busy; /* loads or unloads a model: can't load an adapter */
 	int64_t started_ms; /* as in struct fleet_incarnation */
 	/* Failure rate over all entries, in parts of FAILURE_RATE_SCALE. */
-	int64_t failing;
+	int64_t failure_rate;
 	/* Its own rate limit, as sent by endpoint_limit_wire(), and the age. */
 	int64_t limit, limit_age;
 	struct ss_str version; /* as in struct fleet_incarnation */
-	bool ending;	       /* about to stop for good */
+	bool draining;	       /* about to stop for good */
 	/* Slowness over all entries, in parts of SLOWNESS_SCALE. */
-	int64_t slow;
+	int64_t slowness;
 };
 
 struct fleet_eta {
@@ -348,13 +350,13 @@
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	int64_t age_ms;
-	int64_t failing, slow; /* as in struct fleet_endpoint */
+	int64_t failure_rate, slowness; /* as in struct fleet_endpoint */
 };
 
 struct msg_fleet {
 	uint64_t fence;
 	uint64_t round;		    /* echoed in the next MSG_DEMAND */
-	bool whole;		    /* endpoints not listed no longer exist */
+	bool full;		    /* endpoints not listed no longer exist */
 	struct wire_list endpoints; /* struct fleet_endpoint */
 	struct wire_list etas;	    /* struct fleet_eta */
 	uint64_t entries;	    /* connected to the leader */
@@ -380,30 +382,30 @@
  * endpoints that failed some, durations for those that are slower or faster
  * than the others of their service.
  */
-struct endpoint_ends {
+struct endpoint_results {
 	struct ss_str addr;
 	int64_t started_ms; /* as in struct endpoint_calls */
 	uint64_t failed, answered;
-	int64_t slow_ln; /* sum as of slowness_observed_sum() */
-	uint64_t slow_n; /* answers in that sum */
+	int64_t slowness_ln;	 /* sum as of slowness_observed_sum() */
+	uint64_t slowness_count; /* answers in that sum */
 };
 
 /* Signals from an endpoint's answers. */
-struct endpoint_word {
+struct endpoint_signals {
 	struct ss_str addr, id;
 	int64_t started_ms;	  /* as in struct endpoint_calls */
 	int64_t limit, limit_age; /* as in struct fleet_endpoint */
-	int64_t rest_ms; /* left of the backoff that it asked an entry for */
-	bool leaving;	 /* it is about to stop */
+	int64_t backoff_ms; /* left of the backoff that it asked an entry for */
+	bool draining;	    /* it is about to stop */
 };
 
 struct msg_demand {
-	uint64_t round;		 /* of the newest MSG_FLEET applied */
-	uint64_t routing;	 /* version applied */
-	struct wire_list models; /* struct model_demand that changed */
-	struct wire_list calls;	 /* struct endpoint_calls: all */
-	struct wire_list ends;	 /* struct endpoint_ends */
-	struct wire_list words;	 /* struct endpoint_word */
+	uint64_t round;		  /* of the newest MSG_FLEET applied */
+	uint64_t routing;	  /* version applied */
+	struct wire_list models;  /* struct model_demand that changed */
+	struct wire_list calls;	  /* struct endpoint_calls: all */
+	struct wire_list results; /* struct endpoint_results */
+	struct wire_list signals; /* struct endpoint_signals */
 };
 
 /* Routing versions that the sender holds (0: none) and wants (0: none, the
@@ -451,51 +453,51 @@
 };
 
 /* What an entry has observed of a suspected request, as struct run_outcome. */
-struct end_item {
-	uint64_t print_hi, print_lo;
+struct run_outcome_item {
+	uint64_t fingerprint_hi, fingerprint_lo;
 	int64_t kind; /* enum run_outcome_kind */
-	uint64_t life;
+	uint64_t incarnation_no;
 	int64_t age_ms;
 };
 
 /* State of a suspected request, as struct suspect_state. */
 struct suspect_item {
-	uint64_t print_hi, print_lo;
+	uint64_t fingerprint_hi, fingerprint_lo;
 	bool cleared;
-	int64_t left_ms;
-	uint64_t trials;
+	int64_t remaining_ms;
+	uint64_t failed_trials;
 };
 
-struct msg_ends {
-	struct wire_list ends;	   /* struct end_item */
-	struct wire_list recalled; /* struct suspect_item, for a new leader */
+struct msg_run_outcomes {
+	struct wire_list outcomes; /* struct run_outcome_item */
+	struct wire_list suspects; /* struct suspect_item, for a new leader */
 };
 
 struct msg_quarantine {
-	uint64_t fence;		/* of the leadership */
-	struct wire_list words; /* struct suspect_item that changed */
+	uint64_t fence;		   /* of the leadership */
+	struct wire_list suspects; /* struct suspect_item that changed */
 };
 
 struct msg_trial {
 	uint64_t sub; /* echoed */
-	uint64_t print_hi, print_lo;
-	int64_t leave;	 /* in the reply: enum suspect_admission */
-	int64_t wait_ms; /* with SUSPECT_WAIT: until the next request */
+	uint64_t fingerprint_hi, fingerprint_lo;
+	int64_t admission; /* in the reply: enum suspect_admission */
+	int64_t wait_ms;   /* with SUSPECT_WAIT: until the next request */
 };
 
-struct msg_quota_ask {
-	struct wire_list asks; /* struct quota_ask */
+struct msg_quota_request {
+	struct wire_list requests; /* struct quota_ask */
 };
 
-struct msg_quota_word {
-	struct wire_list words; /* struct quota_word */
+struct msg_quota_reply {
+	struct wire_list replies; /* struct quota_word */
 };
 
 /* Streams begun by one version of a service; without keys it only states that
  * the version serves. */
 struct stream_group {
 	struct ss_str service, version;
-	int64_t life_ms;    /* remaining time to live */
+	int64_t ttl_ms;	    /* remaining time to live */
 	struct ss_str keys; /* as of stream_key(), eight bytes each */
 };
 
@@ -503,22 +505,22 @@
 	struct wire_list groups; /* struct stream_group */
 };
 
-struct msg_stream_ask {
+struct msg_stream_request {
 	uint64_t sub; /* echoed */
 	uint64_t key; /* 0: the caller doesn't name the stream */
 	struct ss_str service;
 };
 
-enum stream_word {
-	STREAM_KNOWN = 1, /* begun by the version in the reply */
-	STREAM_ONLY,	  /* not recorded; only one version has served */
-	STREAM_LATER,	  /* not recorded yet; a record may still arrive */
-	STREAM_UNKNOWN,	  /* not recorded; several versions have served */
+enum stream_reply {
+	STREAM_KNOWN = 1,    /* begun by the version in the reply */
+	STREAM_SOLE_VERSION, /* not recorded; only one version has served */
+	STREAM_PENDING,	     /* not recorded yet; a record may still arrive */
+	STREAM_UNKNOWN,	     /* not recorded; several versions have served */
 };
 
-struct msg_stream_word {
+struct msg_stream_reply {
 	uint64_t sub;
-	int64_t word; /* enum stream_word */
+	int64_t result; /* enum stream_reply */
 	struct ss_str service, version;
 };
 
--- a/src/core/stream_wire.c
+++ b/src/core/stream_wire.c
@@ -15,13 +15,13 @@
 {
 	struct stream_group g = { .service = ss_str(x->service),
 				  .version = ss_str(x->version),
-				  .life_ms = round_up(x->ttl_ms) };
+				  .ttl_ms = round_up(x->ttl_ms) };
 
 	for (guint i = 0; i < w->groups->len; i++) {
 		const struct stream_group *other =
 			&g_array_index(w->groups, struct stream_group, i);
 
-		if (other->life_ms == g.life_ms &&
+		if (other->ttl_ms == g.ttl_ms &&
 		    ss_str_eq(other->service, g.service) &&
 		    ss_str_eq(other->version, g.version))
 			return i;
@@ -73,7 +73,7 @@
 		char *version = ss_str_dup(g[i].version);
 		struct stream_item x = { .service = service,
 					 .version = version,
-					 .ttl_ms = g[i].life_ms };
+					 .ttl_ms = g[i].ttl_ms };
 
 		if (!g[i].keys.n)
 			stream_log_add(l, &x, now);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -49,10 +49,10 @@
 	const char *addr = group_leader_said(k->group);
 	GArray *members = group_member_addrs(k->group);
 	struct msg_leader m = { .group = group_id(k->group),
-				.here = k->lead != NULL,
+				.from_leader = k->lead != NULL,
 				.members = { members->data, members->len } };
 
-	if (!m.here && addr)
+	if (!m.from_leader && addr)
 		m.addr = ss_str(addr);
 	conn_send(c, MSG_LEADER, &m);
 	g_array_unref(members);
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -123,7 +123,7 @@
 		.remote = a->o.remote,
 		.reachable = a->reachable,
 		.busy = r->busy,
-		.leaving = r->draining,
+		.draining = r->draining,
 		.remaining_ms = MAX(r->remaining_ms, 0),
 		.orders = r->orders,
 		.running = r->running,
--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -196,11 +196,11 @@
 	return e->link_up && link_send(e->link, MSG_TRIAL, m);
 }
 
-static bool ask_stream(void *arg, const struct msg_stream_ask *m)
+static bool ask_stream(void *arg, const struct msg_stream_request *m)
 {
 	struct fleet_entry *e = arg;
 
-	return e->link_up && link_send(e->link, MSG_STREAM_ASK, m);
+	return e->link_up && link_send(e->link, MSG_STREAM_REQUEST, m);
 }
 
 static const struct gate_ops gate_table = { need_adapter, demand, ask_trial,
@@ -290,13 +290,13 @@
 	case MSG_TRIAL:
 		gate_take_trial(e->gate, &f->u.trial);
 		break;
-	case MSG_STREAM_WORD:
-		gate_take_stream(e->gate, &f->u.stream_word);
+	case MSG_STREAM_REPLY:
+		gate_take_stream(e->gate, &f->u.stream_reply);
 		break;
-	case MSG_QUOTA_WORD:
+	case MSG_QUOTA_REPLY:
 		gate_take_quota(e->gate, &f->u.quota_word);
 		break;
-	case MSG_LIMIT_WORD:
+	case MSG_LIMIT_REPLY:
 		gate_take_limit(e->gate, &f->u.quota_word);
 		break;
 	default:
@@ -311,13 +311,13 @@
 		      void (*add)(struct gate *g, GArray *out))
 {
 	GArray *asks;
-	struct msg_quota_ask m;
+	struct msg_quota_request m;
 
 	if (!e->link_up)
 		return;
 	asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 	add(e->gate, asks);
-	m.asks = (struct wire_list){ asks->data, asks->len };
+	m.requests = (struct wire_list){ asks->data, asks->len };
 	if (asks->len)
 		link_send(e->link, kind, &m);
 	g_array_unref(asks);
@@ -329,7 +329,8 @@
 	struct gate_ends r;
 
 	if (e->link_up && gate_ends(e->gate, &r))
-		gate_ends_done(e->gate, &r, link_send(e->link, MSG_ENDS, &r.m));
+		gate_ends_done(e->gate, &r,
+			       link_send(e->link, MSG_RUN_OUTCOMES, &r.m));
 }
 
 /* At once: this process may end before their callers do. */
@@ -418,10 +419,10 @@
 	routing_fetch_tick(e->routing);
 	send_ends(e);
 	send_streams(e);
-	send_asks(e, MSG_QUOTA_ASK, gate_quota_asks);
+	send_asks(e, MSG_QUOTA_REQUEST, gate_quota_asks);
 	send_demand(e, now);
 	/* The leader hears of a limit first. */
-	send_asks(e, MSG_LIMIT_ASK, gate_limit_asks);
+	send_asks(e, MSG_LIMIT_REQUEST, gate_limit_asks);
 	instances_run(e->list,
 		      !e->link_up &&
 			      now - e->leader_ms > (gate_knows_fleet(e->gate) ?
--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_lead.c
@@ -80,7 +80,7 @@
 	case MSG_DEMAND:
 		fleet_take_demand(l, c, &f->u.demand);
 		break;
-	case MSG_ENDS:
+	case MSG_RUN_OUTCOMES:
 		fleet_suspects_take(l, &f->u.ends);
 		break;
 	case MSG_TRIAL:
@@ -89,13 +89,13 @@
 	case MSG_STREAMS:
 		fleet_streams_take(l, &f->u.streams);
 		break;
-	case MSG_STREAM_ASK:
+	case MSG_STREAM_REQUEST:
 		fleet_streams_ask(l, c, &f->u.stream_ask);
 		break;
-	case MSG_QUOTA_ASK:
+	case MSG_QUOTA_REQUEST:
 		fleet_quota_ask(l, c, &f->u.quota_ask);
 		break;
-	case MSG_LIMIT_ASK:
+	case MSG_LIMIT_REQUEST:
 		fleet_limit_ask(l, c, &f->u.quota_ask);
 		break;
 	default:
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -288,7 +288,8 @@
 /* fleet_suspects.c: requests under which endpoints end */
 void fleet_suspects_begin(struct fleet_lead *l);
 /* What an entry has seen; what it asks. */
-void fleet_suspects_take(struct fleet_lead *l, const struct msg_ends *m);
+void fleet_suspects_take(struct fleet_lead *l,
+			 const struct msg_run_outcomes *m);
 void fleet_suspects_ask(struct fleet_lead *l, struct conn *c,
 			const struct msg_trial *m);
 /* Tell entries what they don't know yet. */
@@ -300,10 +301,10 @@
 void fleet_quota_end(struct fleet_lead *l);
 /* What an entry needs of customers' limits; it is answered. */
 void fleet_quota_ask(struct fleet_lead *l, struct conn *c,
-		     const struct msg_quota_ask *m);
+		     const struct msg_quota_request *m);
 /* The same of endpoints' own limits. */
 void fleet_limit_ask(struct fleet_lead *l, struct conn *c,
-		     const struct msg_quota_ask *m);
+		     const struct msg_quota_request *m);
 /* The connection is gone, but still in the table of peers. */
 void fleet_quota_gone(struct fleet_lead *l, const struct conn *c);
 void fleet_quota_tick(struct fleet_lead *l, int64_t now);
@@ -317,7 +318,7 @@
 /* What an entry has begun; what it asks. */
 void fleet_streams_take(struct fleet_lead *l, const struct msg_streams *m);
 void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
-		       const struct msg_stream_ask *m);
+		       const struct msg_stream_request *m);
 void fleet_streams_tick(struct fleet_lead *l, int64_t now);
 
 /* fleet_push.c */
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -55,10 +55,11 @@
 		      const struct fleet_ep *ep)
 {
 	int64_t now = fleet_lead_now(l);
-	struct fleet_load x = { .addr = ss_str(ep->addr),
-				.failing = failure_rate_permille(&ep->failing,
-								 now),
-				.slow = fleet_slowness_ratio(&ep->slow, now) };
+	struct fleet_load x = {
+		.addr = ss_str(ep->addr),
+		.failure_rate = failure_rate_permille(&ep->failing, now),
+		.slowness = fleet_slowness_ratio(&ep->slow, now)
+	};
 
 	if (fleet_ep_reported(l, ep)) {
 		x.running = ep->report.running;
@@ -82,16 +83,16 @@
 		.domain = ss_str(ep->domain),
 		.agent = ss_str(ep->conn ? ep->agent : ""),
 		.slots = ep->slots,
-		.leaving = !fleet_ep_usable(l, ep),
+		.unusable = !fleet_ep_usable(l, ep),
 		.gone = !ep->listed,
 		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
-		.failing =
+		.failure_rate =
 			failure_rate_permille(&ep->failing, fleet_lead_now(l)),
-		.slow = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
+		.slowness = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
 		.limit_age =
 			endpoint_limit_wire_age(&ep->limit, fleet_lead_now(l)),
-		.ending = fleet_ep_ends(l, ep),
+		.draining = fleet_ep_ends(l, ep),
 		.version = ss_str(fleet_version(&ep->self)),
 	};
 
@@ -152,7 +153,7 @@
 	struct msg_fleet m = { .fence = l->fence,
 			       .entries = l->entries,
 			       .round = whole ? l->round : l->step_round,
-			       .whole = whole,
+			       .full = whole,
 			       .endpoints = { p->eps->data, p->eps->len },
 			       .etas = { p->etas->data, p->etas->len },
 			       .loads = { p->loads->data, p->loads->len } };
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -64,14 +64,14 @@
 
 static void answer_asks(struct fleet_lead *l, struct conn *conn,
 			const struct quota_kind *k,
-			const struct msg_quota_ask *m)
+			const struct msg_quota_request *m)
 {
-	const struct quota_ask *a = m->asks.items;
+	const struct quota_ask *a = m->requests.items;
 	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
 	uint64_t holder = conn_peer(conn)->incarnation;
-	struct msg_quota_word out = { { 0 } };
+	struct msg_quota_reply out = { { 0 } };
 
-	for (size_t i = 0; i < m->asks.n; i++) {
+	for (size_t i = 0; i < m->requests.n; i++) {
 		struct quota_word w = { .customer = a[i].customer,
 					.number = a[i].number,
 					.wait_ms = UNKNOWN_WAIT_MS };
@@ -84,27 +84,27 @@
 			g_array_append_val(words, w);
 		g_free(name);
 	}
-	out.words = (struct wire_list){ words->data, words->len };
+	out.replies = (struct wire_list){ words->data, words->len };
 	if (words->len)
 		conn_send(conn, k->answer, &out);
 	g_array_unref(words);
 }
 
 void fleet_quota_ask(struct fleet_lead *l, struct conn *conn,
-		     const struct msg_quota_ask *m)
+		     const struct msg_quota_request *m)
 {
-	struct quota_kind k = { MSG_QUOTA_WORD, l->quota, find_customer };
+	struct quota_kind k = { MSG_QUOTA_REPLY, l->quota, find_customer };
 
-	*l->n_quota_asks += m->asks.n;
+	*l->n_quota_asks += m->requests.n;
 	answer_asks(l, conn, &k, m);
 }
 
 void fleet_limit_ask(struct fleet_lead *l, struct conn *conn,
-		     const struct msg_quota_ask *m)
+		     const struct msg_quota_request *m)
 {
-	struct quota_kind k = { MSG_LIMIT_WORD, l->limits, find_endpoint };
+	struct quota_kind k = { MSG_LIMIT_REPLY, l->limits, find_endpoint };
 
-	*l->n_limit_asks += m->asks.n;
+	*l->n_limit_asks += m->requests.n;
 	answer_asks(l, conn, &k, m);
 }
 
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -134,7 +134,7 @@
  */
 static void take_ends(struct fleet_lead *l, const struct wire_list *list)
 {
-	const struct endpoint_ends *e = list->items;
+	const struct endpoint_results *e = list->items;
 	int64_t now = fleet_lead_now(l);
 
 	for (size_t i = 0; i < list->n; i++) {
@@ -150,7 +150,8 @@
 			 failure_rate_at(&ep->failing_told, now)) >
 		    FAILING_NEWS)
 			ep->load_changed = true;
-		fleet_slowness_add(&ep->slow, e[i].slow_ln, e[i].slow_n, now);
+		fleet_slowness_add(&ep->slow, e[i].slowness_ln,
+				   e[i].slowness_count, now);
 		if (fleet_slowness_is_due(&ep->slow, now))
 			ep->load_changed = true;
 	}
@@ -162,7 +163,7 @@
  * asked of one VM; others may be served there.
  */
 static void take_word(struct fleet_lead *l, struct fleet_ep *ep,
-		      const struct endpoint_word *w)
+		      const struct endpoint_signals *w)
 {
 	int64_t now = fleet_lead_now(l);
 
@@ -171,23 +172,23 @@
 			 ep->self.id, ep->limit.per_s);
 		ep->changed = l->dirty = l->urgent = true;
 	}
-	if (w->leaving && !ep->says_leaving) {
+	if (w->draining && !ep->says_leaving) {
 		log_info("endpoint_leaving", "addr=%s id=%s", ep->addr,
 			 ep->self.id);
 		ep->says_leaving = true;
 		ep->changed = l->dirty = l->urgent = true;
 	}
-	if (now + w->rest_ms > ep->rest_until_ms && w->rest_ms) {
+	if (now + w->backoff_ms > ep->rest_until_ms && w->backoff_ms) {
 		l->urgent |= now >= ep->rest_until_ms;
 		/* Members are told at once. */
 		l->remote_ms = 0;
-		ep->rest_until_ms = now + w->rest_ms;
+		ep->rest_until_ms = now + w->backoff_ms;
 	}
 }
 
 static void take_words(struct fleet_lead *l, const struct wire_list *list)
 {
-	const struct endpoint_word *w = list->items;
+	const struct endpoint_signals *w = list->items;
 
 	for (size_t i = 0; i < list->n; i++) {
 		char *addr = ss_str_dup(w[i].addr), *id = ss_str_dup(w[i].id);
@@ -219,8 +220,8 @@
 	for (size_t i = 0; i < m->models.n; i++)
 		take_wait(l, p, &d[i]);
 	take_calls(l, p, &m->calls);
-	take_ends(l, &m->ends);
-	take_words(l, &m->words);
+	take_ends(l, &m->results);
+	take_words(l, &m->signals);
 	l->dirty = true;
 }
 
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -44,16 +44,16 @@
 }
 
 static void answer(struct fleet_lead *l, struct conn *c, uint64_t sub,
-		   enum stream_word word, const struct stream_item *x)
+		   enum stream_reply word, const struct stream_item *x)
 {
-	struct msg_stream_word m = { .sub = sub, .word = word };
+	struct msg_stream_reply m = { .sub = sub, .result = word };
 
 	if (x) {
 		m.service = ss_str(x->service);
 		m.version = ss_str(x->version);
 	}
 	if (g_hash_table_contains(l->peers, c))
-		conn_send(c, MSG_STREAM_WORD, &m);
+		conn_send(c, MSG_STREAM_REPLY, &m);
 }
 
 static bool answer_known(struct fleet_lead *l, struct conn *c, uint64_t sub,
@@ -88,9 +88,9 @@
 		x.version =
 			stream_log_sole_version(l->streams, k->service, now);
 		if (now - l->since_ms < YOUNG_MS || !l->list_seen)
-			answer(l, k->conn, k->sub, STREAM_LATER, NULL);
+			answer(l, k->conn, k->sub, STREAM_PENDING, NULL);
 		else if (x.version)
-			answer(l, k->conn, k->sub, STREAM_ONLY, &x);
+			answer(l, k->conn, k->sub, STREAM_SOLE_VERSION, &x);
 		else
 			answer(l, k->conn, k->sub, STREAM_UNKNOWN, NULL);
 	}
@@ -99,7 +99,7 @@
 }
 
 void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
-		       const struct msg_stream_ask *m)
+		       const struct msg_stream_request *m)
 {
 	struct stream_ask *k;
 
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -44,15 +44,15 @@
 			 suspects_remaining_ms(l->suspects, print, now));
 }
 
-static void take_end(struct fleet_lead *l, const struct end_item *x,
+static void take_end(struct fleet_lead *l, const struct run_outcome_item *x,
 		     int64_t now)
 {
-	struct fingerprint print = { x->print_hi, x->print_lo };
+	struct fingerprint print = { x->fingerprint_hi, x->fingerprint_lo };
 	bool before = is_quarantined(l, &print, now);
 	char text[FINGERPRINT_TEXT_SIZE];
 	unsigned int n;
 
-	n = suspects_add_crash(l->suspects, &print, x->life, now);
+	n = suspects_add_crash(l->suspects, &print, x->incarnation_no, now);
 	/* One end says little: all that ran there are told of. */
 	if (n > 1)
 		log_info("suspect", "print=%s ends=%u told_late_ms=%" PRId64,
@@ -63,19 +63,20 @@
 static void take_recalled(struct fleet_lead *l, const struct suspect_item *x,
 			  int64_t now)
 {
-	struct suspect_state w = {
-		{ x->print_hi, x->print_lo }, x->cleared, x->left_ms, x->trials
-	};
+	struct suspect_state w = { { x->fingerprint_hi, x->fingerprint_lo },
+				   x->cleared,
+				   x->remaining_ms,
+				   x->failed_trials };
 	bool before = is_quarantined(l, &w.fingerprint, now);
 
 	suspects_merge(l->suspects, &w, now);
 	note_quarantined(l, &w.fingerprint, before, "an entry's word", now);
 }
 
-static void take_answered(struct fleet_lead *l, const struct end_item *x,
-			  int64_t now)
+static void take_answered(struct fleet_lead *l,
+			  const struct run_outcome_item *x, int64_t now)
 {
-	struct fingerprint print = { x->print_hi, x->print_lo };
+	struct fingerprint print = { x->fingerprint_hi, x->fingerprint_lo };
 	bool before = is_quarantined(l, &print, now);
 	char text[FINGERPRINT_TEXT_SIZE];
 
@@ -84,16 +85,17 @@
 			 fingerprint_text(&print, text), before);
 }
 
-void fleet_suspects_take(struct fleet_lead *l, const struct msg_ends *m)
+void fleet_suspects_take(struct fleet_lead *l, const struct msg_run_outcomes *m)
 {
-	const struct end_item *x = m->ends.items;
-	const struct suspect_item *r = m->recalled.items;
+	const struct run_outcome_item *x = m->outcomes.items;
+	const struct suspect_item *r = m->suspects.items;
 	int64_t now = fleet_lead_now(l);
 
-	for (size_t i = 0; i < m->recalled.n; i++)
+	for (size_t i = 0; i < m->suspects.n; i++)
 		take_recalled(l, &r[i], now);
-	for (size_t i = 0; i < m->ends.n; i++) {
-		struct fingerprint print = { x[i].print_hi, x[i].print_lo };
+	for (size_t i = 0; i < m->outcomes.n; i++) {
+		struct fingerprint print = { x[i].fingerprint_hi,
+					     x[i].fingerprint_lo };
 
 		if (x[i].kind == OUTCOME_CRASHED)
 			take_end(l, &x[i], now);
@@ -107,17 +109,18 @@
 void fleet_suspects_ask(struct fleet_lead *l, struct conn *c,
 			const struct msg_trial *m)
 {
-	struct fingerprint print = { m->print_hi, m->print_lo };
+	struct fingerprint print = { m->fingerprint_hi, m->fingerprint_lo };
 	struct msg_trial answer = *m;
 	char text[FINGERPRINT_TEXT_SIZE];
 
-	answer.leave = suspects_admit(l->suspects, &print, fleet_lead_now(l),
-				      &answer.wait_ms);
+	answer.admission = suspects_admit(l->suspects, &print,
+					  fleet_lead_now(l), &answer.wait_ms);
 	log_info("trial_asked",
 		 "print=%s entry=%.*s leave=%" PRId64 " wait_ms=%" PRId64,
 		 fingerprint_text(&print, text), SS_FMT(conn_peer(c)->name),
-		 answer.leave, answer.wait_ms);
-	if (!conn_send(c, MSG_TRIAL, &answer) && answer.leave == SUSPECT_TRIAL)
+		 answer.admission, answer.wait_ms);
+	if (!conn_send(c, MSG_TRIAL, &answer) &&
+	    answer.admission == SUSPECT_TRIAL)
 		suspects_cancel_trial(l->suspects, &print);
 }
 
@@ -141,7 +144,7 @@
 
 		g_array_append_val(items, x);
 	}
-	m.words = (struct wire_list){ items->data, items->len };
+	m.suspects = (struct wire_list){ items->data, items->len };
 	if (items->len)
 		frame_add(frame, MSG_QUARANTINE, &m);
 	g_array_unref(words);
--- a/src/daemon/group_members.c
+++ b/src/daemon/group_members.c
@@ -81,7 +81,7 @@
 	}
 	log_info("join", "name=%.*s id=%" PRIx64, SS_FMT(m->name), m->id);
 	reply.group = g->loaded.group;
-	reply.here = true;
+	reply.from_leader = true;
 	conn_send(c, MSG_JOINED, &reply);
 	group_flush_soon(g);
 }
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -57,14 +57,14 @@
 		struct msg_term term;
 		struct msg_fetch fetch;
 		struct msg_remote remote;
-		struct msg_ends ends;
+		struct msg_run_outcomes ends;
 		struct msg_quarantine quarantine;
 		struct msg_trial trial;
-		struct msg_quota_ask quota_ask;
-		struct msg_quota_word quota_word;
+		struct msg_quota_request quota_ask;
+		struct msg_quota_reply quota_word;
 		struct msg_streams streams;
-		struct msg_stream_ask stream_ask;
-		struct msg_stream_word stream_word;
+		struct msg_stream_request stream_ask;
+		struct msg_stream_reply stream_reply;
 	} u;
 };
 
--- a/src/node/link.c
+++ b/src/node/link.c
@@ -174,13 +174,13 @@
 			  const struct msg_leader *m)
 {
 	add_members(l, m);
-	if (m->here && l->leader != a) {
+	if (m->from_leader && l->leader != a) {
 		if (!l->leader || conn_is_quiet(l->leader->conn))
 			set_leader(l, a, m->group);
 		else
 			remove_conn(l, a);
 	}
-	if (m->here)
+	if (m->from_leader)
 		return;
 	if (l->leader == a)
 		lose_leader(l, "it reported that it no longer leads");
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -219,7 +219,7 @@
 /* Adds call results, unless no entry has seen the endpoint fail; false: nothing
  * added. */
 static bool report_failed(const struct gate *g, struct gate_ep *ep,
-			  struct endpoint_ends *e)
+			  struct endpoint_results *e)
 {
 	if (!ep->failed &&
 	    !(ep->answered && failure_rate_permille(&ep->told, gate_now(g)))) {
@@ -235,8 +235,8 @@
 static void report_results(struct gate *g, struct gate_report *r,
 			   struct gate_ep *ep)
 {
-	struct endpoint_ends e = { .addr = ss_str(ep->addr),
-				   .started_ms = ep->self.started_ms };
+	struct endpoint_results e = { .addr = ss_str(ep->addr),
+				      .started_ms = ep->self.started_ms };
 	bool failed = report_failed(g, ep, &e);
 
 	if (gate_speed_report(g, ep, &e) || failed)
@@ -263,8 +263,8 @@
 	memset(r, 0, sizeof(*r));
 	r->models = g_array_new(FALSE, TRUE, sizeof(struct model_demand));
 	r->calls = g_array_new(FALSE, TRUE, sizeof(struct endpoint_calls));
-	r->ends = g_array_new(FALSE, TRUE, sizeof(struct endpoint_ends));
-	r->words = g_array_new(FALSE, TRUE, sizeof(struct endpoint_word));
+	r->ends = g_array_new(FALSE, TRUE, sizeof(struct endpoint_results));
+	r->words = g_array_new(FALSE, TRUE, sizeof(struct endpoint_signals));
 	r->lists =
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
 	g_hash_table_iter_init(&it, g->lanes);
@@ -280,8 +280,8 @@
 	r->m.routing = gate_routing_version(g);
 	r->m.models = (struct wire_list){ r->models->data, r->models->len };
 	r->m.calls = (struct wire_list){ r->calls->data, r->calls->len };
-	r->m.ends = (struct wire_list){ r->ends->data, r->ends->len };
-	r->m.words = (struct wire_list){ r->words->data, r->words->len };
+	r->m.results = (struct wire_list){ r->ends->data, r->ends->len };
+	r->m.signals = (struct wire_list){ r->words->data, r->words->len };
 	r->news = has_changes(g, r);
 }
 
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -26,7 +26,7 @@
 	 * no leader is known. */
 	bool (*ask_trial)(void *arg, const struct msg_trial *m);
 	/* Asks the leader which version began a stream; false as above. */
-	bool (*ask_stream)(void *arg, const struct msg_stream_ask *m);
+	bool (*ask_stream)(void *arg, const struct msg_stream_request *m);
 };
 
 /*
@@ -109,7 +109,7 @@
  * if it was sent.
  */
 struct gate_ends {
-	struct msg_ends m;
+	struct msg_run_outcomes m;
 	GArray *ends, *recalled;
 	uint64_t recall; /* mark up to which suspects are reported again */
 };
@@ -120,16 +120,16 @@
  * Free it with gate_streams_done(). */
 bool gate_streams(struct gate *g, struct stream_wire *w);
 void gate_streams_done(struct gate *g, struct stream_wire *w, bool sent);
-void gate_take_stream(struct gate *g, const struct msg_stream_word *m);
+void gate_take_stream(struct gate *g, const struct msg_stream_reply *m);
 
 /* Customers' limits: adds the requests for grants that are due, as struct
  * quota_ask; their strings live until the next call. Takes the reply. */
 void gate_quota_asks(struct gate *g, GArray *out);
-void gate_take_quota(struct gate *g, const struct msg_quota_word *m);
+void gate_take_quota(struct gate *g, const struct msg_quota_reply *m);
 
 /* The same for limits that endpoints state, by address. */
 void gate_limit_asks(struct gate *g, GArray *out);
-void gate_take_limit(struct gate *g, const struct msg_quota_word *m);
+void gate_take_limit(struct gate *g, const struct msg_quota_reply *m);
 
 void gate_tick(struct gate *g);
 
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -205,12 +205,12 @@
 		upstream_forget(g->upstream, ep->addr);
 	if (how == FLEET_STALE)
 		return;
-	ep->leaving = e->leaving;
-	ep->ending = e->ending;
+	ep->leaving = e->unusable;
+	ep->ending = e->draining;
 	ep->unread_ms = 0;
 	ep->busy = e->busy;
-	take_failing(g, ep, e->failing);
-	gate_speed_told(g, ep, e->slow);
+	take_failing(g, ep, e->failure_rate);
+	gate_speed_told(g, ep, e->slowness);
 	gate_limit_told(g, ep, e->limit, e->limit_age);
 	if (e->tokens_total)
 		take_load(g, ep, e->running + e->waiting, e->age_ms);
@@ -228,8 +228,8 @@
 		g_free(addr);
 		if (!ep)
 			continue;
-		take_failing(g, ep, x[i].failing);
-		gate_speed_told(g, ep, x[i].slow);
+		take_failing(g, ep, x[i].failure_rate);
+		gate_speed_told(g, ep, x[i].slowness);
 		if (x[i].tokens_total)
 			take_load(g, ep, x[i].running + x[i].waiting,
 				  x[i].age_ms);
@@ -304,14 +304,14 @@
 		g->round = 0;
 	g->fence = m->fence;
 	gate_note_entries(g, m->entries);
-	if (m->whole)
+	if (m->full)
 		unlist_all(g);
 	for (size_t i = 0; i < m->endpoints.n; i++)
 		take_endpoint(g, &e[i]);
 	drop_unlisted(g);
 	take_loads(g, &m->loads);
 	take_etas(g, &m->etas);
-	if (m->whole)
+	if (m->full)
 		mark_fleet_known(g, "leader");
 	if (m->round > g->round) {
 		g->round = m->round;
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -333,7 +333,7 @@
 /* Adds the slowness seen since the last report if other entries need it;
  * false: nothing to add. */
 bool gate_speed_report(struct gate *g, struct gate_ep *ep,
-		       struct endpoint_ends *e);
+		       struct endpoint_results *e);
 /* Sets the nodes' slowness for a request; ejected endpoints that are too slow
  * for it become unusable. eps: struct gate_ep of each node. */
 void gate_speed_weigh(struct forward *f, struct balance_node *n,
@@ -357,7 +357,7 @@
 bool gate_limit_admits(struct forward *f, struct gate_ep *ep);
 /* Returns the grants of a request that isn't sent after all. */
 void gate_limit_unused(struct forward *f, struct gate_ep *ep);
-/* Adds signals to be reported to the leader, as struct endpoint_word. */
+/* Adds signals to be reported to the leader, as struct endpoint_signals. */
 void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *words);
 void gate_limits_tick(struct gate *g, int64_t now);
 
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -246,11 +246,11 @@
 	quota_lease.asks(g->quota, gate_now(g), out);
 }
 
-void gate_take_quota(struct gate *g, const struct msg_quota_word *m)
+void gate_take_quota(struct gate *g, const struct msg_quota_reply *m)
 {
-	const struct quota_word *w = m->words.items;
+	const struct quota_word *w = m->replies.items;
 
-	for (size_t i = 0; i < m->words.n; i++) {
+	for (size_t i = 0; i < m->replies.n; i++) {
 		char *name = ss_str_dup(w[i].customer);
 		struct quota_queues *queues =
 			g_hash_table_lookup(g->quota_lines, name);
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -264,19 +264,19 @@
 }
 
 bool gate_speed_report(struct gate *g, struct gate_ep *ep,
-		       struct endpoint_ends *e)
+		       struct endpoint_results *e)
 {
 	bool unusual = is_unusual(ep->own_ratio) ||
 		       is_unusual(slowness_received_ratio(
 			       &ep->slowness_received, gate_now(g)));
 
 	if (unusual) {
-		e->slow_ln = slowness_observed_sum(&ep->slowness_observed);
-		e->slow_n = ep->slowness_observed.n;
+		e->slowness_ln = slowness_observed_sum(&ep->slowness_observed);
+		e->slowness_count = ep->slowness_observed.n;
 	}
 	/* An endpoint of usual speed takes no space in the report. */
 	ep->slowness_observed = (struct slowness_observed){ 0 };
-	return e->slow_n;
+	return e->slowness_count;
 }
 
 /* The route has an objective that is shorter than its timeout. */
--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -258,17 +258,17 @@
 	/* Until the leader lists it as draining, too. */
 	bool draining = x->leaving_ms && ep->known && !ep->leaving &&
 			resend_is_due(x->leaving_told_ms, now);
-	struct endpoint_word w = { 0 };
+	struct endpoint_signals w = { 0 };
 
 	if (!limit && !backoff && !draining)
 		return;
 	w.addr = ss_str(ep->addr);
 	w.id = ss_str(ep->self.id);
 	w.started_ms = ep->self.started_ms;
-	w.rest_ms = MAX(x->rest_until_ms - now, 0);
+	w.backoff_ms = MAX(x->rest_until_ms - now, 0);
 	x->rest_told = true;
 	if (draining) {
-		w.leaving = true;
+		w.draining = true;
 		x->leaving_told_ms = now;
 	}
 	if (limit) {
@@ -284,11 +284,11 @@
 	quota_lease.asks(g->limits, gate_now(g), out);
 }
 
-void gate_take_limit(struct gate *g, const struct msg_quota_word *m)
+void gate_take_limit(struct gate *g, const struct msg_quota_reply *m)
 {
-	const struct quota_word *w = m->words.items;
+	const struct quota_word *w = m->replies.items;
 
-	for (size_t i = 0; i < m->words.n; i++)
+	for (size_t i = 0; i < m->replies.n; i++)
 		quota_lease.word(g->limits, &w[i], gate_now(g));
 	gate_pump(g, NULL);
 }
--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -264,9 +264,9 @@
 static void send_lookup(struct forward *f)
 {
 	struct gate *g = f->g;
-	struct msg_stream_ask m = { .sub = f->ticket,
-				    .key = f->taken_up,
-				    .service = ss_str(f->service->name) };
+	struct msg_stream_request m = { .sub = f->ticket,
+					.key = f->taken_up,
+					.service = ss_str(f->service->name) };
 
 	f->asked_ms = gate_now(g);
 	g->o.ops->ask_stream(g->o.arg, &m);
@@ -334,25 +334,25 @@
 		       OTHER_ENTRY_RETRY_MS);
 }
 
-void gate_take_stream(struct gate *g, const struct msg_stream_word *m)
+void gate_take_stream(struct gate *g, const struct msg_stream_reply *m)
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 	char *service, *version;
 
 	if (!f || f->state != FORWARD_LOOKS)
 		return;
-	if (m->word == STREAM_LATER) {
+	if (m->result == STREAM_PENDING) {
 		f->heard_ms = gate_now(g);
 		return;
 	}
-	if (m->word == STREAM_UNKNOWN) {
+	if (m->result == STREAM_UNKNOWN) {
 		refuse(f, "nobody knows which version began it", 0);
 		return;
 	}
 	service = ss_str_dup(m->service);
 	version = ss_str_dup(m->version);
 	resume_at_version(f, service, version,
-			  m->word == STREAM_KNOWN ? "leader" : "only");
+			  m->result == STREAM_KNOWN ? "leader" : "only");
 	g_free(service);
 	g_free(version);
 }
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -101,8 +101,8 @@
 {
 	struct gate *g = f->g;
 	struct msg_trial m = { .sub = ++g->ticket,
-			       .print_hi = f->print.hi,
-			       .print_lo = f->print.lo };
+			       .fingerprint_hi = f->print.hi,
+			       .fingerprint_lo = f->print.lo };
 
 	if (!g->o.ops->ask_trial(g->o.arg, &m)) {
 		refuse(f, TRIAL_RETRY_AFTER_MS);
@@ -147,24 +147,24 @@
 void gate_take_trial(struct gate *g, const struct msg_trial *m)
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
-	struct fingerprint fp = { m->print_hi, m->print_lo };
+	struct fingerprint fp = { m->fingerprint_hi, m->fingerprint_lo };
 	struct suspect_state cleared = { .fingerprint = fp, .cleared = true };
 	char *service;
 
-	if (m->leave == SUSPECT_FREE)
+	if (m->admission == SUSPECT_FREE)
 		suspects_apply(g->suspects, &cleared, gate_now(g));
 	if (!f || f->state != FORWARD_ASKS) {
 		/* The caller has left meanwhile. */
-		if (m->leave == SUSPECT_TRIAL)
+		if (m->admission == SUSPECT_TRIAL)
 			record(g, &fp, OUTCOME_INCONCLUSIVE, 0);
 		return;
 	}
-	if (m->leave == SUSPECT_WAIT) {
+	if (m->admission == SUSPECT_WAIT) {
 		refuse(f, MAX(m->wait_ms, 1));
 		return;
 	}
 	g_hash_table_remove(g->tickets, &f->ticket);
-	f->trial = m->leave == SUSPECT_TRIAL;
+	f->trial = m->admission == SUSPECT_TRIAL;
 	log_info("trial", "request=%s allowed=%d", f->id, f->trial);
 	service = g_strdup(f->service->name);
 	forward_wait(f);
@@ -185,18 +185,19 @@
 
 void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m)
 {
-	const struct suspect_item *x = m->words.items;
+	const struct suspect_item *x = m->suspects.items;
 	bool leader_knows = g->recall == suspects_mark(g->suspects);
 	int64_t now = gate_now(g);
 
 	/* Messages of a leader that was replaced may still arrive. */
 	if (m->fence < g->fence)
 		return;
-	for (size_t i = 0; i < m->words.n; i++) {
-		struct suspect_state w = { { x[i].print_hi, x[i].print_lo },
+	for (size_t i = 0; i < m->suspects.n; i++) {
+		struct suspect_state w = { { x[i].fingerprint_hi,
+					     x[i].fingerprint_lo },
 					   x[i].cleared,
-					   x[i].left_ms,
-					   x[i].trials };
+					   x[i].remaining_ms,
+					   x[i].failed_trials };
 
 		suspects_apply(g->suspects, &w, now);
 		if (w.cleared)
@@ -236,18 +237,19 @@
 
 	if (!n && g->recall == suspects_mark(g->suspects))
 		return false;
-	r->ends = g_array_new(FALSE, FALSE, sizeof(struct end_item));
+	r->ends = g_array_new(FALSE, FALSE, sizeof(struct run_outcome_item));
 	r->recalled = g_array_new(FALSE, FALSE, sizeof(struct suspect_item));
 	for (size_t i = 0; i < n; i++) {
-		struct end_item x = { e[i].fingerprint.hi, e[i].fingerprint.lo,
-				      e[i].kind, e[i].incarnation_no,
-				      gate_now(g) - e[i].at_ms };
+		struct run_outcome_item x = { e[i].fingerprint.hi,
+					      e[i].fingerprint.lo, e[i].kind,
+					      e[i].incarnation_no,
+					      gate_now(g) - e[i].at_ms };
 
 		g_array_append_val(r->ends, x);
 	}
 	add_recalled(g, r);
-	r->m.ends = (struct wire_list){ r->ends->data, r->ends->len };
-	r->m.recalled =
+	r->m.outcomes = (struct wire_list){ r->ends->data, r->ends->len };
+	r->m.suspects =
 		(struct wire_list){ r->recalled->data, r->recalled->len };
 	return true;
 }
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -93,7 +93,7 @@
 	double arrivals;
 	struct stream_log *streams, *follower;
 	struct fleet_world_streams stream_cost;
-	int64_t stream_word; /* the last that the leader gave */
+	int64_t stream_reply; /* the last that the leader gave */
 	char *stream_version;
 	void *lead;
 	uint64_t seed;
@@ -169,20 +169,20 @@
 	e->orders++;
 }
 
-static void take_permits(struct conn *c, const struct msg_quota_word *m)
+static void take_permits(struct conn *c, const struct msg_quota_reply *m)
 {
-	const struct quota_word *x = m->words.items;
+	const struct quota_word *x = m->replies.items;
 
-	for (size_t i = 0; i < m->words.n; i++)
+	for (size_t i = 0; i < m->replies.n; i++)
 		c->permits += (int)x[i].grant;
-	for (size_t i = 0; c->purses && i < m->words.n; i++)
+	for (size_t i = 0; c->purses && i < m->replies.n; i++)
 		quota_lease.word(c->purses, &x[i], c->w->d.clock.fake_ms);
 }
 
 static void take_stream_word(struct fleet_world *w,
-			     const struct msg_stream_word *m)
+			     const struct msg_stream_reply *m)
 {
-	w->stream_word = m->word;
+	w->stream_reply = m->result;
 	g_free(w->stream_version);
 	w->stream_version = ss_str_dup(m->version);
 }
@@ -191,9 +191,9 @@
 {
 	if (kind == MSG_LOAD && c->engine >= 0)
 		take_order(c->w, &c->w->engines[c->engine], msg);
-	if (kind == MSG_LIMIT_WORD)
+	if (kind == MSG_LIMIT_REPLY)
 		take_permits(c, msg);
-	if (kind == MSG_STREAM_WORD)
+	if (kind == MSG_STREAM_REPLY)
 		take_stream_word(c->w, msg);
 	return !c->gone;
 }
@@ -203,7 +203,7 @@
 	const struct fleet_endpoint *e = m->endpoints.items;
 
 	for (size_t i = 0; i < m->endpoints.n; i++)
-		if (e[i].leaving || (e[i].limit > 0 && e[i].limit_age > 0))
+		if (e[i].unusable || (e[i].limit > 0 && e[i].limit_age > 0))
 			return ss_str_dup(e[i].addr);
 	return NULL;
 }
@@ -221,9 +221,9 @@
 	const struct fleet_load *x = m->loads.items;
 
 	for (size_t i = 0; i < m->endpoints.n; i++)
-		take_slow(w, e[i].addr, e[i].slow);
+		take_slow(w, e[i].addr, e[i].slowness);
 	for (size_t i = 0; i < m->loads.n; i++)
-		take_slow(w, x[i].addr, x[i].slow);
+		take_slow(w, x[i].addr, x[i].slowness);
 }
 
 static void read_frame(struct fleet_world *w, const GString *frame)
@@ -243,7 +243,7 @@
 		return;
 	if (f.kind == MSG_FLEET) {
 		w->frame_round = f.u.fleet.round;
-		w->frame_whole = f.u.fleet.whole;
+		w->frame_whole = f.u.fleet.full;
 		w->frame_word = first_word(&f.u.fleet);
 		read_slow(w, &f.u.fleet);
 	}
@@ -617,12 +617,12 @@
 }
 
 static void say(struct fleet_world *w, int entry, int engine,
-		struct endpoint_word x)
+		struct endpoint_signals x)
 {
 	struct conn *c = w->entries->pdata[entry];
 	struct msg_demand m = { .round = c->round,
 				.routing = 1,
-				.words = { &x, 1 } };
+				.signals = { &x, 1 } };
 
 	x.addr = ss_str(w->engines[engine].addr);
 	x.id = ss_str(w->engines[engine].id);
@@ -634,14 +634,14 @@
 		      double ratio)
 {
 	struct conn *c = w->entries->pdata[entry];
-	struct endpoint_ends e = { .addr = ss_str(w->engines[engine].addr),
-				   .started_ms = 1,
-				   .slow_ln =
-					   llround(log(ratio) * SLOWNESS_SCALE),
-				   .slow_n = 1 };
+	struct endpoint_results e = { .addr = ss_str(w->engines[engine].addr),
+				      .started_ms = 1,
+				      .slowness_ln = llround(log(ratio) *
+							     SLOWNESS_SCALE),
+				      .slowness_count = 1 };
 	struct msg_demand m = { .round = c->round,
 				.routing = 1,
-				.ends = { &e, 1 } };
+				.results = { &e, 1 } };
 
 	deliver(c, MSG_DEMAND, &m, &w->cost.reports);
 }
@@ -658,15 +658,15 @@
 		       double per_s)
 {
 	struct endpoint_limit l = { per_s, w->d.clock.fake_ms };
-	struct endpoint_word x = { .limit = endpoint_limit_wire(&l),
-				   .limit_age = 1 };
+	struct endpoint_signals x = { .limit = endpoint_limit_wire(&l),
+				      .limit_age = 1 };
 
 	say(w, entry, engine, x);
 }
 
 void fleet_world_rest(struct fleet_world *w, int entry, int engine, int64_t ms)
 {
-	say(w, entry, engine, (struct endpoint_word){ .rest_ms = ms });
+	say(w, entry, engine, (struct endpoint_signals){ .backoff_ms = ms });
 }
 
 bool fleet_world_is_remote(const struct fleet_world *w, int engine)
@@ -676,7 +676,7 @@
 
 void fleet_world_leave(struct fleet_world *w, int entry, int engine)
 {
-	say(w, entry, engine, (struct endpoint_word){ .leaving = true });
+	say(w, entry, engine, (struct endpoint_signals){ .draining = true });
 }
 
 int fleet_world_told(const struct fleet_world *w, int engine)
@@ -699,11 +699,11 @@
 			       .first = QUOTA_MILLI,
 			       .demand = QUOTA_MILLI,
 			       .usual = QUOTA_MILLI };
-	struct msg_quota_ask m = { .asks = { &a, 1 } };
+	struct msg_quota_request m = { .requests = { &a, 1 } };
 	struct conn *c = w->entries->pdata[entry];
 
 	c->permits = 0;
-	deliver(c, MSG_LIMIT_ASK, &m, &w->cost.reports);
+	deliver(c, MSG_LIMIT_REQUEST, &m, &w->cost.reports);
 	return c->permits;
 }
 
@@ -1012,17 +1012,17 @@
 static void run_limits(struct fleet_world *w, struct conn *c)
 {
 	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	struct msg_quota_ask m;
+	struct msg_quota_request m;
 
 	for (int k = 0; k < w->o.limited; k++)
 		if (c->seats[k] ||
 		    (w->d.clock.fake_ms + c->entry) % LIMIT_GAP_MS < TURN_MS)
 			want_permit(c, k);
 	quota_lease.asks(c->purses, w->d.clock.fake_ms, asks);
-	m.asks = (struct wire_list){ asks->data, asks->len };
+	m.requests = (struct wire_list){ asks->data, asks->len };
 	w->asked += asks->len;
 	if (asks->len)
-		deliver(c, MSG_LIMIT_ASK, &m, &w->cost.limits);
+		deliver(c, MSG_LIMIT_REQUEST, &m, &w->cost.limits);
 	g_array_unref(asks);
 }
 
@@ -1246,15 +1246,16 @@
 int64_t fleet_world_ask_stream(struct fleet_world *w, int entry, uint64_t key,
 			       const char **version)
 {
-	struct msg_stream_ask m = { .sub = 1,
-				    .key = key,
-				    .service = SS_LIT("lm") };
+	struct msg_stream_request m = { .sub = 1,
+					.key = key,
+					.service = SS_LIT("lm") };
 
 	world = w;
-	w->stream_word = 0;
-	deliver(w->entries->pdata[entry], MSG_STREAM_ASK, &m, &w->cost.reports);
+	w->stream_reply = 0;
+	deliver(w->entries->pdata[entry], MSG_STREAM_REQUEST, &m,
+		&w->cost.reports);
 	*version = w->stream_version ? w->stream_version : "";
-	return w->stream_word;
+	return w->stream_reply;
 }
 
 void fleet_world_lose_leader(struct fleet_world *w)
--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -199,7 +199,7 @@
 	return f->leads;
 }
 
-static bool ask_stream(void *arg, const struct msg_stream_ask *m)
+static bool ask_stream(void *arg, const struct msg_stream_request *m)
 {
 	struct fix *f = arg;
 
@@ -246,7 +246,7 @@
 	struct held_model held = { .model = ss_str(model) };
 	struct fleet_endpoint e[ENDPOINTS] = { 0 };
 	struct msg_fleet m = { .fence = 1,
-			       .whole = true,
+			       .full = true,
 			       .endpoints = { e, ENDPOINTS } };
 
 	for (int i = 0; i < ENDPOINTS; i++) {
@@ -261,7 +261,7 @@
 		e[i].started_ms = f->eps[i].started_ms;
 		e[i].version =
 			ss_str(f->eps[i].version ? f->eps[i].version : "");
-		e[i].leaving = f->eps[i].leaving;
+		e[i].unusable = f->eps[i].leaving;
 		e[i].limit = endpoint_limit_wire(&f->limits[i]);
 		e[i].limit_age = endpoint_limit_wire_age(&f->limits[i],
 							 f->clock.fake_ms);
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -73,8 +73,8 @@
 	bool agents;	/* agents can be reached */
 	uint64_t asked; /* ticket of the last adapter request */
 	bool leads;	/* a leader is known */
-	struct msg_trial trial;	      /* last request for a trial run */
-	struct msg_stream_ask stream; /* last query for a version */
+	struct msg_trial trial;		  /* last request for a trial run */
+	struct msg_stream_request stream; /* last query for a version */
 	int streams_asked;
 };
 
--- a/test/quota_world.c
+++ b/test/quota_world.c
@@ -333,7 +333,7 @@
 	sent->reply = reply;
 	sent->reply.customer = ss_str(sent->customer);
 	sent->reply.parts = copy_parts(sent, &reply.parts);
-	count_message(w, MSG_QUOTA_WORD, &reply,
+	count_message(w, MSG_QUOTA_REPLY, &reply,
 		      !at || at->domain != from->domain);
 	add(w, sent);
 }
@@ -820,7 +820,7 @@
 			a->request.parts = copy_parts(a, &q->parts);
 		else
 			a->request.parts = (struct wire_list){ 0 };
-		count_message(w, MSG_QUOTA_ASK, &a->request, far);
+		count_message(w, MSG_QUOTA_REQUEST, &a->request, far);
 		add(w, a);
 	}
 	g_array_unref(out);
--- a/test/test_fleet_lead.c
+++ b/test/test_fleet_lead.c
@@ -308,10 +308,10 @@
 
 	(void)state;
 	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
-			 STREAM_LATER);
+			 STREAM_PENDING);
 	fleet_world_run(w, 2 * SECOND_MS);
 	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
-			 STREAM_ONLY);
+			 STREAM_SOLE_VERSION);
 	assert_string_equal(version, "v1");
 	fleet_world_version(w, 20, "v2");
 	fleet_world_run(w, 2 * SECOND_MS);
@@ -328,7 +328,7 @@
 			 STREAM_UNKNOWN);
 	fleet_world_run(w, 60 * SECOND_MS);
 	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
-			 STREAM_ONLY);
+			 STREAM_SOLE_VERSION);
 	assert_string_equal(version, "v2");
 	fleet_world_free(w);
 }
--- a/test/test_fleet_slowness.c
+++ b/test/test_fleet_slowness.c
@@ -149,19 +149,19 @@
  * for a tag and one for a small value. */
 static void usual_endpoints_add_no_bytes(void **state)
 {
-	struct endpoint_ends e = { .addr = SS_LIT("a"), .failed = 1 };
+	struct endpoint_results e = { .addr = SS_LIT("a"), .failed = 1 };
 	struct fleet_load x = { .addr = SS_LIT("a"), .running = 1 };
-	struct msg_demand d = { .ends = { &e, 1 } };
+	struct msg_demand d = { .results = { &e, 1 } };
 	struct msg_fleet m = { .loads = { &x, 1 } };
 	size_t ends = bytes_of(MSG_DEMAND, &d), loads = bytes_of(MSG_FLEET, &m);
 	struct fleet_slowness p = { 0 };
 	int64_t now = add_reports(&p, 50, 1, 5000);
 
 	(void)state;
-	x.slow = fleet_slowness_ratio(&p, now);
+	x.slowness = fleet_slowness_ratio(&p, now);
 	assert_int_equal(bytes_of(MSG_FLEET, &m), loads);
-	x.slow = x.failing = e.answered = 1;
-	e.slow_n = e.slow_ln = 1;
+	x.slowness = x.failure_rate = e.answered = 1;
+	e.slowness_count = e.slowness_ln = 1;
 	assert_int_equal(bytes_of(MSG_FLEET, &m), loads + 4);
 	assert_int_equal(bytes_of(MSG_DEMAND, &d), ends + 6);
 }
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -396,7 +396,7 @@
 	struct fleet_endpoint e = { .service = SS_LIT("web"),
 				    .domain = SS_LIT("here"),
 				    .slots = 8,
-				    .leaving = true };
+				    .unusable = true };
 	struct msg_fleet m = { .fence = 1, .endpoints = { &e, 1 } };
 	struct fix f;
 
--- a/test/test_gate_admission.c
+++ b/test/test_gate_admission.c
@@ -45,7 +45,7 @@
 				    .limit = ENDPOINT_LIMIT_NONE,
 				    .held = { held, 2 } };
 	struct msg_fleet m = { .fence = 1,
-			       .whole = true,
+			       .full = true,
 			       .endpoints = { &e, 1 } };
 
 	fix_open_fresh(f);
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -10,7 +10,7 @@
 static void report_failing(struct fix *f, int i, int64_t of_whole)
 {
 	struct fleet_load x = { .addr = ss_str(f->eps[i].addr),
-				.failing = of_whole };
+				.failure_rate = of_whole };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
 
 	gate_take_fleet(f->gate, &m);
@@ -19,13 +19,13 @@
 /* Call results in a report for an endpoint; -1: none. */
 static void reported(struct fix *f, int i, int64_t *failed, int64_t *answered)
 {
-	const struct endpoint_ends *e;
+	const struct endpoint_results *e;
 	struct gate_report r;
 
 	*failed = *answered = -1;
 	gate_report(f->gate, &r);
-	e = r.m.ends.items;
-	for (size_t k = 0; k < r.m.ends.n; k++) {
+	e = r.m.results.items;
+	for (size_t k = 0; k < r.m.results.n; k++) {
 		if (!ss_str_eq(e[k].addr, ss_str(f->eps[i].addr)))
 			continue;
 		*failed = (int64_t)e[k].failed;
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -79,13 +79,13 @@
 
 static bool receive_signals(struct cluster *c, struct gate *g)
 {
-	const struct endpoint_word *w;
+	const struct endpoint_signals *w;
 	struct gate_report r;
 	bool changed = false;
 
 	gate_report(g, &r);
-	w = r.m.words.items;
-	for (size_t k = 0; k < r.m.words.n; k++) {
+	w = r.m.signals.items;
+	for (size_t k = 0; k < r.m.signals.n; k++) {
 		int at = endpoint_at(c, w[k].addr);
 
 		changed |= endpoint_limit_received(&c->f.limits[at], w[k].limit,
@@ -101,7 +101,7 @@
 	GArray *grant_requests =
 		g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
-	struct msg_quota_word m;
+	struct msg_quota_reply m;
 
 	gate_limit_asks(c->gates[i], grant_requests);
 	for (guint k = 0; k < grant_requests->len; k++) {
@@ -120,7 +120,7 @@
 		g_array_append_val(replies, w);
 	}
 	c->grant_requests += (int)grant_requests->len;
-	m.words = (struct wire_list){ replies->data, replies->len };
+	m.replies = (struct wire_list){ replies->data, replies->len };
 	if (replies->len)
 		gate_take_limit(c->gates[i], &m);
 	g_array_unref(grant_requests);
@@ -312,8 +312,9 @@
 	int64_t limit = -1;
 
 	gate_report(f->gate, &r);
-	if (r.m.words.n)
-		limit = ((const struct endpoint_word *)r.m.words.items)->limit;
+	if (r.m.signals.n)
+		limit = ((const struct endpoint_signals *)r.m.signals.items)
+				->limit;
 	gate_report_done(&r);
 	return limit;
 }
@@ -359,7 +360,7 @@
 		struct quota_word w = { .customer = a->customer,
 					.number = a->number,
 					.grant = a->want };
-		struct msg_quota_word m = { .words = { &w, 1 } };
+		struct msg_quota_reply m = { .replies = { &w, 1 } };
 
 		gate_take_limit(f->gate, &m);
 	}
--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -44,14 +44,14 @@
 	struct gate_ends r;
 
 	while (gate_ends(f->gate, &r)) {
-		const struct end_item *x = r.m.ends.items;
+		const struct run_outcome_item *x = r.m.outcomes.items;
 
-		for (size_t i = 0; i < r.m.ends.n; i++) {
+		for (size_t i = 0; i < r.m.outcomes.n; i++) {
 			t->crashes += x[i].kind == OUTCOME_CRASHED;
 			t->answered += x[i].kind == OUTCOME_ANSWERED;
 			t->nothing += x[i].kind == OUTCOME_INCONCLUSIVE;
 		}
-		t->recalled += (int)r.m.recalled.n;
+		t->recalled += (int)r.m.suspects.n;
 		gate_ends_done(f->gate, &r, sent);
 		if (!sent)
 			return;
@@ -64,7 +64,7 @@
 {
 	struct fingerprint p = post_fingerprint(path);
 	struct suspect_item x = { p.hi, p.lo, cleared, left_ms, 0 };
-	struct msg_quarantine m = { .fence = fence, .words = { &x, 1 } };
+	struct msg_quarantine m = { .fence = fence, .suspects = { &x, 1 } };
 
 	gate_take_quarantine(f->gate, &m);
 }
@@ -234,7 +234,7 @@
 {
 	struct msg_trial m = f->trial;
 
-	m.leave = leave;
+	m.admission = leave;
 	m.wait_ms = wait_ms;
 	gate_take_trial(f->gate, &m);
 }
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -77,7 +77,7 @@
 {
 	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
 	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
-	struct msg_quota_word m;
+	struct msg_quota_reply m;
 
 	gate_quota_asks(l->f.gate, requests);
 	for (guint i = 0; i < requests->len; i++) {
@@ -93,7 +93,7 @@
 		g_free(name);
 		l->requests++;
 	}
-	m.words = (struct wire_list){ replies->data, replies->len };
+	m.replies = (struct wire_list){ replies->data, replies->len };
 	gate_take_quota(l->f.gate, &m);
 	g_array_unref(requests);
 	g_array_unref(replies);
--- a/test/test_gate_rest.c
+++ b/test/test_gate_rest.c
@@ -63,7 +63,7 @@
 
 static void send_empty_list(struct fix *f)
 {
-	struct msg_fleet m = { .fence = 1, .whole = true };
+	struct msg_fleet m = { .fence = 1, .full = true };
 
 	gate_take_fleet(f->gate, &m);
 }
@@ -275,7 +275,7 @@
 {
 	static const struct signal_case x = { "", POST_ONCE, OK_DRAINING, "web",
 					      "", true,	     UNCHANGED };
-	const struct endpoint_word *w;
+	const struct endpoint_signals *w;
 	struct gate_report r;
 	struct fix f;
 
@@ -283,18 +283,18 @@
 	open_case(&f, &x);
 	UNTIL(&f, f.demands > 0);
 	gate_report(f.gate, &r);
-	w = r.m.words.items;
-	assert_int_equal(r.m.words.n, 1);
+	w = r.m.signals.items;
+	assert_int_equal(r.m.signals.n, 1);
 	assert_true(ss_str_eq(w->addr, ss_str(f.eps[0].addr)));
-	assert_true(w->leaving);
+	assert_true(w->draining);
 	gate_report_done(&r);
 	/* Repeated for a new leader, but not in each report. */
 	gate_report(f.gate, &r);
-	assert_int_equal(r.m.words.n, 0);
+	assert_int_equal(r.m.signals.n, 0);
 	gate_report_done(&r);
 	f.clock.fake_ms += 1000;
 	gate_report(f.gate, &r);
-	assert_int_equal(r.m.words.n, 1);
+	assert_int_equal(r.m.signals.n, 1);
 	gate_report_done(&r);
 	fix_close(&f);
 }
--- a/test/test_gate_stop.c
+++ b/test/test_gate_stop.c
@@ -555,7 +555,7 @@
 	struct fleet_endpoint e = { .service = SS_LIT("lm"),
 				    .domain = SS_LIT("here"),
 				    .slots = 8,
-				    .leaving = true,
+				    .unusable = true,
 				    .held = { &held, 1 } };
 	struct msg_fleet m = { .fence = 1, .endpoints = { &e, 1 } };
 	struct msg_adapter_done done = { 0 };
--- a/test/test_gate_told.c
+++ b/test/test_gate_told.c
@@ -11,7 +11,8 @@
 
 static void send_slow_ratio(struct fix *f, int i, int64_t ratio)
 {
-	struct fleet_load x = { .addr = ss_str(f->eps[i].addr), .slow = ratio };
+	struct fleet_load x = { .addr = ss_str(f->eps[i].addr),
+				.slowness = ratio };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
 
 	gate_take_fleet(f->gate, &m);
@@ -41,18 +42,18 @@
 /* The number of answers of an endpoint in the gate's report. */
 static uint64_t reported_answers(struct fix *f, int i, int64_t *sum_ln)
 {
-	const struct endpoint_ends *e;
+	const struct endpoint_results *e;
 	struct gate_report r;
 	uint64_t n = 0;
 
 	*sum_ln = 0;
 	gate_report(f->gate, &r);
-	e = r.m.ends.items;
-	for (size_t k = 0; k < r.m.ends.n; k++) {
+	e = r.m.results.items;
+	for (size_t k = 0; k < r.m.results.n; k++) {
 		if (!ss_str_eq(e[k].addr, ss_str(f->eps[i].addr)))
 			continue;
-		n = e[k].slow_n;
-		*sum_ln = e[k].slow_ln;
+		n = e[k].slowness_count;
+		*sum_ln = e[k].slowness_ln;
 	}
 	gate_report_done(&r);
 	return n;
--- a/test/test_gate_turns.c
+++ b/test/test_gate_turns.c
@@ -48,7 +48,7 @@
 	struct quota_word w = { .customer = ss_str(customer),
 				.grant = 200 * requests * QUOTA_MILLI,
 				.wait_ms = 400 };
-	struct msg_quota_word m = { .words = { &w, 1 } };
+	struct msg_quota_reply m = { .replies = { &w, 1 } };
 
 	take_requests(f, number);
 	w.number = *number;
@@ -147,7 +147,7 @@
 				 .model = SS_LIT("m"),
 				 .eta_ms = eta_ms };
 	struct msg_fleet m = { .fence = 1,
-			       .whole = true,
+			       .full = true,
 			       .endpoints = { &e, 1 },
 			       .etas = { &eta, 1 } };
 
--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -125,14 +125,15 @@
 static const struct reply_case replies[] = {
 	{ "begun at v1", resumed, true, STREAM_KNOWN, "lm", "v1", 0 },
 	{ "begun at v2", resumed, true, STREAM_KNOWN, "lm", "v2", 1 },
-	{ "one version has served", resumed, true, STREAM_ONLY, "lm", "v1", 0 },
+	{ "one version has served", resumed, true, STREAM_SOLE_VERSION, "lm",
+	  "v1", 0 },
 	{ "nobody knows", resumed, true, STREAM_UNKNOWN, "lm", "", -1 },
 	{ "one of a split route's services began it", resumed_split, true,
 	  STREAM_KNOWN, "lm", "v1", 0 },
 	{ "the route doesn't lead to its service", resumed, true, STREAM_KNOWN,
 	  "web", "v1", -1 },
-	{ "not named, one version", resumed_unnamed, false, STREAM_ONLY, "lm",
-	  "v2", 1 },
+	{ "not named, one version", resumed_unnamed, false, STREAM_SOLE_VERSION,
+	  "lm", "v2", 1 },
 	{ "not named, several", resumed_unnamed, false, STREAM_UNKNOWN, "lm",
 	  "", -1 },
 };
@@ -144,9 +145,9 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(replies); i++) {
 		const struct reply_case *x = &replies[i];
-		struct msg_stream_word m = { .word = x->reply,
-					     .service = ss_str(x->service),
-					     .version = ss_str(x->version) };
+		struct msg_stream_reply m = { .result = x->reply,
+					      .service = ss_str(x->service),
+					      .version = ss_str(x->version) };
 		struct caller *c;
 		struct fix f;
 
@@ -268,9 +269,9 @@
  * though it learns the versions a moment later. */
 static void resume_waits_for_a_leader_that_may_learn(void **state)
 {
-	struct msg_stream_word m = { .word = STREAM_LATER,
-				     .service = SS_LIT("lm"),
-				     .version = SS_LIT("v1") };
+	struct msg_stream_reply m = { .result = STREAM_PENDING,
+				      .service = SS_LIT("lm"),
+				      .version = SS_LIT("v1") };
 	struct caller *c;
 	struct fix f;
 
@@ -282,7 +283,7 @@
 		pass_ms(&f, 100);
 	}
 	assert_false(got(c, "503"));
-	m.word = STREAM_KNOWN;
+	m.result = STREAM_KNOWN;
 	gate_take_stream(f.gate, &m);
 	UNTIL(&f, got(c, "event3"));
 	assert_int_equal(f.eps[0].requests, 1);
@@ -292,7 +293,7 @@
 /* A resume waits for the leader only while it could still be sent in time. */
 static void hopeless_resume_is_refused(void **state)
 {
-	struct msg_stream_word m = { .word = STREAM_LATER };
+	struct msg_stream_reply m = { .result = STREAM_PENDING };
 	struct caller *c;
 	struct fix f;
 
@@ -323,7 +324,7 @@
 				    .tokens_total = 1000,
 				    .held = { &held, 1 } };
 	struct msg_fleet m = { .fence = 1,
-			       .whole = true,
+			       .full = true,
 			       .endpoints = { &e, 1 } };
 
 	gate_take_fleet(f->gate, &m);
@@ -333,9 +334,9 @@
  * take each one that becomes free. */
 static void resumed_stream_isnt_starved_by_new_ones(void **state)
 {
-	struct msg_stream_word m = { .word = STREAM_KNOWN,
-				     .service = SS_LIT("lm"),
-				     .version = SS_LIT("v1") };
+	struct msg_stream_reply m = { .result = STREAM_KNOWN,
+				      .service = SS_LIT("lm"),
+				      .version = SS_LIT("v1") };
 	struct caller *c;
 	struct fix f;
 
--- a/test/test_link.c
+++ b/test/test_link.c
@@ -23,7 +23,7 @@
 static void leader_open(void *arg, struct conn *c)
 {
 	struct link_fixture *f = arg;
-	struct msg_leader m = { .group = GROUP, .here = true };
+	struct msg_leader m = { .group = GROUP, .from_leader = true };
 
 	f->opened++;
 	conn_send(c, MSG_LEADER, &m);
@@ -281,7 +281,8 @@
 		member_start(&old, &f, cases[i].ping_ms);
 		member_start(&next, &f, 5);
 		old.reply = next.reply =
-			(struct msg_leader){ .group = GROUP, .here = true };
+			(struct msg_leader){ .group = GROUP,
+					     .from_leader = true };
 		f.control = g_ptr_array_new();
 		g_ptr_array_add(f.control, old.addr);
 		o.conn = (struct conn_options){ .base = f.base,
--- a/test/test_stream_log.c
+++ b/test/test_stream_log.c
@@ -217,7 +217,7 @@
 	char bytes[20] = { 0 };
 	struct stream_group g = { .service = SS_LIT("lm"),
 				  .version = SS_LIT("v1"),
-				  .life_ms = TTL_MS,
+				  .ttl_ms = TTL_MS,
 				  .keys = { bytes, sizeof(bytes) } };
 	struct msg_streams m = { .groups = { &g, 1 } };
 
