--- a/src/core/discovery.c
+++ b/src/core/discovery.c
@@ -63,8 +63,8 @@
 	g_ptr_array_add(s->known, copy);
 }
 
-void discovery_told(struct discovery *s, struct ss_str leader,
-		    struct ss_str member)
+void discovery_received(struct discovery *s, struct ss_str leader,
+			struct ss_str member)
 {
 	if (member.n)
 		add_known(s, member);
@@ -172,7 +172,7 @@
 	return addr ? begin_query(s, addr, now) : NULL;
 }
 
-void discovery_ended(struct discovery *s, const char *addr)
+void discovery_query_done(struct discovery *s, const char *addr)
 {
 	struct query *q = g_hash_table_lookup(s->queries, addr);
 
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -38,16 +38,16 @@
  * (empty: unknown) and a member (empty: none). The report may be outdated, so
  * it only makes an address be queried earlier and never replaces another one.
  */
-void discovery_told(struct discovery *s, struct ss_str leader,
-		    struct ss_str member);
+void discovery_received(struct discovery *s, struct ss_str leader,
+			struct ss_str member);
 
 /*
  * Returns the next address to query; the query counts as open until
- * discovery_ended(). NULL if every address has an open or a recent query.
+ * discovery_query_done(). NULL if every address has an open or a recent query.
  * The string is valid until the next call.
  */
 const char *discovery_next(struct discovery *s, int64_t now);
-void discovery_ended(struct discovery *s, const char *addr);
+void discovery_query_done(struct discovery *s, const char *addr);
 
 /* Received addresses (char *), oldest first, to be passed on. */
 const GPtrArray *discovery_known(const struct discovery *s);
--- a/src/core/mend.c
+++ b/src/core/repair.c
@@ -1,12 +1,12 @@
 /* Membership repair of the control group. */
-#include "mend.h"
+#include "repair.h"
 
-static bool is_dead(const struct mend_member *m)
+static bool is_dead(const struct repair_member *m)
 {
 	return !m->self && m->quiet_ms > REPAIR_DEAD_MS;
 }
 
-static bool is_promotable(const struct mend_member *m, uint64_t last)
+static bool is_promotable(const struct repair_member *m, uint64_t last)
 {
 	return !m->voter && !is_dead(m) && m->match &&
 	       m->match + REPAIR_MAX_LAG >= last;
@@ -16,7 +16,7 @@
  * True if a later member has the same name or address: this one lost its disk.
  * by_voter: only a later voter counts.
  */
-static bool is_replaced(const struct mend_member *m, size_t n, size_t i,
+static bool is_replaced(const struct repair_member *m, size_t n, size_t i,
 			bool by_voter)
 {
 	for (size_t k = i + 1; k < n; k++)
@@ -28,7 +28,7 @@
 }
 
 /* A voter that won't return, or only under a new id. */
-static bool is_lost(const struct mend_member *m, size_t n, size_t i)
+static bool is_lost(const struct repair_member *m, size_t n, size_t i)
 {
 	return m[i].voter && (is_dead(&m[i]) || is_replaced(m, n, i, false));
 }
@@ -38,7 +38,8 @@
 	size_t ready;	/* learners that can become voters */
 };
 
-static struct counts count(const struct mend_member *m, size_t n, uint64_t last)
+static struct counts count(const struct repair_member *m, size_t n,
+			   uint64_t last)
 {
 	struct counts c = { 0 };
 
@@ -62,7 +63,7 @@
 }
 
 /* Finds a member to remove; dead learners first, as they cost no majority. */
-static bool find_removable(const struct mend_member *m, size_t n,
+static bool find_removable(const struct repair_member *m, size_t n,
 			   size_t healthy, size_t *at)
 {
 	for (size_t i = 0; i < n; i++) {
@@ -78,18 +79,19 @@
 	return false;
 }
 
-struct mend_step mend_next(const struct mend_member *m, size_t n, uint64_t last)
+struct repair_step repair_next(const struct repair_member *m, size_t n,
+			       uint64_t last)
 {
 	struct counts c = count(m, n, last);
 	size_t removable = 0;
 
 	for (size_t i = 0; i < n && needs_voter(&c); i++)
 		if (is_promotable(&m[i], last))
-			return (struct mend_step){ MEND_PROMOTE, i };
+			return (struct repair_step){ REPAIR_PROMOTE, i };
 	for (size_t i = 0; i < n; i++)
 		if (is_replaced(m, n, i, true))
-			return (struct mend_step){ MEND_DROP, i };
+			return (struct repair_step){ REPAIR_REMOVE, i };
 	if (find_removable(m, n, c.healthy, &removable))
-		return (struct mend_step){ MEND_DROP, removable };
-	return (struct mend_step){ MEND_NOTHING, 0 };
+		return (struct repair_step){ REPAIR_REMOVE, removable };
+	return (struct repair_step){ REPAIR_NONE, 0 };
 }
--- a/src/core/mend.h
+++ b/src/core/repair.h
@@ -2,8 +2,8 @@
  * Membership repair of the control group without an operator: which member
  * the leader promotes or removes next, one change at a time.
  */
-#ifndef SS_MEND_H
-#define SS_MEND_H
+#ifndef SS_REPAIR_H
+#define SS_REPAIR_H
 
 #include <sapphireshift/base.h>
 
@@ -19,7 +19,7 @@
 /* Fewer voters than this tolerate no loss. */
 #define REPAIR_MIN_VOTERS 3
 
-struct mend_member {
+struct repair_member {
 	uint64_t id;
 	struct ss_str name, addr;
 	bool voter;
@@ -28,15 +28,15 @@
 	uint64_t match;	  /* last log index known to be durable there */
 };
 
-enum repair_action { MEND_NOTHING, MEND_PROMOTE, MEND_DROP };
+enum repair_action { REPAIR_NONE, REPAIR_PROMOTE, REPAIR_REMOVE };
 
-struct mend_step {
+struct repair_step {
 	enum repair_action act;
 	size_t member; /* index into the members */
 };
 
 /* Takes members in the order they joined and the index of the last entry. */
-struct mend_step mend_next(const struct mend_member *m, size_t n,
-			   uint64_t last);
+struct repair_step repair_next(const struct repair_member *m, size_t n,
+			       uint64_t last);
 
 #endif
--- a/src/daemon/group_members.c
+++ b/src/daemon/group_members.c
@@ -1,5 +1,5 @@
 /* Joining a control group, and keeping it whole. */
-#include "../core/mend.h"
+#include "../core/repair.h"
 #include "group_int.h"
 
 /* Pause between two requests to join; an answer takes a round trip and a
@@ -161,12 +161,12 @@
 void group_tend(struct group *g)
 {
 	const struct ss_raft_members *all = ss_raft_members(g->raft);
-	struct mend_member *m = g_new0(struct mend_member, all->n + 1);
+	struct repair_member *m = g_new0(struct repair_member, all->n + 1);
 	struct ss_raft_member voter;
-	struct mend_step step;
+	struct repair_step step;
 
 	for (size_t i = 0; i < all->n; i++)
-		m[i] = (struct mend_member){
+		m[i] = (struct repair_member){
 			.id = all->m[i].id,
 			.name = all->m[i].name,
 			.addr = all->m[i].addr,
@@ -175,20 +175,20 @@
 			.quiet_ms = ss_raft_quiet_ms(g->raft, all->m[i].id),
 			.match = ss_raft_match(g->raft, all->m[i].id),
 		};
-	step = mend_next(m, all->n, ss_raft_last(g->raft));
-	if (step.act != MEND_NOTHING)
-		log_info(step.act == MEND_PROMOTE ? "promote" : "drop_member",
+	step = repair_next(m, all->n, ss_raft_last(g->raft));
+	if (step.act != REPAIR_NONE)
+		log_info(step.act == REPAIR_PROMOTE ? "promote" : "drop_member",
 			 "name=%.*s id=%" PRIx64 " voter=%d quiet_ms=%" PRId64,
 			 SS_FMT(m[step.member].name), m[step.member].id,
 			 m[step.member].voter, m[step.member].quiet_ms);
-	if (step.act == MEND_PROMOTE) {
+	if (step.act == REPAIR_PROMOTE) {
 		voter = all->m[step.member];
 		voter.voter = true;
 		ss_raft_set_member(g->raft, &voter, NULL);
-	} else if (step.act == MEND_DROP) {
+	} else if (step.act == REPAIR_REMOVE) {
 		ss_raft_remove_member(g->raft, m[step.member].id, NULL);
 	}
-	if (step.act != MEND_NOTHING)
+	if (step.act != REPAIR_NONE)
 		group_flush_soon(g);
 	g_free(m);
 }
--- a/src/node/link.c
+++ b/src/node/link.c
@@ -78,7 +78,7 @@
 {
 	struct conn *c = a->conn;
 
-	discovery_ended(l->discovery, a->addr);
+	discovery_query_done(l->discovery, a->addr);
 	if (c) {
 		conn_set_data(c, NULL);
 		conn_close(c);
@@ -166,8 +166,9 @@
 	const struct control_addr *all = m->members.items;
 
 	for (size_t i = 0; i < m->members.n; i++)
-		discovery_told(l->discovery, (struct ss_str){ 0 }, all[i].addr);
-	discovery_told(l->discovery, m->addr, (struct ss_str){ 0 });
+		discovery_received(l->discovery, (struct ss_str){ 0 },
+				   all[i].addr);
+	discovery_received(l->discovery, m->addr, (struct ss_str){ 0 });
 }
 
 static void handle_leader(struct link *l, struct control_conn *a,
--- a/test/prop_discovery.cc
+++ b/test/prop_discovery.cc
@@ -129,8 +129,8 @@
 		if (!p.s)
 			return;
 		for (auto &a : known)
-			discovery_told(p.s, kNone, view(a));
-		discovery_told(p.s, view(leader_addr), kNone);
+			discovery_received(p.s, kNone, view(a));
+		discovery_received(p.s, view(leader_addr), kNone);
 	}
 
 	/* Delivers the answer of a queried process. */
@@ -191,7 +191,7 @@
 			if (q || now - o.since < kConnectTimeoutMs)
 				left.push_back(o);
 			else
-				discovery_ended(p.s, o.addr.c_str());
+				discovery_query_done(p.s, o.addr.c_str());
 		}
 		p.queries = left;
 	}
@@ -408,9 +408,9 @@
 
 			now += 20;
 			if (what == 0)
-				discovery_told(s, view(any), view(any));
+				discovery_received(s, view(any), view(any));
 			if (what == 1 && !open.empty()) {
-				discovery_ended(s, open.begin()->c_str());
+				discovery_query_done(s, open.begin()->c_str());
 				open.erase(open.begin());
 			}
 			addr = discovery_next(s, now);
--- a/test/test_mend.c
+++ b/test/test_repair.c
@@ -1,11 +1,11 @@
 /* Membership repair: which member the leader promotes or removes next. */
 #include "unit.h"
 
-#include "../src/core/mend.h"
+#include "../src/core/repair.h"
 
 struct repair_case {
 	const char *label;
-	struct mend_member m[6];
+	struct repair_member m[6];
 	size_t n;
 	enum repair_action act;
 	size_t member;
@@ -28,22 +28,22 @@
 	{ "all voters are healthy",
 	  { VOTER("a", 0), VOTER("b", 9), VOTER("c", 9) },
 	  3,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "a learner that has caught up is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 990) },
 	  3,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  2 },
 	{ "a learner that lags stays a learner",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 100) },
 	  3,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "a learner without any reply stays a learner",
 	  { VOTER("a", 0), VOTER("b", 0), LEARNER("d", 0, 0) },
 	  3,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	/*
 	 * Guards against a group without a leader during a partition: with a
@@ -54,103 +54,103 @@
 	{ "with three voters one learner stays a spare",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990) },
 	  4,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "of two learners beside three voters the first is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("e", 0, 990) },
 	  5,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  3 },
 	{ "a learner beside four voters is promoted",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), VOTER("d", 0),
 	    LEARNER("e", 0, 990) },
 	  5,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  4 },
 	{ "a lagging learner doesn't count as the second",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("e", 0, 100) },
 	  5,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "the spare replaces a voter that lost its disk and relearns",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), LEARNER("d", 0, 990),
 	    LEARNER("b", 0, 100) },
 	  5,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  3 },
 	{ "a lost voter is removed before its successor catches up",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), LEARNER("b", 0, 100),
 	    VOTER("d", 0) },
 	  5,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 	{ "a lost voter is removed after a faster successor, the spare stays",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), VOTER("b", 0),
 	    LEARNER("d", 0, 990) },
 	  5,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 	{ "a single voter promotes any learner that has caught up",
 	  { VOTER("a", 0), LEARNER("b", 0, 990) },
 	  2,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  1 },
 	{ "a dead learner is removed",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0),
 	    LEARNER("d", DEAD, 990) },
 	  4,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  3 },
 	{ "a voter that restarts stays",
 	  { VOTER("a", 0), VOTER("b", 0), VOTER("c", 0), VOTER("d", 3000) },
 	  4,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "a dead voter is removed if three others are left",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", 0) },
 	  4,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 	{ "a dead voter stays if only two others are left",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0) },
 	  3,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "a dead voter's successor is promoted first",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0),
 	    LEARNER("e", 0, 1000) },
 	  4,
-	  MEND_PROMOTE,
+	  REPAIR_PROMOTE,
 	  3 },
 	{ "a dead voter is removed once its successor votes",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("e", 0) },
 	  4,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 	{ "a voter is removed when another voter has its address",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0), VOTER("b", 0) },
 	  4,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 	{ "a voter stays while only a learner has its address",
 	  { VOTER("a", 0), VOTER("b", 10), VOTER("c", 0),
 	    LEARNER("b", 0, 100) },
 	  4,
-	  MEND_NOTHING,
+	  REPAIR_NONE,
 	  0 },
 	{ "a dead learner is removed before a dead voter",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", 0),
 	    LEARNER("e", DEAD, 5) },
 	  5,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  4 },
 	{ "two dead voters of five are removed one at a time",
 	  { VOTER("a", 0), VOTER("b", DEAD), VOTER("c", 0), VOTER("d", DEAD),
 	    VOTER("e", 0) },
 	  5,
-	  MEND_DROP,
+	  REPAIR_REMOVE,
 	  1 },
 };
 
@@ -159,12 +159,12 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct repair_case c = cases[i];
-		struct mend_step got;
+		struct repair_step got;
 
 		c.m[0].self = true;
-		got = mend_next(c.m, c.n, 1000);
+		got = repair_next(c.m, c.n, 1000);
 		if (got.act != c.act ||
-		    (got.act != MEND_NOTHING && got.member != c.member))
+		    (got.act != REPAIR_NONE && got.member != c.member))
 			fail_msg("%s: %d of member %zu", c.label, got.act,
 				 got.member);
 	}
@@ -176,12 +176,12 @@
  */
 static void leader_is_never_removed(void **state)
 {
-	struct mend_member m[] = { VOTER("a", DEAD), VOTER("b", 0),
-				   VOTER("c", 0), VOTER("a", 0) };
+	struct repair_member m[] = { VOTER("a", DEAD), VOTER("b", 0),
+				     VOTER("c", 0), VOTER("a", 0) };
 
 	(void)state;
 	m[0].self = true;
-	assert_int_equal(mend_next(m, 4, 1000).act, MEND_NOTHING);
+	assert_int_equal(repair_next(m, 4, 1000).act, REPAIR_NONE);
 }
 
 int main(void)
