--- a/bench/quota.c
+++ b/bench/quota.c
@@ -7,8 +7,8 @@
 
 #include "../test/quota_world.h"
 
-static const struct quota_way *const ways[] = { &quota_even, &quota_lease,
-						&quota_owner };
+static const struct quota_scheme *const ways[] = { &quota_even, &quota_lease,
+						   &quota_owner };
 
 /* Sizes: a small fleet, a large one, and the one that is planned. */
 static const struct {
@@ -27,26 +27,26 @@
 	{ 8000, WORLD_HOT, 12000, 1, 3, 6 },
 };
 static const struct world_event leader[] = {
-	{ 10000, WORLD_LEADER, 1500, 0, 0, 0 },
-	{ 25000, WORLD_LEADER, 1500, 0, 0, 0 },
+	{ 10000, WORLD_LEADER_LOSS, 1500, 0, 0, 0 },
+	{ 25000, WORLD_LEADER_LOSS, 1500, 0, 0, 0 },
 };
 static const struct world_event power[] = {
-	{ 10000, WORLD_POWER, 1500, 0, 0, 0 },
-	{ 25000, WORLD_POWER, 1500, 0, 0, 0 },
+	{ 10000, WORLD_POWER_LOSS, 1500, 0, 0, 0 },
+	{ 25000, WORLD_POWER_LOSS, 1500, 0, 0, 0 },
 };
 static const struct world_event cuts[] = {
-	{ 10000, WORLD_CUT, 4000, 0, 8, 0 },
+	{ 10000, WORLD_PARTITION, 4000, 0, 8, 0 },
 	{ 20000, WORLD_FREEZE, 4000, 0, 8, 0 },
 	{ 28000, WORLD_RESTART, 500, 0, 8, 0 },
 };
 static const struct world_event faults[] = {
-	{ 6000, WORLD_CUT, 4000, 2, 3, 0 },
+	{ 6000, WORLD_PARTITION, 4000, 2, 3, 0 },
 	{ 9000, WORLD_HOT, 8000, 0, 1, 12 },
-	{ 14000, WORLD_LEADER, 1500, 0, 0, 0 },
-	{ 16000, WORLD_CUT, 6000, 0, 1, 0 },
+	{ 14000, WORLD_LEADER_LOSS, 1500, 0, 0, 0 },
+	{ 16000, WORLD_PARTITION, 6000, 0, 1, 0 },
 	{ 20000, WORLD_FREEZE, 3000, 4, 4, 0 },
 	{ 25000, WORLD_RESTART, 500, 8, 6, 0 },
-	{ 28000, WORLD_POWER, 1500, 0, 0, 0 },
+	{ 28000, WORLD_POWER_LOSS, 1500, 0, 0, 0 },
 	{ 33000, WORLD_SLOW, 4000, 0, 5, 0 },
 };
 static const struct world_event changes[] = {
@@ -95,28 +95,29 @@
 		printf("%d,%d,%s,%s,%" PRIu64 ",%.4f,%.5f,%.5f,%.4f,%.4f,%.1f,%"
 		       ".4f,%.0f,%.0f,%.0f,%.0f,"
 		       "%.2f\n",
-		       o->entries, o->customers, day, o->way->name, seed,
+		       o->entries, o->customers, day, o->scheme->name, seed,
 		       r->worst, r->refused, r->worst_refused, r->served,
 		       r->waited, r->waited_ms, r->late, r->messages, r->bytes,
-		       r->far_bytes, r->place_asks, r->place_us);
+		       r->cross_domain_bytes, r->allocator_requests,
+		       r->allocator_us);
 	else
 		printf("%-7d %-6d %-14s %-6s %7.3f %7.2f%% %7.2f%% %6.1f%% "
 		       "%6.1f%% %6.1f %5.2f%% %7.0f %8.0f %8.0f %7.0f %6.2f  "
 		       "%s\n",
-		       o->entries, o->customers, day, o->way->name, r->worst,
+		       o->entries, o->customers, day, o->scheme->name, r->worst,
 		       100 * r->refused, 100 * r->worst_refused,
 		       100 * r->served, 100 * r->waited, r->waited_ms,
-		       100 * r->late, r->messages, r->bytes, r->far_bytes,
-		       r->place_asks, r->place_us,
-		       r->worst > 1 ? r->worst_at : "");
+		       100 * r->late, r->messages, r->bytes,
+		       r->cross_domain_bytes, r->allocator_requests,
+		       r->allocator_us, r->worst > 1 ? r->worst_at : "");
 	fflush(stdout);
 }
 
-static void run_day(size_t size, size_t day, const struct quota_way *way)
+static void run_day(size_t size, size_t day, const struct quota_scheme *way)
 {
 	for (int s = 1; s <= seeds; s++) {
 		struct world_options o = {
-			.way = way,
+			.scheme = way,
 			.entries = sizes[size].entries,
 			.customers = sizes[size].customers,
 			.domains = 4,
@@ -124,7 +125,7 @@
 			.requests_per_s = sizes[size].requests_per_s,
 			.limit_x = 1.8,
 			.floor_per_s = 4200,
-			.slack = { 8, 0.1, 17000 },
+			.overage = { 8, 0.1, 17000 },
 			.delay_ms = 1.4,
 			.cpu_share = 0.32,
 			.drift = 0.001,
@@ -151,7 +152,7 @@
 };
 
 static const char *const sharings[] = {
-	[WORLD_IN_ORDER] = "in order",
+	[WORLD_FIFO] = "in order",
 	[WORLD_AT_ENTRY] = "at entry",
 	[WORLD_BY_CLASS] = "by class",
 };
@@ -169,13 +170,14 @@
 			       ",%.4f,%.4f,%.4f,%.0f\n",
 			       o->entries, day, mix, sharings[o->sharing], seed,
 			       k->class_id, k->objective_ms, x->served,
-			       x->in_time, r->worst, r->place_asks);
+			       x->in_time, r->worst, r->allocator_requests);
 		else
 			printf("%-7d %-14s %-6s %-9s %4" PRIu64 " %5d %9" PRId64
 			       " %6.1f%% %6.1f%% %7.3f %7.0f\n",
 			       o->entries, day, mix, sharings[o->sharing], seed,
 			       k->class_id, k->objective_ms, 100 * x->served,
-			       100 * x->in_time, r->worst, r->place_asks);
+			       100 * x->in_time, r->worst,
+			       r->allocator_requests);
 	}
 	fflush(stdout);
 }
@@ -207,14 +209,14 @@
 {
 	for (int s = 1; s <= seeds; s++) {
 		struct world_options o = {
-			.way = &quota_lease,
+			.scheme = &quota_lease,
 			.entries = size,
 			.customers = 4,
 			.domains = 4,
 			.length_ms = DAY_MS,
 			.requests_per_s = 5.0 * size,
 			.limit_x = loads[day].limit_x,
-			.slack = { 8, 0.1, 4000 },
+			.overage = { 8, 0.1, 4000 },
 			.delay_ms = 1.4,
 			.cpu_share = 0.32,
 			.drift = 0.001,
--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -426,44 +426,44 @@
 };
 
 static const struct wire_field quota_part_fields[] = {
-	F(1, WIRE_INT, quota_part, class_id),
-	F(2, WIRE_INT, quota_part, demand),
-	F(3, WIRE_INT, quota_part, spent),
-	F(4, WIRE_INT, quota_part, want),
-	F(5, WIRE_INT, quota_part, first),
-	F(6, WIRE_INT, quota_part, grant),
-	F(7, WIRE_INT, quota_part, wait_ms),
+	F(1, WIRE_INT, quota_class_item, class_id),
+	F(2, WIRE_INT, quota_class_item, demand),
+	F(3, WIRE_INT, quota_class_item, served),
+	F(4, WIRE_INT, quota_class_item, want),
+	F(5, WIRE_INT, quota_class_item, shortfall),
+	F(6, WIRE_INT, quota_class_item, grant),
+	F(7, WIRE_INT, quota_class_item, retry_after_ms),
 };
 static const struct wire_type quota_part_type =
-	T(quota_part, quota_part_fields);
+	T(quota_class_item, quota_part_fields);
 static const struct wire_field quota_request_item_fields[] = {
-	F(1, WIRE_STR, quota_ask, customer),
-	F(2, WIRE_UINT, quota_ask, number),
-	F(3, WIRE_INT, quota_ask, held),
-	F(4, WIRE_INT, quota_ask, want),
-	F(5, WIRE_INT, quota_ask, first),
-	F(6, WIRE_INT, quota_ask, demand),
-	F(7, WIRE_INT, quota_ask, alone),
-	F(8, WIRE_INT, quota_ask, rate),
-	F(9, WIRE_INT, quota_ask, back),
-	F(10, WIRE_INT, quota_ask, usual),
-	F(11, WIRE_INT, quota_ask, reserve),
-	F(12, WIRE_INT, quota_ask, refused),
-	L(13, quota_ask, parts, quota_part_type),
+	F(1, WIRE_STR, quota_request, customer),
+	F(2, WIRE_UINT, quota_request, number),
+	F(3, WIRE_INT, quota_request, balance),
+	F(4, WIRE_INT, quota_request, want),
+	F(5, WIRE_INT, quota_request, shortfall),
+	F(6, WIRE_INT, quota_request, demand),
+	F(7, WIRE_INT, quota_request, disconnected_spent),
+	F(8, WIRE_INT, quota_request, disconnected_rate),
+	F(9, WIRE_INT, quota_request, returned),
+	F(10, WIRE_INT, quota_request, mean_cost),
+	F(11, WIRE_INT, quota_request, overdraft),
+	F(12, WIRE_INT, quota_request, refused),
+	L(13, quota_request, classes, quota_part_type),
 };
 static const struct wire_type quota_request_type =
-	T(quota_ask, quota_request_item_fields);
+	T(quota_request, quota_request_item_fields);
 static const struct wire_field quota_reply_item_fields[] = {
-	F(1, WIRE_STR, quota_word, customer),
-	F(2, WIRE_UINT, quota_word, number),
-	F(3, WIRE_INT, quota_word, grant),
-	F(4, WIRE_INT, quota_word, rate),
-	F(5, WIRE_INT, quota_word, wait_ms),
-	F(6, WIRE_INT, quota_word, reserve),
-	L(7, quota_word, parts, quota_part_type),
+	F(1, WIRE_STR, quota_reply, customer),
+	F(2, WIRE_UINT, quota_reply, number),
+	F(3, WIRE_INT, quota_reply, grant),
+	F(4, WIRE_INT, quota_reply, disconnected_rate),
+	F(5, WIRE_INT, quota_reply, retry_after_ms),
+	F(6, WIRE_INT, quota_reply, overdraft),
+	L(7, quota_reply, classes, quota_part_type),
 };
 static const struct wire_type quota_reply_type =
-	T(quota_word, quota_reply_item_fields);
+	T(quota_reply, quota_reply_item_fields);
 static const struct wire_field quota_request_fields[] = {
 	L(1, msg_quota_request, requests, quota_request_type),
 };
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -486,11 +486,11 @@
 };
 
 struct msg_quota_request {
-	struct wire_list requests; /* struct quota_ask */
+	struct wire_list requests; /* struct quota_request */
 };
 
 struct msg_quota_reply {
-	struct wire_list replies; /* struct quota_word */
+	struct wire_list replies; /* struct quota_reply */
 };
 
 /* Streams begun by one version of a service; without keys it only states that
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -213,8 +213,8 @@
 			((struct routing_service *)r->pieces.items->pdata[i])
 				->removing = removing;
 		if (part == DOCUMENT_CUSTOMER)
-			((struct customer *)r->pieces.items->pdata[i])->leaves =
-				removing;
+			((struct customer *)r->pieces.items->pdata[i])
+				->removing = removing;
 		if (part != DOCUMENT_ROUTE)
 			continue;
 		rt->removing = removing;
@@ -334,7 +334,7 @@
 				n += ((struct document_piece *)e[k]
 					      .pieces.items)[m]
 					     .part == DOCUMENT_CUSTOMER;
-		n += p->parts->data[i] == DOCUMENT_CUSTOMER && !one->leaves;
+		n += p->parts->data[i] == DOCUMENT_CUSTOMER && !one->removing;
 	}
 	return format_path(u, DOCUMENT_CUSTOMER, n);
 }
--- a/src/customer/customer.c
+++ b/src/customer/customer.c
@@ -50,7 +50,7 @@
 {
 	if (!c->limit.tokens)
 		return 1;
-	return tokens > 0 ? (double)tokens : c->limit.plain;
+	return tokens > 0 ? (double)tokens : c->limit.default_tokens;
 }
 
 static guint key_hash(gconstpointer v)
@@ -116,7 +116,7 @@
 	if (c)
 		return c;
 	c = g_hash_table_lookup(t->by_key, k);
-	return c && !c->leaves ? c : NULL;
+	return c && !c->removing ? c : NULL;
 }
 
 enum customers_clash customers_check(const struct customers *t,
@@ -125,7 +125,7 @@
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *keys = g_hash_table_new(key_hash, key_equal);
-	enum customers_clash clash = CUSTOMERS_FIT;
+	enum customers_clash clash = CUSTOMERS_NO_CLASH;
 
 	for (*at = 0; *at < added->len && !clash; ++*at) {
 		struct customer *c = added->pdata[*at];
@@ -133,7 +133,7 @@
 		*other = g_hash_table_lookup(names, c->name);
 		if (!*other) {
 			*other = customers_named(t, c->name);
-			if (*other && (*other)->leaves)
+			if (*other && (*other)->removing)
 				*other = NULL;
 		}
 		if (*other)
--- a/src/customer/customer.h
+++ b/src/customer/customer.h
@@ -17,10 +17,10 @@
 
 /* A customer's limit over all entries together: a token bucket. */
 struct customer_limit {
-	double per_s; /* 0: no limit */
-	double burst; /* size of the bucket */
-	bool tokens;  /* counted in tokens, otherwise in requests */
-	double plain; /* tokens of a request that states none */
+	double per_s;	       /* 0: no limit */
+	double burst;	       /* size of the bucket */
+	bool tokens;	       /* counted in tokens, otherwise in requests */
+	double default_tokens; /* tokens of a request that states none */
 };
 
 struct customer {
@@ -29,7 +29,7 @@
 	GArray *keys;	  /* struct customer_key; empty: no access */
 	int64_t priority; /* of its requests, 0 is highest; -1: the route's */
 	struct customer_limit limit;
-	bool leaves; /* removed by the change that is being checked */
+	bool removing; /* removed by the change that is being checked */
 };
 
 struct customer *customer_new(void);
@@ -59,7 +59,7 @@
  * On a conflict, added[*at] has the same name or a key as *other, which is
  * either in the table and stays, or comes earlier in the list.
  */
-enum customers_clash { CUSTOMERS_FIT, CUSTOMERS_NAME, CUSTOMERS_KEY };
+enum customers_clash { CUSTOMERS_NO_CLASH, CUSTOMERS_NAME, CUSTOMERS_KEY };
 enum customers_clash customers_check(const struct customers *t,
 				     const GPtrArray *added, guint *at,
 				     const struct customer **other);
--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -16,33 +16,34 @@
 
 /* By how much a customer may exceed its limit within a window. This covers the
  * balances of entries. */
-struct quota_slack {
+struct quota_max_overage {
 	double window_s;
 	double ratio; /* of what the limit allows per window */
 	double extra; /* in addition, in the limit's unit */
 };
 
 struct quota_options {
-	struct quota_slack slack;
+	struct quota_max_overage overage;
 };
 
 /* Classes of a customer's requests; less urgent ones count as the last. */
 #define QUOTA_CLASSES SS_QUEUE_PRIORITIES
 
 /* State of an entry's quota client for a customer. */
-struct quota_view {
-	double held;
-	int64_t age_ms; /* of the allocator's last reply; -1: none */
-	bool alone;	/* the allocator is unreachable or silent */
+struct quota_client_view {
+	double balance;
+	int64_t age_ms;	   /* of the allocator's last reply; -1: none */
+	bool disconnected; /* the allocator is unreachable or silent */
 	/* Fraction of each class's recent demand that was served here; 1 where
 	 * there was none. */
-	double share[QUOTA_CLASSES];
+	double served_ratio[QUOTA_CLASSES];
 };
 
 /* An allocator's account of a customer, for monitoring. */
-struct quota_sight {
-	double level; /* available for grants; below 0: a debt */
-	double held;  /* granted to entries and unspent by their last report */
+struct quota_account_view {
+	double level;		 /* available for grants; below 0: a debt */
+	double outstanding;	 /* granted to entries and unspent by their last
+				    report */
 	double granted, refused; /* since the allocator started */
 	uint64_t entries;	 /* with a balance, or possibly with one */
 };
@@ -50,7 +51,7 @@
 /* What a request needs from the limit. */
 struct quota_need {
 	double cost;
-	bool waits;	 /* it was answered QUOTA_WAIT before */
+	bool queued;	 /* it was answered QUOTA_WAIT before */
 	int64_t hold_ms; /* longest expected wait that it accepts */
 };
 
@@ -60,13 +61,13 @@
  * of a limit without classes.
  */
 struct quota_rank {
-	int class_id;  /* 0 is the most urgent */
-	int64_t by_ms; /* time of its objective */
+	int class_id;	/* 0 is the most urgent */
+	int64_t due_ms; /* time of its objective */
 };
 
-enum quota_answer {
-	QUOTA_YES,
-	QUOTA_NO,
+enum quota_decision {
+	QUOTA_ADMIT,
+	QUOTA_REFUSE,
 	QUOTA_WAIT, /* for a grant that is being requested */
 };
 
@@ -78,51 +79,54 @@
  * use are listed, the most urgent first; with fewer than two there is no list,
  * and all requests are of one class.
  */
-struct quota_part {
+struct quota_class_item {
 	int64_t class_id;
 	/* In a request. */
 	int64_t demand; /* recently, per second */
-	int64_t spent;	/* the part of the demand that was served */
+	int64_t served; /* the part of the demand that was served */
 	int64_t want; /* additional amount, for waiting and expected requests */
-	int64_t first; /* shortfall of the first waiting request */
+	int64_t shortfall; /* shortfall of the first waiting request */
 	/* In a reply. */
 	int64_t grant;
-	int64_t wait_ms; /* retry delay while a shortfall remains */
+	int64_t retry_after_ms; /* retry delay while a shortfall remains */
 };
 
 /* An entry's request to the allocator of a customer. */
-struct quota_ask {
+struct quota_request {
 	struct ss_str customer;
-	uint64_t number; /* echoed in the reply */
-	int64_t held;	 /* balance; below 0: overdrawn while disconnected */
-	int64_t want;	 /* additional amount */
-	int64_t first;	 /* shortfall of the first waiting request */
-	int64_t demand;	 /* recently, per second */
-	int64_t usual;	 /* mean cost of a request */
-	int64_t alone;	 /* spent at the rate below since the last request */
-	int64_t rate;	 /* may be spent per second while disconnected, ... */
-	int64_t reserve; /* ... and this much beyond the balance */
-	int64_t back;	 /* returned balance */
+	uint64_t number;   /* echoed in the reply */
+	int64_t balance;   /* balance; below 0: overdrawn while disconnected */
+	int64_t want;	   /* additional amount */
+	int64_t shortfall; /* shortfall of the first waiting request */
+	int64_t demand;	   /* recently, per second */
+	int64_t mean_cost; /* mean cost of a request */
+	int64_t disconnected_spent; /* spent at the rate below since the last
+				       request */
+	int64_t disconnected_rate;  /* may be spent per second while
+				       disconnected, ... */
+	int64_t overdraft;	    /* ... and this much beyond the balance */
+	int64_t returned;	    /* returned balance */
 	int64_t refused; /* refused to callers since the last request */
-	/* struct quota_part; valid until the entry's next call. The amounts
-	 * above are totals of all classes. */
-	struct wire_list parts;
+	/* struct quota_class_item; valid until the entry's next call. The
+	 * amounts above are totals of all classes. */
+	struct wire_list classes;
 };
 
 /* The allocator's reply. */
-struct quota_word {
+struct quota_reply {
 	struct ss_str customer;
 	uint64_t number;
 	int64_t grant;
-	int64_t rate;	 /* may be spent per second while disconnected, ... */
-	int64_t reserve; /* ... and this much beyond the balance */
-	int64_t wait_ms; /* retry delay while a shortfall remains */
-	/* struct quota_part, whose grants add up to the grant above; valid
-	 * until the allocator's next call for that customer. */
-	struct wire_list parts;
+	int64_t disconnected_rate; /* may be spent per second while
+				      disconnected, ... */
+	int64_t overdraft;	   /* ... and this much beyond the balance */
+	int64_t retry_after_ms;	   /* retry delay while a shortfall remains */
+	/* struct quota_class_item, whose grants add up to the grant above;
+	 * valid until the allocator's next call for that customer. */
+	struct wire_list classes;
 };
 
-struct quota_way {
+struct quota_scheme {
 	const char *name;
 	/*
 	 * Returns the id of the member that allocates a customer's grants, out
@@ -133,70 +137,76 @@
 				  const uint64_t *entries, size_t n);
 
 	/* The entry's side: a quota client for each customer. */
-	void *(*entry_new)(const struct quota_options *o, int64_t now);
-	void (*entry_free)(void *clients);
+	void *(*clients_new)(const struct quota_options *o, int64_t now);
+	void (*clients_free)(void *clients);
 	/* Sets the number of entries that share the limits; 0: unknown. */
 	void (*clients_set_entries)(void *clients, uint64_t n);
 	/* A customer's allocator became reachable or unreachable; customer
 	 * NULL: the allocator of all customers. */
-	void (*entry_link)(void *clients, const char *customer, bool up,
-			   int64_t now);
+	void (*clients_link)(void *clients, const char *customer, bool up,
+			     int64_t now);
 	/*
-	 * Decides whether a request may run. With QUOTA_YES its cost is spent.
-	 * With QUOTA_WAIT it is to be tried again. With QUOTA_NO,
+	 * Decides whether a request may run. With QUOTA_ADMIT its cost is
+	 * spent. With QUOTA_WAIT it is to be tried again. With QUOTA_REFUSE,
 	 * *retry_after_ms is the time until a retry may succeed.
 	 */
-	enum quota_answer (*take)(void *clients, const struct customer *c,
-				  const struct quota_need *n, int64_t now,
-				  int64_t *retry_after_ms);
+	enum quota_decision (*take)(void *clients, const struct customer *c,
+				    const struct quota_need *n, int64_t now,
+				    int64_t *retry_after_ms);
 	/*
 	 * The same for a request with a rank. Callers first try the first
 	 * request of each class, in the order of ranks, and then those whose
 	 * hold_ms have passed: these are admitted as soon as there is enough
 	 * for them.
 	 */
-	enum quota_answer (*take_ranked)(void *clients,
-					 const struct customer *c,
-					 const struct quota_need *n,
-					 const struct quota_rank *r,
-					 int64_t now, int64_t *retry_after_ms);
+	enum quota_decision (*take_ranked)(void *clients,
+					   const struct customer *c,
+					   const struct quota_need *n,
+					   const struct quota_rank *r,
+					   int64_t now,
+					   int64_t *retry_after_ms);
 	/* A waiting request was cancelled. */
-	void (*leave)(void *clients, const struct customer *c, double cost);
-	void (*leave_ranked)(void *clients, const struct customer *c,
-			     double cost, const struct quota_rank *r);
+	void (*cancel)(void *clients, const struct customer *c, double cost);
+	void (*cancel_ranked)(void *clients, const struct customer *c,
+			      double cost, const struct quota_rank *r);
 	/* Refunds a request that was admitted but wasn't run. */
-	void (*give_back)(void *clients, const struct customer *c, double cost,
-			  const struct quota_rank *r, int64_t now);
+	void (*refund)(void *clients, const struct customer *c, double cost,
+		       const struct quota_rank *r, int64_t now);
 	/* Appends the requests to the allocator that are due, as struct
-	 * quota_ask; their strings are valid until the entry's next call. */
-	void (*asks)(void *clients, int64_t now, GArray *out);
-	void (*word)(void *clients, const struct quota_word *w, int64_t now);
+	 * quota_request; their strings are valid until the entry's next call.
+	 */
+	void (*clients_requests)(void *clients, int64_t now, GArray *out);
+	void (*clients_reply)(void *clients, const struct quota_reply *w,
+			      int64_t now);
 	/* Returns the state for a customer, for monitoring. */
-	struct quota_view (*look)(const void *clients, const char *customer,
-				  int64_t now);
+	struct quota_client_view (*clients_view)(const void *clients,
+						 const char *customer,
+						 int64_t now);
 
 	/* The allocator's side. */
-	void *(*place_new)(const struct quota_options *o, int64_t now);
-	void (*place_free)(void *allocator);
+	void *(*allocator_new)(const struct quota_options *o, int64_t now);
+	void (*allocator_free)(void *allocator);
 	/* Handles an entry's request and fills in the reply. holder is the
 	 * entry's incarnation. Returns false where no reply is to be sent. */
-	bool (*place_ask)(void *allocator, uint64_t holder,
-			  const struct customer *c, const struct quota_ask *a,
-			  int64_t now, struct quota_word *out);
-	void (*place_gone)(void *allocator, uint64_t holder, int64_t now);
+	bool (*allocator_request)(void *allocator, uint64_t holder,
+				  const struct customer *c,
+				  const struct quota_request *a, int64_t now,
+				  struct quota_reply *out);
+	void (*allocator_client_lost)(void *allocator, uint64_t holder,
+				      int64_t now);
 	/* Returns false where no entry has requested anything for that
 	 * customer. */
-	bool (*place_look)(void *allocator, const char *customer, int64_t now,
-			   struct quota_sight *out);
+	bool (*allocator_view)(void *allocator, const char *customer,
+			       int64_t now, struct quota_account_view *out);
 	/* Drops accounts that no longer matter; to be called periodically. */
-	void (*place_tidy)(void *allocator, int64_t now);
+	void (*allocator_prune)(void *allocator, int64_t now);
 };
 
 /* Each entry has an equal part of every limit, without messages. */
-extern const struct quota_way quota_even;
+extern const struct quota_scheme quota_even;
 /* The leader grants by demand. */
-extern const struct quota_way quota_lease;
+extern const struct quota_scheme quota_lease;
 /* Grants by demand, from the entry that a customer's name hashes to. */
-extern const struct quota_way quota_owner;
+extern const struct quota_scheme quota_owner;
 
 #endif
--- a/src/customer/quota_lease.c
+++ b/src/customer/quota_allocator.c
@@ -46,13 +46,13 @@
 	double level;
 	int64_t ms; /* time up to which the level is updated */
 	GArray *holders;
-	double granted, refused;		/* since it was created */
-	struct quota_classes shares;		/* division of the level */
-	struct quota_part parts[QUOTA_CLASSES]; /* of the last reply */
+	double granted, refused;     /* since it was created */
+	struct quota_classes shares; /* division of the level */
+	struct quota_class_item parts[QUOTA_CLASSES]; /* of the last reply */
 };
 
 struct allocator {
-	struct quota_slack slack;
+	struct quota_max_overage slack;
 	GHashTable *accounts; /* name -> struct account */
 	int64_t started_ms;
 };
@@ -70,7 +70,7 @@
 {
 	struct allocator *p = g_new0(struct allocator, 1);
 
-	p->slack = o->slack;
+	p->slack = o->overage;
 	p->started_ms = now;
 	p->accounts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    account_free);
@@ -237,23 +237,23 @@
  * Each class retains the shortfall of its first request, however rare its
  * requests are. */
 static void update_demands(struct account *a, struct holder *h,
-			   const struct quota_ask *ask)
+			   const struct quota_request *ask)
 {
-	const struct quota_part *x = ask->parts.items;
+	const struct quota_class_item *x = ask->classes.items;
 
 	remove_demands(a, h);
 	memset(h->demands, 0, sizeof(h->demands));
 	memset(h->served, 0, sizeof(h->served));
-	for (size_t i = 0; i < ask->parts.n; i++) {
+	for (size_t i = 0; i < ask->classes.n; i++) {
 		int class = quota_classes_clamp(x[i].class_id);
 
 		h->demands[class] += MAX(quota_from_milli(x[i].demand), 0);
-		h->served[class] += MAX(quota_from_milli(x[i].spent), 0);
-		a->shares.waiting[class] = quota_from_milli(x[i].first);
+		h->served[class] += MAX(quota_from_milli(x[i].served), 0);
+		a->shares.waiting[class] = quota_from_milli(x[i].shortfall);
 	}
-	if (!ask->parts.n) {
+	if (!ask->classes.n) {
 		h->demands[0] = MAX(h->demand, 0);
-		a->shares.waiting[0] = quota_from_milli(ask->first);
+		a->shares.waiting[0] = quota_from_milli(ask->shortfall);
 	}
 	add_demands(a, h, 1);
 }
@@ -267,7 +267,8 @@
  */
 static struct holder *update_holder(const struct allocator *p,
 				    struct account *a, uint64_t id,
-				    const struct quota_ask *ask, int64_t now)
+				    const struct quota_request *ask,
+				    int64_t now)
 {
 	struct holder *h = find_holder(a, id);
 	bool known = h != NULL;
@@ -275,26 +276,27 @@
 	if (h) {
 		if (h->lost)
 			a->level += h->charged;
-		a->level -= quota_from_milli(ask->alone);
+		a->level -= quota_from_milli(ask->disconnected_spent);
 		h->lost = false;
 		h->charged = 0;
 	} else {
-		struct holder one = { .id = id,
-				      .rate = quota_from_milli(ask->rate),
-				      .overdraft =
-					      quota_from_milli(ask->reserve) };
+		struct holder one = {
+			.id = id,
+			.rate = quota_from_milli(ask->disconnected_rate),
+			.overdraft = quota_from_milli(ask->overdraft)
+		};
 
 		g_array_append_val(a->holders, one);
 		h = &g_array_index(a->holders, struct holder,
 				   a->holders->len - 1);
 	}
-	h->balance = MAX(quota_from_milli(ask->held), 0);
+	h->balance = MAX(quota_from_milli(ask->balance), 0);
 	if (known || !is_new(p, now))
-		a->level += MIN(quota_from_milli(ask->held), 0);
+		a->level += MIN(quota_from_milli(ask->balance), 0);
 	h->demand = quota_from_milli(ask->demand);
 	update_demands(a, h, ask);
 	h->until_ms = now + QUOTA_LEASE_MS + LEASE_MARGIN_MS;
-	a->level += quota_from_milli(ask->back);
+	a->level += quota_from_milli(ask->returned);
 	return h;
 }
 
@@ -403,10 +405,10 @@
  */
 static double class_grant_amount(const struct allocator *p,
 				 const struct account *a, double level,
-				 double room, const struct quota_part *x)
+				 double room, const struct quota_class_item *x)
 {
 	double want = quota_from_milli(x->want),
-	       first = quota_from_milli(x->first);
+	       first = quota_from_milli(x->shortfall);
 
 	if (level < want)
 		want = first > 0 && level >= first ? first : 0;
@@ -415,21 +417,22 @@
 
 /* Grants to one class, after the classes before it in the same reply. */
 static double grant_to_class(const struct allocator *p, struct account *a,
-			     const struct quota_part *x, double room,
-			     double granted, struct quota_part *out)
+			     const struct quota_class_item *x, double room,
+			     double granted, struct quota_class_item *out)
 {
 	int class = quota_classes_clamp(x->class_id);
-	double level = a->level - granted, first = quota_from_milli(x->first);
+	double level = a->level - granted,
+	       first = quota_from_milli(x->shortfall);
 	double mine = quota_classes_available(&a->shares, class, level);
 	double n = class_grant_amount(p, a, mine, room - granted, x), per_s;
 
 	quota_classes_spend(&a->shares, class, n, level);
-	*out = (struct quota_part){ .class_id = class,
-				    .grant = quota_to_milli(n) };
+	*out = (struct quota_class_item){ .class_id = class,
+					  .grant = quota_to_milli(n) };
 	if (n >= first)
 		return n;
 	per_s = a->limit.per_s * quota_classes_next_ratio(&a->shares, class);
-	out->wait_ms = retry_ms(a, shortfall(p, a, first, mine), per_s);
+	out->retry_after_ms = retry_ms(a, shortfall(p, a, first, mine), per_s);
 	return n;
 }
 
@@ -441,49 +444,52 @@
 
 /* Grants to each class out of what it may spend, the most urgent first. */
 static double grant_by_class(const struct allocator *p, struct account *a,
-			     const struct quota_ask *ask,
-			     struct quota_word *out)
-{
-	const struct quota_part whole = { .want = ask->want,
-					  .first = ask->first };
-	const struct quota_part *x = ask->parts.n ? ask->parts.items : &whole;
-	size_t most = ask->parts.n ? MIN(ask->parts.n, QUOTA_CLASSES) : 1;
+			     const struct quota_request *ask,
+			     struct quota_reply *out)
+{
+	const struct quota_class_item whole = { .want = ask->want,
+						.shortfall = ask->shortfall };
+	const struct quota_class_item *x = ask->classes.n ? ask->classes.items :
+							    &whole;
+	size_t most = ask->classes.n ? MIN(ask->classes.n, QUOTA_CLASSES) : 1;
 	double room = outstanding_room(p, a), all = 0;
 
 	quota_classes_divide(&a->shares, a->level);
 	for (size_t i = 0; i < most; i++) {
-		struct quota_part *part = &a->parts[i];
+		struct quota_class_item *part = &a->parts[i];
 
 		all += grant_to_class(p, a, &x[i], room, all, part);
 		out->grant += part->grant;
-		out->wait_ms = earlier_of(out->wait_ms, part->wait_ms);
+		out->retry_after_ms =
+			earlier_of(out->retry_after_ms, part->retry_after_ms);
 	}
-	if (ask->parts.n)
-		out->parts = (struct wire_list){ a->parts, most };
+	if (ask->classes.n)
+		out->classes = (struct wire_list){ a->parts, most };
 	return all;
 }
 
 /* Grants without regard to classes. */
 static double grant_undivided(const struct allocator *p,
 			      const struct account *a,
-			      const struct quota_ask *ask,
-			      struct quota_word *out)
+			      const struct quota_request *ask,
+			      struct quota_reply *out)
 {
-	double first = quota_from_milli(ask->first);
+	double first = quota_from_milli(ask->shortfall);
 	double n = grant(p, a, a->level, outstanding_room(p, a),
 			 quota_from_milli(ask->want), first);
 
 	out->grant = quota_to_milli(n);
 	if (n < first)
-		out->wait_ms = retry_ms(a, shortfall(p, a, first, a->level - n),
-					a->limit.per_s);
+		out->retry_after_ms =
+			retry_ms(a, shortfall(p, a, first, a->level - n),
+				 a->limit.per_s);
 	return n;
 }
 
 bool quota_allocator_request(void *allocator, uint64_t id,
 			     const struct customer *c,
-			     const struct quota_ask *ask, int64_t now,
-			     struct quota_word *out)
+			     const struct quota_request *ask, int64_t now,
+			     struct quota_reply *out)
 {
 	struct allocator *p = allocator;
 	struct account *a = get_account(p, c, now);
@@ -491,8 +497,8 @@
 	struct others o;
 	double n;
 
-	*out = (struct quota_word){ .customer = ask->customer,
-				    .number = ask->number };
+	*out = (struct quota_reply){ .customer = ask->customer,
+				     .number = ask->number };
 	n = quota_classes_several(&a->shares) ? grant_by_class(p, a, ask, out) :
 						grant_undivided(p, a, ask, out);
 	a->level -= n;
@@ -501,14 +507,15 @@
 	h->balance += n;
 	o = sum_others(a, h);
 	h->rate = disconnected_rate(p, a, h, &o, now);
-	h->overdraft = max_overdraft(p, a, h, &o, quota_from_milli(ask->usual));
-	out->rate = quota_to_milli(h->rate);
-	out->reserve = quota_to_milli(h->overdraft);
+	h->overdraft =
+		max_overdraft(p, a, h, &o, quota_from_milli(ask->mean_cost));
+	out->disconnected_rate = quota_to_milli(h->rate);
+	out->overdraft = quota_to_milli(h->overdraft);
 	return true;
 }
 
 bool quota_allocator_view(void *allocator, const char *customer, int64_t now,
-			  struct quota_sight *out)
+			  struct quota_account_view *out)
 {
 	struct allocator *p = allocator;
 	struct account *a = g_hash_table_lookup(p->accounts, customer);
@@ -516,12 +523,12 @@
 	if (!a)
 		return false;
 	update_level(p, a, now);
-	*out = (struct quota_sight){ .level = a->level,
-				     .granted = a->granted,
-				     .refused = a->refused,
-				     .entries = a->holders->len };
+	*out = (struct quota_account_view){ .level = a->level,
+					    .granted = a->granted,
+					    .refused = a->refused,
+					    .entries = a->holders->len };
 	for (guint i = 0; i < a->holders->len; i++)
-		out->held +=
+		out->outstanding +=
 			g_array_index(a->holders, struct holder, i).balance;
 	return true;
 }
@@ -576,7 +583,7 @@
 	return leader;
 }
 
-const struct quota_way quota_lease = {
+const struct quota_scheme quota_lease = {
 	.name = "lease",
 	.allocator_for = leader_allocator_for,
 	QUOTA_LEASE_FUNCTIONS,
--- a/src/customer/quota_purse.c
+++ b/src/customer/quota_client.c
@@ -1,5 +1,5 @@
 /* Quota clients, an entry's side of customers' limits: spending grants. */
-#include "quota_purse_int.h"
+#include "quota_client_int.h"
 
 #include <math.h>
 
@@ -237,8 +237,8 @@
 	return u->balance + (may_overdraw ? u->overdraft : 0);
 }
 
-static enum quota_answer spend(struct quota_client *u, int class, double cost,
-			       int64_t now)
+static enum quota_decision spend(struct quota_client *u, int class, double cost,
+				 int64_t now)
 {
 	quota_classes_spend(&u->shares, class, cost, spendable(u, now));
 	u->balance -= cost;
@@ -246,7 +246,7 @@
 	u->shares.served[class] += cost * 1000 / DEMAND_WINDOW_MS;
 	if (quota_client_is_low(u))
 		quota_client_make_due(u->e, u);
-	return QUOTA_YES;
+	return QUOTA_ADMIT;
 }
 
 /* Adds the cost of a waiting request, or removes it with a cost below 0. */
@@ -266,7 +266,7 @@
 	struct quota_client_class *k = &u->classes[class];
 
 	add_waiting(u, class, -cost);
-	if (r->by_ms <= k->first_due_ms)
+	if (r->due_ms <= k->first_due_ms)
 		k->first_due_ms = INT64_MAX;
 }
 
@@ -305,8 +305,8 @@
 
 	if (now - u->connected_ms < FAILOVER_MS)
 		return MAX(ms, RECONNECT_WAIT_MS);
-	if (n->waits && quota_classes_several(&u->shares))
-		ms = MIN(ms, r->by_ms - n->hold_ms - now);
+	if (n->queued && quota_classes_several(&u->shares))
+		ms = MIN(ms, r->due_ms - n->hold_ms - now);
 	return ms;
 }
 
@@ -315,8 +315,8 @@
 static bool is_earlier(const struct quota_client_class *k,
 		       const struct quota_need *n, const struct quota_rank *r)
 {
-	return r->by_ms < k->first_due_ms &&
-	       (n->waits || k->first_due_ms != INT64_MAX);
+	return r->due_ms < k->first_due_ms &&
+	       (n->queued || k->first_due_ms != INT64_MAX);
 }
 
 /* Returns true if no waiting request of the class goes first: none waits, this
@@ -328,7 +328,7 @@
 	if (u->shares.waiting[class] <= 0 ||
 	    is_earlier(&u->classes[class], n, r))
 		return true;
-	return n->waits && now >= r->by_ms - n->hold_ms;
+	return n->queued && now >= r->due_ms - n->hold_ms;
 }
 
 /* Updates the first waiting request: this one is first, or it is overdue and
@@ -339,8 +339,8 @@
 {
 	if (queue_empty || is_earlier(k, n, r)) {
 		k->first_cost = n->cost;
-		k->first_due_ms = r->by_ms;
-	} else if (n->waits) {
+		k->first_due_ms = r->due_ms;
+	} else if (n->queued) {
 		k->first_cost = MIN(k->first_cost, n->cost);
 	}
 }
@@ -387,7 +387,7 @@
 	quota_client_make_due(u->e, u);
 }
 
-enum quota_answer quota_clients_take_ranked(
+enum quota_decision quota_clients_take_ranked(
 	void *clients, const struct customer *c, const struct quota_need *n,
 	const struct quota_rank *r, int64_t now, int64_t *retry_after_ms)
 {
@@ -397,12 +397,12 @@
 	quota_client_update(u, now);
 	if (n->cost > c->limit.burst + c->limit.per_s * COST_MAX_S) {
 		*retry_after_ms = quota_retry_ms(n->cost, c->limit.per_s);
-		return QUOTA_NO;
+		return QUOTA_REFUSE;
 	}
 	/* Divide while it still counts as waiting: its class retains tokens for
 	 * it. */
 	quota_classes_divide(&u->shares, spendable(u, now));
-	if (n->waits)
+	if (n->queued)
 		remove_waiting(u, class, n->cost, r);
 	else
 		add_demand(u, class, n->cost, now);
@@ -410,7 +410,7 @@
 		return spend(u, class, n->cost, now);
 	if (must_refuse(u, class, n, r, now, retry_after_ms)) {
 		u->refused += n->cost;
-		return QUOTA_NO;
+		return QUOTA_REFUSE;
 	}
 	enqueue(u, class, n, r);
 	return QUOTA_WAIT;
@@ -418,9 +418,9 @@
 
 static const struct quota_rank default_rank;
 
-enum quota_answer quota_clients_take(void *clients, const struct customer *c,
-				     const struct quota_need *n, int64_t now,
-				     int64_t *retry_after_ms)
+enum quota_decision quota_clients_take(void *clients, const struct customer *c,
+				       const struct quota_need *n, int64_t now,
+				       int64_t *retry_after_ms)
 {
 	return quota_clients_take_ranked(clients, c, n, &default_rank, now,
 					 retry_after_ms);
@@ -456,22 +456,23 @@
 	u->shares.balance[quota_classes_clamp(r->class_id)] += cost;
 }
 
-struct quota_view quota_clients_view(const void *clients, const char *customer,
-				     int64_t now)
+struct quota_client_view quota_clients_view(const void *clients,
+					    const char *customer, int64_t now)
 {
 	const struct quota_clients *e = clients;
 	const struct quota_client *u =
 		g_hash_table_lookup(e->by_name, customer);
-	struct quota_view v = { .age_ms = -1, .alone = !e->connected };
+	struct quota_client_view v = { .age_ms = -1,
+				       .disconnected = !e->connected };
 
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		v.share[i] = 1;
+		v.served_ratio[i] = 1;
 	if (!u)
 		return v;
 	for (int i = 0; i < QUOTA_CLASSES; i++)
-		v.share[i] = quota_classes_served_ratio(&u->shares, i);
-	v.held = u->balance;
-	v.alone = is_disconnected(u, now);
+		v.served_ratio[i] = quota_classes_served_ratio(&u->shares, i);
+	v.balance = u->balance;
+	v.disconnected = is_disconnected(u, now);
 	if (u->balance_until_ms)
 		v.age_ms = now - (u->balance_until_ms - QUOTA_LEASE_MS);
 	return v;
--- a/src/customer/quota_purse_int.h
+++ b/src/customer/quota_client_int.h
@@ -1,7 +1,7 @@
 /*
  * Quota clients, an entry's side of customers' limits: what spending grants
- * (quota_purse.c) and requesting them (quota_purse_ask.c) share. Private to
- * these files.
+ * (quota_client.c) and requesting them (quota_client_request.c) share. Private
+ * to these files.
  */
 #ifndef SS_QUOTA_PURSE_INT_H
 #define SS_QUOTA_PURSE_INT_H
@@ -62,7 +62,7 @@
 	bool due; /* in the list of clients with a request due */
 	struct quota_classes shares; /* division of the balance */
 	struct quota_client_class classes[QUOTA_CLASSES];
-	struct quota_part parts[QUOTA_CLASSES]; /* of the last request */
+	struct quota_class_item parts[QUOTA_CLASSES]; /* of the last request */
 };
 
 struct quota_clients {
--- a/src/customer/quota_purse_ask.c
+++ b/src/customer/quota_client_request.c
@@ -1,5 +1,5 @@
 /* Quota clients: requests to the allocator, and its replies. */
-#include "quota_purse_int.h"
+#include "quota_client_int.h"
 
 /* A request without a reply is repeated after this, in ms. */
 #define REQUEST_TIMEOUT_MS 1000
@@ -67,27 +67,27 @@
 }
 
 /* With only the first class in use there is no list. */
-static void add_classes(struct quota_client *u, struct quota_ask *a)
+static void add_classes(struct quota_client *u, struct quota_request *a)
 {
 	size_t n = 0;
 
 	for (int i = 0; i < QUOTA_CLASSES; i++) {
-		struct quota_part *x = &u->parts[n];
+		struct quota_class_item *x = &u->parts[n];
 
 		if (!quota_classes_used(&u->shares, i))
 			continue;
-		*x = (struct quota_part){
+		*x = (struct quota_class_item){
 			.class_id = i,
 			.demand = quota_to_milli(u->shares.demand[i]),
-			.spent = quota_to_milli(u->shares.served[i]),
+			.served = quota_to_milli(u->shares.served[i]),
 			.want = quota_to_milli(MAX(class_deficit(u, i), 0)),
-			.first = class_shortfall(u, i)
+			.shortfall = class_shortfall(u, i)
 		};
-		x->want = MAX(x->want, x->first);
+		x->want = MAX(x->want, x->shortfall);
 		n++;
 	}
 	if (n > 1 || (n == 1 && u->parts[0].class_id))
-		a->parts = (struct wire_list){ u->parts, n };
+		a->classes = (struct wire_list){ u->parts, n };
 }
 
 /* Shortfall of the most urgent class that waits, for one class or for an
@@ -103,28 +103,29 @@
 static void add_request(struct quota_client *u, int64_t now, GArray *out)
 {
 	double want = target_balance(u, now);
-	struct quota_ask a = { .customer = ss_str(u->name),
-			       .number = ++u->number,
-			       .held = quota_to_milli(u->balance),
-			       .want = quota_to_milli(
-				       MAX(want - u->balance, 0)),
-			       .demand = quota_to_milli(u->demand),
-			       .alone = quota_to_milli(u->disconnected_spent),
-			       .usual = quota_to_milli(u->mean),
-			       .refused = quota_to_milli(u->refused) };
+	struct quota_request a = {
+		.customer = ss_str(u->name),
+		.number = ++u->number,
+		.balance = quota_to_milli(u->balance),
+		.want = quota_to_milli(MAX(want - u->balance, 0)),
+		.demand = quota_to_milli(u->demand),
+		.disconnected_spent = quota_to_milli(u->disconnected_spent),
+		.mean_cost = quota_to_milli(u->mean),
+		.refused = quota_to_milli(u->refused)
+	};
 
 	if (now < u->rate_until_ms) {
-		a.rate = quota_to_milli(u->rate);
-		a.reserve = quota_to_milli(u->overdraft);
+		a.disconnected_rate = quota_to_milli(u->rate);
+		a.overdraft = quota_to_milli(u->overdraft);
 	}
 	/* The allocator accounts for what was overdrawn. */
 	u->balance = MAX(u->balance, 0);
 	quota_classes_divide(&u->shares, u->balance);
-	a.first = first_shortfall(u);
+	a.shortfall = first_shortfall(u);
 	add_classes(u, &a);
-	if (want <= 0 && a.held > 0) {
-		a.back = a.held;
-		a.held = 0;
+	if (want <= 0 && a.balance > 0) {
+		a.returned = a.balance;
+		a.balance = 0;
 		u->balance = 0;
 	}
 	u->disconnected_spent = u->refused = 0;
@@ -181,40 +182,41 @@
 }
 
 /* Credits a grant to classes as the reply states, otherwise by demand. */
-static void credit_classes(struct quota_client *u, const struct quota_word *w)
+static void credit_classes(struct quota_client *u, const struct quota_reply *w)
 {
-	const struct quota_part *x = w->parts.items;
+	const struct quota_class_item *x = w->classes.items;
 
-	for (size_t i = 0; i < w->parts.n; i++) {
+	for (size_t i = 0; i < w->classes.n; i++) {
 		int class = quota_classes_clamp(x[i].class_id);
 
 		u->shares.balance[class] += quota_from_milli(x[i].grant);
 		u->classes[class].grant_rate +=
 			quota_from_milli(x[i].grant) * 1000 / DEMAND_WINDOW_MS;
 	}
-	for (int i = 0; i < QUOTA_CLASSES && !w->parts.n; i++)
+	for (int i = 0; i < QUOTA_CLASSES && !w->classes.n; i++)
 		u->classes[i].grant_rate += quota_classes_ratio(&u->shares, i) *
 					    quota_from_milli(w->grant) * 1000 /
 					    DEMAND_WINDOW_MS;
 }
 
 static void update_retry_times(struct quota_client *u,
-			       const struct quota_word *w, int64_t now)
+			       const struct quota_reply *w, int64_t now)
 {
-	const struct quota_part *x = w->parts.items;
+	const struct quota_class_item *x = w->classes.items;
 
 	quota_client_clear_waits(u);
-	if (w->wait_ms > 0)
-		u->retry_at_ms = now + w->wait_ms;
-	for (size_t i = 0; i < w->parts.n; i++)
-		if (x[i].wait_ms > 0)
+	if (w->retry_after_ms > 0)
+		u->retry_at_ms = now + w->retry_after_ms;
+	for (size_t i = 0; i < w->classes.n; i++)
+		if (x[i].retry_after_ms > 0)
 			u->classes[quota_classes_clamp(x[i].class_id)]
-				.retry_at_ms = now + x[i].wait_ms;
-	for (int i = 0; i < QUOTA_CLASSES && !w->parts.n; i++)
+				.retry_at_ms = now + x[i].retry_after_ms;
+	for (int i = 0; i < QUOTA_CLASSES && !w->classes.n; i++)
 		u->classes[i].retry_at_ms = u->retry_at_ms;
 }
 
-void quota_clients_reply(void *clients, const struct quota_word *w, int64_t now)
+void quota_clients_reply(void *clients, const struct quota_reply *w,
+			 int64_t now)
 {
 	struct quota_clients *e = clients;
 	char *name = ss_str_dup(w->customer);
@@ -231,8 +233,8 @@
 	timing_estimate_add(&e->reply_times, (double)(now - u->requested_ms));
 	u->pending = false;
 	u->balance_until_ms = u->requested_ms + QUOTA_LEASE_MS;
-	u->rate = quota_from_milli(w->rate);
-	u->overdraft = quota_from_milli(w->reserve);
+	u->rate = quota_from_milli(w->disconnected_rate);
+	u->overdraft = quota_from_milli(w->overdraft);
 	u->rate_until_ms = u->requested_ms + QUOTA_LEASE_MS;
 	update_retry_times(u, w, now);
 	u->scarce_until_ms =
--- a/src/customer/quota_even.c
+++ b/src/customer/quota_even.c
@@ -70,9 +70,9 @@
 	return b;
 }
 
-static enum quota_answer even_take(void *clients, const struct customer *c,
-				   const struct quota_need *n, int64_t now,
-				   int64_t *retry_after_ms)
+static enum quota_decision even_take(void *clients, const struct customer *c,
+				     const struct quota_need *n, int64_t now,
+				     int64_t *retry_after_ms)
 {
 	struct even *e = clients;
 	struct bucket *b = refill_bucket(e, c, now);
@@ -81,18 +81,17 @@
 
 	if (b->tokens >= need) {
 		b->tokens -= n->cost;
-		return QUOTA_YES;
+		return QUOTA_ADMIT;
 	}
 	*retry_after_ms = (int64_t)((need - b->tokens) * 1000 /
 				    (c->limit.per_s * fraction));
-	return QUOTA_NO;
+	return QUOTA_REFUSE;
 }
 
-static enum quota_answer even_take_ranked(void *clients,
-					  const struct customer *c,
-					  const struct quota_need *n,
-					  const struct quota_rank *r,
-					  int64_t now, int64_t *retry_after_ms)
+static enum quota_decision
+even_take_ranked(void *clients, const struct customer *c,
+		 const struct quota_need *n, const struct quota_rank *r,
+		 int64_t now, int64_t *retry_after_ms)
 {
 	(void)r;
 	return even_take(clients, c, n, now, retry_after_ms);
@@ -126,37 +125,37 @@
 	(void)out;
 }
 
-static void even_reply(void *clients, const struct quota_word *w, int64_t now)
+static void even_reply(void *clients, const struct quota_reply *w, int64_t now)
 {
 	(void)clients;
 	(void)w;
 	(void)now;
 }
 
-static struct quota_view even_view(const void *clients, const char *customer,
-				   int64_t now)
+static struct quota_client_view even_view(const void *clients,
+					  const char *customer, int64_t now)
 {
 	const struct even *e = clients;
 	const struct bucket *b = g_hash_table_lookup(e->buckets, customer);
 
 	(void)now;
-	return (struct quota_view){ .held = b ? b->tokens : 0,
-				    .age_ms = -1,
-				    .alone = true };
+	return (struct quota_client_view){ .balance = b ? b->tokens : 0,
+					   .age_ms = -1,
+					   .disconnected = true };
 }
 
-const struct quota_way quota_even = {
+const struct quota_scheme quota_even = {
 	.name = "even",
-	.entry_new = even_new,
-	.entry_free = even_free,
+	.clients_new = even_new,
+	.clients_free = even_free,
 	.clients_set_entries = even_set_entries,
-	.entry_link = even_link,
+	.clients_link = even_link,
 	.take = even_take,
 	.take_ranked = even_take_ranked,
-	.leave = even_cancel,
-	.leave_ranked = even_cancel_ranked,
-	.give_back = even_refund,
-	.asks = even_requests,
-	.word = even_reply,
-	.look = even_view,
+	.cancel = even_cancel,
+	.cancel_ranked = even_cancel_ranked,
+	.refund = even_refund,
+	.clients_requests = even_requests,
+	.clients_reply = even_reply,
+	.clients_view = even_view,
 };
--- a/src/customer/quota_lease.h
+++ b/src/customer/quota_lease.h
@@ -55,10 +55,10 @@
 void quota_clients_set_entries(void *clients, uint64_t n);
 void quota_clients_link(void *clients, const char *customer, bool up,
 			int64_t now);
-enum quota_answer quota_clients_take(void *clients, const struct customer *c,
-				     const struct quota_need *n, int64_t now,
-				     int64_t *retry_after_ms);
-enum quota_answer quota_clients_take_ranked(
+enum quota_decision quota_clients_take(void *clients, const struct customer *c,
+				       const struct quota_need *n, int64_t now,
+				       int64_t *retry_after_ms);
+enum quota_decision quota_clients_take_ranked(
 	void *clients, const struct customer *c, const struct quota_need *n,
 	const struct quota_rank *r, int64_t now, int64_t *retry_after_ms);
 void quota_clients_cancel(void *clients, const struct customer *c, double cost);
@@ -67,36 +67,39 @@
 void quota_clients_refund(void *clients, const struct customer *c, double cost,
 			  const struct quota_rank *r, int64_t now);
 void quota_clients_requests(void *clients, int64_t now, GArray *out);
-void quota_clients_reply(void *clients, const struct quota_word *w,
+void quota_clients_reply(void *clients, const struct quota_reply *w,
 			 int64_t now);
-struct quota_view quota_clients_view(const void *clients, const char *customer,
-				     int64_t now);
+struct quota_client_view quota_clients_view(const void *clients,
+					    const char *customer, int64_t now);
 void *quota_allocator_new(const struct quota_options *o, int64_t now);
 void quota_allocator_free(void *allocator);
 bool quota_allocator_request(void *allocator, uint64_t holder,
 			     const struct customer *c,
-			     const struct quota_ask *ask, int64_t now,
-			     struct quota_word *out);
+			     const struct quota_request *ask, int64_t now,
+			     struct quota_reply *out);
 bool quota_allocator_view(void *allocator, const char *customer, int64_t now,
-			  struct quota_sight *out);
+			  struct quota_account_view *out);
 void quota_allocator_client_lost(void *allocator, uint64_t holder, int64_t now);
 void quota_allocator_prune(void *allocator, int64_t now);
 
 /* The functions of both sides, for schemes that differ only in the choice of
  * the allocator. */
 #define QUOTA_LEASE_FUNCTIONS                                                  \
-	.entry_new = quota_clients_new, .entry_free = quota_clients_free,      \
+	.clients_new = quota_clients_new, .clients_free = quota_clients_free,  \
 	.clients_set_entries = quota_clients_set_entries,                      \
-	.entry_link = quota_clients_link, .take = quota_clients_take,          \
+	.clients_link = quota_clients_link, .take = quota_clients_take,        \
 	.take_ranked = quota_clients_take_ranked,                              \
-	.leave = quota_clients_cancel,                                         \
-	.leave_ranked = quota_clients_cancel_ranked,                           \
-	.give_back = quota_clients_refund, .asks = quota_clients_requests,     \
-	.word = quota_clients_reply, .look = quota_clients_view,               \
-	.place_new = quota_allocator_new, .place_free = quota_allocator_free,  \
-	.place_ask = quota_allocator_request,                                  \
-	.place_gone = quota_allocator_client_lost,                             \
-	.place_look = quota_allocator_view,                                    \
-	.place_tidy = quota_allocator_prune
+	.cancel = quota_clients_cancel,                                        \
+	.cancel_ranked = quota_clients_cancel_ranked,                          \
+	.refund = quota_clients_refund,                                        \
+	.clients_requests = quota_clients_requests,                            \
+	.clients_reply = quota_clients_reply,                                  \
+	.clients_view = quota_clients_view,                                    \
+	.allocator_new = quota_allocator_new,                                  \
+	.allocator_free = quota_allocator_free,                                \
+	.allocator_request = quota_allocator_request,                          \
+	.allocator_client_lost = quota_allocator_client_lost,                  \
+	.allocator_view = quota_allocator_view,                                \
+	.allocator_prune = quota_allocator_prune
 
 #endif
--- a/src/customer/quota_owner.c
+++ b/src/customer/quota_owner.c
@@ -25,7 +25,7 @@
 	return owner;
 }
 
-const struct quota_way quota_owner = {
+const struct quota_scheme quota_owner = {
 	.name = "owner",
 	.allocator_for = owner_allocator_for,
 	QUOTA_LEASE_FUNCTIONS,
--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -294,10 +294,10 @@
 		gate_take_stream(e->gate, &f->u.stream_reply);
 		break;
 	case MSG_QUOTA_REPLY:
-		gate_take_quota(e->gate, &f->u.quota_word);
+		gate_take_quota(e->gate, &f->u.quota_reply);
 		break;
 	case MSG_LIMIT_REPLY:
-		gate_take_limit(e->gate, &f->u.quota_word);
+		gate_take_limit(e->gate, &f->u.quota_reply);
 		break;
 	default:
 		break;
@@ -315,7 +315,7 @@
 
 	if (!e->link_up)
 		return;
-	asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 	add(e->gate, asks);
 	m.requests = (struct wire_list){ asks->data, asks->len };
 	if (asks->len)
--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_lead.c
@@ -93,10 +93,10 @@
 		fleet_streams_ask(l, c, &f->u.stream_ask);
 		break;
 	case MSG_QUOTA_REQUEST:
-		fleet_quota_ask(l, c, &f->u.quota_ask);
+		fleet_quota_ask(l, c, &f->u.quota_request);
 		break;
 	case MSG_LIMIT_REQUEST:
-		fleet_limit_ask(l, c, &f->u.quota_ask);
+		fleet_limit_ask(l, c, &f->u.quota_request);
 		break;
 	default:
 		break;
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -17,18 +17,19 @@
 	struct quota_options o = { { c->quota_window_s, c->quota_overage,
 				     c->quota_extra } };
 
-	l->quota = quota_lease.place_new(&o, l->since_ms);
+	l->quota = quota_lease.allocator_new(&o, l->since_ms);
 	l->n_quota_asks =
 		metrics_value(l->d->metrics, "ss_fleet_quota_asks_total", "");
-	l->limits = quota_lease.place_new(&endpoint_limit_quota, l->since_ms);
+	l->limits =
+		quota_lease.allocator_new(&endpoint_limit_quota, l->since_ms);
 	l->n_limit_asks =
 		metrics_value(l->d->metrics, "ss_fleet_limit_asks_total", "");
 }
 
 void fleet_quota_end(struct fleet_lead *l)
 {
-	quota_lease.place_free(l->quota);
-	quota_lease.place_free(l->limits);
+	quota_lease.allocator_free(l->quota);
+	quota_lease.allocator_free(l->limits);
 }
 
 /* A place of allotments, and whose limits it keeps. */
@@ -66,21 +67,21 @@
 			const struct quota_kind *k,
 			const struct msg_quota_request *m)
 {
-	const struct quota_ask *a = m->requests.items;
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
+	const struct quota_request *a = m->requests.items;
+	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	uint64_t holder = conn_peer(conn)->incarnation;
 	struct msg_quota_reply out = { { 0 } };
 
 	for (size_t i = 0; i < m->requests.n; i++) {
-		struct quota_word w = { .customer = a[i].customer,
-					.number = a[i].number,
-					.wait_ms = UNKNOWN_WAIT_MS };
+		struct quota_reply w = { .customer = a[i].customer,
+					 .number = a[i].number,
+					 .retry_after_ms = UNKNOWN_WAIT_MS };
 		char *name = ss_str_dup(a[i].customer);
 		struct customer c;
 
 		if (!k->find(l, name, &c) ||
-		    quota_lease.place_ask(k->place, holder, &c, &a[i],
-					  fleet_lead_now(l), &w))
+		    quota_lease.allocator_request(k->place, holder, &c, &a[i],
+						  fleet_lead_now(l), &w))
 			g_array_append_val(words, w);
 		g_free(name);
 	}
@@ -119,8 +120,8 @@
 	while (g_hash_table_iter_next(&it, &other, NULL))
 		if (other != conn && conn_peer(other)->incarnation == holder)
 			return;
-	quota_lease.place_gone(l->quota, holder, fleet_lead_now(l));
-	quota_lease.place_gone(l->limits, holder, fleet_lead_now(l));
+	quota_lease.allocator_client_lost(l->quota, holder, fleet_lead_now(l));
+	quota_lease.allocator_client_lost(l->limits, holder, fleet_lead_now(l));
 }
 
 void fleet_quota_tick(struct fleet_lead *l, int64_t now)
@@ -128,17 +129,17 @@
 	if (now - l->quota_ms < TIDY_MS)
 		return;
 	l->quota_ms = now;
-	quota_lease.place_tidy(l->quota, now);
-	quota_lease.place_tidy(l->limits, now);
+	quota_lease.allocator_prune(l->quota, now);
+	quota_lease.allocator_prune(l->limits, now);
 }
 
 /* Keys are told by their number only. */
 static json_object *status_of(struct fleet_lead *l, const struct customer *c)
 {
 	json_object *o = json_object_new_object();
-	struct quota_sight s = { 0 };
+	struct quota_account_view s = { 0 };
 
-	quota_lease.place_look(l->quota, c->name, fleet_lead_now(l), &s);
+	quota_lease.allocator_view(l->quota, c->name, fleet_lead_now(l), &s);
 	json_object_object_add(o, "name", json_object_new_string(c->name));
 	json_object_object_add(o, "keys", json_object_new_int64(c->keys->len));
 	json_object_object_add(o, "unit",
@@ -150,7 +151,8 @@
 	json_object_object_add(o, "burst",
 			       json_object_new_double(c->limit.burst));
 	json_object_object_add(o, "left", json_object_new_double(s.level));
-	json_object_object_add(o, "held", json_object_new_double(s.held));
+	json_object_object_add(o, "held",
+			       json_object_new_double(s.outstanding));
 	json_object_object_add(o, "entries",
 			       json_object_new_int64((int64_t)s.entries));
 	json_object_object_add(o, "granted", json_object_new_double(s.granted));
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -60,8 +60,8 @@
 		struct msg_run_outcomes ends;
 		struct msg_quarantine quarantine;
 		struct msg_trial trial;
-		struct msg_quota_request quota_ask;
-		struct msg_quota_reply quota_word;
+		struct msg_quota_request quota_request;
+		struct msg_quota_reply quota_reply;
 		struct msg_streams streams;
 		struct msg_stream_request stream_ask;
 		struct msg_stream_reply stream_reply;
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -125,8 +125,8 @@
 void gate_leader_lost(struct gate *g)
 {
 	freshness_leader_lost(&g->freshness, gate_now(g));
-	quota_lease.entry_link(g->quota, NULL, false, gate_now(g));
-	quota_lease.entry_link(g->limits, NULL, false, gate_now(g));
+	quota_lease.clients_link(g->quota, NULL, false, gate_now(g));
+	quota_lease.clients_link(g->limits, NULL, false, gate_now(g));
 }
 
 bool gate_is_stale(const struct gate *g)
@@ -422,9 +422,9 @@
 	g->since_ms = gate_now(g);
 	freshness_init(&g->freshness, g->since_ms);
 	g->early = early_new();
-	g->quota = quota_lease.entry_new(&(struct quota_options){ 0 },
-					 g->since_ms);
-	g->limits = quota_lease.entry_new(&endpoint_limit_quota, g->since_ms);
+	g->quota = quota_lease.clients_new(&(struct quota_options){ 0 },
+					   g->since_ms);
+	g->limits = quota_lease.clients_new(&endpoint_limit_quota, g->since_ms);
 	g->counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->quota_lines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -484,8 +484,8 @@
 	gate_speeds_free(g->speeds);
 	g_hash_table_unref(g->quota_lines);
 	g_hash_table_unref(g->counts);
-	quota_lease.entry_free(g->quota);
-	quota_lease.entry_free(g->limits);
+	quota_lease.clients_free(g->quota);
+	quota_lease.clients_free(g->limits);
 	routing_unref(g->routing);
 	g_free(g);
 }
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -123,7 +123,7 @@
 void gate_take_stream(struct gate *g, const struct msg_stream_reply *m);
 
 /* Customers' limits: adds the requests for grants that are due, as struct
- * quota_ask; their strings live until the next call. Takes the reply. */
+ * quota_request; their strings live until the next call. Takes the reply. */
 void gate_quota_asks(struct gate *g, GArray *out);
 void gate_take_quota(struct gate *g, const struct msg_quota_reply *m);
 
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -104,7 +104,8 @@
 	struct gate *g = f->g;
 	const struct customer *c = f->customer;
 	int64_t now = gate_now(g);
-	struct quota_view view = quota_lease.look(g->quota, c->name, now);
+	struct quota_client_view view =
+		quota_lease.clients_view(g->quota, c->name, now);
 
 	(*g->n_over_quota)++;
 	(*gate_customer_counts(g, c->name)->over)++;
@@ -114,8 +115,9 @@
 		 "request=%s customer=%s class=%d share=%.3f cost=%.0f "
 		 "held=%.0f age_ms=%" PRId64 " alone=%d waited_ms=%" PRId64
 		 " back_ms=%" PRId64 " per_s=%.0f burst=%.0f routing=%" PRIu64,
-		 f->id, c->name, f->rank.class_id, view.share[f->rank.class_id],
-		 f->cost, view.held, view.age_ms, view.alone, now - f->start_ms,
+		 f->id, c->name, f->rank.class_id,
+		 view.served_ratio[f->rank.class_id], f->cost, view.balance,
+		 view.age_ms, view.disconnected, now - f->start_ms,
 		 retry_after_ms, c->limit.per_s, c->limit.burst, f->routing);
 }
 
@@ -132,14 +134,14 @@
 					now, &retry_after_ms)) {
 	case QUOTA_WAIT:
 		return true;
-	case QUOTA_YES:
+	case QUOTA_ADMIT:
 		f->charged_ms = now;
 		f->quota_ms = now - f->start_ms;
 		count_spent(f);
 		leave_queue(f);
 		forward_enter_lane(f);
 		return false;
-	case QUOTA_NO:
+	case QUOTA_REFUSE:
 		break;
 	}
 	leave_queue(f);
@@ -169,7 +171,7 @@
 	const struct forward *x = a, *y = b;
 
 	(void)data;
-	return x->rank.by_ms <= y->rank.by_ms ? -1 : 1;
+	return x->rank.due_ms <= y->rank.due_ms ? -1 : 1;
 }
 
 void quota_begin(struct forward *f)
@@ -177,7 +179,7 @@
 	f->cost = customer_cost(f->customer,
 				f->call.tokens_in + f->call.tokens_out);
 	f->rank.class_id = (int)CLAMP(f->route->priority, 0, QUOTA_CLASSES - 1);
-	f->rank.by_ms = f->objective_ms;
+	f->rank.due_ms = f->objective_ms;
 	f->state = FORWARD_QUOTA;
 	if (!charge_or_wait(f, false))
 		return;
@@ -198,7 +200,7 @@
 	for (GList *l = f ? queue->head->next : NULL; l; l = next) {
 		f = l->data;
 		next = l->next;
-		if (now >= f->rank.by_ms - max_wait_ms(f))
+		if (now >= f->rank.due_ms - max_wait_ms(f))
 			charge_or_wait(f, true);
 	}
 }
@@ -214,7 +216,7 @@
 	if (!f->quota_line)
 		return;
 	leave_queue(f);
-	quota_lease.leave_ranked(f->g->quota, f->customer, f->cost, &f->rank);
+	quota_lease.cancel_ranked(f->g->quota, f->customer, f->cost, &f->rank);
 }
 
 void forward_refund(struct forward *f)
@@ -224,8 +226,8 @@
 	/* A refund of an old charge would come on top of later grants. */
 	if (f->charged_ms < 0 || gate_now(g) - f->charged_ms > REFUND_WINDOW_MS)
 		return;
-	quota_lease.give_back(g->quota, f->customer, f->cost, &f->rank,
-			      gate_now(g));
+	quota_lease.refund(g->quota, f->customer, f->cost, &f->rank,
+			   gate_now(g));
 	f->charged_ms = -1;
 }
 
@@ -243,19 +245,19 @@
 
 void gate_quota_asks(struct gate *g, GArray *out)
 {
-	quota_lease.asks(g->quota, gate_now(g), out);
+	quota_lease.clients_requests(g->quota, gate_now(g), out);
 }
 
 void gate_take_quota(struct gate *g, const struct msg_quota_reply *m)
 {
-	const struct quota_word *w = m->replies.items;
+	const struct quota_reply *w = m->replies.items;
 
 	for (size_t i = 0; i < m->replies.n; i++) {
 		char *name = ss_str_dup(w[i].customer);
 		struct quota_queues *queues =
 			g_hash_table_lookup(g->quota_lines, name);
 
-		quota_lease.word(g->quota, &w[i], gate_now(g));
+		quota_lease.clients_reply(g->quota, &w[i], gate_now(g));
 		if (queues)
 			dispatch_customer(queues, gate_now(g));
 		g_free(name);
--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -146,7 +146,7 @@
 		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 
 	if (ep->words.seat > 0)
-		quota_lease.leave(g->limits, &c, ep->words.seat);
+		quota_lease.cancel(g->limits, &c, ep->words.seat);
 	ep->words.seat = 0;
 }
 
@@ -186,18 +186,18 @@
 	/* A reservation has a fixed cost; this request may need another. */
 	if (ep->words.seat > 0 && ep->words.seat != need.cost)
 		release_reservation(g, ep);
-	need.waits = ep->words.seat > 0;
+	need.queued = ep->words.seat > 0;
 	ep->words.seat = 0;
 	c = endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 	switch (quota_lease.take(g->limits, &c, &need, now, &retry_after_ms)) {
-	case QUOTA_YES:
+	case QUOTA_ADMIT:
 		f->permits = need.cost;
 		return true;
 	case QUOTA_WAIT:
 		ep->words.seat = need.cost;
 		ep->words.seat_ms = now;
 		return false;
-	case QUOTA_NO:
+	case QUOTA_REFUSE:
 		break;
 	}
 	ep->words.permit_ms = now + retry_after_ms;
@@ -210,9 +210,8 @@
 		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
 
 	if (f->permits > 0)
-		quota_lease.give_back(f->g->limits, &c, f->permits,
-				      &(struct quota_rank){ 0 },
-				      gate_now(f->g));
+		quota_lease.refund(f->g->limits, &c, f->permits,
+				   &(struct quota_rank){ 0 }, gate_now(f->g));
 	f->permits = 0;
 }
 
@@ -281,14 +280,14 @@
 
 void gate_limit_asks(struct gate *g, GArray *out)
 {
-	quota_lease.asks(g->limits, gate_now(g), out);
+	quota_lease.clients_requests(g->limits, gate_now(g), out);
 }
 
 void gate_take_limit(struct gate *g, const struct msg_quota_reply *m)
 {
-	const struct quota_word *w = m->replies.items;
+	const struct quota_reply *w = m->replies.items;
 
 	for (size_t i = 0; i < m->replies.n; i++)
-		quota_lease.word(g->limits, &w[i], gate_now(g));
+		quota_lease.clients_reply(g->limits, &w[i], gate_now(g));
 	gate_pump(g, NULL);
 }
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -179,8 +179,8 @@
 	crash_log_rewind(&g->crash_log);
 	g->recall = 0;
 	g->streams_told = 0;
-	quota_lease.entry_link(g->quota, NULL, true, gate_now(g));
-	quota_lease.entry_link(g->limits, NULL, true, gate_now(g));
+	quota_lease.clients_link(g->quota, NULL, true, gate_now(g));
+	quota_lease.clients_link(g->limits, NULL, true, gate_now(g));
 }
 
 void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m)
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -171,12 +171,13 @@
 
 static void take_permits(struct conn *c, const struct msg_quota_reply *m)
 {
-	const struct quota_word *x = m->replies.items;
+	const struct quota_reply *x = m->replies.items;
 
 	for (size_t i = 0; i < m->replies.n; i++)
 		c->permits += (int)x[i].grant;
 	for (size_t i = 0; c->purses && i < m->replies.n; i++)
-		quota_lease.word(c->purses, &x[i], c->w->d.clock.fake_ms);
+		quota_lease.clients_reply(c->purses, &x[i],
+					  c->w->d.clock.fake_ms);
 }
 
 static void take_stream_word(struct fleet_world *w,
@@ -470,7 +471,7 @@
 	g_free(c->word);
 	g_free(c->seats);
 	if (c->purses)
-		quota_lease.entry_free(c->purses);
+		quota_lease.clients_free(c->purses);
 	g_free(c);
 }
 
@@ -693,12 +694,12 @@
 
 int fleet_world_permits(struct fleet_world *w, int entry, int engine)
 {
-	struct quota_ask a = { .customer = ss_str(w->engines[engine].addr),
-			       .number = 1,
-			       .want = QUOTA_MILLI,
-			       .first = QUOTA_MILLI,
-			       .demand = QUOTA_MILLI,
-			       .usual = QUOTA_MILLI };
+	struct quota_request a = { .customer = ss_str(w->engines[engine].addr),
+				   .number = 1,
+				   .want = QUOTA_MILLI,
+				   .shortfall = QUOTA_MILLI,
+				   .demand = QUOTA_MILLI,
+				   .mean_cost = QUOTA_MILLI };
 	struct msg_quota_request m = { .requests = { &a, 1 } };
 	struct conn *c = w->entries->pdata[entry];
 
@@ -1002,23 +1003,23 @@
 		endpoint_limit_as_customer(&l, c->w->engines[engine].addr);
 	struct quota_need need = { 1, c->seats[engine], 2000 };
 	int64_t back;
-	enum quota_answer a = quota_lease.take(c->purses, &who, &need,
-					       c->w->d.clock.fake_ms, &back);
+	enum quota_decision a = quota_lease.take(c->purses, &who, &need,
+						 c->w->d.clock.fake_ms, &back);
 
 	c->seats[engine] = a == QUOTA_WAIT;
-	c->w->admitted += a == QUOTA_YES;
+	c->w->admitted += a == QUOTA_ADMIT;
 }
 
 static void run_limits(struct fleet_world *w, struct conn *c)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 	struct msg_quota_request m;
 
 	for (int k = 0; k < w->o.limited; k++)
 		if (c->seats[k] ||
 		    (w->d.clock.fake_ms + c->entry) % LIMIT_GAP_MS < TURN_MS)
 			want_permit(c, k);
-	quota_lease.asks(c->purses, w->d.clock.fake_ms, asks);
+	quota_lease.clients_requests(c->purses, w->d.clock.fake_ms, asks);
 	m.requests = (struct wire_list){ asks->data, asks->len };
 	w->asked += asks->len;
 	if (asks->len)
@@ -1033,11 +1034,11 @@
 	for (int i = 0; i < w->o.entries; i++) {
 		struct conn *c = w->entries->pdata[i];
 
-		c->purses = quota_lease.entry_new(&endpoint_limit_quota,
-						  w->d.clock.fake_ms);
+		c->purses = quota_lease.clients_new(&endpoint_limit_quota,
+						    w->d.clock.fake_ms);
 		c->seats = g_new0(bool, w->o.limited);
-		quota_lease.entry_link(c->purses, NULL, true,
-				       w->d.clock.fake_ms);
+		quota_lease.clients_link(c->purses, NULL, true,
+					 w->d.clock.fake_ms);
 	}
 }
 
--- a/test/prop_quota.cc
+++ b/test/prop_quota.cc
@@ -23,15 +23,15 @@
 
 	for (int i = 0; i < n; i++) {
 		static const world_kind kinds[] = {
-			WORLD_CUT,    WORLD_FREEZE, WORLD_RESTART, WORLD_SLOW,
-			WORLD_LEADER, WORLD_LEADER, WORLD_POWER,   WORLD_HOT,
+			WORLD_PARTITION,    WORLD_FREEZE, WORLD_RESTART, WORLD_SLOW,
+			WORLD_LEADER_LOSS, WORLD_LEADER_LOSS, WORLD_POWER_LOSS,   WORLD_HOT,
 			WORLD_HOT,    WORLD_LIMIT,  WORLD_JOIN,
 		};
 		world_event e = {};
 
 		e.kind = kinds[below(G_N_ELEMENTS(kinds))];
 		e.at_ms = 3000 + below(16000);
-		e.for_ms = 200 + below(e.kind == WORLD_LEADER ? 3000 : 7000);
+		e.for_ms = 200 + below(e.kind == WORLD_LEADER_LOSS ? 3000 : 7000);
 		e.first = static_cast<int>(below(kEntries));
 		e.count = 1 + static_cast<int>(below(kEntries));
 		e.x = 2 + static_cast<double>(below(11));
@@ -55,14 +55,14 @@
 	return out;
 }
 
-void NoWindowExceeds(const quota_way *way, bool classes = false)
+void NoWindowExceeds(const quota_scheme *way, bool classes = false)
 {
 	uint64_t seed = *rc::gen::arbitrary<uint32_t>();
 	std::vector<world_event> events = DrawEvents(&seed);
 	world_options o = {};
 	world_result r;
 
-	o.way = way;
+	o.scheme = way;
 	o.entries = kEntries;
 	o.customers = kCustomers;
 	o.domains = 4;
@@ -70,7 +70,7 @@
 	o.requests_per_s = 60;
 	o.limit_x = 0.5 + static_cast<double>(ss_random(&seed) % 20) / 10;
 	o.floor_per_s = 4200;
-	o.slack = { 8, 0.1, 17000 };
+	o.overage = { 8, 0.1, 17000 };
 	o.delay_ms = 0.5 + static_cast<double>(ss_random(&seed) % 40);
 	o.cpu_share = 0.32;
 	o.drift = 0.001;
--- a/test/quota_world.c
+++ b/test/quota_world.c
@@ -115,8 +115,8 @@
 	uint64_t id, peer; /* incarnations of the sender and the receiver */
 	const struct world_event *event;
 	char *customer;
-	struct quota_ask request;
-	struct quota_word reply;
+	struct quota_request request;
+	struct quota_reply reply;
 	void *parts; /* classes, of either */
 };
 
@@ -168,8 +168,8 @@
 {
 	if (!parts->n)
 		return (struct wire_list){ 0 };
-	a->parts =
-		g_memdup2(parts->items, parts->n * sizeof(struct quota_part));
+	a->parts = g_memdup2(parts->items,
+			     parts->n * sizeof(struct quota_class_item));
 	return (struct wire_list){ a->parts, parts->n };
 }
 
@@ -212,9 +212,9 @@
 	size_t n = 0;
 	uint64_t owner;
 
-	if (!w->o->way->allocator_for)
+	if (!w->o->scheme->allocator_for)
 		return -2;
-	if (w->o->way == &quota_lease)
+	if (w->o->scheme == &quota_lease)
 		return -1;
 	for (int i = 0; i < w->o->entries; i++)
 		/* Members learn of lost ones within a second. */
@@ -224,7 +224,7 @@
 		}
 	if (!n)
 		return -2;
-	owner = w->o->way->allocator_for(ss_str(p->c->name), 0, ids, n);
+	owner = w->o->scheme->allocator_for(ss_str(p->c->name), 0, ids, n);
 	for (size_t i = 0; i < n; i++)
 		if (ids[i] == owner)
 			return at[i];
@@ -233,15 +233,15 @@
 
 static void *get_allocator(struct world *w, int owner, const char *customer)
 {
-	struct quota_options qo = { w->o->slack };
+	struct quota_options qo = { w->o->overage };
 	void *allocator;
 
 	if (owner == -1)
 		return w->leader;
 	allocator = g_hash_table_lookup(w->n[owner].owned, customer);
 	if (!allocator) {
-		allocator =
-			w->o->way->place_new(&qo, clock_of(w, &w->n[owner]));
+		allocator = w->o->scheme->allocator_new(
+			&qo, clock_of(w, &w->n[owner]));
 		g_hash_table_insert(w->n[owner].owned, g_strdup(customer),
 				    allocator);
 	}
@@ -293,7 +293,7 @@
 	int owner = allocator_index(w, p);
 	struct node *from = &w->n[a->node],
 		    *at = owner >= 0 ? &w->n[owner] : NULL;
-	struct quota_word reply = { 0 };
+	struct quota_reply reply = { 0 };
 	int64_t *busy = at ? &at->busy_us : &w->leader_busy_us;
 	int64_t work_us, now;
 	struct action *sent;
@@ -309,8 +309,8 @@
 	allocator = get_allocator(w, owner, p->c->name);
 	now = at ? clock_of(w, at) : w->now;
 	t = cpu_s();
-	answers = w->o->way->place_ask(allocator, a->id, p->c, &a->request, now,
-				       &reply);
+	answers = w->o->scheme->allocator_request(allocator, a->id, p->c,
+						  &a->request, now, &reply);
 	w->allocator_s += cpu_s() - t;
 	w->allocator_requests++;
 	count = g_hash_table_lookup(w->requests_by_allocator,
@@ -332,7 +332,7 @@
 	sent->customer = g_strdup(p->c->name);
 	sent->reply = reply;
 	sent->reply.customer = ss_str(sent->customer);
-	sent->reply.parts = copy_parts(sent, &reply.parts);
+	sent->reply.classes = copy_parts(sent, &reply.classes);
 	count_message(w, MSG_QUOTA_REPLY, &reply,
 		      !at || at->domain != from->domain);
 	add(w, sent);
@@ -372,19 +372,19 @@
 	struct sim_customer *p = &w->p[q->customer];
 	int64_t retry_after_ms;
 
-	switch (w->o->way->take_ranked(n->entry, p->c, &need, &q->rank,
-				       clock_of(w, n), &retry_after_ms)) {
-	case QUOTA_YES:
+	switch (w->o->scheme->take_ranked(n->entry, p->c, &need, &q->rank,
+					  clock_of(w, n), &retry_after_ms)) {
+	case QUOTA_ADMIT:
 		admit(w, p, q);
 		return false;
-	case QUOTA_NO:
+	case QUOTA_REFUSE:
 		return false;
 	case QUOTA_WAIT:
 		break;
 	}
 	if (w->now - q->at_ms < WAIT_MS)
 		return true;
-	w->o->way->leave_ranked(n->entry, p->c, q->cost, &q->rank);
+	w->o->scheme->cancel_ranked(n->entry, p->c, q->cost, &q->rank);
 	return false;
 }
 
@@ -402,7 +402,7 @@
 		const struct request *q = l->data;
 
 		next = l->next;
-		if (!q->rank.by_ms || w->now - q->at_ms < q->hold_ms ||
+		if (!q->rank.due_ms || w->now - q->at_ms < q->hold_ms ||
 		    keeps_waiting(w, n, q))
 			continue;
 		g_free(l->data);
@@ -424,7 +424,7 @@
 
 	(void)data;
 	/* Equal objectives stay in the order of arrival. */
-	return x->rank.by_ms <= y->rank.by_ms ? -1 : 1;
+	return x->rank.due_ms <= y->rank.due_ms ? -1 : 1;
 }
 
 static void add_waiting(struct node *n, const struct request *q)
@@ -472,7 +472,7 @@
 	}
 	q->cost = k->cost * (0.5 + draw(w));
 	q->hold_ms = k->objective_ms / 2;
-	if (w->o->sharing != WORLD_IN_ORDER)
+	if (w->o->sharing != WORLD_FIFO)
 		q->rank =
 			(struct quota_rank){ k->class_id,
 					     clock_of(w, n) + k->objective_ms };
@@ -500,15 +500,15 @@
 	w->shares[q.kind].requested += q.cost;
 	need.cost = q.cost;
 	need.hold_ms = q.hold_ms;
-	switch (w->o->way->take_ranked(n->entry, p->c, &need, &q.rank,
-				       clock_of(w, n), &retry_after_ms)) {
-	case QUOTA_YES:
+	switch (w->o->scheme->take_ranked(n->entry, p->c, &need, &q.rank,
+					  clock_of(w, n), &retry_after_ms)) {
+	case QUOTA_ADMIT:
 		admit(w, p, &q);
 		break;
 	case QUOTA_WAIT:
 		add_waiting(n, &q);
 		break;
-	case QUOTA_NO:
+	case QUOTA_REFUSE:
 		break;
 	}
 }
@@ -519,7 +519,7 @@
 
 	if (!is_reachable(n) || n->id != a->id || !n->link)
 		return;
-	w->o->way->word(n->entry, &a->reply, clock_of(w, n));
+	w->o->scheme->clients_reply(n->entry, &a->reply, clock_of(w, n));
 	try_waiting(w, n, (int)(find_customer(w, a->reply.customer) - w->p));
 }
 
@@ -530,14 +530,15 @@
 	if (!n->entry || n->link == up)
 		return;
 	n->link = up;
-	w->o->way->entry_link(n->entry, NULL, up, clock_of(w, n));
+	w->o->scheme->clients_link(n->entry, NULL, up, clock_of(w, n));
 }
 
 /* A node that stops being a customer's allocator starts with a new one if it
  * becomes that again. */
 static void drop_former_allocators(struct world *w)
 {
-	for (int k = 0; k < w->o->entries && w->o->way == &quota_owner; k++) {
+	for (int k = 0; k < w->o->entries && w->o->scheme == &quota_owner;
+	     k++) {
 		GHashTableIter it;
 		void *name;
 
@@ -559,12 +560,13 @@
 		return;
 	n->known_to_allocator = false;
 	if (w->leader)
-		w->o->way->place_gone(w->leader, n->id, w->now);
-	for (int k = 0; k < w->o->entries && w->o->way == &quota_owner; k++) {
+		w->o->scheme->allocator_client_lost(w->leader, n->id, w->now);
+	for (int k = 0; k < w->o->entries && w->o->scheme == &quota_owner;
+	     k++) {
 		g_hash_table_iter_init(&it, w->n[k].owned);
 		while (g_hash_table_iter_next(&it, NULL, &allocator))
-			w->o->way->place_gone(allocator, n->id,
-					      clock_of(w, &w->n[k]));
+			w->o->scheme->allocator_client_lost(
+				allocator, n->id, clock_of(w, &w->n[k]));
 	}
 	/* Its customers have another owner. */
 	g_hash_table_remove_all(n->owned);
@@ -573,20 +575,20 @@
 
 static bool has_allocator(const struct world *w)
 {
-	return w->o->way == &quota_owner || w->leader;
+	return w->o->scheme == &quota_owner || w->leader;
 }
 
 static void start_node(struct world *w, int i)
 {
 	struct node *n = &w->n[i];
-	struct quota_options qo = { w->o->slack };
+	struct quota_options qo = { w->o->overage };
 
 	n->id = ++w->ids;
 	n->joined = n->running = true;
 	n->frozen = false;
 	n->link = false;
-	n->entry = w->o->way->entry_new(&qo, clock_of(w, n));
-	w->o->way->clients_set_entries(n->entry, (uint64_t)w->o->entries);
+	n->entry = w->o->scheme->clients_new(&qo, clock_of(w, n));
+	w->o->scheme->clients_set_entries(n->entry, (uint64_t)w->o->entries);
 	n->next_ms = w->now + (int64_t)(draw(w) * TICK_MS);
 	add(w, plan(w,
 		    (w->now + RECONNECT_MS) * 1000 +
@@ -602,7 +604,7 @@
 	lose_client(w, i);
 	g_hash_table_remove_all(n->queues);
 	if (n->entry)
-		w->o->way->entry_free(n->entry);
+		w->o->scheme->clients_free(n->entry);
 	n->entry = NULL;
 }
 
@@ -611,12 +613,12 @@
 	struct action *a =
 		plan(w, (w->now + for_ms) * 1000, ACTION_NEW_LEADER, -1);
 
-	if (w->o->way != &quota_lease) {
+	if (w->o->scheme != &quota_lease) {
 		g_free(a);
 		return;
 	}
 	if (w->leader)
-		w->o->way->place_free(w->leader);
+		w->o->scheme->allocator_free(w->leader);
 	w->leader = NULL;
 	for (int i = 0; i < w->o->entries; i++) {
 		w->n[i].known_to_allocator = false;
@@ -632,11 +634,11 @@
 
 static void on_leader(struct world *w)
 {
-	struct quota_options qo = { w->o->slack };
+	struct quota_options qo = { w->o->overage };
 
 	if (w->leader)
 		return;
-	w->leader = w->o->way->place_new(&qo, w->now);
+	w->leader = w->o->scheme->allocator_new(&qo, w->now);
 	w->leader_id = ++w->ids;
 	for (int i = 0; i < w->o->entries; i++)
 		if (w->n[i].running)
@@ -657,7 +659,7 @@
 		int at = i % w->o->entries;
 
 		switch (e->kind) {
-		case WORLD_CUT:
+		case WORLD_PARTITION:
 			n->cut = true;
 			add(w, plan(w, (w->now + PEER_TIMEOUT_MS) * 1000,
 				    ACTION_LINK_DOWN, at));
@@ -699,9 +701,9 @@
 			break;
 		}
 	}
-	if (e->kind == WORLD_LEADER || e->kind == WORLD_POWER)
+	if (e->kind == WORLD_LEADER_LOSS || e->kind == WORLD_POWER_LOSS)
 		lose_leader(w, e->for_ms);
-	for (int i = 0; i < w->o->entries && e->kind == WORLD_POWER; i++)
+	for (int i = 0; i < w->o->entries && e->kind == WORLD_POWER_LOSS; i++)
 		if (w->n[i].running)
 			stop_node(w, i);
 }
@@ -713,7 +715,7 @@
 		struct node *n = &w->n[at];
 
 		switch (e->kind) {
-		case WORLD_CUT:
+		case WORLD_PARTITION:
 			n->cut = false;
 			add(w, plan(w, (w->now + RECONNECT_MS) * 1000,
 				    ACTION_LINK_UP, at));
@@ -743,7 +745,7 @@
 			break;
 		}
 	}
-	for (int i = 0; i < w->o->entries && e->kind == WORLD_POWER; i++)
+	for (int i = 0; i < w->o->entries && e->kind == WORLD_POWER_LOSS; i++)
 		if (!w->n[i].running && w->n[i].joined)
 			start_node(w, i);
 }
@@ -801,11 +803,11 @@
 	for (GList *l = waiting; l; l = l->next)
 		try_queue(w, n, l->data);
 	g_list_free(waiting);
-	out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	w->o->way->asks(n->entry, clock_of(w, n), out);
+	out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+	w->o->scheme->clients_requests(n->entry, clock_of(w, n), out);
 	for (guint k = 0; k < out->len; k++) {
-		const struct quota_ask *q =
-			&g_array_index(out, struct quota_ask, k);
+		const struct quota_request *q =
+			&g_array_index(out, struct quota_request, k);
 		struct sim_customer *p = find_customer(w, q->customer);
 		int owner = allocator_index(w, p);
 		bool far = owner < 0 || w->n[owner].domain != n->domain;
@@ -817,9 +819,9 @@
 		a->customer = g_strdup(p->c->name);
 		a->request.customer = ss_str(a->customer);
 		if (w->o->sharing == WORLD_BY_CLASS)
-			a->request.parts = copy_parts(a, &q->parts);
+			a->request.classes = copy_parts(a, &q->classes);
 		else
-			a->request.parts = (struct wire_list){ 0 };
+			a->request.classes = (struct wire_list){ 0 };
 		count_message(w, MSG_QUOTA_REQUEST, &a->request, far);
 		add(w, a);
 	}
@@ -920,7 +922,7 @@
 static void check_windows(const struct world *w, struct sim_customer *p,
 			  struct world_result *r)
 {
-	const struct quota_slack *s = &w->o->slack;
+	const struct quota_max_overage *s = &w->o->overage;
 	int64_t window = (int64_t)(s->window_s * 1000);
 	double sum = 0;
 	guint from = 0;
@@ -977,8 +979,8 @@
 	r->waited_ms = w->waited ? w->waited_ms / (double)w->waited : 0;
 	r->messages = (double)w->messages / s;
 	r->bytes = (double)w->bytes / s;
-	r->far_bytes = (double)w->far / s;
-	r->place_us =
+	r->cross_domain_bytes = (double)w->far / s;
+	r->allocator_us =
 		w->allocator_requests ?
 			w->allocator_s * 1e6 / (double)w->allocator_requests :
 			0;
@@ -991,7 +993,8 @@
 	}
 	g_hash_table_iter_init(&it, w->requests_by_allocator);
 	while (g_hash_table_iter_next(&it, NULL, &n))
-		r->place_asks = MAX(r->place_asks, (double)*(gint64 *)n / s);
+		r->allocator_requests =
+			MAX(r->allocator_requests, (double)*(gint64 *)n / s);
 }
 
 /* Setup. */
@@ -1049,9 +1052,10 @@
 		n->offset = (int64_t)(draw(w) * 100000);
 		n->queues = g_hash_table_new_full(NULL, NULL, NULL, queue_free);
 		n->owned = g_hash_table_new_full(g_str_hash, g_str_equal,
-						 g_free, w->o->way->place_free);
+						 g_free,
+						 w->o->scheme->allocator_free);
 	}
-	if (w->o->way == &quota_lease)
+	if (w->o->scheme == &quota_lease)
 		on_leader(w);
 	for (int i = 0; i < w->o->entries; i++) {
 		bool later = false;
@@ -1077,7 +1081,7 @@
 		g_hash_table_unref(w->n[i].queues);
 	}
 	if (w->leader)
-		w->o->way->place_free(w->leader);
+		w->o->scheme->allocator_free(w->leader);
 	for (int c = 0; c < w->o->customers; c++) {
 		customer_unref(w->p[c].c);
 		g_array_unref(w->p[c].limits);
--- a/test/quota_world.h
+++ b/test/quota_world.h
@@ -10,15 +10,15 @@
 #include "../src/customer/quota.h"
 
 enum world_kind {
-	WORLD_CUT,     /* entries are partitioned from all others */
-	WORLD_FREEZE,  /* entries are suspended */
-	WORLD_RESTART, /* entries stop and start again for_ms later */
-	WORLD_SLOW,    /* event loops of entries are five times slower */
-	WORLD_LEADER,  /* the leader is lost, and replaced for_ms later */
-	WORLD_POWER,   /* all processes are lost, and restart for_ms later */
-	WORLD_LIMIT,   /* limits are multiplied by x */
-	WORLD_HOT,     /* a customer sends x times as much, in one domain */
-	WORLD_JOIN,    /* new entries start */
+	WORLD_PARTITION,   /* entries are partitioned from all others */
+	WORLD_FREEZE,	   /* entries are suspended */
+	WORLD_RESTART,	   /* entries stop and start again for_ms later */
+	WORLD_SLOW,	   /* event loops of entries are five times slower */
+	WORLD_LEADER_LOSS, /* the leader is lost, and replaced for_ms later */
+	WORLD_POWER_LOSS, /* all processes are lost, and restart for_ms later */
+	WORLD_LIMIT,	  /* limits are multiplied by x */
+	WORLD_HOT,	  /* a customer sends x times as much, in one domain */
+	WORLD_JOIN,	  /* new entries start */
 };
 
 struct world_event {
@@ -48,17 +48,17 @@
 enum world_sharing {
 	WORLD_BY_CLASS, /* requests and grants are by class */
 	WORLD_AT_ENTRY, /* by entries only */
-	WORLD_IN_ORDER, /* not at all: first in, first out */
+	WORLD_FIFO,	/* not at all: first in, first out */
 };
 
 struct world_options {
-	const struct quota_way *way;
+	const struct quota_scheme *scheme;
 	int entries, customers, domains;
 	int64_t length_ms;
 	double requests_per_s; /* of all customers */
 	double limit_x; /* limits relative to the rate that customers send */
 	double floor_per_s; /* lower bound of limits */
-	struct quota_slack slack;
+	struct quota_max_overage overage;
 	double delay_ms;  /* one way, between failure domains */
 	double cpu_share; /* fraction of a core for an allocator */
 	double drift;	  /* maximum drift of clocks */
@@ -91,9 +91,10 @@
 	double waited;	      /* fraction of the requests that waited */
 	double waited_ms;     /* their mean wait */
 	double late; /* fraction that waited longer than WORLD_LATE_MS */
-	double messages, bytes, far_bytes; /* per second, over all links */
-	double place_asks; /* per second, at the busiest allocator */
-	double place_us;   /* CPU time per request to an allocator */
+	double messages, bytes,
+		cross_domain_bytes; /* per second, over all links */
+	double allocator_requests;  /* per second, at the busiest allocator */
+	double allocator_us;	    /* CPU time per request to an allocator */
 	struct world_share
 		classes[QUOTA_CLASSES]; /* in the order of the options */
 };
--- a/test/test_customer.c
+++ b/test/test_customer.c
@@ -63,10 +63,14 @@
 	guint at;
 	const char *other;
 } changes[] = {
-	{ "a new customer", { { "c", { "k9" } } }, CUSTOMERS_FIT, 0, NULL },
+	{ "a new customer",
+	  { { "c", { "k9" } } },
+	  CUSTOMERS_NO_CLASH,
+	  0,
+	  NULL },
 	{ "a new customer without keys",
 	  { { "c", { NULL } } },
-	  CUSTOMERS_FIT,
+	  CUSTOMERS_NO_CLASH,
 	  0,
 	  NULL },
 	{ "the key of a customer that stays",
@@ -76,12 +80,12 @@
 	  "a" },
 	{ "the key of a removed customer",
 	  { { "c", { "k2" } } },
-	  CUSTOMERS_FIT,
+	  CUSTOMERS_NO_CLASH,
 	  0,
 	  NULL },
 	{ "a key moves between two changed customers",
 	  { { "b", { NULL } }, { "c", { "k2" } } },
-	  CUSTOMERS_FIT,
+	  CUSTOMERS_NO_CLASH,
 	  0,
 	  NULL },
 	{ "two new customers with one key",
@@ -91,7 +95,7 @@
 	  "c" },
 	{ "a customer that lists a key twice",
 	  { { "c", { "k8", "k8" } } },
-	  CUSTOMERS_FIT,
+	  CUSTOMERS_NO_CLASH,
 	  0,
 	  NULL },
 	{ "the name of a customer that stays",
@@ -101,7 +105,7 @@
 	  "a" },
 	{ "the name of a removed customer",
 	  { { "b", { "k9" } } },
-	  CUSTOMERS_FIT,
+	  CUSTOMERS_NO_CLASH,
 	  0,
 	  NULL },
 	{ "two new customers with one name",
@@ -126,7 +130,7 @@
 		customers_init(&t);
 		customers_add(&t, customer("a", KEYS("k1")));
 		customers_add(&t, b);
-		b->leaves = true;
+		b->removing = true;
 		for (int k = 0; k < 2 && changes[i].added[k].name; k++)
 			g_ptr_array_add(added,
 					customer(changes[i].added[k].name,
@@ -171,7 +175,7 @@
 	(void)state;
 	assert_true(customer_cost(c, 500) == 1);
 	c->limit.tokens = true;
-	c->limit.plain = 200;
+	c->limit.default_tokens = 200;
 	assert_true(customer_cost(c, 500) == 500);
 	assert_true(customer_cost(c, 0) == 200);
 	customer_unref(c);
--- a/test/test_endpoint_limit.c
+++ b/test/test_endpoint_limit.c
@@ -37,20 +37,21 @@
 
 static void entry_start(struct fleet *f, struct entry *e, int64_t now)
 {
-	e->quota_client = quota_lease.entry_new(&endpoint_limit_quota, now);
+	e->quota_client = quota_lease.clients_new(&endpoint_limit_quota, now);
 	e->incarnation = ++f->incarnations;
 	e->reservation = 0;
-	quota_lease.entry_link(e->quota_client, NULL, f->allocator != NULL,
-			       now);
+	quota_lease.clients_link(e->quota_client, NULL, f->allocator != NULL,
+				 now);
 }
 
 static void entry_restart(struct fleet *f, int64_t now)
 {
 	struct entry *e = &f->entries[(now / 500) % f->x->entries];
 
-	quota_lease.entry_free(e->quota_client);
+	quota_lease.clients_free(e->quota_client);
 	if (f->allocator)
-		quota_lease.place_gone(f->allocator, e->incarnation, now);
+		quota_lease.allocator_client_lost(f->allocator, e->incarnation,
+						  now);
 	entry_start(f, e, now);
 }
 
@@ -62,14 +63,14 @@
 
 	switch (quota_lease.take(e->quota_client, &c, &need, now,
 				 &retry_after_ms)) {
-	case QUOTA_YES:
+	case QUOTA_ADMIT:
 		g_array_append_val(f->sent, now);
 		e->reservation = 0;
 		break;
 	case QUOTA_WAIT:
 		e->reservation = 1;
 		break;
-	case QUOTA_NO:
+	case QUOTA_REFUSE:
 		e->reservation = 0;
 		break;
 	}
@@ -78,18 +79,19 @@
 static void request_grants(struct fleet *f, struct entry *e, int64_t now)
 {
 	struct customer c = endpoint_limit_as_customer(&f->limit, f->addr);
-	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
 	if (f->allocator)
-		quota_lease.asks(e->quota_client, now, requests);
+		quota_lease.clients_requests(e->quota_client, now, requests);
 	for (guint i = 0; i < requests->len; i++) {
-		struct quota_word reply;
+		struct quota_reply reply;
 
-		quota_lease.place_ask(f->allocator, e->incarnation, &c,
-				      &g_array_index(requests, struct quota_ask,
-						     i),
-				      now, &reply);
-		quota_lease.word(e->quota_client, &reply, now);
+		quota_lease.allocator_request(
+			f->allocator, e->incarnation, &c,
+			&g_array_index(requests, struct quota_request, i), now,
+			&reply);
+		quota_lease.clients_reply(e->quota_client, &reply, now);
 	}
 	f->requests += requests->len;
 	g_array_unref(requests);
@@ -98,13 +100,14 @@
 static void set_leader(struct fleet *f, bool is_leading, int64_t now)
 {
 	if (f->allocator)
-		quota_lease.place_free(f->allocator);
+		quota_lease.allocator_free(f->allocator);
 	f->allocator =
-		is_leading ? quota_lease.place_new(&endpoint_limit_quota, now) :
-			     NULL;
+		is_leading ?
+			quota_lease.allocator_new(&endpoint_limit_quota, now) :
+			NULL;
 	for (int i = 0; i < f->x->entries; i++)
-		quota_lease.entry_link(f->entries[i].quota_client, NULL,
-				       is_leading, now);
+		quota_lease.clients_link(f->entries[i].quota_client, NULL,
+					 is_leading, now);
 }
 
 static void fleet_run(struct fleet *f, const struct fleet_case *x)
@@ -115,7 +118,7 @@
 	g_strlcpy(f->addr, "10.0.0.1:80", sizeof(f->addr));
 	f->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	f->entries = g_new0(struct entry, x->entries);
-	f->allocator = quota_lease.place_new(&endpoint_limit_quota, 0);
+	f->allocator = quota_lease.allocator_new(&endpoint_limit_quota, 0);
 	for (int i = 0; i < x->entries; i++)
 		entry_start(f, &f->entries[i], 0);
 	for (int64_t now = STEP_MS; now < RUN_MS; now += STEP_MS) {
@@ -139,9 +142,9 @@
 static void fleet_clear(struct fleet *f)
 {
 	for (int i = 0; i < f->x->entries; i++)
-		quota_lease.entry_free(f->entries[i].quota_client);
+		quota_lease.clients_free(f->entries[i].quota_client);
 	g_free(f->entries);
-	quota_lease.place_free(f->allocator);
+	quota_lease.allocator_free(f->allocator);
 	g_array_unref(f->sent);
 }
 
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -99,24 +99,25 @@
 static void reply_to_grant_requests(struct cluster *c, int i)
 {
 	GArray *grant_requests =
-		g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	struct msg_quota_reply m;
 
 	gate_limit_asks(c->gates[i], grant_requests);
 	for (guint k = 0; k < grant_requests->len; k++) {
-		const struct quota_ask *a =
-			&g_array_index(grant_requests, struct quota_ask, k);
+		const struct quota_request *a =
+			&g_array_index(grant_requests, struct quota_request, k);
 		int at = endpoint_at(c, a->customer);
 		struct customer who = endpoint_limit_as_customer(
 			&c->f.limits[at], c->f.eps[at].addr);
-		struct quota_word w = { .customer = a->customer,
-					.number = a->number,
-					.wait_ms = UNKNOWN_WAIT_MS };
+		struct quota_reply w = { .customer = a->customer,
+					 .number = a->number,
+					 .retry_after_ms = UNKNOWN_WAIT_MS };
 
 		if (c->f.limits[at].per_s >= 0)
-			quota_lease.place_ask(c->allocator, c->holders[i], &who,
-					      a, c->f.clock.fake_ms, &w);
+			quota_lease.allocator_request(c->allocator,
+						      c->holders[i], &who, a,
+						      c->f.clock.fake_ms, &w);
 		g_array_append_val(replies, w);
 	}
 	c->grant_requests += (int)grant_requests->len;
@@ -145,8 +146,8 @@
 
 static void start_leader(struct cluster *c)
 {
-	c->allocator = quota_lease.place_new(&endpoint_limit_quota,
-					     c->f.clock.fake_ms);
+	c->allocator = quota_lease.allocator_new(&endpoint_limit_quota,
+						 c->f.clock.fake_ms);
 	for (int i = 0; i < ENDPOINTS; i++)
 		c->f.limits[i] =
 			(struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
@@ -177,7 +178,7 @@
 		gate_free(c->gates[i]);
 	select_gate(c, 0);
 	fix_close(&c->f);
-	quota_lease.place_free(c->allocator);
+	quota_lease.allocator_free(c->allocator);
 	for (int i = 0; i < ENDPOINTS; i++)
 		g_array_unref(c->arrivals[i]);
 }
@@ -212,13 +213,13 @@
 		int i = 1 + (int)(at / 2000) % (GATES - 1);
 
 		gate_free(c->gates[i]);
-		quota_lease.place_gone(c->allocator, c->holders[i],
-				       c->f.clock.fake_ms);
+		quota_lease.allocator_client_lost(c->allocator, c->holders[i],
+						  c->f.clock.fake_ms);
 		c->gates[i] = gate_new(&c->f.options, NULL);
 		introduce_gate(c, i, x);
 	}
 	if (x->fault == LEADER_LOST && at == 5000) {
-		quota_lease.place_free(c->allocator);
+		quota_lease.allocator_free(c->allocator);
 		c->allocator = NULL;
 		for (int i = 0; i < GATES; i++)
 			gate_leader_lost(c->gates[i]);
@@ -351,15 +352,15 @@
 static void grant_all(struct fix *f)
 {
 	GArray *grant_requests =
-		g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
 	gate_limit_asks(f->gate, grant_requests);
 	for (guint i = 0; i < grant_requests->len; i++) {
-		const struct quota_ask *a =
-			&g_array_index(grant_requests, struct quota_ask, i);
-		struct quota_word w = { .customer = a->customer,
-					.number = a->number,
-					.grant = a->want };
+		const struct quota_request *a =
+			&g_array_index(grant_requests, struct quota_request, i);
+		struct quota_reply w = { .customer = a->customer,
+					 .number = a->number,
+					 .grant = a->want };
 		struct msg_quota_reply m = { .replies = { &w, 1 } };
 
 		gate_take_limit(f->gate, &m);
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -54,7 +54,7 @@
 	l->r = routing_read(users_platform.routing, ss_str(config), NULL);
 	assert_non_null(l->r);
 	gate_set_routing(l->f.gate, l->r);
-	l->allocator = quota_lease.place_new(&o, l->f.clock.fake_ms);
+	l->allocator = quota_lease.allocator_new(&o, l->f.clock.fake_ms);
 	l->requests = 0;
 	/* The allocator no longer reserves what others may have been granted
 	 * before, and a whole burst is available. */
@@ -68,27 +68,29 @@
 
 static void quota_fix_close(struct quota_fix *l)
 {
-	quota_lease.place_free(l->allocator);
+	quota_lease.allocator_free(l->allocator);
 	routing_unref(l->r);
 	fix_close(&l->f);
 }
 
 static void exchange_grants(struct quota_fix *l)
 {
-	GArray *requests = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
-	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_word));
+	GArray *requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	struct msg_quota_reply m;
 
 	gate_quota_asks(l->f.gate, requests);
 	for (guint i = 0; i < requests->len; i++) {
-		const struct quota_ask *a =
-			&g_array_index(requests, struct quota_ask, i);
+		const struct quota_request *a =
+			&g_array_index(requests, struct quota_request, i);
 		char *name = ss_str_dup(a->customer);
-		struct quota_word w;
+		struct quota_reply w;
 
-		quota_lease.place_ask(l->allocator, 1,
-				      customers_named(&l->r->customers, name),
-				      a, l->f.clock.fake_ms, &w);
+		quota_lease.allocator_request(l->allocator, 1,
+					      customers_named(&l->r->customers,
+							      name),
+					      a, l->f.clock.fake_ms, &w);
 		g_array_append_val(replies, w);
 		g_free(name);
 		l->requests++;
--- a/test/test_gate_turns.c
+++ b/test/test_gate_turns.c
@@ -31,11 +31,11 @@
 /* Takes the gate's quota requests to the leader, and the number of the last. */
 static bool take_requests(struct fix *f, uint64_t *number)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
 	gate_quota_asks(f->gate, asks);
 	for (guint i = 0; i < asks->len; i++)
-		*number = g_array_index(asks, struct quota_ask, i).number;
+		*number = g_array_index(asks, struct quota_request, i).number;
 	g_array_unref(asks);
 	return *number > 0;
 }
@@ -45,9 +45,9 @@
 static void grant(struct fix *f, const char *customer, int requests,
 		  uint64_t *number)
 {
-	struct quota_word w = { .customer = ss_str(customer),
-				.grant = 200 * requests * QUOTA_MILLI,
-				.wait_ms = 400 };
+	struct quota_reply w = { .customer = ss_str(customer),
+				 .grant = 200 * requests * QUOTA_MILLI,
+				 .retry_after_ms = 400 };
 	struct msg_quota_reply m = { .replies = { &w, 1 } };
 
 	take_requests(f, number);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -187,7 +187,8 @@
 		assert_true(c->limit.per_s == rows[i].limit.per_s);
 		assert_true(c->limit.burst == rows[i].limit.burst);
 		assert_int_equal(c->limit.tokens, rows[i].limit.tokens);
-		assert_true(c->limit.plain == rows[i].limit.plain);
+		assert_true(c->limit.default_tokens ==
+			    rows[i].limit.default_tokens);
 		assert_int_equal(c->priority, rows[i].priority);
 	}
 	assert_ptr_equal(customers_find(&r->customers, SS_LIT("k1")),
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -10,12 +10,12 @@
 #define FAULT_REFUSED 0.02
 
 #define LEADERS(at, every)                                                     \
-	{ at, WORLD_LEADER, 1200, 0, 0, 0 },                                   \
-		{ at + every, WORLD_LEADER, 1200, 0, 0, 0 },                   \
-		{ at + 2 * every, WORLD_LEADER, 1200, 0, 0, 0 },               \
-		{ at + 3 * every, WORLD_LEADER, 1200, 0, 0, 0 },               \
+	{ at, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },                              \
+		{ at + every, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },              \
+		{ at + 2 * every, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },          \
+		{ at + 3 * every, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },          \
 	{                                                                      \
-		at + 4 * every, WORLD_LEADER, 1200, 0, 0, 0                    \
+		at + 4 * every, WORLD_LEADER_LOSS, 1200, 0, 0, 0               \
 	}
 
 static const struct fault {
@@ -29,11 +29,11 @@
 	{ "an entry is cut off",
 	  1.8,
 	  FAULT_REFUSED,
-	  { { 6000, WORLD_CUT, 4000, 3, 1, 0 } } },
+	  { { 6000, WORLD_PARTITION, 4000, 3, 1, 0 } } },
 	{ "a third of the entries is cut off",
 	  0.4,
 	  1,
-	  { { 6000, WORLD_CUT, 9000, 3, 4, 0 } } },
+	  { { 6000, WORLD_PARTITION, 9000, 3, 4, 0 } } },
 	{ "entries freeze for longer than their lease",
 	  0.4,
 	  1,
@@ -59,7 +59,7 @@
 	{ "the allocator is lost once",
 	  1.8,
 	  FAULT_REFUSED,
-	  { { 10000, WORLD_LEADER, 1200, 0, 0, 0 } } },
+	  { { 10000, WORLD_LEADER_LOSS, 1200, 0, 0, 0 } } },
 	{ "the allocator is lost repeatedly", 0.3, 1, { LEADERS(4000, 2000) } },
 	{ "the allocator is lost in quick succession",
 	  0.3,
@@ -68,8 +68,8 @@
 	{ "all lose power, twice",
 	  0.4,
 	  1,
-	  { { 6000, WORLD_POWER, 1200, 0, 0, 0 },
-	    { 9000, WORLD_POWER, 1200, 0, 0, 0 } } },
+	  { { 6000, WORLD_POWER_LOSS, 1200, 0, 0, 0 },
+	    { 9000, WORLD_POWER_LOSS, 1200, 0, 0, 0 } } },
 	{ "limits fall repeatedly, far below the load",
 	  1.8,
 	  1,
@@ -85,13 +85,13 @@
 	  1.8,
 	  1,
 	  { { 6000, WORLD_HOT, 14000, 0, 1, 12 },
-	    { 9000, WORLD_LEADER, 2500, 0, 0, 0 } } },
+	    { 9000, WORLD_LEADER_LOSS, 2500, 0, 0, 0 } } },
 };
 
-static void run(const struct quota_way *way, const struct fault *f,
+static void run(const struct quota_scheme *way, const struct fault *f,
 		uint64_t seed, struct world_result *r)
 {
-	struct world_options o = { .way = way,
+	struct world_options o = { .scheme = way,
 				   .entries = 12,
 				   .customers = 6,
 				   .domains = 4,
@@ -99,7 +99,7 @@
 				   .requests_per_s = 100,
 				   .limit_x = f->limit_x,
 				   .floor_per_s = 4200 * MIN(f->limit_x, 1),
-				   .slack = { 8, 0.1, 17000 },
+				   .overage = { 8, 0.1, 17000 },
 				   .delay_ms = 1.4,
 				   .cpu_share = 0.32,
 				   .drift = 0.001,
@@ -167,9 +167,9 @@
 
 	p->now = 10000;
 	p->c = customer(per_s);
-	p->entry = quota_lease.entry_new(&o, p->now);
-	p->allocator = quota_lease.place_new(&o, p->now);
-	quota_lease.entry_link(p->entry, NULL, true, p->now);
+	p->entry = quota_lease.clients_new(&o, p->now);
+	p->allocator = quota_lease.allocator_new(&o, p->now);
+	quota_lease.clients_link(p->entry, NULL, true, p->now);
 	/* After this the allocator no longer reserves for entries that haven't
 	 * reported. */
 	p->now += 6000;
@@ -177,25 +177,25 @@
 
 static void pair_close(struct pair *p)
 {
-	quota_lease.entry_free(p->entry);
-	quota_lease.place_free(p->allocator);
+	quota_lease.clients_free(p->entry);
+	quota_lease.allocator_free(p->allocator);
 	customer_unref(p->c);
 }
 
 /* Delivers all requests that are due, and their replies, at once. */
 static void exchange(struct pair *p)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	quota_lease.asks(p->entry, p->now, out);
+	quota_lease.clients_requests(p->entry, p->now, out);
 	for (guint i = 0; i < out->len; i++) {
-		struct quota_word w;
+		struct quota_reply w;
 
-		if (quota_lease.place_ask(p->allocator, 1, p->c,
-					  &g_array_index(out, struct quota_ask,
-							 i),
-					  p->now, &w))
-			quota_lease.word(p->entry, &w, p->now);
+		if (quota_lease.allocator_request(
+			    p->allocator, 1, p->c,
+			    &g_array_index(out, struct quota_request, i),
+			    p->now, &w))
+			quota_lease.clients_reply(p->entry, &w, p->now);
 	}
 	g_array_unref(out);
 }
@@ -203,13 +203,13 @@
 /* Loses all requests that are due. */
 static void lose_requests(struct pair *p)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_ask));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	quota_lease.asks(p->entry, p->now, out);
+	quota_lease.clients_requests(p->entry, p->now, out);
 	g_array_unref(out);
 }
 
-static enum quota_answer try_request(struct pair *p, double cost, bool waits)
+static enum quota_decision try_request(struct pair *p, double cost, bool waits)
 {
 	int64_t retry_after_ms;
 
@@ -232,7 +232,8 @@
 		if (try_request(&p, 500, false) == QUOTA_WAIT) {
 			waited++;
 			exchange(&p);
-			assert_int_equal(try_request(&p, 500, true), QUOTA_YES);
+			assert_int_equal(try_request(&p, 500, true),
+					 QUOTA_ADMIT);
 		}
 		exchange(&p);
 	}
@@ -249,15 +250,15 @@
 	pair_open(&p, 4200);
 	assert_int_equal(try_request(&p, 9000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 9000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 9000, true), QUOTA_ADMIT);
 	/* It is charged in full: nothing is left for a while. */
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 1000, true), QUOTA_NO);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_REFUSE);
 	p.now += 2500;
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 1000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_ADMIT);
 	pair_close(&p);
 }
 
@@ -269,14 +270,14 @@
 
 	(void)state;
 	pair_open(&p, 4200);
-	assert_int_equal(try_request(&p, 1e8, false), QUOTA_NO);
+	assert_int_equal(try_request(&p, 1e8, false), QUOTA_REFUSE);
 	for (int i = 0; i < 5; i++) {
 		p.now += 500;
-		assert_int_equal(try_request(&p, 1e8, false), QUOTA_NO);
+		assert_int_equal(try_request(&p, 1e8, false), QUOTA_REFUSE);
 		if (try_request(&p, 1000, false) == QUOTA_WAIT) {
 			exchange(&p);
 			assert_int_equal(try_request(&p, 1000, true),
-					 QUOTA_YES);
+					 QUOTA_ADMIT);
 		}
 	}
 	pair_close(&p);
@@ -293,17 +294,17 @@
 	pair_open(&p, 1000);
 	assert_int_equal(try_request(&p, 3000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 3000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 3000, true), QUOTA_ADMIT);
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(quota_lease.take(p.entry, p.c, &need, p.now,
 					  &retry_after_ms),
-			 QUOTA_NO);
+			 QUOTA_REFUSE);
 	assert_in_range(retry_after_ms, 2500, 3500);
 	p.now += retry_after_ms + 100;
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 1000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 1000, true), QUOTA_ADMIT);
 	pair_close(&p);
 }
 
@@ -324,19 +325,19 @@
 		}
 		exchange(&p);
 	}
-	quota_lease.entry_link(p.entry, NULL, false, p.now);
+	quota_lease.clients_link(p.entry, NULL, false, p.now);
 	for (int i = 0; i < 2000; i++) {
 		p.now += 10;
-		if (try_request(&p, 100, false) == QUOTA_YES)
+		if (try_request(&p, 100, false) == QUOTA_ADMIT)
 			spent += 100;
 		else
-			quota_lease.leave(p.entry, p.c, 100);
+			quota_lease.cancel(p.entry, p.c, 100);
 	}
 	/* It spends its part of the limit for the length of its lease, and no
 	 * more. */
 	assert_true(spent > 0.3 * 20000 * 5);
 	assert_true(spent < 20000 * 5);
-	assert_int_equal(try_request(&p, 100, false), QUOTA_NO);
+	assert_int_equal(try_request(&p, 100, false), QUOTA_REFUSE);
 	pair_close(&p);
 }
 
@@ -344,16 +345,17 @@
  * sum. */
 static double drain(struct pair *p, uint64_t id)
 {
-	struct quota_ask a = { .customer = SS_LIT("a"),
-			       .number = 1,
-			       .want = 2000 * QUOTA_MILLI,
-			       .demand = 20000 * QUOTA_MILLI,
-			       .usual = 1000 * QUOTA_MILLI };
-	struct quota_word w;
+	struct quota_request a = { .customer = SS_LIT("a"),
+				   .number = 1,
+				   .want = 2000 * QUOTA_MILLI,
+				   .demand = 20000 * QUOTA_MILLI,
+				   .mean_cost = 1000 * QUOTA_MILLI };
+	struct quota_reply w;
 	double sum = 0;
 
 	do {
-		quota_lease.place_ask(p->allocator, id, p->c, &a, p->now, &w);
+		quota_lease.allocator_request(p->allocator, id, p->c, &a,
+					      p->now, &w);
 		sum += (double)w.grant / QUOTA_MILLI;
 	} while (w.grant > 0);
 	return sum;
@@ -372,7 +374,7 @@
 	p.now += 500;
 	all = drain(&p, 2);
 	assert_true(all > 4990 && all < 5010);
-	quota_lease.place_gone(p.allocator, 1, p.now);
+	quota_lease.allocator_client_lost(p.allocator, 1, p.now);
 	p.now += 500;
 	assert_true(drain(&p, 2) < 0.9 * all);
 	/* It reconnects, and has spent nothing. */
@@ -392,8 +394,8 @@
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_free(p.allocator);
-	p.allocator = quota_lease.place_new(&o, p.now);
+	quota_lease.allocator_free(p.allocator);
+	p.allocator = quota_lease.allocator_new(&o, p.now);
 	assert_true(drain(&p, 1) <= 0.25 * slack);
 	p.now += 1000;
 	/* Entries that haven't reported may be spending their part. */
@@ -411,16 +413,18 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		struct quota_ask a = { .customer = SS_LIT("a"), .number = 9 };
-		struct quota_word w;
+		struct quota_request a = { .customer = SS_LIT("a"),
+					   .number = 9 };
+		struct quota_reply w;
 		struct pair p;
 
 		pair_open(&p, 10000);
 		drain(&p, 1);
 		p.now += 500;
-		a.alone = rows[i].alone * QUOTA_MILLI;
-		a.held = rows[i].held * QUOTA_MILLI;
-		quota_lease.place_ask(p.allocator, 1, p.c, &a, p.now, &w);
+		a.disconnected_spent = rows[i].alone * QUOTA_MILLI;
+		a.balance = rows[i].held * QUOTA_MILLI;
+		quota_lease.allocator_request(p.allocator, 1, p.c, &a, p.now,
+					      &w);
 		assert_true(drain(&p, 1) < 1100);
 		pair_close(&p);
 	}
@@ -438,10 +442,11 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		struct quota_ask other = { .customer = SS_LIT("a"),
-					   .demand = 5000 * QUOTA_MILLI,
-					   .usual = 1000 * QUOTA_MILLI };
-		struct quota_word w;
+		struct quota_request other = { .customer = SS_LIT("a"),
+					       .demand = 5000 * QUOTA_MILLI,
+					       .mean_cost =
+						       1000 * QUOTA_MILLI };
+		struct quota_reply w;
 		struct pair p;
 		int served = 0;
 
@@ -454,19 +459,19 @@
 				try_request(&p, 1000, true);
 			}
 			exchange(&p);
-			quota_lease.place_ask(p.allocator, 2, p.c, &other,
-					      p.now, &w);
+			quota_lease.allocator_request(p.allocator, 2, p.c,
+						      &other, p.now, &w);
 		}
 		if (rows[i].cut)
-			quota_lease.entry_link(p.entry, NULL, false, p.now);
+			quota_lease.clients_link(p.entry, NULL, false, p.now);
 		while (!rows[i].cut &&
-		       try_request(&p, 1000, false) == QUOTA_YES)
+		       try_request(&p, 1000, false) == QUOTA_ADMIT)
 			;
 		lose_requests(&p);
 		p.now += rows[i].ms;
 		if (!rows[i].cut)
-			served += try_request(&p, 1000, true) == QUOTA_YES;
-		while (try_request(&p, 1000, false) == QUOTA_YES)
+			served += try_request(&p, 1000, true) == QUOTA_ADMIT;
+		while (try_request(&p, 1000, false) == QUOTA_ADMIT)
 			served++;
 		if (served < 2 || served > 12)
 			fail_msg("%s: %d served", rows[i].label, served);
@@ -480,21 +485,21 @@
 static void overdraft_is_no_debt_after_failover(void **state)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
-	struct quota_ask a = { .customer = SS_LIT("a"),
-			       .number = 1,
-			       .held = -8000 * QUOTA_MILLI };
-	struct quota_word w;
+	struct quota_request a = { .customer = SS_LIT("a"),
+				   .number = 1,
+				   .balance = -8000 * QUOTA_MILLI };
+	struct quota_reply w;
 	struct pair p;
 	double fresh;
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_free(p.allocator);
-	p.allocator = quota_lease.place_new(&o, p.now);
+	quota_lease.allocator_free(p.allocator);
+	p.allocator = quota_lease.allocator_new(&o, p.now);
 	fresh = drain(&p, 1);
-	quota_lease.place_free(p.allocator);
-	p.allocator = quota_lease.place_new(&o, p.now);
-	quota_lease.place_ask(p.allocator, 2, p.c, &a, p.now, &w);
+	quota_lease.allocator_free(p.allocator);
+	p.allocator = quota_lease.allocator_new(&o, p.now);
+	quota_lease.allocator_request(p.allocator, 2, p.c, &a, p.now, &w);
 	assert_true(drain(&p, 1) >= 0.99 * fresh);
 	pair_close(&p);
 }
@@ -502,51 +507,52 @@
 /* Guards against granting again what a disconnected entry may overdraw. */
 static void overdraft_of_lost_entry_is_charged(void **state)
 {
-	struct quota_ask a = { .customer = SS_LIT("a"),
-			       .demand = 5000 * QUOTA_MILLI,
-			       .usual = 1000 * QUOTA_MILLI };
-	struct quota_sight before, after;
-	struct quota_word w;
+	struct quota_request a = { .customer = SS_LIT("a"),
+				   .demand = 5000 * QUOTA_MILLI,
+				   .mean_cost = 1000 * QUOTA_MILLI };
+	struct quota_account_view before, after;
+	struct quota_reply w;
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.place_ask(p.allocator, 1, p.c, &a, p.now, &w);
-	quota_lease.place_look(p.allocator, "a", p.now, &before);
-	quota_lease.place_gone(p.allocator, 1, p.now);
-	quota_lease.place_look(p.allocator, "a", p.now, &after);
-	assert_true(w.reserve >= 2000 * QUOTA_MILLI);
+	quota_lease.allocator_request(p.allocator, 1, p.c, &a, p.now, &w);
+	quota_lease.allocator_view(p.allocator, "a", p.now, &before);
+	quota_lease.allocator_client_lost(p.allocator, 1, p.now);
+	quota_lease.allocator_view(p.allocator, "a", p.now, &after);
+	assert_true(w.overdraft >= 2000 * QUOTA_MILLI);
 	assert_true(after.level <=
-		    before.level - (double)w.reserve / QUOTA_MILLI + 1);
+		    before.level - (double)w.overdraft / QUOTA_MILLI + 1);
 	pair_close(&p);
 }
 
 /* What operators see of a customer. */
 static void views_report_grants_and_refusals(void **state)
 {
-	struct quota_sight s;
-	struct quota_view v;
+	struct quota_account_view s;
+	struct quota_client_view v;
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 1000);
-	assert_false(quota_lease.place_look(p.allocator, "a", p.now, &s));
-	assert_int_equal(quota_lease.look(p.entry, "a", p.now).age_ms, -1);
+	assert_false(quota_lease.allocator_view(p.allocator, "a", p.now, &s));
+	assert_int_equal(quota_lease.clients_view(p.entry, "a", p.now).age_ms,
+			 -1);
 	assert_int_equal(try_request(&p, 2000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 2000, true), QUOTA_YES);
+	assert_int_equal(try_request(&p, 2000, true), QUOTA_ADMIT);
 	p.now += 50;
-	v = quota_lease.look(p.entry, "a", p.now);
+	v = quota_lease.clients_view(p.entry, "a", p.now);
 	assert_int_equal(v.age_ms, 50);
-	assert_false(v.alone);
+	assert_false(v.disconnected);
 	/* Its shortfall is more than it may wait for: refused, and reported. */
 	try_request(&p, 2000, false);
 	exchange(&p);
-	assert_int_equal(try_request(&p, 2000, true), QUOTA_NO);
+	assert_int_equal(try_request(&p, 2000, true), QUOTA_REFUSE);
 	p.now += 5000;
 	try_request(&p, 100, false);
 	exchange(&p);
-	assert_true(quota_lease.place_look(p.allocator, "a", p.now, &s));
+	assert_true(quota_lease.allocator_view(p.allocator, "a", p.now, &s));
 	assert_true(s.granted >= 2000);
 	assert_true(s.refused >= 1999 && s.refused <= 2000);
 	assert_int_equal(s.entries, 1);
@@ -585,12 +591,12 @@
 	  world_two_classes,
 	  WORLD_TWO_CLASSES,
 	  WORLD_BY_CLASS,
-	  { { 10000, WORLD_LEADER, 1200, 0, 0, 0 } } },
+	  { { 10000, WORLD_LEADER_LOSS, 1200, 0, 0, 0 } } },
 	{ "a third of the entries is cut off",
 	  world_two_classes,
 	  WORLD_TWO_CLASSES,
 	  WORLD_BY_CLASS,
-	  { { 8000, WORLD_CUT, 6000, 0, 4, 0 } } },
+	  { { 8000, WORLD_PARTITION, 6000, 0, 4, 0 } } },
 };
 
 static double class_share(const struct world_result *r,
@@ -615,14 +621,14 @@
 	(void)state;
 	for (size_t i = 0; i < 2 * G_N_ELEMENTS(overloads); i++) {
 		size_t k = i / 2;
-		struct world_options o = { .way = &quota_lease,
+		struct world_options o = { .scheme = &quota_lease,
 					   .entries = 12,
 					   .customers = 2,
 					   .domains = 4,
 					   .length_ms = 26000,
 					   .requests_per_s = 60,
 					   .limit_x = 1.0 / 3,
-					   .slack = { 8, 0.1, 4000 },
+					   .overage = { 8, 0.1, 4000 },
 					   .delay_ms = 1.4,
 					   .cpu_share = 0.32,
 					   .drift = 0.001,
@@ -666,14 +672,14 @@
  * don't use them. */
 static void rare_class_within_the_limit_is_served(void **state)
 {
-	struct world_options o = { .way = &quota_lease,
+	struct world_options o = { .scheme = &quota_lease,
 				   .entries = 24,
 				   .customers = 4,
 				   .domains = 4,
 				   .length_ms = 26000,
 				   .requests_per_s = 120,
 				   .limit_x = 1.25,
-				   .slack = { 8, 0.1, 4000 },
+				   .overage = { 8, 0.1, 4000 },
 				   .delay_ms = 1.4,
 				   .cpu_share = 0.32,
 				   .drift = 0.001,
@@ -692,9 +698,9 @@
 	}
 }
 
-static enum quota_answer try_ranked(struct pair *p, double cost, bool waits,
-				    int class_id, int64_t by_ms,
-				    int64_t hold_ms)
+static enum quota_decision try_ranked(struct pair *p, double cost, bool waits,
+				      int class_id, int64_t by_ms,
+				      int64_t hold_ms)
 {
 	struct quota_need n = { cost, waits, hold_ms };
 	struct quota_rank r = { class_id, by_ms };
@@ -718,7 +724,7 @@
 			 QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(try_ranked(&p, 1400, true, 2, p.now + 600, 2000),
-			 QUOTA_YES);
+			 QUOTA_ADMIT);
 	p.now += 900;
 	by = p.now + 600;
 	assert_int_equal(try_ranked(&p, 250, false, 2, by - 100, 2000),
@@ -729,7 +735,7 @@
 			 QUOTA_WAIT);
 	/* There is enough for the small request, and it can wait no longer. */
 	p.now = by - 300;
-	assert_int_equal(try_ranked(&p, 50, true, 2, by, 300), QUOTA_YES);
+	assert_int_equal(try_ranked(&p, 50, true, 2, by, 300), QUOTA_ADMIT);
 	pair_close(&p);
 }
 
@@ -744,18 +750,18 @@
 
 	(void)state;
 	pair_open(&p, 1000);
-	rank.by_ms = p.now + 600;
+	rank.due_ms = p.now + 600;
 	assert_int_equal(try_ranked(&p, 1000, false, 0, p.now + 600, 300),
 			 QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(try_ranked(&p, 1000, true, 0, p.now + 600, 300),
-			 QUOTA_YES);
-	assert_int_equal(try_ranked(&p, 800, false, 2, rank.by_ms, 300),
+			 QUOTA_ADMIT);
+	assert_int_equal(try_ranked(&p, 800, false, 2, rank.due_ms, 300),
 			 QUOTA_WAIT);
-	p.now = rank.by_ms;
+	p.now = rank.due_ms;
 	assert_int_equal(quota_lease.take_ranked(p.entry, p.c, &need, &rank,
 						 p.now, &retry_after_ms),
-			 QUOTA_NO);
+			 QUOTA_REFUSE);
 	assert_in_range(retry_after_ms, 1, 4000);
 	pair_close(&p);
 }
@@ -772,7 +778,7 @@
 	for (int i = 0; i < 2000; i++) {
 		double cost = 100 + (double)(i * 7919 % 900);
 		bool waits = i % 3 == 1;
-		enum quota_answer a[2];
+		enum quota_decision a[2];
 
 		p[0].now += 10;
 		p[1].now += 10;
@@ -783,21 +789,24 @@
 			exchange(&p[0]);
 		if (i % 2)
 			exchange(&p[1]);
-		assert_true(quota_lease.look(p[0].entry, "a", p[0].now).held ==
-			    quota_lease.look(p[1].entry, "a", p[1].now).held);
+		assert_true(quota_lease.clients_view(p[0].entry, "a", p[0].now)
+				    .balance ==
+			    quota_lease.clients_view(p[1].entry, "a", p[1].now)
+				    .balance);
 	}
 	for (int k = 0; k < 2; k++)
 		pair_close(&p[k]);
 }
 
 static int64_t grant_of(void *allocator, int64_t now,
-			const struct quota_ask *request)
+			const struct quota_request *request)
 {
 	struct customer c = { .name = "a",
 			      .limit = { .per_s = 1000, .burst = 1000 } };
-	struct quota_word w;
+	struct quota_reply w;
 
-	assert_true(quota_lease.place_ask(allocator, 1, &c, request, now, &w));
+	assert_true(quota_lease.allocator_request(allocator, 1, &c, request,
+						  now, &w));
 	return w.grant;
 }
 
@@ -805,24 +814,24 @@
  * retained at the expense of the others. */
 static void idle_class_retains_nothing(void **state)
 {
-	struct quota_options o = { .slack = { 8, 0.1, 4000 } };
-	struct quota_part parts[] = {
+	struct quota_options o = { .overage = { 8, 0.1, 4000 } };
+	struct quota_class_item parts[] = {
 		{ .class_id = 0, .demand = 900000, .want = 100000 },
-		{ .class_id = 2, .demand = 100000, .first = 200000 },
+		{ .class_id = 2, .demand = 100000, .shortfall = 200000 },
 	};
-	struct quota_ask before[] = {
+	struct quota_request before[] = {
 		{ .customer = SS_LIT("a"), .want = 300000, .demand = 1000000 },
 		{ .customer = SS_LIT("a"), .want = 300000, .demand = 1000000 },
 	};
-	struct quota_ask after = { .customer = SS_LIT("a"),
-				   .want = 400000,
-				   .demand = 2000000 };
+	struct quota_request after = { .customer = SS_LIT("a"),
+				       .want = 400000,
+				       .demand = 2000000 };
 	void *allocator[2];
 
 	(void)state;
-	before[1].parts = (struct wire_list){ parts, G_N_ELEMENTS(parts) };
+	before[1].classes = (struct wire_list){ parts, G_N_ELEMENTS(parts) };
 	for (int k = 0; k < 2; k++) {
-		allocator[k] = quota_lease.place_new(&o, 0);
+		allocator[k] = quota_lease.allocator_new(&o, 0);
 		grant_of(allocator[k], 20000, &before[k]);
 		/* Repeat until the earlier grants make no difference. */
 		for (int64_t now = 20200; now < 23000; now += 200)
@@ -832,21 +841,23 @@
 		assert_int_equal(grant_of(allocator[0], now, &after),
 				 grant_of(allocator[1], now, &after));
 	for (int k = 0; k < 2; k++)
-		quota_lease.place_free(allocator[k]);
+		quota_lease.allocator_free(allocator[k]);
 }
 
 /* A reply for a customer that nobody here requested a grant for. */
 static void reply_for_unknown_customer_is_ignored(void **state)
 {
-	struct quota_word w = { .customer = SS_LIT("nobody"),
-				.number = 7,
-				.grant = 5000 * QUOTA_MILLI };
+	struct quota_reply w = { .customer = SS_LIT("nobody"),
+				 .number = 7,
+				 .grant = 5000 * QUOTA_MILLI };
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 1000);
-	quota_lease.word(p.entry, &w, p.now);
-	assert_true(quota_lease.look(p.entry, "nobody", p.now).held == 0);
+	quota_lease.clients_reply(p.entry, &w, p.now);
+	assert_true(
+		quota_lease.clients_view(p.entry, "nobody", p.now).balance ==
+		0);
 	pair_close(&p);
 }
 
