--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -31,7 +31,7 @@
 	note_result(f, true);
 	if (f->is_events)
 		events_resume(&f->events);
-	forward_again(f, false, why);
+	forward_retry(f, false, why);
 }
 
 static bool is_event_stream(const struct http1_head *h)
@@ -77,7 +77,7 @@
 		ep->reported = MAX(ep->reported, ep->slots);
 		ep->reported_ms = gate_now(f->g);
 	}
-	forward_again(f, true, why);
+	forward_retry(f, true, why);
 }
 
 /* Callers take these statuses to mean that the request didn't run. True where
@@ -171,7 +171,7 @@
 	upstream_pause(f->up, true);
 }
 
-void forward_drained(struct forward *f)
+void forward_unpause(struct forward *f)
 {
 	if (!f->paused)
 		return;
@@ -265,7 +265,7 @@
 	}
 	times_note_left(f);
 	if (closed)
-		endings_note(f);
+		crash_check_begin(f);
 	fail_send(f, upstream_end_name(end));
 }
 
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -192,13 +192,13 @@
 	return f;
 }
 
-void forward_enter_lane(struct forward *f)
+void forward_queue_or_send(struct forward *f)
 {
 	f->home->arrivals++;
 	fleet_rate_add(&f->home->rate, 1, gate_now(f->g));
 	if (go_on_looks(f))
 		return;
-	forward_wait(f);
+	forward_enqueue(f);
 	/* A request doesn't overtake others that wait for the same model. */
 	if (ss_queue_length(f->lane->waits) == 1)
 		forward_try(f);
@@ -259,11 +259,11 @@
 	}
 	f->home = gate_lane(g, f->service->name, f->model);
 	if (times_stop_cuts(f, NULL)) {
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 		return;
 	}
 	if (quota_limits(f))
 		quota_begin(f);
 	else
-		forward_enter_lane(f);
+		forward_queue_or_send(f);
 }
--- a/src/proxy/endings.c
+++ b/src/proxy/crash_checks.c
@@ -34,7 +34,7 @@
 	GArray *fingerprints;	   /* struct fingerprint, each once */
 };
 
-void ending_free(void *p)
+void crash_check_free(void *p)
 {
 	struct crash_check *c = p;
 
@@ -73,7 +73,7 @@
 	g_ptr_array_remove_fast(g->endings, c);
 }
 
-void endings_tick(struct gate *g, int64_t now)
+void crash_checks_tick(struct gate *g, int64_t now)
 {
 	for (guint i = g->endings->len; i-- > 0;) {
 		struct crash_check *c = g->endings->pdata[i];
@@ -133,7 +133,7 @@
 		g_array_append_val(c->fingerprints, *fp);
 }
 
-void endings_note(struct forward *f)
+void crash_check_begin(struct forward *f)
 {
 	const struct gate_ep *ep = gate_ep_of(f);
 	struct gate *g = f->g;
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -75,7 +75,7 @@
 	g_free(f);
 }
 
-void forward_leave(struct forward *f)
+void forward_leave_endpoint(struct forward *f)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
@@ -130,7 +130,7 @@
 	return "-";
 }
 
-struct ss_str forward_resumes(const struct forward *f)
+struct ss_str forward_resumed_request(const struct forward *f)
 {
 	struct ss_str s = f->call.resumes.n ? f->call.resumes : SS_LIT("-");
 
@@ -174,8 +174,9 @@
 		 lane_turn(f), f->deadline_ms - gate_now(g), f->call.tokens_out,
 		 f->cost, f->quota_ms, f->stop_left_ms, f->limit_per_s,
 		 f->expected_ms == SS_NEVER ? -1 : f->expected_ms, f->routing,
-		 f->version ? f->version : "-", SS_FMT(forward_resumes(f)),
-		 f->call.after_event, f->back_ms, f->why ? f->why : "");
+		 f->version ? f->version : "-",
+		 SS_FMT(forward_resumed_request(f)), f->call.after_event,
+		 f->back_ms, f->why ? f->why : "");
 }
 
 void forward_end(struct forward *f, bool whole, const char *why)
@@ -188,7 +189,7 @@
 	record_end(f, whole ? "answered" : "cut");
 	if (f->lane)
 		lane_remove(f);
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	caller_call_end(f->caller, whole);
 	forward_free(f);
 	gate_pump(g, service);
@@ -230,7 +231,7 @@
 	record_end(f, not_run ? "not_run" : "unknown");
 	if (f->lane)
 		lane_remove(f);
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	caller_call_reply(f->caller, status, headers, ss_str(body));
 	g_string_free(headers, TRUE);
 	g_free(body);
@@ -276,7 +277,7 @@
 	return f->tried->len < (guint)f->route->attempts;
 }
 
-void forward_wait(struct forward *f)
+void forward_enqueue(struct forward *f)
 {
 	f->state = FORWARD_WAITS;
 	if (f->lane)
@@ -285,11 +286,11 @@
 	lane_add(go_on_lane(f), f);
 }
 
-void forward_again(struct forward *f, bool not_run, const char *why)
+void forward_retry(struct forward *f, bool not_run, const char *why)
 {
 	struct gate *g = f->g;
 
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	f->why = why;
 	f->unknown |= !not_run;
 	log_info("send_failed",
@@ -315,7 +316,7 @@
 				       model_retry_after_ms(f));
 		return;
 	}
-	forward_wait(f);
+	forward_enqueue(f);
 	forward_try(f);
 }
 
@@ -385,7 +386,7 @@
 		gate_ep_note(f->g, ep, true);
 		ep->shut_until_ms = gate_now(f->g) + RECONNECT_DELAY_MS;
 	}
-	forward_again(f, true, "no connection");
+	forward_retry(f, true, "no connection");
 }
 
 static void request_adapter(struct forward *f, struct gate_ep *ep)
@@ -404,8 +405,8 @@
 	(*g->n_adapters)++;
 	g_hash_table_insert(g->tickets, &f->ticket, f);
 	if (!g->o.ops->need_adapter(g->o.arg, ep->agent, &m))
-		forward_adapter(f, SS_ERROR_UNAVAILABLE,
-				SS_LIT("its agent can't be reached"));
+		forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
+				      SS_LIT("its agent can't be reached"));
 }
 
 /* Counts the request among the endpoint's calls. */
@@ -419,7 +420,7 @@
 		lane_take(f);
 }
 
-void forward_refuse_for_stop(struct forward *f)
+void forward_refuse_draining(struct forward *f)
 {
 	if (f->unknown)
 		forward_refuse(f, 502, "lost",
@@ -436,7 +437,7 @@
 	struct gate_ep *ep;
 
 	if (times_stop_cuts(f, NULL)) {
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 		return true;
 	}
 	if (quarantine_stops(f))
@@ -448,7 +449,7 @@
 	}
 	if (times_stop_cuts(f, ep)) {
 		gate_limit_unused(f, ep);
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 		return true;
 	}
 	/* Every send after the first is a retry. */
@@ -478,19 +479,19 @@
 static void send_after_load(struct forward *f, struct gate_ep *ep)
 {
 	if (times_stop_cuts(f, ep)) {
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 	} else if (quarantine_stops(f)) {
 		return;
 	} else if (ep->known && !ep->leaving && gate_words_admit(f->g, ep)) {
 		send_to(f, ep);
 	} else {
-		forward_leave(f);
-		forward_wait(f);
+		forward_leave_endpoint(f);
+		forward_enqueue(f);
 		forward_try(f);
 	}
 }
 
-void forward_adapter(struct forward *f, int64_t code, struct ss_str text)
+void forward_adapter_reply(struct forward *f, int64_t code, struct ss_str text)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 	int64_t now = gate_now(f->g);
@@ -509,7 +510,7 @@
 		 now - f->sent_ms);
 	if (ep && code == SS_ERROR_UNKNOWN_MODEL)
 		gate_ep_lacks(ep, f->model, "");
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	if (f->asks >= ADAPTER_ATTEMPTS_MAX ||
 	    f->deadline_ms - now < times_first_ms(f)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
@@ -517,7 +518,7 @@
 			       f->unknown ? 0 : model_retry_after_ms(f));
 		return;
 	}
-	forward_wait(f);
+	forward_enqueue(f);
 	/* The next dispatch tries again: the agent has only just failed. */
 }
 
@@ -536,7 +537,7 @@
 	       silent_ms > (double)f->g->o.patience.ms * SILENT_WAIT_SHARE;
 }
 
-void forward_gone(struct forward *f)
+void forward_caller_left(struct forward *f)
 {
 	struct gate *g = f->g;
 	char *service = g_strdup(f->service->name);
@@ -549,7 +550,7 @@
 	record_end(f, "caller_left");
 	if (f->lane)
 		lane_remove(f);
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	forward_free(f);
 	gate_pump(g, service);
 	g_free(service);
@@ -573,7 +574,7 @@
 	       (double)wait_max_ms * NO_ETA_WAIT_SHARE;
 }
 
-int64_t forward_latest_ms(const struct forward *f)
+int64_t forward_latest_send_ms(const struct forward *f)
 {
 	double wait_max_ms = (double)(f->begin_by_ms - f->start_ms);
 	int64_t first = times_first_ms(f);
@@ -594,7 +595,7 @@
 		else if (now >= f->deadline_ms)
 			forward_end(f, false, "nobody could resume it");
 	} else if (times_stop_cuts(f, NULL)) {
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 	} else if (go_on_hopeless(f)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
 			       "its version is gone",
@@ -611,7 +612,7 @@
 static void tick_quota(struct forward *f, int64_t now)
 {
 	if (times_stop_cuts(f, NULL))
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		forward_refuse(f, 503, "unavailable",
 			       "its customer's allotment came too late",
@@ -621,14 +622,14 @@
 static void tick_adapter(struct forward *f, int64_t now)
 {
 	if (times_stop_cuts(f, gate_ep_of(f)))
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 	else if (now >= f->deadline_ms)
 		forward_refuse(f, f->unknown ? 504 : 503, "deadline",
 			       "its adapter came too late",
 			       f->unknown ? 0 : model_retry_after_ms(f));
 	else if (now - f->sent_ms > f->g->o.adapter_wait_ms + ADAPTER_GRACE_MS)
-		forward_adapter(f, SS_ERROR_UNAVAILABLE,
-				SS_LIT("its agent says nothing"));
+		forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
+				      SS_LIT("its agent says nothing"));
 }
 
 /* True for a send whose endpoint has restarted and which is to be given up. Not
@@ -655,7 +656,7 @@
 	} else if (is_lost(f, now)) {
 		if (f->is_events)
 			events_resume(&f->events);
-		forward_again(f, false, "the endpoint has restarted");
+		forward_retry(f, false, "the endpoint has restarted");
 	} else if (now < f->deadline_ms) {
 		return;
 	} else if (f->started) {
@@ -665,7 +666,7 @@
 	}
 }
 
-void forward_give_up(struct forward *f)
+void forward_abort(struct forward *f)
 {
 	if (f->started)
 		forward_end(f, false, "this process ends");
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -62,7 +62,7 @@
 
 	(void)arg;
 	if (f)
-		forward_drained(f);
+		forward_unpause(f);
 }
 
 static void on_gone(void *arg, struct caller_call *c)
@@ -70,7 +70,7 @@
 	struct forward *f = caller_call_data(c);
 
 	if (f)
-		forward_gone(f);
+		forward_caller_left(f);
 	else
 		early_gone(arg, c);
 }
@@ -147,7 +147,7 @@
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 
 	if (f)
-		forward_adapter(f, m->code, m->text);
+		forward_adapter_reply(f, m->code, m->text);
 }
 
 void gate_agent_lost(struct gate *g, const char *agent)
@@ -164,8 +164,8 @@
 			continue;
 		ep = gate_ep_at(g, f->ep_addr);
 		if (!ep || !strcmp(ep->agent, agent))
-			forward_adapter(f, SS_ERROR_UNAVAILABLE,
-					SS_LIT("its agent was lost"));
+			forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
+					      SS_LIT("its agent was lost"));
 	}
 	g_list_free(all);
 }
@@ -314,7 +314,7 @@
 		times_look_at_open(g, now);
 	freshness_tick(&g->freshness, now);
 	early_tick(g);
-	endings_tick(g, now);
+	crash_checks_tick(g, now);
 	quarantine_tick(g, now);
 	quota_tick(g);
 	gate_limits_tick(g, now);
@@ -354,7 +354,7 @@
 
 	for (GList *p = all; p; p = p->next)
 		if (g_hash_table_contains(g->forwards, p->data))
-			forward_give_up(p->data);
+			forward_abort(p->data);
 	g_list_free(all);
 }
 
@@ -432,7 +432,7 @@
 	g->streams = stream_log_new(STREAMS_MAX);
 	g->turns = return_slots_new();
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
-	g->endings = g_ptr_array_new_with_free_func(ending_free);
+	g->endings = g_ptr_array_new_with_free_func(crash_check_free);
 	g->suspects = suspects_new(&so, g->since_ms);
 	crash_log_init(&g->crash_log, CRASH_REPORTS_MAX);
 	g->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -399,11 +399,11 @@
 /* Begins held requests anew: they are accepted, held further or refused. */
 void early_tick(struct gate *g);
 
-/* endings.c: detects endpoints that crashed while running requests */
+/* crash_checks.c: detects endpoints that crashed while running requests */
 /* The endpoint closed the connection before its answer was complete. */
-void endings_note(struct forward *f);
-void endings_tick(struct gate *g, int64_t now);
-void ending_free(void *ending);
+void crash_check_begin(struct forward *f);
+void crash_checks_tick(struct gate *g, int64_t now);
+void crash_check_free(void *ending);
 
 /* quarantine.c: requests that endpoints crashed under too often */
 const struct fingerprint *forward_print(struct forward *f);
@@ -429,7 +429,7 @@
 /* Binds the request to one of its route's services. */
 void forward_set_service(struct forward *f, struct routing_service *s);
 /* Sends the request, or queues it for an endpoint. */
-void forward_enter_lane(struct forward *f);
+void forward_queue_or_send(struct forward *f);
 
 /* gate_quota.c: customers' limits */
 /* Frees a customer's queue of requests that wait for grants. */
@@ -450,20 +450,20 @@
 /* forward.c */
 /* Id of the request that got the first event of the stream it resumes, for a
  * log line. */
-struct ss_str forward_resumes(const struct forward *f);
+struct ss_str forward_resumed_request(const struct forward *f);
 /* 0 is the most urgent. */
 int64_t forward_priority(const struct forward *f);
 /* Its customer's name; empty: none. */
 const char *forward_customer(const struct forward *f);
-void forward_gone(struct forward *f);
+void forward_caller_left(struct forward *f);
 /* Tries to send a waiting request; false: it goes on waiting. */
 bool forward_try(struct forward *f);
 /* Time on the clock after which a waiting request is refused. */
-int64_t forward_latest_ms(const struct forward *f);
+int64_t forward_latest_send_ms(const struct forward *f);
 void forward_tick(struct forward *f, int64_t now);
-void forward_adapter(struct forward *f, int64_t code, struct ss_str text);
+void forward_adapter_reply(struct forward *f, int64_t code, struct ss_str text);
 /* The process ends: answers the caller if that is still possible. */
-void forward_give_up(struct forward *f);
+void forward_abort(struct forward *f);
 
 /* Version of a model queue while the version that began its streams isn't
  * known. */
@@ -517,25 +517,25 @@
 /* answer.c */
 extern const struct upstream_ops forward_upstream_ops;
 /* The caller has read all output: resumes reading the answer. */
-void forward_drained(struct forward *f);
+void forward_unpause(struct forward *f);
 
 /* Shared by begin.c, forward.c and answer.c. */
 /* Adds the request to its model queue. */
-void forward_wait(struct forward *f);
+void forward_enqueue(struct forward *f);
 /* Refuses a request whose answer would outlast this process. */
-void forward_refuse_for_stop(struct forward *f);
+void forward_refuse_draining(struct forward *f);
 enum forward_outcome { FORWARD_NOT_RUN, FORWARD_UNKNOWN };
 /* Ends with an answer of the gate itself and frees f. */
 void forward_refuse(struct forward *f, int status, const char *type,
 		    const char *why, int64_t retry_after_ms);
 /* A send failed: sends again, waits or ends. May free f. */
-void forward_again(struct forward *f, bool not_run, const char *why);
+void forward_retry(struct forward *f, bool not_run, const char *why);
 /* The answer was passed on, complete or cut; frees f. */
 void forward_end(struct forward *f, bool whole, const char *why);
 /* No connection was made, so the send isn't counted. May free f. */
 void forward_not_sent(struct forward *f);
 /* Releases the request's place at its endpoint. */
-void forward_leave(struct forward *f);
+void forward_leave_endpoint(struct forward *f);
 
 /* lanes.c */
 struct lane *gate_lane(struct gate *g, const char *service, const char *model);
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -139,7 +139,7 @@
 		f->quota_ms = now - f->start_ms;
 		count_spent(f);
 		leave_queue(f);
-		forward_enter_lane(f);
+		forward_queue_or_send(f);
 		return false;
 	case QUOTA_REFUSE:
 		break;
--- a/src/proxy/go_on.c
+++ b/src/proxy/go_on.c
@@ -217,7 +217,7 @@
 	log_info("taken_up",
 		 "request=%s resumes=%.*s after=%" PRId64
 		 " service=%s version=%s from=%s ms=%" PRId64,
-		 f->id, SS_FMT(forward_resumes(f)), f->call.after_event,
+		 f->id, SS_FMT(forward_resumed_request(f)), f->call.after_event,
 		 f->service->name, f->began_version, from,
 		 f->look_ms ? now - f->look_ms : 0);
 }
@@ -304,7 +304,7 @@
 		return;
 	name = g_strdup(f->service->name);
 	g_hash_table_remove(g->tickets, &f->ticket);
-	forward_wait(f);
+	forward_enqueue(f);
 	gate_pump(g, name);
 	g_free(name);
 }
@@ -360,7 +360,7 @@
 void go_on_tick(struct forward *f, int64_t now)
 {
 	if (times_stop_cuts(f, NULL))
-		forward_refuse_for_stop(f);
+		forward_refuse_draining(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		refuse(f, "it can't be begun in time", 0);
 	else if (now - MAX(f->look_ms, f->heard_ms) >= LOOKUP_TIMEOUT_MS)
--- a/src/proxy/lanes.c
+++ b/src/proxy/lanes.c
@@ -203,7 +203,7 @@
 	struct forward *f = (struct forward *)i;
 	struct admission_head h = { .resumes = *l->version,
 				    .priority = priority_of(i),
-				    .latest_ms = forward_latest_ms(f),
+				    .latest_ms = forward_latest_send_ms(f),
 				    .by_order = by_order,
 				    .by_time = by_time,
 				    .model_queue = l,
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -110,7 +110,7 @@
 	}
 	if (f->lane)
 		lane_remove(f);
-	forward_leave(f);
+	forward_leave_endpoint(f);
 	f->ticket = m.sub;
 	f->state = FORWARD_ASKS;
 	f->sent_ms = gate_now(g);
@@ -167,7 +167,7 @@
 	f->trial = m->admission == SUSPECT_TRIAL;
 	log_info("trial", "request=%s allowed=%d", f->id, f->trial);
 	service = g_strdup(f->service->name);
-	forward_wait(f);
+	forward_enqueue(f);
 	gate_pump(g, service);
 	g_free(service);
 }
