--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -157,7 +157,7 @@
 static void start_answer(struct forward *f, int64_t length)
 {
 	f->started = true;
-	go_on_begins(f);
+	resume_note_begin(f);
 	f->first_ms = gate_now(f->g) - f->start_ms;
 	caller_call_start(f->caller, f->status, f->headers, length);
 }
@@ -244,7 +244,7 @@
 	}
 	note_result(f, f->status >= 500);
 	times_note_end(f);
-	quarantine_answered(f);
+	quarantine_note_answer(f);
 	if (!f->started && f->is_events) {
 		start_answer(f, -1);
 	} else if (!f->started) {
@@ -263,7 +263,7 @@
 		forward_not_sent(f);
 		return;
 	}
-	times_note_left(f);
+	times_note_aborted(f);
 	if (closed)
 		crash_check_begin(f);
 	fail_send(f, upstream_end_name(end));
--- a/src/proxy/times.c
+++ b/src/proxy/answer_times.c
@@ -105,7 +105,7 @@
 
 /* An answer that was abandoned counts where it took longer than those that
  * came: an engine that hangs shows in no other way. */
-void times_note_left(struct forward *f)
+void times_note_aborted(struct forward *f)
 {
 	struct timing_pending o = outstanding(f, gate_now(f->g));
 
@@ -136,7 +136,7 @@
 		((struct gate_ep *)p)->open = none;
 }
 
-void times_look_at_open(struct gate *g, int64_t now)
+void times_update_open(struct gate *g, int64_t now)
 {
 	GHashTableIter it;
 	void *p;
@@ -193,7 +193,7 @@
  * endpoint is chosen and once an adapter is loaded: a request that waits has
  * less time left than on arrival.
  */
-bool times_stop_cuts(struct forward *f, const struct gate_ep *ep)
+bool times_stop_would_cut(struct forward *f, const struct gate_ep *ep)
 {
 	struct gate *g = f->g;
 	int64_t margin_ms;
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -196,7 +196,7 @@
 {
 	f->home->arrivals++;
 	fleet_rate_add(&f->home->rate, 1, gate_now(f->g));
-	if (go_on_looks(f))
+	if (resume_lookup(f))
 		return;
 	forward_enqueue(f);
 	/* A request doesn't overtake others that wait for the same model. */
@@ -220,7 +220,7 @@
 	int status;
 
 	if (!g->routing || !g->fleet_known) {
-		if (early_hold(g, c, body, received_ms))
+		if (startup_hold_request(g, c, body, received_ms))
 			return;
 		(*g->n_requests)++;
 		refuse_call(g, c, 503, "unavailable", "not ready yet",
@@ -234,7 +234,7 @@
 	if (fresh == FRESHNESS_STALE || (fresh == FRESHNESS_UNCERTAIN &&
 					 (status == 404 || status == 401))) {
 		g_clear_error(&error);
-		if (early_hold_until(g, c, body, received_ms, until))
+		if (startup_hold_until(g, c, body, received_ms, until))
 			return;
 		(*g->n_requests)++;
 		refuse_call(g, c, 503, "unavailable",
@@ -257,8 +257,8 @@
 			       "the routing in force has no such model", 0);
 		return;
 	}
-	f->home = gate_lane(g, f->service->name, f->model);
-	if (times_stop_cuts(f, NULL)) {
+	f->home = gate_model_queue(g, f->service->name, f->model);
+	if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
 		return;
 	}
--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -53,10 +53,10 @@
 		 c->fingerprints->len);
 	(*c->g->n_ended)++;
 	for (guint i = 0; i < c->fingerprints->len; i++)
-		quarantine_end(c->g,
-			       &g_array_index(c->fingerprints,
-					      struct fingerprint, i),
-			       c->incarnation_hash);
+		quarantine_note_crash(c->g,
+				      &g_array_index(c->fingerprints,
+						     struct fingerprint, i),
+				      c->incarnation_hash);
 }
 
 static void on_probe(void *arg, enum probe_result r)
@@ -144,7 +144,7 @@
 	if (!ep || ep->leaving)
 		return;
 	c = crash_check_of(g, ep);
-	add_fingerprint(c, forward_print(f));
+	add_fingerprint(c, forward_fingerprint(f));
 	f->trial_told = true;
 	log_info("closed_by_endpoint",
 		 "request=%s endpoint=%s print=%s ms=%" PRId64, f->id,
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -52,7 +52,7 @@
 {
 	struct gate *g = f->g;
 
-	quarantine_leave(f);
+	quarantine_end_trial(f);
 	forward_leave_quota(f);
 	g_hash_table_remove(g->forwards, f);
 	g_ptr_array_unref(f->tried);
@@ -87,7 +87,7 @@
 	else
 		forward_return_retry(f);
 	if (f->up) {
-		times_note_left(f);
+		times_note_aborted(f);
 		upstream_cancel(f->up);
 	}
 	f->up = NULL;
@@ -171,8 +171,9 @@
 		 f->status, f->waited_ms, f->first_ms, ms,
 		 f->objective_ms - f->start_ms, f->pause_ms,
 		 f->route->max_event_gap_ms, f->held_for ? f->held_for : "-",
-		 lane_turn(f), f->deadline_ms - gate_now(g), f->call.tokens_out,
-		 f->cost, f->quota_ms, f->stop_left_ms, f->limit_per_s,
+		 model_queue_rule(f), f->deadline_ms - gate_now(g),
+		 f->call.tokens_out, f->cost, f->quota_ms, f->stop_left_ms,
+		 f->limit_per_s,
 		 f->expected_ms == SS_NEVER ? -1 : f->expected_ms, f->routing,
 		 f->version ? f->version : "-",
 		 SS_FMT(forward_resumed_request(f)), f->call.after_event,
@@ -188,11 +189,11 @@
 	(*(whole ? g->n_ok : g->n_cut))++;
 	record_end(f, whole ? "answered" : "cut");
 	if (f->lane)
-		lane_remove(f);
+		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	caller_call_end(f->caller, whole);
 	forward_free(f);
-	gate_pump(g, service);
+	gate_dispatch(g, service);
 	g_free(service);
 }
 
@@ -230,13 +231,13 @@
 	(*(not_run ? g->n_refused : g->n_failed))++;
 	record_end(f, not_run ? "not_run" : "unknown");
 	if (f->lane)
-		lane_remove(f);
+		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	caller_call_reply(f->caller, status, headers, ss_str(body));
 	g_string_free(headers, TRUE);
 	g_free(body);
 	forward_free(f);
-	gate_pump(g, service);
+	gate_dispatch(g, service);
 	g_free(service);
 }
 
@@ -259,7 +260,7 @@
 	else if (f->open_ms > now)
 		ms = MAX(f->open_ms - now, ms);
 	ms = MIN(ms, RETRY_AFTER_MAX_MS);
-	slot_ms = turns_model_ms(f, ms, RETRY_AFTER_SPREAD_MS);
+	slot_ms = retry_after_model_ms(f, ms, RETRY_AFTER_SPREAD_MS);
 	return slot_ms < ms + RETRY_AFTER_SPREAD_MS ?
 		       MIN(slot_ms, RETRY_AFTER_MAX_MS) :
 		       slot_ms;
@@ -283,7 +284,7 @@
 	if (f->lane)
 		return;
 	f->lane_ms = gate_now(f->g);
-	lane_add(go_on_lane(f), f);
+	model_queue_add(resume_queue(f), f);
 }
 
 void forward_retry(struct forward *f, bool not_run, const char *why)
@@ -355,14 +356,14 @@
 		f->stop_left_ms = g->end_ms - now;
 	if (f->waited_ms < 0) {
 		f->waited_ms = now - f->start_ms;
-		turns_served(f);
+		retry_after_served(f);
 	}
 	f->sends++;
 	g_free(f->ep_id);
 	f->ep_id = g_strdup(ep->self.id);
 	g_free(f->version);
 	f->version = g_strdup(fleet_version(&ep->self));
-	go_on_note(f, ep);
+	resume_note_stream(f, ep);
 	g_ptr_array_add(f->tried, fleet_incarnation_dup(&ep->self));
 	ss_breaker_sent(&ep->breaker);
 	f->up = upstream_send(g->upstream, &r);
@@ -417,7 +418,7 @@
 	gate_ep_begin(ep, f->model);
 	gate_start_begin(f, ep);
 	if (f->lane)
-		lane_take(f);
+		model_queue_take(f);
 }
 
 void forward_refuse_draining(struct forward *f)
@@ -436,18 +437,18 @@
 	enum balance_refusal none = BALANCE_NO_ENDPOINT;
 	struct gate_ep *ep;
 
-	if (times_stop_cuts(f, NULL)) {
+	if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
 		return true;
 	}
-	if (quarantine_stops(f))
+	if (quarantine_blocks(f))
 		return true;
 	ep = gate_choose(f->g, f, &none);
 	if (!ep) {
 		f->held_for = wait_reason(f, none);
 		return false;
 	}
-	if (times_stop_cuts(f, ep)) {
+	if (times_stop_would_cut(f, ep)) {
 		gate_limit_unused(f, ep);
 		forward_refuse_draining(f);
 		return true;
@@ -478,9 +479,9 @@
  * requests or the request no longer may be sent. */
 static void send_after_load(struct forward *f, struct gate_ep *ep)
 {
-	if (times_stop_cuts(f, ep)) {
+	if (times_stop_would_cut(f, ep)) {
 		forward_refuse_draining(f);
-	} else if (quarantine_stops(f)) {
+	} else if (quarantine_blocks(f)) {
 		return;
 	} else if (ep->known && !ep->leaving && gate_words_admit(f->g, ep)) {
 		send_to(f, ep);
@@ -549,10 +550,10 @@
 	f->why = state_names[f->state];
 	record_end(f, "caller_left");
 	if (f->lane)
-		lane_remove(f);
+		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	forward_free(f);
-	gate_pump(g, service);
+	gate_dispatch(g, service);
 	g_free(service);
 }
 
@@ -590,13 +591,13 @@
 static void tick_waiting(struct forward *f, int64_t now)
 {
 	if (f->started) {
-		if (go_on_hopeless(f))
+		if (resume_hopeless(f))
 			forward_end(f, false, "its version is gone");
 		else if (now >= f->deadline_ms)
 			forward_end(f, false, "nobody could resume it");
-	} else if (times_stop_cuts(f, NULL)) {
+	} else if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
-	} else if (go_on_hopeless(f)) {
+	} else if (resume_hopeless(f)) {
 		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
 			       "its version is gone",
 			       f->unknown ? 0 : model_retry_after_ms(f));
@@ -611,7 +612,7 @@
 
 static void tick_quota(struct forward *f, int64_t now)
 {
-	if (times_stop_cuts(f, NULL))
+	if (times_stop_would_cut(f, NULL))
 		forward_refuse_draining(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		forward_refuse(f, 503, "unavailable",
@@ -621,7 +622,7 @@
 
 static void tick_adapter(struct forward *f, int64_t now)
 {
-	if (times_stop_cuts(f, gate_ep_of(f)))
+	if (times_stop_would_cut(f, gate_ep_of(f)))
 		forward_refuse_draining(f);
 	else if (now >= f->deadline_ms)
 		forward_refuse(f, f->unknown ? 504 : 503, "deadline",
@@ -648,9 +649,9 @@
 	} else if (f->state == FORWARD_WAITS) {
 		tick_waiting(f, now);
 	} else if (f->state == FORWARD_LOOKS) {
-		go_on_tick(f, now);
+		resume_tick(f, now);
 	} else if (f->state == FORWARD_ASKS) {
-		quarantine_ask_tick(f, now);
+		quarantine_trial_tick(f, now);
 	} else if (f->state == FORWARD_ADAPTER) {
 		tick_adapter(f, now);
 	} else if (is_lost(f, now)) {
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -72,7 +72,7 @@
 	if (f)
 		forward_caller_left(f);
 	else
-		early_gone(arg, c);
+		startup_hold_drop(arg, c);
 }
 
 static void on_refused(void *arg, int status)
@@ -109,7 +109,7 @@
 	g->routing_version = r->version;
 	freshness_applied(&g->freshness, r->version);
 	callers_set_limits(g->callers, &l);
-	gate_pump(g, NULL);
+	gate_dispatch(g, NULL);
 }
 
 uint64_t gate_routing_version(const struct gate *g)
@@ -174,7 +174,7 @@
 
 static void report_queue(struct gate *g, struct gate_report *r, struct lane *l)
 {
-	const struct forward *first = lane_next(l, gate_now(g));
+	const struct forward *first = model_queue_next(l, gate_now(g));
 	uint64_t waiting = 0;
 	struct model_demand d = { .service = ss_str(l->service),
 				  .model = ss_str(l->model),
@@ -184,7 +184,7 @@
 	/* Includes requests that wait for a slot on a loaded replica: a
 	 * second replica would serve them. */
 	waiting = ss_queue_length(l->waits);
-	if (!*l->model || !strcmp(l->version, GO_ON_UNNAMED) ||
+	if (!*l->model || !strcmp(l->version, RESUME_UNVERSIONED) ||
 	    (!l->arrivals && !waiting && !l->told))
 		return;
 	d.waiting = waiting;
@@ -311,9 +311,9 @@
 	int64_t now = gate_now(g);
 
 	if (g->end_ms)
-		times_look_at_open(g, now);
+		times_update_open(g, now);
 	freshness_tick(&g->freshness, now);
-	early_tick(g);
+	startup_hold_tick(g);
 	crash_checks_tick(g, now);
 	quarantine_tick(g, now);
 	quota_tick(g);
@@ -322,13 +322,13 @@
 	*g->n_held = callers_held(g->callers);
 	*g->n_unread = callers_unread(g->callers);
 	tick_forwards(g, now);
-	gate_pump(g, NULL);
+	gate_dispatch(g, NULL);
 	if (now - g->tidy_ms < TIDY_MS)
 		return;
 	g->tidy_ms = now;
 	callers_tidy(g->callers);
 	upstream_tidy(g->upstream);
-	go_on_tidy(g, now);
+	resume_tidy(g, now);
 	return_slots_expire(g->turns, now);
 }
 
@@ -421,7 +421,7 @@
 	g->seed = o->seed;
 	g->since_ms = gate_now(g);
 	freshness_init(&g->freshness, g->since_ms);
-	g->early = early_new();
+	g->early = startup_hold_new();
 	g->quota = quota_lease.clients_new(&(struct quota_options){ 0 },
 					   g->since_ms);
 	g->limits = quota_lease.clients_new(&endpoint_limit_quota, g->since_ms);
@@ -437,7 +437,7 @@
 	crash_log_init(&g->crash_log, CRASH_REPORTS_MAX);
 	g->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				       gate_ep_free);
-	lanes_init(g);
+	model_queues_init(g);
 	g->retries =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->paces =
@@ -476,7 +476,7 @@
 	crash_log_clear(&g->crash_log);
 	g_hash_table_unref(g->forwards);
 	g_hash_table_unref(g->tickets);
-	lanes_clear(g);
+	model_queues_clear(g);
 	g_hash_table_unref(g->eps);
 	g_hash_table_unref(g->retries);
 	g_hash_table_unref(g->paces);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -67,7 +67,7 @@
 
 	n->usable = ep->known && !ep->leaving && !ep->words.leaving_ms &&
 		    now >= ep->shut_until_ms && may_send(f, ep) &&
-		    go_on_fits(f, ep) &&
+		    resume_fits(f, ep) &&
 		    (!*f->model || g_hash_table_contains(ep->held, f->model));
 	n->near = !strcmp(ep->domain, g->o.domain);
 	n->has_adapter = gate_ep_has_adapter(ep, f->model, f->adapter) ||
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -124,7 +124,7 @@
 	enum fleet_relation how =
 		fleet_incarnation_compare(&ep->self, reported);
 
-	go_on_seen(g, ep);
+	resume_note_version(g, ep);
 	if (how == FLEET_RESTARTED) {
 		log_info("endpoint_restarted",
 			 "addr=%s id=%s started=%" PRId64
@@ -135,7 +135,7 @@
 		reset_incarnation(g, ep);
 	}
 	fleet_incarnation_update(&ep->self, reported);
-	go_on_named(g, ep);
+	resume_version_known(g, ep);
 	return how;
 }
 
@@ -244,7 +244,7 @@
 
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		go_on_seen(g, p);
+		resume_note_version(g, p);
 		((struct gate_ep *)p)->known = false;
 	}
 }
@@ -274,7 +274,7 @@
 		char *service = ss_str_dup(e[i].service);
 		char *model = ss_str_dup(e[i].model);
 		char *version = ss_str_dup(e[i].version);
-		struct lane *l = gate_lane_of(g, service, model, version);
+		struct lane *l = gate_version_queue(g, service, model, version);
 
 		l->eta_ms = e[i].eta_ms < 0 ? SS_NEVER : now + e[i].eta_ms;
 		g_free(version);
@@ -317,7 +317,7 @@
 		g->round = m->round;
 		g->o.ops->demand(g->o.arg);
 	}
-	gate_pump(g, NULL);
+	gate_dispatch(g, NULL);
 }
 
 /* Stops new calls to an endpoint; open calls and connections stay. */
@@ -369,7 +369,7 @@
 		suspend(g, ep);
 		break;
 	case FLEET_GONE:
-		go_on_seen(g, ep);
+		resume_note_version(g, ep);
 		ep->known = false;
 		break;
 	}
@@ -403,7 +403,7 @@
 	/* The endpoints of an incomplete list can be called, too. */
 	if (list->complete || list->instances->len)
 		mark_fleet_known(g, "list");
-	gate_pump(g, NULL);
+	gate_dispatch(g, NULL);
 }
 
 bool gate_ep_has_adapter(const struct gate_ep *ep, const char *model,
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -212,7 +212,7 @@
 	int64_t starts_first_ms; /* time to a first event expected there */
 	struct stream_timing stream_timing; /* of the model's streams */
 	struct timing_pending open;
-	struct lane_group *group;
+	struct model_queue_group *group;
 	GList link; /* in the group's list, while a request waits here */
 	/* Last dispatch round in which its head couldn't be sent; the same for
 	 * a head that was tried out of order because of its deadline. */
@@ -236,7 +236,7 @@
 	GHashTable *eps; /* addr -> struct gate_ep */
 	/* "service\nmodel\nversion" -> struct lane */
 	GHashTable *lanes;
-	GHashTable *groups;    /* service -> struct lane_group */
+	GHashTable *groups;    /* service -> struct model_queue_group */
 	GQueue groups_waiting; /* groups in which a request waits */
 	uint64_t pumps;	       /* counts dispatches of groups */
 	GHashTable *retries;   /* service -> struct service_retries */
@@ -384,20 +384,20 @@
  * start limits. */
 bool gate_start_wait_over(const struct forward *f, int64_t now);
 
-/* early.c: startup hold */
-GArray *early_new(void);
+/* startup_hold.c: startup hold */
+GArray *startup_hold_new(void);
 /* Holds a request until the routing and the fleet are known; false: no more
  * requests are held, and it is to be refused. */
-bool early_hold(struct gate *g, struct caller_call *c, struct ss_str body,
-		int64_t came_ms);
+bool startup_hold_request(struct gate *g, struct caller_call *c,
+			  struct ss_str body, int64_t came_ms);
 /* The same until a time on the clock, for a process whose routing may be out of
  * date. */
-bool early_hold_until(struct gate *g, struct caller_call *c, struct ss_str body,
-		      int64_t came_ms, int64_t until_ms);
+bool startup_hold_until(struct gate *g, struct caller_call *c,
+			struct ss_str body, int64_t came_ms, int64_t until_ms);
 /* The caller has left. */
-void early_gone(struct gate *g, const struct caller_call *c);
+void startup_hold_drop(struct gate *g, const struct caller_call *c);
 /* Begins held requests anew: they are accepted, held further or refused. */
-void early_tick(struct gate *g);
+void startup_hold_tick(struct gate *g);
 
 /* crash_checks.c: detects endpoints that crashed while running requests */
 /* The endpoint closed the connection before its answer was complete. */
@@ -406,20 +406,20 @@
 void crash_check_free(void *ending);
 
 /* quarantine.c: requests that endpoints crashed under too often */
-const struct fingerprint *forward_print(struct forward *f);
+const struct fingerprint *forward_fingerprint(struct forward *f);
 /* An endpoint crashed while running it; life: its incarnation number. */
-void quarantine_end(struct gate *g, const struct fingerprint *print,
-		    uint64_t life);
+void quarantine_note_crash(struct gate *g, const struct fingerprint *print,
+			   uint64_t life);
 /* Its answer is complete. */
-void quarantine_answered(struct forward *f);
+void quarantine_note_answer(struct forward *f);
 /*
  * True: the request isn't to be sent now, as it was refused or the leader is
  * asked for a trial run. May free f.
  */
-bool quarantine_stops(struct forward *f);
+bool quarantine_blocks(struct forward *f);
 /* Reports the result of a trial run, before f is freed. */
-void quarantine_leave(struct forward *f);
-void quarantine_ask_tick(struct forward *f, int64_t now);
+void quarantine_end_trial(struct forward *f);
+void quarantine_trial_tick(struct forward *f, int64_t now);
 void quarantine_tick(struct gate *g, int64_t now);
 
 /* begin.c */
@@ -467,52 +467,54 @@
 
 /* Version of a model queue while the version that began its streams isn't
  * known. */
-#define GO_ON_UNNAMED "?"
+#define RESUME_UNVERSIONED "?"
 
-/* go_on.c: resuming streams at endpoints of the version that began them */
+/* resume.c: resuming streams at endpoints of the version that began them */
 /* Records that a stream is sent to an endpoint, for requests that resume it. */
-void go_on_note(struct forward *f, const struct gate_ep *ep);
+void resume_note_stream(struct forward *f, const struct gate_ep *ep);
 /* Called before an endpoint's version may change, and after. */
-void go_on_seen(struct gate *g, const struct gate_ep *ep);
-void go_on_named(struct gate *g, const struct gate_ep *ep);
+void resume_note_version(struct gate *g, const struct gate_ep *ep);
+void resume_version_known(struct gate *g, const struct gate_ep *ep);
 /*
  * True if the request resumes a stream whose version isn't known yet: the
  * lookup has begun, or it was refused and freed.
  */
-bool go_on_looks(struct forward *f);
+bool resume_lookup(struct forward *f);
 /* Model queue in which it waits. */
-struct lane *go_on_lane(struct forward *f);
-void go_on_tick(struct forward *f, int64_t now);
-void go_on_tidy(struct gate *g, int64_t now);
+struct lane *resume_queue(struct forward *f);
+void resume_tick(struct forward *f, int64_t now);
+void resume_tidy(struct gate *g, int64_t now);
 /* The first event of its answer is about to be passed on. */
-void go_on_begins(struct forward *f);
+void resume_note_begin(struct forward *f);
 /* Whether the stream may be begun or resumed at the endpoint. */
-bool go_on_fits(const struct forward *f, const struct gate_ep *ep);
+bool resume_fits(const struct forward *f, const struct gate_ep *ep);
 /* It waits, and no endpoint is left that could resume it. */
-bool go_on_hopeless(struct forward *f);
+bool resume_hopeless(struct forward *f);
 
-/* times.c: how long requests take, and which may begin before a stop */
+/* answer_times.c: how long requests take, and which may begin before a stop */
 /* Events of the answer arrived; the answer ended; the request was abandoned
  * before its end. */
 void times_note_events(struct forward *f);
 void times_note_end(struct forward *f);
-void times_note_left(struct forward *f);
+void times_note_aborted(struct forward *f);
 /* In a planned stop: accounts for the time that sent requests have waited. */
-void times_look_at_open(struct gate *g, int64_t now);
+void times_update_open(struct gate *g, int64_t now);
 /* Least time from sending until an answer begins. */
 int64_t times_first_ms(const struct forward *f);
 /* Whether the end of a planned stop would cut the answer of a request that
  * isn't begun. ep: where it would go; NULL: not chosen yet. */
-bool times_stop_cuts(struct forward *f, const struct gate_ep *ep);
+bool times_stop_would_cut(struct forward *f, const struct gate_ep *ep);
 
-/* turns.c: return slots of refused callers, as a delay in ms from now, random
- * within spread_ms; least_ms: for a single caller */
+/* retry_after.c: return slots of refused callers, as a delay in ms from now,
+ * random within spread_ms; least_ms: for a single caller */
 /* Its model, or plain service, is full or absent. */
-int64_t turns_model_ms(struct forward *f, int64_t least_ms, int64_t spread_ms);
+int64_t retry_after_model_ms(struct forward *f, int64_t least_ms,
+			     int64_t spread_ms);
 /* Its customer's limit is reached. */
-int64_t turns_quota_ms(struct forward *f, int64_t least_ms, int64_t spread_ms);
+int64_t retry_after_quota_ms(struct forward *f, int64_t least_ms,
+			     int64_t spread_ms);
 /* It is sent for the first time. */
-void turns_served(struct forward *f);
+void retry_after_served(struct forward *f);
 
 /* answer.c */
 extern const struct upstream_ops forward_upstream_ops;
@@ -537,24 +539,25 @@
 /* Releases the request's place at its endpoint. */
 void forward_leave_endpoint(struct forward *f);
 
-/* lanes.c */
-struct lane *gate_lane(struct gate *g, const char *service, const char *model);
+/* model_queues.c */
+struct lane *gate_model_queue(struct gate *g, const char *service,
+			      const char *model);
 /* version: empty for requests that may go to any version. */
-struct lane *gate_lane_of(struct gate *g, const char *service,
-			  const char *model, const char *version);
-void lane_add(struct lane *l, struct forward *f);
+struct lane *gate_version_queue(struct gate *g, const char *service,
+				const char *model, const char *version);
+void model_queue_add(struct lane *l, struct forward *f);
 /* Removes a request that is sent, and counts that for its customer's share. */
-void lane_take(struct forward *f);
-void lane_remove(struct forward *f);
+void model_queue_take(struct forward *f);
+void model_queue_remove(struct forward *f);
 /* The next request to be sent; NULL: the queue is empty. */
-struct forward *lane_next(const struct lane *l, int64_t now);
+struct forward *model_queue_next(const struct lane *l, int64_t now);
 /* Sends what can be sent from a service's model queues; service NULL: from all.
  */
-void gate_pump(struct gate *g, const char *service);
+void gate_dispatch(struct gate *g, const char *service);
 /* Name of the rule by which a request was sent, for a log line. */
-const char *lane_turn(const struct forward *f);
-void lanes_init(struct gate *g);
-void lanes_clear(struct gate *g);
+const char *model_queue_rule(const struct forward *f);
+void model_queues_init(struct gate *g);
+void model_queues_clear(struct gate *g);
 
 /* gate.c */
 /* Timing of the service for a stream, of the route for a plain request. */
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -146,10 +146,10 @@
 	}
 	leave_queue(f);
 	record_over_quota(f, retry_after_ms);
-	forward_refuse(f, 429, "quota", "its customer's limit is reached",
-		       turns_quota_ms(f,
-				      MIN(retry_after_ms, QUOTA_RETRY_MAX_MS),
-				      QUOTA_RETRY_SPREAD_MS));
+	forward_refuse(
+		f, 429, "quota", "its customer's limit is reached",
+		retry_after_quota_ms(f, MIN(retry_after_ms, QUOTA_RETRY_MAX_MS),
+				     QUOTA_RETRY_SPREAD_MS));
 	return false;
 }
 
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -124,7 +124,7 @@
 void gate_start_held(struct forward *f, enum balance_refusal none)
 {
 	if (none != BALANCE_START_LIMIT && f->lane &&
-	    lane_next(f->lane, gate_now(f->g)) == f)
+	    model_queue_next(f->lane, gate_now(f->g)) == f)
 		f->lane->starts_ms = 0;
 }
 
--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -289,5 +289,5 @@
 
 	for (size_t i = 0; i < m->replies.n; i++)
 		quota_lease.clients_reply(g->limits, &w[i], gate_now(g));
-	gate_pump(g, NULL);
+	gate_dispatch(g, NULL);
 }
--- a/src/proxy/lanes.c
+++ b/src/proxy/model_queues.c
@@ -9,7 +9,7 @@
 
 /* The model queues of one service: their requests compete for the same
  * endpoints. */
-struct lane_group {
+struct model_queue_group {
 	struct admission admission;
 	GQueue waiting; /* struct lane, the queues that aren't empty */
 	GList link; /* in the gate's list of groups in which a request waits */
@@ -17,13 +17,13 @@
 	const struct admission_head *tried; /* being sent now; NULL: none */
 };
 
-static struct lane_group *group_of(struct gate *g, const char *service)
+static struct model_queue_group *group_of(struct gate *g, const char *service)
 {
-	struct lane_group *gr = g_hash_table_lookup(g->groups, service);
+	struct model_queue_group *gr = g_hash_table_lookup(g->groups, service);
 
 	if (gr)
 		return gr;
-	gr = g_new0(struct lane_group, 1);
+	gr = g_new0(struct model_queue_group, 1);
 	admission_init(&gr->admission);
 	gr->link.data = gr;
 	gr->heads = g_array_new(FALSE, FALSE, sizeof(struct admission_head));
@@ -33,7 +33,7 @@
 
 static void group_free(void *p)
 {
-	struct lane_group *gr = p;
+	struct model_queue_group *gr = p;
 
 	admission_clear(&gr->admission);
 	g_array_unref(gr->heads);
@@ -51,7 +51,7 @@
 	g_free(l);
 }
 
-void lanes_init(struct gate *g)
+void model_queues_init(struct gate *g)
 {
 	struct metrics *m = g->o.metrics;
 
@@ -72,19 +72,20 @@
 	}
 }
 
-void lanes_clear(struct gate *g)
+void model_queues_clear(struct gate *g)
 {
 	g_hash_table_unref(g->lanes);
 	g_hash_table_unref(g->groups);
 }
 
-struct lane *gate_lane(struct gate *g, const char *service, const char *model)
+struct lane *gate_model_queue(struct gate *g, const char *service,
+			      const char *model)
 {
-	return gate_lane_of(g, service, model, "");
+	return gate_version_queue(g, service, model, "");
 }
 
-struct lane *gate_lane_of(struct gate *g, const char *service,
-			  const char *model, const char *version)
+struct lane *gate_version_queue(struct gate *g, const char *service,
+				const char *model, const char *version)
 {
 	char *key = g_strdup_printf("%s\n%s\n%s", service, model, version);
 	struct lane *l = g_hash_table_lookup(g->lanes, key);
@@ -113,9 +114,9 @@
 	return SS_QUEUE_PRIORITIES - 1 - i->priority;
 }
 
-void lane_add(struct lane *l, struct forward *f)
+void model_queue_add(struct lane *l, struct forward *f)
 {
-	struct lane_group *gr = l->group;
+	struct model_queue_group *gr = l->group;
 	struct gate *g = f->g;
 	int priority;
 
@@ -138,7 +139,7 @@
 static void note_removed(struct forward *f)
 {
 	struct lane *l = f->lane;
-	struct lane_group *gr = l->group;
+	struct model_queue_group *gr = l->group;
 	struct gate *g = f->g;
 	int priority = priority_of(&f->item);
 
@@ -158,7 +159,7 @@
  * one: a request that is sent on arrival was preferred to no other. */
 static void count_turn(struct forward *f)
 {
-	struct lane_group *gr = f->lane->group;
+	struct model_queue_group *gr = f->lane->group;
 	const struct admission_head *h = gr->tried;
 
 	if (!h || h->request != f)
@@ -168,26 +169,26 @@
 	*f->g->n_raised += f->turn == ADMISSION_RAISED;
 }
 
-void lane_take(struct forward *f)
+void model_queue_take(struct forward *f)
 {
 	count_turn(f);
 	ss_queue_take(f->lane->waits, &f->item);
 	note_removed(f);
 }
 
-void lane_remove(struct forward *f)
+void model_queue_remove(struct forward *f)
 {
 	ss_queue_remove(f->lane->waits, &f->item);
 	note_removed(f);
 }
 
-struct forward *lane_next(const struct lane *l, int64_t now)
+struct forward *model_queue_next(const struct lane *l, int64_t now)
 {
 	/* The item is the first member of struct forward. */
 	return (struct forward *)ss_queue_peek(l->waits, now, 0);
 }
 
-const char *lane_turn(const struct forward *f)
+const char *model_queue_rule(const struct forward *f)
 {
 	static const char *const turns[] = { "-", "order", "guaranteed",
 					     "raised" };
@@ -228,7 +229,7 @@
 }
 
 /* Collects the heads of the queues that this dispatch hasn't passed yet. */
-static void collect_heads(struct gate *g, struct lane_group *gr)
+static void collect_heads(struct gate *g, struct model_queue_group *gr)
 {
 	g_array_set_size(gr->heads, 0);
 	for (GList *p = gr->waiting.head; p; p = p->next) {
@@ -242,7 +243,7 @@
 
 /* The head of a queue blocks those behind it: what it can't get, none of them
  * may take. Once forward_try() returns true, the request has left its queue. */
-static void try_head(struct gate *g, struct lane_group *gr, size_t at)
+static void try_head(struct gate *g, struct model_queue_group *gr, size_t at)
 {
 	struct admission_head *heads = (struct admission_head *)gr->heads->data;
 	struct admission_head h = heads[at];
@@ -266,7 +267,7 @@
 						  gr->heads->len, at));
 }
 
-static void dispatch_group(struct gate *g, struct lane_group *gr)
+static void dispatch_group(struct gate *g, struct model_queue_group *gr)
 {
 	int at;
 
@@ -279,9 +280,9 @@
 		try_head(g, gr, (size_t)at);
 }
 
-void gate_pump(struct gate *g, const char *service)
+void gate_dispatch(struct gate *g, const char *service)
 {
-	struct lane_group *gr;
+	struct model_queue_group *gr;
 	GList *groups;
 
 	if (*g->n_waiting == 0 || g->pumping)
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -16,7 +16,7 @@
 /* An older crash is no longer reported to a new leader. */
 #define CRASH_REPORT_MAX_AGE_MS (60 * 60 * 1000LL)
 
-const struct fingerprint *forward_print(struct forward *f)
+const struct fingerprint *forward_fingerprint(struct forward *f)
 {
 	const struct http1_head *h = caller_call_head(f->caller);
 
@@ -48,12 +48,13 @@
 
 		if (g_hash_table_contains(g->forwards, f) &&
 		    f->state == FORWARD_WAITS)
-			quarantine_stops(f);
+			quarantine_blocks(f);
 	}
 	g_list_free(all);
 }
 
-void quarantine_end(struct gate *g, const struct fingerprint *fp, uint64_t life)
+void quarantine_note_crash(struct gate *g, const struct fingerprint *fp,
+			   uint64_t life)
 {
 	int64_t now = gate_now(g);
 	bool quarantined = suspects_remaining_ms(g->suspects, fp, now) >= 0;
@@ -64,18 +65,19 @@
 		stop_quarantined(g);
 }
 
-void quarantine_answered(struct forward *f)
+void quarantine_note_answer(struct forward *f)
 {
 	struct gate *g = f->g;
 
 	if (!suspects_any(g->suspects) ||
-	    !suspects_answered(g->suspects, forward_print(f), gate_now(g)))
+	    !suspects_answered(g->suspects, forward_fingerprint(f),
+			       gate_now(g)))
 		return;
 	record(g, &f->print, OUTCOME_ANSWERED, 0);
 	f->trial_told = true;
 }
 
-void quarantine_leave(struct forward *f)
+void quarantine_end_trial(struct forward *f)
 {
 	if (f->trial && !f->trial_told)
 		record(f->g, &f->print, OUTCOME_INCONCLUSIVE, 0);
@@ -109,7 +111,7 @@
 		return;
 	}
 	if (f->lane)
-		lane_remove(f);
+		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	f->ticket = m.sub;
 	f->state = FORWARD_ASKS;
@@ -117,14 +119,14 @@
 	g_hash_table_insert(g->tickets, &f->ticket, f);
 }
 
-bool quarantine_stops(struct forward *f)
+bool quarantine_blocks(struct forward *f)
 {
 	struct gate *g = f->g;
 	int64_t left;
 
 	if (!suspects_any_quarantined(g->suspects))
 		return false;
-	left = suspects_remaining_ms(g->suspects, forward_print(f),
+	left = suspects_remaining_ms(g->suspects, forward_fingerprint(f),
 				     gate_now(g));
 	/* A trial runs at one endpoint only: once sent, it isn't sent again. */
 	if (left < 0 || (f->trial && f->sends == 0))
@@ -138,7 +140,7 @@
 	return true;
 }
 
-void quarantine_ask_tick(struct forward *f, int64_t now)
+void quarantine_trial_tick(struct forward *f, int64_t now)
 {
 	if (now - f->sent_ms >= TRIAL_REPLY_TIMEOUT_MS)
 		refuse(f, TRIAL_RETRY_AFTER_MS);
@@ -168,7 +170,7 @@
 	log_info("trial", "request=%s allowed=%d", f->id, f->trial);
 	service = g_strdup(f->service->name);
 	forward_enqueue(f);
-	gate_pump(g, service);
+	gate_dispatch(g, service);
 	g_free(service);
 }
 
--- a/src/proxy/go_on.c
+++ b/src/proxy/resume.c
@@ -41,7 +41,7 @@
 	f->began_version = g_strdup(fleet_version(&ep->self));
 }
 
-void go_on_begins(struct forward *f)
+void resume_note_begin(struct forward *f)
 {
 	const struct gate_ep *ep = gate_ep_of(f);
 
@@ -52,7 +52,7 @@
 	f->began_life = ep ? ep->life : 0;
 }
 
-bool go_on_fits(const struct forward *f, const struct gate_ep *ep)
+bool resume_fits(const struct forward *f, const struct gate_ep *ep)
 {
 	if (!f->began_version)
 		return true;
@@ -67,11 +67,11 @@
 {
 	return ep->known && !ep->ending && !ep->words.leaving_ms &&
 	       !strcmp(ep->service, f->service->name) &&
-	       (go_on_fits(f, ep) ||
+	       (resume_fits(f, ep) ||
 		(*f->began_version && !*fleet_version(&ep->self)));
 }
 
-bool go_on_hopeless(struct forward *f)
+bool resume_hopeless(struct forward *f)
 {
 	struct gate *g = f->g;
 	GHashTableIter it;
@@ -92,14 +92,14 @@
 
 /* Streams that wait for one version have a queue of their own, so that they
  * don't hold up requests which any endpoint may run. */
-struct lane *go_on_lane(struct forward *f)
+struct lane *resume_queue(struct forward *f)
 {
 	learn_version(f);
 	if (!f->began_version)
 		return f->home;
-	return gate_lane_of(f->g, f->service->name, f->model,
-			    *f->began_version ? f->began_version :
-						GO_ON_UNNAMED);
+	return gate_version_queue(f->g, f->service->name, f->model,
+				  *f->began_version ? f->began_version :
+						      RESUME_UNVERSIONED);
 }
 
 /* Queues of models are kept; a queue of one version is freed once it is empty,
@@ -136,7 +136,7 @@
 	stream_log_add(g->streams, &item, gate_now(g));
 }
 
-void go_on_note(struct forward *f, const struct gate_ep *ep)
+void resume_note_stream(struct forward *f, const struct gate_ep *ep)
 {
 	struct gate *g = f->g;
 	struct unnamed_stream u = { .life = ep->life };
@@ -154,13 +154,13 @@
 		g_array_append_val(g->unnamed, u);
 }
 
-void go_on_seen(struct gate *g, const struct gate_ep *ep)
+void resume_note_version(struct gate *g, const struct gate_ep *ep)
 {
 	if (ep->known && *fleet_version(&ep->self))
 		log_stream(g, 0, ep, STREAM_LIFETIME_MAX_MS);
 }
 
-void go_on_named(struct gate *g, const struct gate_ep *ep)
+void resume_version_known(struct gate *g, const struct gate_ep *ep)
 {
 	if (!g->unnamed->len || !*fleet_version(&ep->self))
 		return;
@@ -175,7 +175,7 @@
 	}
 }
 
-void go_on_tidy(struct gate *g, int64_t now)
+void resume_tidy(struct gate *g, int64_t now)
 {
 	stream_log_expire(g->streams, now);
 	drop_version_queues(g);
@@ -243,7 +243,7 @@
 	if (!usable)
 		return false;
 	forward_set_service(f, s);
-	f->home = gate_lane(g, s->name, f->model);
+	f->home = gate_model_queue(g, s->name, f->model);
 	return true;
 }
 
@@ -272,7 +272,7 @@
 	g->o.ops->ask_stream(g->o.arg, &m);
 }
 
-bool go_on_looks(struct forward *f)
+bool resume_lookup(struct forward *f)
 {
 	struct gate *g = f->g;
 	struct stream_item x;
@@ -305,7 +305,7 @@
 	name = g_strdup(f->service->name);
 	g_hash_table_remove(g->tickets, &f->ticket);
 	forward_enqueue(f);
-	gate_pump(g, name);
+	gate_dispatch(g, name);
 	g_free(name);
 }
 
@@ -325,7 +325,7 @@
 
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &ep))
-		go_on_seen(g, ep);
+		resume_note_version(g, ep);
 	only = stream_log_sole_version(g->streams, f->service->name, now);
 	if (only && now - g->since_ms >= STREAM_LIFETIME_MAX_MS)
 		resume_at_version(f, f->service->name, only, "alone");
@@ -357,9 +357,9 @@
 	g_free(version);
 }
 
-void go_on_tick(struct forward *f, int64_t now)
+void resume_tick(struct forward *f, int64_t now)
 {
-	if (times_stop_cuts(f, NULL))
+	if (times_stop_would_cut(f, NULL))
 		forward_refuse_draining(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		refuse(f, "it can't be begun in time", 0);
--- a/src/proxy/turns.c
+++ b/src/proxy/retry_after.c
@@ -48,7 +48,8 @@
 	       (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
 }
 
-int64_t turns_model_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
+int64_t retry_after_model_ms(struct forward *f, int64_t least_ms,
+			     int64_t spread_ms)
 {
 	struct return_request a = { .key = model_key(f),
 				    .priority = (int)forward_priority(f),
@@ -58,7 +59,8 @@
 	return assign_slot(f, &a, spread_ms);
 }
 
-int64_t turns_quota_ms(struct forward *f, int64_t least_ms, int64_t spread_ms)
+int64_t retry_after_quota_ms(struct forward *f, int64_t least_ms,
+			     int64_t spread_ms)
 {
 	struct return_request a = { .key = quota_key(f),
 				    .cost = f->cost,
@@ -68,7 +70,7 @@
 	return assign_slot(f, &a, spread_ms);
 }
 
-void turns_served(struct forward *f)
+void retry_after_served(struct forward *f)
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
--- a/src/proxy/early.c
+++ b/src/proxy/startup_hold.c
@@ -24,13 +24,14 @@
 	int64_t arrived_ms;
 };
 
-GArray *early_new(void)
+GArray *startup_hold_new(void)
 {
 	return g_array_new(FALSE, FALSE, sizeof(struct held_request));
 }
 
-bool early_hold_until(struct gate *g, struct caller_call *c, struct ss_str body,
-		      int64_t arrived_ms, int64_t until_ms)
+bool startup_hold_until(struct gate *g, struct caller_call *c,
+			struct ss_str body, int64_t arrived_ms,
+			int64_t until_ms)
 {
 	struct held_request e = { c, body, arrived_ms };
 
@@ -41,14 +42,14 @@
 	return true;
 }
 
-bool early_hold(struct gate *g, struct caller_call *c, struct ss_str body,
-		int64_t arrived_ms)
+bool startup_hold_request(struct gate *g, struct caller_call *c,
+			  struct ss_str body, int64_t arrived_ms)
 {
-	return early_hold_until(g, c, body, arrived_ms,
-				g->since_ms + STARTUP_HOLD_MS);
+	return startup_hold_until(g, c, body, arrived_ms,
+				  g->since_ms + STARTUP_HOLD_MS);
 }
 
-void early_gone(struct gate *g, const struct caller_call *c)
+void startup_hold_drop(struct gate *g, const struct caller_call *c)
 {
 	for (guint i = 0; i < g->early->len; i++)
 		if (g_array_index(g->early, struct held_request, i).call == c) {
@@ -57,13 +58,13 @@
 		}
 }
 
-void early_tick(struct gate *g)
+void startup_hold_tick(struct gate *g)
 {
 	GArray *held = g->early;
 
 	if (!held->len)
 		return;
-	g->early = early_new();
+	g->early = startup_hold_new();
 	for (guint i = 0; i < held->len; i++) {
 		const struct held_request *e =
 			&g_array_index(held, struct held_request, i);
--- a/test/test_gate_lifecycle.c
+++ b/test/test_gate_lifecycle.c
@@ -295,7 +295,7 @@
 }
 
 /* A gate without routing refuses once the startup hold is over;
- * test_gate_early tests the hold. */
+ * test_gate_startup_hold tests the hold. */
 static void gate_without_routing_refuses(void **state)
 {
 	struct caller *c;
