--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -92,16 +92,16 @@
 	if (endpoint_limit_update(&a->limit, says.limit_per_s, now_ms(a)))
 		log_info("endpoint_limit", "endpoint=%s per_s=%.3f", a->addr,
 			 a->limit.per_s);
-	if (says.leaving && !a->says_leaving)
+	if (says.draining && !a->says_leaving)
 		log_info("endpoint_leaving", "endpoint=%s", a->addr);
 	/* Unlike an entry, which hears what is sent to one incarnation, an
 	 * agent doesn't know which one has answered. */
-	a->says_leaving = says.leaving;
-	if (!says.rest_ms)
+	a->says_leaving = says.draining;
+	if (!says.backoff_ms)
 		return;
 	log_info("endpoint_asks_rest", "endpoint=%s ms=%" PRId64, a->addr,
-		 says.rest_ms);
-	a->rest_until_ms = now_ms(a) + says.rest_ms;
+		 says.backoff_ms);
+	a->rest_until_ms = now_ms(a) + says.backoff_ms;
 	/* Nothing is ordered until it has told its id again, after that. */
 	forget_instance(a);
 }
--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -30,7 +30,7 @@
 {
 	note_result(f, true);
 	if (f->is_events)
-		events_resume(&f->events);
+		events_drop_partial(&f->events);
 	forward_retry(f, false, why);
 }
 
@@ -51,7 +51,7 @@
 	for (size_t i = 0; i < h->n_fields; i++) {
 		const struct http1_field *x = &h->fields[i];
 
-		if (!f->g->o.platform->answer_header(x->name))
+		if (!f->g->o.platform->forwards_header(x->name))
 			continue;
 		g_string_append_len(f->headers, x->name.p, (gssize)x->name.n);
 		g_string_append(f->headers, ": ");
@@ -118,7 +118,7 @@
 	copy_headers(f, h);
 	f->length = h->length;
 	f->is_events = is_event_stream(h) && h->status == 200;
-	if (f->is_events && !f->events.part)
+	if (f->is_events && !f->events.partial)
 		events_init(&f->events, f->events.last_id);
 	if (!f->held)
 		f->held = g_string_new(NULL);
@@ -133,8 +133,8 @@
 	const char *why;
 
 	f->g->o.platform->read_answer(h, &a);
-	if (a.idle_ms)
-		upstream_keep_for(f->up, a.idle_ms);
+	if (a.keep_alive_ms)
+		upstream_set_keep_alive(f->up, a.keep_alive_ms);
 	if (ep) {
 		gate_ep_load(f->g, ep, &a);
 		gate_words_heard(f, ep, &a);
@@ -254,7 +254,7 @@
 	forward_end(f, true, "");
 }
 
-static void on_failed(void *arg, enum upstream_end end, bool closed)
+static void on_failed(void *arg, enum upstream_failure end, bool closed)
 {
 	struct forward *f = arg;
 
@@ -266,7 +266,7 @@
 	times_note_aborted(f);
 	if (closed)
 		crash_check_begin(f);
-	fail_send(f, upstream_end_name(end));
+	fail_send(f, upstream_failure_name(end));
 }
 
 const struct upstream_ops forward_upstream_ops = { on_head, on_body, on_flush,
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -110,7 +110,7 @@
 	*customer = NULL;
 	if (!g->routing->needs_key)
 		return 0;
-	if (call->keys_clash)
+	if (call->several_keys)
 		return 400;
 	*customer = customers_find(&g->routing->customers, call->key);
 	if (rt->is_public)
--- a/src/proxy/callers.c
+++ b/src/proxy/callers.c
@@ -82,7 +82,7 @@
 	GHashTable *conns;
 	size_t bodies; /* bytes of request bodies, all connections */
 	/* Unread bytes of responses: added to on writes, and recomputed by
-	 * callers_count(). */
+	 * callers_update_unread(). */
 	size_t unread;
 	bool draining;
 };
@@ -112,7 +112,7 @@
 	struct callers *s = p->s;
 
 	if (p->call) {
-		s->o.ops->gone(s->o.arg, p->call);
+		s->o.ops->caller_left(s->o.arg, p->call);
 		g_free(p->call);
 	}
 	g_hash_table_remove(s->conns, p);
@@ -188,7 +188,8 @@
 
 	if (p->body->len + piece.n > s->o.limits.body_bytes)
 		p->too_large = true;
-	if (s->o.memory && s->bodies + piece.n > s->o.memory / BODIES_SHARE)
+	if (s->o.memory_max &&
+	    s->bodies + piece.n > s->o.memory_max / BODIES_SHARE)
 		p->no_memory = true;
 	if (p->too_large || p->no_memory)
 		return;
@@ -222,14 +223,14 @@
 {
 	struct callers *s = p->s;
 	GError *error = NULL;
-	bool at_start = http1_reader_fresh(p->reader);
+	bool at_start = http1_reader_at_start(p->reader);
 
 	if (!http1_read(p->reader, bufferevent_get_input(p->bev), &error)) {
 		refuse(p, error->code == SS_ERROR_TOO_LARGE ? 431 : 400);
 		g_error_free(error);
 		return;
 	}
-	if (at_start && !http1_reader_fresh(p->reader))
+	if (at_start && !http1_reader_at_start(p->reader))
 		p->state_since_ms = now_ms(s);
 	if (p->too_large) {
 		refuse(p, 413);
@@ -276,7 +277,7 @@
 	if (p->finished && !p->write_shut)
 		shut_write(p);
 	else if (p->call && p->call->started)
-		p->s->o.ops->drained(p->s->o.arg, p->call);
+		p->s->o.ops->output_written(p->s->o.arg, p->call);
 }
 
 static void on_event(struct bufferevent *bev, short what, void *arg)
@@ -345,10 +346,10 @@
 bool caller_call_is_full(const struct caller_call *c)
 {
 	const struct callers *s = c->conn->s;
-	size_t budget = s->o.memory / UNREAD_SHARE;
+	size_t budget = s->o.memory_max / UNREAD_SHARE;
 	size_t max = UNREAD_MAX;
 
-	if (s->o.memory)
+	if (s->o.memory_max)
 		max = MIN(max, (budget - MIN(budget, s->unread)) /
 				       UNREAD_FREE_SHARE);
 	return unread_bytes(c->conn) > MAX(max, UNREAD_MIN);
@@ -500,7 +501,7 @@
 
 static bool is_idle(const struct caller_conn *p)
 {
-	return !p->call && http1_reader_fresh(p->reader) &&
+	return !p->call && http1_reader_at_start(p->reader) &&
 	       evbuffer_get_length(bufferevent_get_input(p->bev)) == 0 &&
 	       evbuffer_get_length(bufferevent_get_output(p->bev)) == 0;
 }
@@ -560,17 +561,17 @@
 	return n;
 }
 
-size_t callers_held(const struct callers *s)
+size_t callers_held_bytes(const struct callers *s)
 {
 	return s->bodies;
 }
 
-size_t callers_unread(const struct callers *s)
+size_t callers_unread_bytes(const struct callers *s)
 {
 	return s->unread;
 }
 
-void callers_count(struct callers *s)
+void callers_update_unread(struct callers *s)
 {
 	GHashTableIter it;
 	void *p;
@@ -594,14 +595,15 @@
 		if (age > (p->write_shut ? LINGER_MS : UNACKED_MS))
 			conn_close(p);
 	} else if (is_idle(p)) {
-		if (age > l->idle_ms)
+		if (age > l->idle_timeout_ms)
 			conn_close(p);
-	} else if (!http1_reader_fresh(p->reader) && age > l->head_ms) {
+	} else if (!http1_reader_at_start(p->reader) &&
+		   age > l->head_timeout_ms) {
 		refuse(p, 408);
 	}
 }
 
-void callers_tidy(struct callers *s)
+void callers_check_timeouts(struct callers *s)
 {
 	GList *all = all_conns(s);
 	int64_t now = now_ms(s);
--- a/src/proxy/callers.h
+++ b/src/proxy/callers.h
@@ -16,8 +16,8 @@
 
 struct callers_limits {
 	size_t head_bytes, body_bytes;
-	int64_t head_ms; /* timeout for a complete head */
-	int64_t idle_ms; /* keep-alive timeout between requests */
+	int64_t head_timeout_ms; /* timeout for a complete head */
+	int64_t idle_timeout_ms; /* keep-alive timeout between requests */
 };
 
 struct callers_ops {
@@ -28,9 +28,9 @@
 	void (*request)(void *arg, struct caller_call *c,
 			const struct http1_head *h, struct ss_str body);
 	/* All output written so far was passed to the kernel. */
-	void (*drained)(void *arg, struct caller_call *c);
+	void (*output_written)(void *arg, struct caller_call *c);
 	/* The caller has disconnected; c is freed on return. */
-	void (*gone)(void *arg, struct caller_call *c);
+	void (*caller_left)(void *arg, struct caller_call *c);
 	/* A request was refused as malformed, too large or too slow, or for
 	 * lack of memory. */
 	void (*refused)(void *arg, int status);
@@ -43,7 +43,7 @@
 	struct callers_limits limits;
 	/* Memory for request bodies and for responses that callers haven't
 	 * read, over all connections, in bytes; 0: unlimited. */
-	size_t memory;
+	size_t memory_max;
 	const struct callers_ops *ops;
 	void *arg;
 };
@@ -64,12 +64,12 @@
 /* Number of connections that have a request or unwritten output. */
 size_t callers_busy(const struct callers *s);
 /* Bytes of request bodies, and of responses that callers haven't read yet. */
-size_t callers_held(const struct callers *s);
-size_t callers_unread(const struct callers *s);
+size_t callers_held_bytes(const struct callers *s);
+size_t callers_unread_bytes(const struct callers *s);
 /* Recompute the unread bytes; to be called at each tick. */
-void callers_count(struct callers *s);
+void callers_update_unread(struct callers *s);
 /* Enforce the timeouts of connections; to be called periodically. */
-void callers_tidy(struct callers *s);
+void callers_check_timeouts(struct callers *s);
 
 void caller_call_set_data(struct caller_call *c, void *data);
 void *caller_call_data(const struct caller_call *c);
--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -66,7 +66,7 @@
 
 	c->probe = NULL;
 	c->wait_until_ms = gate_now(g) + CLOSED_WAIT_MS;
-	if (r == PROBE_REFUSED && upstream_reaches(g->upstream, c->addr))
+	if (r == PROBE_REFUSED && upstream_is_connected(g->upstream, c->addr))
 		return;
 	if (r == PROBE_REFUSED)
 		confirm(c);
@@ -77,7 +77,8 @@
 {
 	for (guint i = g->endings->len; i-- > 0;) {
 		struct crash_check *c = g->endings->pdata[i];
-		bool no_connection = !upstream_reaches(g->upstream, c->addr);
+		bool no_connection =
+			!upstream_is_connected(g->upstream, c->addr);
 
 		if (c->probe || (!no_connection && now < c->wait_until_ms))
 			continue;
--- a/src/proxy/events.c
+++ b/src/proxy/events.c
@@ -3,15 +3,15 @@
 
 void events_init(struct events *e, int64_t last_id)
 {
-	e->part = g_string_new(NULL);
+	e->partial = g_string_new(NULL);
 	e->last_id = last_id;
 }
 
 void events_clear(struct events *e)
 {
-	if (e->part)
-		g_string_free(e->part, TRUE);
-	e->part = NULL;
+	if (e->partial)
+		g_string_free(e->partial, TRUE);
+	e->partial = NULL;
 }
 
 /* Length of the first complete event, which ends in an empty line; 0: none. */
@@ -57,15 +57,15 @@
 
 bool events_add(struct events *e, struct ss_str bytes, GString *out)
 {
-	bool buffered = e->part->len > 0;
+	bool buffered = e->partial->len > 0;
 	struct ss_str rest = bytes;
 	size_t n;
 
 	/* Bytes are copied only if an incomplete event is buffered; usually a
 	 * piece is exactly one event. */
 	if (buffered) {
-		g_string_append_len(e->part, bytes.p, (gssize)bytes.n);
-		rest = ss_str_gs(e->part);
+		g_string_append_len(e->partial, bytes.p, (gssize)bytes.n);
+		rest = ss_str_gs(e->partial);
 	}
 	while ((n = event_length(rest))) {
 		int64_t id = event_id(rest.p, n);
@@ -82,18 +82,19 @@
 		rest.n -= n;
 	}
 	if (buffered)
-		g_string_erase(e->part, 0, (gssize)(e->part->len - rest.n));
+		g_string_erase(e->partial, 0,
+			       (gssize)(e->partial->len - rest.n));
 	else
-		g_string_append_len(e->part, rest.p, (gssize)rest.n);
-	return e->part->len <= EVENT_MAX;
+		g_string_append_len(e->partial, rest.p, (gssize)rest.n);
+	return e->partial->len <= EVENT_MAX;
 }
 
 bool events_at_end(const struct events *e)
 {
-	return e->part->len == 0;
+	return e->partial->len == 0;
 }
 
-void events_resume(struct events *e)
+void events_drop_partial(struct events *e)
 {
-	g_string_truncate(e->part, 0);
+	g_string_truncate(e->partial, 0);
 }
--- a/src/proxy/events.h
+++ b/src/proxy/events.h
@@ -12,9 +12,9 @@
 #define EVENT_MAX (1u << 20)
 
 struct events {
-	GString *part;	 /* bytes of an incomplete event */
-	int64_t last_id; /* of the last complete event; -1: none */
-	uint64_t count;	 /* complete events so far */
+	GString *partial; /* bytes of an incomplete event */
+	int64_t last_id;  /* of the last complete event; -1: none */
+	uint64_t count;	  /* complete events so far */
 };
 
 void events_init(struct events *e, int64_t last_id);
@@ -29,6 +29,6 @@
 /* No incomplete event is buffered. */
 bool events_at_end(const struct events *e);
 /* Discard an incomplete event: the stream resumes from another endpoint. */
-void events_resume(struct events *e);
+void events_drop_partial(struct events *e);
 
 #endif
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -132,7 +132,8 @@
 
 struct ss_str forward_resumed_request(const struct forward *f)
 {
-	struct ss_str s = f->call.resumes.n ? f->call.resumes : SS_LIT("-");
+	struct ss_str s = f->call.resumed_id.n ? f->call.resumed_id :
+						 SS_LIT("-");
 
 	s.n = MIN(s.n, RESUMES_LOG_MAX);
 	return s;
@@ -325,20 +326,21 @@
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
-	struct platform_send s = { .deadline_ms = f->deadline_ms - now,
-				   .instance = ss_str(ep->self.id),
-				   .priority = MIN(forward_priority(f), 9),
-				   .keyed = f->keyed,
-				   .customer = ss_str(forward_customer(f)),
-				   .after_event = f->is_events ?
-							  f->events.last_id :
-							  f->call.after_event };
+	struct platform_request_headers s = {
+		.deadline_ms = f->deadline_ms - now,
+		.instance = ss_str(ep->self.id),
+		.priority = MIN(forward_priority(f), 9),
+		.drop_keys = f->keyed,
+		.customer = ss_str(forward_customer(f)),
+		.after_event = f->is_events ? f->events.last_id :
+					      f->call.after_event
+	};
 	const struct http1_head *h = caller_call_head(f->caller);
 	struct upstream_request r = {
 		.addr = ep->addr,
 		.bytes = g_string_sized_new(1024),
 		.no_body = http1_name_is(h->method, "HEAD"),
-		.rest_max_ms = is_repeatable(f) ? IDLE_MAX_REPEATABLE_MS :
+		.idle_max_ms = is_repeatable(f) ? IDLE_MAX_REPEATABLE_MS :
 						  IDLE_MAX_ONCE_MS,
 		.ops = &forward_upstream_ops,
 		.arg = f
@@ -656,7 +658,7 @@
 		tick_adapter(f, now);
 	} else if (is_lost(f, now)) {
 		if (f->is_events)
-			events_resume(&f->events);
+			events_drop_partial(&f->events);
 		forward_retry(f, false, "the endpoint has restarted");
 	} else if (now < f->deadline_ms) {
 		return;
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -82,7 +82,8 @@
 	if (status == 503) {
 		(*g->n_no_room)++;
 		log_warn("no_room", "held=%zu unread=%zu",
-			 callers_held(g->callers), callers_unread(g->callers));
+			 callers_held_bytes(g->callers),
+			 callers_unread_bytes(g->callers));
 		return;
 	}
 	(*g->n_bad)++;
@@ -98,8 +99,8 @@
 {
 	struct callers_limits l = { .head_bytes = (size_t)r->limits.head_bytes,
 				    .body_bytes = (size_t)r->limits.body_bytes,
-				    .head_ms = r->limits.head_ms,
-				    .idle_ms = r->limits.idle_ms };
+				    .head_timeout_ms = r->limits.head_ms,
+				    .idle_timeout_ms = r->limits.idle_ms };
 
 	if (r->version <= g->routing_version)
 		return;
@@ -318,16 +319,16 @@
 	quarantine_tick(g, now);
 	quota_tick(g);
 	gate_limits_tick(g, now);
-	callers_count(g->callers);
-	*g->n_held = callers_held(g->callers);
-	*g->n_unread = callers_unread(g->callers);
+	callers_update_unread(g->callers);
+	*g->n_held = callers_held_bytes(g->callers);
+	*g->n_unread = callers_unread_bytes(g->callers);
 	tick_forwards(g, now);
 	gate_dispatch(g, NULL);
 	if (now - g->tidy_ms < TIDY_MS)
 		return;
 	g->tidy_ms = now;
-	callers_tidy(g->callers);
-	upstream_tidy(g->upstream);
+	callers_check_timeouts(g->callers);
+	upstream_close_expired(g->upstream);
 	resume_tidy(g, now);
 	return_slots_expire(g->turns, now);
 }
@@ -402,7 +403,7 @@
 				      .clock = o->clock,
 				      .addr = o->addr,
 				      .limits = initial_limits,
-				      .memory = o->memory,
+				      .memory_max = o->memory,
 				      .ops = &callers_table,
 				      .arg = g };
 	struct upstream_options uo = {
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -114,7 +114,7 @@
 	ep->busy = ep->ending = false;
 	g_hash_table_remove_all(ep->calls);
 	g_hash_table_remove_all(ep->held);
-	upstream_forget(g->upstream, ep->addr);
+	upstream_close_idle(g->upstream, ep->addr);
 }
 
 static enum fleet_relation
@@ -202,7 +202,7 @@
 	ep->slots = e->slots;
 	ep->known = !e->gone;
 	if (!ep->known)
-		upstream_forget(g->upstream, ep->addr);
+		upstream_close_idle(g->upstream, ep->addr);
 	if (how == FLEET_STALE)
 		return;
 	ep->leaving = e->unusable;
@@ -260,7 +260,7 @@
 
 		if (ep->known || ep->own || gate_words_hold(g, ep))
 			continue;
-		upstream_forget(g->upstream, ep->addr);
+		upstream_close_idle(g->upstream, ep->addr);
 		g_hash_table_iter_remove(&it);
 	}
 }
@@ -478,7 +478,7 @@
 	ep->reported = a->running + a->waiting;
 	ep->since = 0;
 	ep->reported_ms = gate_now(g);
-	speed_work_received(&ep->speed, a->work_percent, gate_now(g));
+	speed_work_received(&ep->speed, a->work_time_percent, gate_now(g));
 	if (a->slots > 0)
 		ep->slots = a->slots;
 }
--- a/src/proxy/gate_words.c
+++ b/src/proxy/gate_words.c
@@ -72,7 +72,7 @@
 	int64_t now = gate_now(g);
 
 	ep->words.trial_ms = 0;
-	if (!a->rest_ms) {
+	if (!a->backoff_ms) {
 		if (now >= ep->words.rest_until_ms)
 			ep->words.rest_until_ms = 0;
 		return;
@@ -80,10 +80,10 @@
 	(*g->n_rests)++;
 	log_info("endpoint_asks_rest",
 		 "addr=%s id=%s ms=%" PRId64 " left_before=%" PRId64, ep->addr,
-		 ep->self.id, a->rest_ms,
+		 ep->self.id, a->backoff_ms,
 		 MAX(ep->words.rest_until_ms - now, 0));
 	ep->words.rest_until_ms =
-		MAX(ep->words.rest_until_ms, now + a->rest_ms);
+		MAX(ep->words.rest_until_ms, now + a->backoff_ms);
 	ep->words.rest_told = false;
 	g->o.ops->demand(g->o.arg);
 }
@@ -104,7 +104,7 @@
 {
 	receive_limit(f, ep, a);
 	receive_backoff(f->g, ep, a);
-	if (a->leaving)
+	if (a->draining)
 		receive_draining(f->g, ep);
 }
 
--- a/src/proxy/http1.c
+++ b/src/proxy/http1.c
@@ -221,7 +221,7 @@
 	g_free(r);
 }
 
-bool http1_reader_fresh(const struct http1_reader *r)
+bool http1_reader_at_start(const struct http1_reader *r)
 {
 	return !r->started;
 }
--- a/src/proxy/http1.h
+++ b/src/proxy/http1.h
@@ -77,6 +77,6 @@
 bool http1_read_eof(struct http1_reader *r);
 
 /* No byte of the next message has been parsed yet. */
-bool http1_reader_fresh(const struct http1_reader *r);
+bool http1_reader_at_start(const struct http1_reader *r);
 
 #endif
--- a/src/proxy/platform_ops.h
+++ b/src/proxy/platform_ops.h
@@ -21,18 +21,18 @@
 	int64_t after_event; /* resume after this event; -1: from the start */
 	/* For a resumed stream, the id of the request whose response delivered
 	 * its first event; empty: not stated. */
-	struct ss_str resumes;
+	struct ss_str resumed_id;
 	struct ss_str key; /* of its customer; empty: none, or unreadable */
-	bool keys_clash;   /* the request has more than one key */
+	bool several_keys; /* the request has more than one key */
 };
 
 /* Headers that the gate sets on a request that it forwards. */
-struct platform_send {
+struct platform_request_headers {
 	int64_t deadline_ms;	/* time left until the deadline */
 	struct ss_str instance; /* id of the required instance; empty: any */
 	int64_t priority;	/* 0 (first) to 9 */
 	int64_t after_event;	/* resume after this event; -1: don't */
-	bool keyed;		/* drop the caller's key and customer headers */
+	bool drop_keys;		/* drop the caller's key and customer headers */
 	struct ss_str customer; /* sender of the request; empty: unknown */
 };
 
@@ -42,19 +42,19 @@
 	bool authentic; /* the endpoint's signature is present */
 	bool encoded;	/* the body has a content coding, such as gzip */
 	struct ss_str id;
-	int64_t idle_ms; /* keep-alive timeout; 0: not stated */
+	int64_t keep_alive_ms; /* keep-alive timeout; 0: not stated */
 	bool has_load;
 	int64_t running, waiting, slots;
 	/* Current duration of a unit of work on the endpoint, in percent of
 	 * the usual; 0: not reported, or unreadable. */
-	int64_t work_percent;
+	int64_t work_time_percent;
 	/* Rate limit that the endpoint states, in requests per second over all
 	 * VMs; -1: none. */
 	double limit_per_s;
-	bool leaving; /* the endpoint is draining: no new requests */
+	bool draining; /* the endpoint is draining: no new requests */
 	/* Backoff that the endpoint asks of this VM as it refuses a request;
 	 * 0: none. */
-	int64_t rest_ms;
+	int64_t backoff_ms;
 };
 
 struct platform_ops {
@@ -92,11 +92,12 @@
 			  GError **error);
 	/* Append a request's head, with the headers that may be forwarded. */
 	void (*write_request)(GString *out, const struct http1_head *h,
-			      const struct platform_send *s, size_t body_bytes);
+			      const struct platform_request_headers *s,
+			      size_t body_bytes);
 	void (*read_answer)(const struct http1_head *h,
 			    struct platform_answer *a);
 	/* Whether a response's header is forwarded to the caller. */
-	bool (*answer_header)(struct ss_str name);
+	bool (*forwards_header)(struct ss_str name);
 };
 
 #endif
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -279,9 +279,9 @@
 
 	if (f->route->kind != ROUTE_STREAM || f->call.after_event < 0)
 		return false;
-	if (f->call.resumes.n)
+	if (f->call.resumed_id.n)
 		f->taken_up = stream_key(ss_str(forward_customer(f)),
-					 f->call.resumes);
+					 f->call.resumed_id);
 	if (f->taken_up &&
 	    stream_log_find(g->streams, f->taken_up, gate_now(g), &x))
 		return !bind_to_version(f, x.service, x.version, "here");
--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -54,7 +54,7 @@
 	GHashTable *conns; /* all */
 };
 
-const char *upstream_end_name(enum upstream_end e)
+const char *upstream_failure_name(enum upstream_failure e)
 {
 	static const char *const names[] = {
 		[UPSTREAM_NOT_SENT] = "not_sent",
@@ -125,7 +125,8 @@
 	return r;
 }
 
-static void fail(struct upstream_conn *l, enum upstream_end end, bool closed)
+static void fail(struct upstream_conn *l, enum upstream_failure end,
+		 bool closed)
 {
 	struct upstream_request r;
 
@@ -223,12 +224,13 @@
 		conn_close(l);
 }
 
-static enum upstream_end failure_of(const struct upstream_conn *l)
+static enum upstream_failure failure_of(const struct upstream_conn *l)
 {
 	if (!l->connected)
 		return UPSTREAM_NOT_SENT;
-	return l->got_head || !http1_reader_fresh(l->reader) ? UPSTREAM_CUT :
-							       UPSTREAM_SILENT;
+	return l->got_head || !http1_reader_at_start(l->reader) ?
+		       UPSTREAM_CUT :
+		       UPSTREAM_SILENT;
 }
 
 /* True if the peer's kernel closed or reset the connection, as it does when the
@@ -370,7 +372,7 @@
 				    const struct upstream_request *r)
 {
 	struct upstream_call *c = g_new0(struct upstream_call, 1);
-	struct upstream_conn *l = take_idle_conn(u, r->addr, r->rest_max_ms);
+	struct upstream_conn *l = take_idle_conn(u, r->addr, r->idle_max_ms);
 	struct timeval soon = { 0, 0 };
 
 	c->r = *r;
@@ -407,7 +409,7 @@
 	conn_reset(l);
 }
 
-void upstream_keep_for(struct upstream_call *c, int64_t idle_ms)
+void upstream_set_keep_alive(struct upstream_call *c, int64_t idle_ms)
 {
 	if (c->conn)
 		c->conn->keep_alive_ms = idle_ms;
@@ -423,7 +425,7 @@
 		bufferevent_enable(c->conn->bev, EV_READ);
 }
 
-bool upstream_reaches(const struct upstream *u, const char *addr)
+bool upstream_is_connected(const struct upstream *u, const char *addr)
 {
 	GHashTableIter it;
 	void *p;
@@ -438,7 +440,7 @@
 	return false;
 }
 
-void upstream_forget(struct upstream *u, const char *addr)
+void upstream_close_idle(struct upstream *u, const char *addr)
 {
 	GQueue *q = g_hash_table_lookup(u->idle, addr);
 	GList *all = q ? g_list_copy(q->head) : NULL;
@@ -448,7 +450,7 @@
 	g_list_free(all);
 }
 
-void upstream_tidy(struct upstream *u)
+void upstream_close_expired(struct upstream *u)
 {
 	int64_t now = now_ms(u);
 	GHashTableIter it;
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -11,14 +11,14 @@
 #include "http1.h"
 
 /* How a request failed that got no complete response. */
-enum upstream_end {
+enum upstream_failure {
 	UPSTREAM_NOT_SENT, /* no connection: nothing was sent */
 	UPSTREAM_SILENT,   /* sent, but no byte of a response came */
 	UPSTREAM_CUT,	   /* the response broke off */
 	UPSTREAM_GARBLED,  /* the response is malformed */
 };
 
-const char *upstream_end_name(enum upstream_end e);
+const char *upstream_failure_name(enum upstream_failure e);
 
 struct upstream;      /* all connections */
 struct upstream_call; /* a request in progress */
@@ -37,7 +37,7 @@
 	 * endpoint's VM closed or reset the connection; otherwise this side
 	 * did, after a timeout or an error.
 	 */
-	void (*failed)(void *arg, enum upstream_end end, bool closed);
+	void (*failed)(void *arg, enum upstream_failure end, bool closed);
 };
 
 struct upstream_options {
@@ -56,7 +56,7 @@
 	 * path may have dropped its state, and then it is unknown whether the
 	 * request arrived.
 	 */
-	int64_t rest_max_ms;
+	int64_t idle_max_ms;
 	const struct upstream_ops *ops;
 	void *arg;
 };
@@ -70,14 +70,14 @@
 /* Reset the request's connection, so that the endpoint can abort it. */
 void upstream_cancel(struct upstream_call *c);
 /* Set the endpoint's keep-alive timeout, as stated in its response. */
-void upstream_keep_for(struct upstream_call *c, int64_t idle_ms);
+void upstream_set_keep_alive(struct upstream_call *c, int64_t idle_ms);
 /* Pause or resume reading: the caller may be slower than the endpoint. */
 void upstream_pause(struct upstream_call *c, bool pause);
 /* An established connection to addr exists, in use or idle. */
-bool upstream_reaches(const struct upstream *u, const char *addr);
+bool upstream_is_connected(const struct upstream *u, const char *addr);
 /* Close the idle connections to an endpoint that has stopped. */
-void upstream_forget(struct upstream *u, const char *addr);
+void upstream_close_idle(struct upstream *u, const char *addr);
 /* Close connections that were idle too long; to be called periodically. */
-void upstream_tidy(struct upstream *u);
+void upstream_close_expired(struct upstream *u);
 
 #endif
--- a/test/fuzz/fuzz.c
+++ b/test/fuzz/fuzz.c
@@ -212,7 +212,8 @@
 
 static void on_head(void *arg, const struct http1_head *h)
 {
-	struct platform_send send = { .deadline_ms = 5, .after_event = 1 };
+	struct platform_request_headers send = { .deadline_ms = 5,
+						 .after_event = 1 };
 	struct platform_answer answer;
 	struct platform_call call;
 	GString *out = arg;
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -502,7 +502,7 @@
 	struct platform_answer answer;
 	bool call_ok;
 	GString *sent;
-	const struct platform_send *send;
+	const struct platform_request_headers *send;
 };
 
 static void on_head(void *arg, const struct http1_head *h)
@@ -594,10 +594,10 @@
  * others are, unchanged. */
 static void internal_headers_are_replaced(void **state)
 {
-	struct platform_send send = { .deadline_ms = 1500,
-				      .instance = SS_LIT("i-1"),
-				      .priority = 2,
-				      .after_event = -1 };
+	struct platform_request_headers send = { .deadline_ms = 1500,
+						 .instance = SS_LIT("i-1"),
+						 .priority = 2,
+						 .after_event = -1 };
 	struct heads x = { .sent = g_string_new(NULL), .send = &send };
 
 	(void)state;
@@ -725,10 +725,10 @@
 		    x.answer.encoded != c->encoded ||
 		    x.answer.has_load != c->has_load ||
 		    (c->has_load && !load_is_read(&x.answer)) ||
-		    x.answer.idle_ms != c->idle_ms ||
+		    x.answer.keep_alive_ms != c->idle_ms ||
 		    x.answer.limit_per_s != c->limit_per_s ||
-		    x.answer.leaving != c->draining ||
-		    x.answer.rest_ms != c->backoff_ms)
+		    x.answer.draining != c->draining ||
+		    x.answer.backoff_ms != c->backoff_ms)
 			fail_msg("%s: read wrongly", c->label);
 	}
 }
@@ -767,9 +767,9 @@
 
 		read_head(&x, false, text);
 		if (!x.answer.has_load || !load_is_read(&x.answer) ||
-		    x.answer.work_percent != c->percent)
+		    x.answer.work_time_percent != c->percent)
 			fail_msg("%s: %" PRId64, c->load,
-				 x.answer.work_percent);
+				 x.answer.work_time_percent);
 		g_free(text);
 	}
 }
