--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -339,7 +339,7 @@
 void gate_speed_weigh(struct forward *f, struct balance_node *n,
 		      const GPtrArray *eps);
 
-/* gate_words.c: signals that endpoints state in their answers */
+/* gate_signals.c: signals that endpoints state in their answers */
 /* Takes the signals of an answer; takes a limit that the leader reported. */
 void gate_words_heard(struct forward *f, struct gate_ep *ep,
 		      const struct platform_answer *a);
