--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -273,7 +273,7 @@
 
 	switch (f->kind) {
 	case MSG_TERM:
-		gate_routing_told(e->gate, f->u.term.routing);
+		gate_routing_reported(e->gate, f->u.term.routing);
 		routing_fetch_want(e->routing, e->link, f->u.term.routing);
 		break;
 	case MSG_FLEET:
@@ -326,11 +326,12 @@
 /* At once: the next endpoint may end meanwhile. */
 static void send_ends(struct fleet_entry *e)
 {
-	struct gate_ends r;
+	struct gate_crash_report r;
 
-	if (e->link_up && gate_ends(e->gate, &r))
-		gate_ends_done(e->gate, &r,
-			       link_send(e->link, MSG_RUN_OUTCOMES, &r.m));
+	if (e->link_up && gate_crash_report(e->gate, &r))
+		gate_crash_report_done(e->gate, &r,
+				       link_send(e->link, MSG_RUN_OUTCOMES,
+						 &r.m));
 }
 
 /* At once: this process may end before their callers do. */
@@ -338,9 +339,9 @@
 {
 	struct stream_wire w;
 
-	if (e->link_up && gate_streams(e->gate, &w))
-		gate_streams_done(e->gate, &w,
-				  link_send(e->link, MSG_STREAMS, &w.m));
+	if (e->link_up && gate_stream_report(e->gate, &w))
+		gate_stream_report_done(e->gate, &w,
+					link_send(e->link, MSG_STREAMS, &w.m));
 }
 
 static void on_list(void *arg, struct fleet_list *all)
@@ -403,7 +404,7 @@
 			 gate_busy(e->gate));
 	}
 	if (over)
-		gate_give_up(e->gate);
+		gate_abort(e->gate);
 	if ((nobody_comes || over) && gate_busy(e->gate) == 0)
 		daemon_exit(e->d, 0);
 }
@@ -419,10 +420,10 @@
 	routing_fetch_tick(e->routing);
 	send_ends(e);
 	send_streams(e);
-	send_asks(e, MSG_QUOTA_REQUEST, gate_quota_asks);
+	send_asks(e, MSG_QUOTA_REQUEST, gate_quota_requests);
 	send_demand(e, now);
 	/* The leader hears of a limit first. */
-	send_asks(e, MSG_LIMIT_REQUEST, gate_limit_asks);
+	send_asks(e, MSG_LIMIT_REQUEST, gate_limit_requests);
 	instances_run(e->list,
 		      !e->link_up &&
 			      now - e->leader_ms > (gate_knows_fleet(e->gate) ?
--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -14,7 +14,7 @@
 
 	if (!ep)
 		return;
-	gate_ep_note(f->g, ep, failed);
+	gate_ep_note_result(f->g, ep, failed);
 	/* These counts are reported to the leader. Requests that never reached
 	 * the endpoint, or whose callers left without an answer, aren't among
 	 * them: this VM may be at fault. */
@@ -69,12 +69,12 @@
 	if (h->status == 421) {
 		why = "the endpoint doesn't hold it";
 		if (ep && *f->model)
-			gate_ep_lacks(ep, f->model, f->adapter);
+			gate_ep_remove_model(ep, f->model, f->adapter);
 		if (ep && !*f->model)
-			gate_ep_note(f->g, ep, true);
+			gate_ep_note_result(f->g, ep, true);
 	} else if (ep) {
 		/* The endpoint has more load than it last reported. */
-		ep->reported = MAX(ep->reported, ep->slots);
+		ep->reported_calls = MAX(ep->reported_calls, ep->slots);
 		ep->reported_ms = gate_now(f->g);
 	}
 	forward_retry(f, true, why);
@@ -111,7 +111,7 @@
 
 static void accept_answer(struct forward *f, const struct http1_head *h)
 {
-	f->state = FORWARD_ANSWERS;
+	f->state = FORWARD_ANSWERING;
 	if (f->started)
 		return;
 	f->status = h->status;
@@ -120,9 +120,9 @@
 	f->is_events = is_event_stream(h) && h->status == 200;
 	if (f->is_events && !f->events.partial)
 		events_init(&f->events, f->events.last_id);
-	if (!f->held)
-		f->held = g_string_new(NULL);
-	g_string_truncate(f->held, 0);
+	if (!f->withheld)
+		f->withheld = g_string_new(NULL);
+	g_string_truncate(f->withheld, 0);
 }
 
 static void on_head(void *arg, const struct http1_head *h)
@@ -136,8 +136,8 @@
 	if (a.keep_alive_ms)
 		upstream_set_keep_alive(f->up, a.keep_alive_ms);
 	if (ep) {
-		gate_ep_load(f->g, ep, &a);
-		gate_words_heard(f, ep, &a);
+		gate_ep_update_load(f->g, ep, &a);
+		gate_signals_received(f, ep, &a);
 	}
 	why = why_corrupt(f, h, &a);
 	if (why)
@@ -165,17 +165,17 @@
 /* Stops reading from the endpoint while the caller reads too slowly. */
 static void pause_if_caller_full(struct forward *f)
 {
-	if (f->paused || !caller_call_is_full(f->caller))
+	if (f->reading_paused || !caller_call_is_full(f->caller))
 		return;
-	f->paused = f->slowed = true;
+	f->reading_paused = f->caller_delayed = true;
 	upstream_pause(f->up, true);
 }
 
 void forward_unpause(struct forward *f)
 {
-	if (!f->paused)
+	if (!f->reading_paused)
 		return;
-	f->paused = false;
+	f->reading_paused = false;
 	if (f->up)
 		upstream_pause(f->up, false);
 }
@@ -184,7 +184,7 @@
 static void relay_events(struct forward *f, struct ss_str piece)
 {
 	/* A stream uses the buffer for nothing else. */
-	GString *complete = f->held;
+	GString *complete = f->withheld;
 
 	g_string_truncate(complete, 0);
 	if (!events_add(&f->events, piece, complete)) {
@@ -204,19 +204,19 @@
 	struct forward *f = arg;
 
 	/* The send was given up when the answer's head was read. */
-	if (f->state != FORWARD_ANSWERS)
+	if (f->state != FORWARD_ANSWERING)
 		return;
 	if (f->is_events) {
 		relay_events(f, piece);
 		return;
 	}
-	if (!f->started && f->held->len + piece.n <= BUFFER_MAX_BYTES) {
-		g_string_append_len(f->held, piece.p, (gssize)piece.n);
+	if (!f->started && f->withheld->len + piece.n <= BUFFER_MAX_BYTES) {
+		g_string_append_len(f->withheld, piece.p, (gssize)piece.n);
 		return;
 	}
 	if (!f->started) {
 		start_answer(f, f->length);
-		caller_call_write(f->caller, ss_str_gs(f->held));
+		caller_call_write(f->caller, ss_str_gs(f->withheld));
 	}
 	caller_call_write(f->caller, piece);
 }
@@ -248,8 +248,8 @@
 	if (!f->started && f->is_events) {
 		start_answer(f, -1);
 	} else if (!f->started) {
-		start_answer(f, (int64_t)f->held->len);
-		caller_call_write(f->caller, ss_str_gs(f->held));
+		start_answer(f, (int64_t)f->withheld->len);
+		caller_call_write(f->caller, ss_str_gs(f->withheld));
 	}
 	forward_end(f, true, "");
 }
--- a/src/proxy/answer_times.c
+++ b/src/proxy/answer_times.c
@@ -25,29 +25,30 @@
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
-	add(f->stream_timing, ms);
+	add(f->timing, ms);
 	if (!is_stream(f))
 		return;
-	add(&f->home->stream_timing, ms);
+	add(&f->home_queue->timing, ms);
 	if (ep)
-		add(&ep->stream_timing, ms);
+		add(&ep->timing, ms);
 }
 
 /* Tracks the longest pause between events: a stream also counts as late where
  * its events pause for longer than its route allows. */
 static void note_pause(struct forward *f, int64_t now)
 {
-	if (f->events.count == f->event)
+	if (f->events.count == f->last_event)
 		return;
-	if (f->event)
-		f->pause_ms = MAX(f->pause_ms, now - f->event_ms);
+	if (f->last_event)
+		f->longest_pause_ms =
+			MAX(f->longest_pause_ms, now - f->last_event_ms);
 	/* Before the first event of this send the stream was at another
 	 * endpoint. */
-	if (f->mark.events && !f->slowed)
-		gate_start_pause(f, now - f->event_ms);
-	f->slowed = f->paused;
-	f->event = f->events.count;
-	f->event_ms = now;
+	if (f->event_mark.events && !f->caller_delayed)
+		gate_start_pause(f, now - f->last_event_ms);
+	f->caller_delayed = f->reading_paused;
+	f->last_event = f->events.count;
+	f->last_event_ms = now;
 }
 
 void times_note_events(struct forward *f)
@@ -57,15 +58,15 @@
 
 	note_pause(f, now);
 
-	if (f->mark.events == 0) {
+	if (f->event_mark.events == 0) {
 		gate_speed_answered(f);
 		note_sample(f, timing_record_first, (double)(now - f->sent_ms));
 		gate_start_first(f, now - f->sent_ms);
-		f->mark = (struct timing_mark){ now, f->events.count };
-	} else if (timing_measure_gap(&f->mark, f->events.count, now,
+		f->event_mark = (struct timing_mark){ now, f->events.count };
+	} else if (timing_measure_gap(&f->event_mark, f->events.count, now,
 				      &gap_ms)) {
 		note_sample(f, timing_record_event, gap_ms);
-		timing_raise_length(f->stream_timing, f->events.count,
+		timing_raise_length(f->timing, f->events.count,
 				    f->call.tokens_out);
 	}
 }
@@ -81,10 +82,10 @@
 {
 	/* Of a resumed stream only the rest was sent here. */
 	if (f->is_events && f->call.after_event > 0)
-		timing_raise_length(f->stream_timing, f->events.count,
+		timing_raise_length(f->timing, f->events.count,
 				    f->call.tokens_out);
 	else if (f->is_events)
-		timing_record_length(f->stream_timing, f->events.count,
+		timing_record_length(f->timing, f->events.count,
 				     f->call.tokens_out);
 	else if (f->status / 100 == 2)
 		note_plain(f);
@@ -96,8 +97,8 @@
 {
 	struct timing_pending o = { 0 };
 
-	if (f->mark.events)
-		o.event_ms = timing_pending_event_ms(&f->mark, now);
+	if (f->event_mark.events)
+		o.event_ms = timing_pending_event_ms(&f->event_mark, now);
 	else
 		o.first_ms = (double)(now - f->sent_ms);
 	return o;
@@ -128,12 +129,12 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, g->lanes);
+	g_hash_table_iter_init(&it, g->model_queues);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		((struct lane *)p)->open = none;
+		((struct model_queue *)p)->open_timing = none;
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		((struct gate_ep *)p)->open = none;
+		((struct gate_ep *)p)->open_timing = none;
 }
 
 void times_update_open(struct gate *g, int64_t now)
@@ -150,18 +151,17 @@
 
 		if (f->state < FORWARD_SENT)
 			continue;
-		raise_to(&f->home->open, &o);
+		raise_to(&f->home_queue->open_timing, &o);
 		ep = gate_ep_of(f);
 		if (ep)
-			raise_to(&ep->open, &o);
+			raise_to(&ep->open_timing, &o);
 	}
 }
 
 int64_t times_first_ms(const struct forward *f)
 {
-	double ms = timing_low_first_ms(is_stream(f) ? &f->home->stream_timing :
-						       f->stream_timing,
-					f->stream_timing);
+	double ms = timing_low_first_ms(
+		is_stream(f) ? &f->home_queue->timing : f->timing, f->timing);
 
 	return ms < 0 ? DEFAULT_FIRST_MS : (int64_t)ms;
 }
@@ -169,17 +169,17 @@
 /* The longest that the answer is expected to take from now on. */
 static int64_t answer_ms(const struct forward *f, const struct gate_ep *ep)
 {
-	struct timing_request a = { .service = f->stream_timing,
-				    .model = &f->home->stream_timing,
-				    .endpoint = ep ? &ep->stream_timing : NULL,
-				    .pending = f->home->open,
+	struct timing_request a = { .service = f->timing,
+				    .model = &f->home_queue->timing,
+				    .endpoint = ep ? &ep->timing : NULL,
+				    .pending = f->home_queue->open_timing,
 				    .tokens = f->call.tokens_out,
 				    .skip = MAX(f->call.after_event, 0) };
 
 	if (ep)
-		raise_to(&a.pending, &ep->open);
+		raise_to(&a.pending, &ep->open_timing);
 	return is_stream(f) ? timing_stream_ms(&a) :
-			      timing_plain_ms(f->stream_timing, &a.pending);
+			      timing_plain_ms(f->timing, &a.pending);
 }
 
 /*
@@ -198,11 +198,11 @@
 	struct gate *g = f->g;
 	int64_t margin_ms;
 
-	if (!g->end_ms || f->started || f->deadline_ms <= g->end_ms)
+	if (!g->stop_end_ms || f->started || f->deadline_ms <= g->stop_end_ms)
 		return false;
 	f->expected_ms = answer_ms(f, ep);
 	if (f->expected_ms == SS_NEVER)
 		return true;
 	margin_ms = (int64_t)((double)f->expected_ms * STOP_MARGIN);
-	return gate_now(g) + f->expected_ms + margin_ms > g->end_ms;
+	return gate_now(g) + f->expected_ms + margin_ms > g->stop_end_ms;
 }
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -148,7 +148,7 @@
 	f->service = routing_service_ref(s);
 	f->model = s->engine ? ss_str_dup(f->call.model) : g_strdup("");
 	f->adapter = s->engine ? ss_str_dup(f->call.adapter) : g_strdup("");
-	f->stream_timing = gate_pace(f->g, f);
+	f->timing = gate_timing(f->g, f);
 }
 
 static struct forward *forward_new(struct gate *g, struct caller_call *c,
@@ -165,7 +165,7 @@
 	f->g = g;
 	f->caller = c;
 	f->body = body;
-	f->routing = g->routing->version;
+	f->routing_version = g->routing->version;
 	f->route = routing_route_ref(rt);
 	f->customer = customer_ref(customer);
 	f->keyed = g->routing->needs_key;
@@ -194,14 +194,14 @@
 
 void forward_queue_or_send(struct forward *f)
 {
-	f->home->arrivals++;
-	fleet_rate_add(&f->home->rate, 1, gate_now(f->g));
+	f->home_queue->arrivals++;
+	fleet_rate_add(&f->home_queue->rate, 1, gate_now(f->g));
 	if (resume_lookup(f))
 		return;
 	forward_enqueue(f);
 	/* A request doesn't overtake others that wait for the same model. */
-	if (ss_queue_length(f->lane->waits) == 1)
-		forward_try(f);
+	if (ss_queue_length(f->queue->waiting) == 1)
+		forward_try_send(f);
 }
 
 void forward_begin(struct gate *g, struct caller_call *c, struct ss_str body,
@@ -257,7 +257,7 @@
 			       "the routing in force has no such model", 0);
 		return;
 	}
-	f->home = gate_model_queue(g, f->service->name, f->model);
+	f->home_queue = gate_model_queue(g, f->service->name, f->model);
 	if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
 		return;
--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -51,7 +51,7 @@
 {
 	log_warn("endpoint_ended", "addr=%s id=%s requests=%u", c->addr, c->id,
 		 c->fingerprints->len);
-	(*c->g->n_ended)++;
+	(*c->g->n_crashes)++;
 	for (guint i = 0; i < c->fingerprints->len; i++)
 		quarantine_note_crash(c->g,
 				      &g_array_index(c->fingerprints,
@@ -70,13 +70,13 @@
 		return;
 	if (r == PROBE_REFUSED)
 		confirm(c);
-	g_ptr_array_remove_fast(g->endings, c);
+	g_ptr_array_remove_fast(g->crash_checks, c);
 }
 
 void crash_checks_tick(struct gate *g, int64_t now)
 {
-	for (guint i = g->endings->len; i-- > 0;) {
-		struct crash_check *c = g->endings->pdata[i];
+	for (guint i = g->crash_checks->len; i-- > 0;) {
+		struct crash_check *c = g->crash_checks->pdata[i];
 		bool no_connection =
 			!upstream_is_connected(g->upstream, c->addr);
 
@@ -84,7 +84,7 @@
 			continue;
 		if (no_connection)
 			confirm(c);
-		g_ptr_array_remove_index_fast(g->endings, i);
+		g_ptr_array_remove_index_fast(g->crash_checks, i);
 	}
 }
 
@@ -106,20 +106,20 @@
 {
 	struct crash_check *c;
 
-	for (guint i = 0; i < g->endings->len; i++) {
-		c = g->endings->pdata[i];
-		if (c->incarnation_no == ep->life)
+	for (guint i = 0; i < g->crash_checks->len; i++) {
+		c = g->crash_checks->pdata[i];
+		if (c->incarnation_no == ep->incarnation_no)
 			return c;
 	}
 	c = g_new0(struct crash_check, 1);
 	c->g = g;
 	c->addr = g_strdup(ep->addr);
 	c->id = g_strdup(ep->self.id);
-	c->incarnation_no = ep->life;
+	c->incarnation_no = ep->incarnation_no;
 	c->incarnation_hash = hash_incarnation(ep);
 	c->fingerprints = g_array_new(FALSE, FALSE, sizeof(struct fingerprint));
 	c->probe = probe_start(g->o.base, c->addr, PROBE_WAIT_MS, on_probe, c);
-	g_ptr_array_add(g->endings, c);
+	g_ptr_array_add(g->crash_checks, c);
 	return c;
 }
 
@@ -142,13 +142,13 @@
 	struct crash_check *c;
 
 	/* A draining endpoint stops as planned. */
-	if (!ep || ep->leaving)
+	if (!ep || ep->draining)
 		return;
 	c = crash_check_of(g, ep);
 	add_fingerprint(c, forward_fingerprint(f));
-	f->trial_told = true;
+	f->trial_reported = true;
 	log_info("closed_by_endpoint",
 		 "request=%s endpoint=%s print=%s ms=%" PRId64, f->id,
-		 ep->self.id, fingerprint_text(&f->print, text),
+		 ep->self.id, fingerprint_text(&f->fingerprint, text),
 		 gate_now(g) - f->sent_ms);
 }
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -53,7 +53,7 @@
 	struct gate *g = f->g;
 
 	quarantine_end_trial(f);
-	forward_leave_quota(f);
+	forward_leave_quota_queue(f);
 	g_hash_table_remove(g->forwards, f);
 	g_ptr_array_unref(f->tried);
 	routing_route_unref(f->route);
@@ -61,8 +61,8 @@
 	customer_unref(f->customer);
 	if (f->headers)
 		g_string_free(f->headers, TRUE);
-	if (f->held)
-		g_string_free(f->held, TRUE);
+	if (f->withheld)
+		g_string_free(f->withheld, TRUE);
 	events_clear(&f->events);
 	g_free(f->id);
 	g_free(f->model);
@@ -79,11 +79,11 @@
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
-	if (f->state == FORWARD_ADAPTER || f->state == FORWARD_ASKS ||
-	    f->state == FORWARD_LOOKS)
+	if (f->state == FORWARD_WAIT_ADAPTER ||
+	    f->state == FORWARD_WAIT_TRIAL || f->state == FORWARD_WAIT_VERSION)
 		g_hash_table_remove(f->g->tickets, &f->ticket);
 	if (f->state >= FORWARD_SENT)
-		f->retry_ms = 0;
+		f->retry_taken_ms = 0;
 	else
 		forward_return_retry(f);
 	if (f->up) {
@@ -91,11 +91,11 @@
 		upstream_cancel(f->up);
 	}
 	f->up = NULL;
-	f->paused = false;
+	f->reading_paused = false;
 	f->lost_ms = 0;
 	gate_start_done(f);
 	if (ep)
-		gate_ep_end(ep, f->model);
+		gate_ep_end_call(ep, f->model);
 	g_clear_pointer(&f->ep_addr, g_free);
 }
 
@@ -144,13 +144,14 @@
 {
 	struct gate *g = f->g;
 	int64_t ms = gate_now(g) - f->start_ms;
-	struct hist *h = g_hash_table_lookup(g->hists, f->route->name);
+	struct hist *h = g_hash_table_lookup(g->latency_hists, f->route->name);
 
 	if (!h) {
 		char *labels = g_strdup_printf("class=\"%s\"", f->route->name);
 
 		h = metrics_hist(g->o.metrics, "ss_gate_latency_ms", labels);
-		g_hash_table_insert(g->hists, g_strdup(f->route->name), h);
+		g_hash_table_insert(g->latency_hists, g_strdup(f->route->name),
+				    h);
 		g_free(labels);
 	}
 	hist_add(h, (uint64_t)MAX(ms, 0));
@@ -168,17 +169,17 @@
 		 " why=\"%s\"",
 		 f->id, f->customer ? f->customer->name : "-", f->route->name,
 		 f->service->name, f->model, f->adapter,
-		 f->ep_id ? f->ep_id : "-", f->sends, f->asks, outcome,
-		 f->status, f->waited_ms, f->first_ms, ms,
-		 f->objective_ms - f->start_ms, f->pause_ms,
-		 f->route->max_event_gap_ms, f->held_for ? f->held_for : "-",
-		 model_queue_rule(f), f->deadline_ms - gate_now(g),
-		 f->call.tokens_out, f->cost, f->quota_ms, f->stop_left_ms,
-		 f->limit_per_s,
-		 f->expected_ms == SS_NEVER ? -1 : f->expected_ms, f->routing,
-		 f->version ? f->version : "-",
+		 f->ep_id ? f->ep_id : "-", f->sends, f->adapter_requests,
+		 outcome, f->status, f->waited_ms, f->first_ms, ms,
+		 f->objective_ms - f->start_ms, f->longest_pause_ms,
+		 f->route->max_event_gap_ms,
+		 f->blocked_by ? f->blocked_by : "-", model_queue_rule(f),
+		 f->deadline_ms - gate_now(g), f->call.tokens_out, f->cost,
+		 f->quota_waited_ms, f->stop_left_ms, f->limit_per_s,
+		 f->expected_ms == SS_NEVER ? -1 : f->expected_ms,
+		 f->routing_version, f->version ? f->version : "-",
 		 SS_FMT(forward_resumed_request(f)), f->call.after_event,
-		 f->back_ms, f->why ? f->why : "");
+		 f->retry_after_ms, f->why ? f->why : "");
 }
 
 void forward_end(struct forward *f, bool whole, const char *why)
@@ -189,7 +190,7 @@
 	f->why = why;
 	(*(whole ? g->n_ok : g->n_cut))++;
 	record_end(f, whole ? "answered" : "cut");
-	if (f->lane)
+	if (f->queue)
 		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	caller_call_end(f->caller, whole);
@@ -228,10 +229,10 @@
 		forward_refund(f);
 	f->why = why;
 	f->status = status;
-	f->back_ms = MAX(retry_after_ms, 0);
+	f->retry_after_ms = MAX(retry_after_ms, 0);
 	(*(not_run ? g->n_refused : g->n_failed))++;
 	record_end(f, not_run ? "not_run" : "unknown");
-	if (f->lane)
+	if (f->queue)
 		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	caller_call_reply(f->caller, status, headers, ss_str(body));
@@ -252,14 +253,14 @@
  * loaded or an endpoint has room, and its return slot comes. */
 static int64_t model_retry_after_ms(struct forward *f)
 {
-	const struct lane *l = f->lane;
+	const struct model_queue *l = f->queue;
 	int64_t now = gate_now(f->g);
 	int64_t ms = RETRY_AFTER_FULL_MS, slot_ms;
 
 	if (l && l->eta_ms != SS_NEVER)
 		ms = MAX(l->eta_ms - now, 0) + RETRY_AFTER_MIN_MS;
-	else if (f->open_ms > now)
-		ms = MAX(f->open_ms - now, ms);
+	else if (f->admit_ms > now)
+		ms = MAX(f->admit_ms - now, ms);
 	ms = MIN(ms, RETRY_AFTER_MAX_MS);
 	slot_ms = retry_after_model_ms(f, ms, RETRY_AFTER_SPREAD_MS);
 	return slot_ms < ms + RETRY_AFTER_SPREAD_MS ?
@@ -281,10 +282,10 @@
 
 void forward_enqueue(struct forward *f)
 {
-	f->state = FORWARD_WAITS;
-	if (f->lane)
+	f->state = FORWARD_WAIT_ENDPOINT;
+	if (f->queue)
 		return;
-	f->lane_ms = gate_now(f->g);
+	f->queued_ms = gate_now(f->g);
 	model_queue_add(resume_queue(f), f);
 }
 
@@ -294,7 +295,7 @@
 
 	forward_leave_endpoint(f);
 	f->why = why;
-	f->unknown |= !not_run;
+	f->may_have_run |= !not_run;
 	log_info("send_failed",
 		 "request=%s endpoint=%s version=%s after=%" PRId64
 		 " not_run=%d why=\"%s\" ms=%" PRId64,
@@ -311,7 +312,7 @@
 	    times_first_ms(f)) {
 		if (f->started)
 			forward_end(f, false, why);
-		else if (f->unknown)
+		else if (f->may_have_run)
 			forward_refuse(f, 504, "deadline", why, 0);
 		else
 			forward_refuse(f, 503, "deadline", why,
@@ -319,7 +320,7 @@
 		return;
 	}
 	forward_enqueue(f);
-	forward_try(f);
+	forward_try_send(f);
 }
 
 static void send_to(struct forward *f, struct gate_ep *ep)
@@ -350,12 +351,12 @@
 	g_string_append_len(r.bytes, f->body.p, (gssize)f->body.n);
 	f->state = FORWARD_SENT;
 	f->sent_ms = now;
-	f->limit_per_s = ep->words.limit.per_s;
-	gate_words_sent(g, ep, now);
-	f->permits = 0;
-	f->mark = (struct timing_mark){ 0 };
-	if (g->end_ms)
-		f->stop_left_ms = g->end_ms - now;
+	f->limit_per_s = ep->signals.limit.per_s;
+	gate_signals_on_send(g, ep, now);
+	f->grants = 0;
+	f->event_mark = (struct timing_mark){ 0 };
+	if (g->stop_end_ms)
+		f->stop_left_ms = g->stop_end_ms - now;
 	if (f->waited_ms < 0) {
 		f->waited_ms = now - f->start_ms;
 		retry_after_served(f);
@@ -386,8 +387,8 @@
 	uncount_send(f);
 	forward_return_retry(f);
 	if (ep) {
-		gate_ep_note(f->g, ep, true);
-		ep->shut_until_ms = gate_now(f->g) + RECONNECT_DELAY_MS;
+		gate_ep_note_result(f->g, ep, true);
+		ep->unreachable_until_ms = gate_now(f->g) + RECONNECT_DELAY_MS;
 	}
 	forward_retry(f, true, "no connection");
 }
@@ -402,12 +403,12 @@
 				 .wait_ms = g->o.adapter_wait_ms };
 
 	f->ticket = m.sub;
-	f->state = FORWARD_ADAPTER;
+	f->state = FORWARD_WAIT_ADAPTER;
 	f->sent_ms = gate_now(g);
-	f->asks++;
+	f->adapter_requests++;
 	(*g->n_adapters)++;
 	g_hash_table_insert(g->tickets, &f->ticket, f);
-	if (!g->o.ops->need_adapter(g->o.arg, ep->agent, &m))
+	if (!g->o.ops->request_adapter(g->o.arg, ep->agent, &m))
 		forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
 				      SS_LIT("its agent can't be reached"));
 }
@@ -416,16 +417,16 @@
 static void reserve_slot(struct forward *f, struct gate_ep *ep)
 {
 	f->ep_addr = g_strdup(ep->addr);
-	f->ep_life = ep->life;
-	gate_ep_begin(ep, f->model);
+	f->ep_incarnation_no = ep->incarnation_no;
+	gate_ep_begin_call(ep, f->model);
 	gate_start_begin(f, ep);
-	if (f->lane)
+	if (f->queue)
 		model_queue_take(f);
 }
 
 void forward_refuse_draining(struct forward *f)
 {
-	if (f->unknown)
+	if (f->may_have_run)
 		forward_refuse(f, 502, "lost",
 			       "this process ends before the answer would", 0);
 	else
@@ -434,7 +435,7 @@
 			       RETRY_AFTER_MIN_MS + jitter_ms(f));
 }
 
-bool forward_try(struct forward *f)
+bool forward_try_send(struct forward *f)
 {
 	enum balance_refusal none = BALANCE_NO_ENDPOINT;
 	struct gate_ep *ep;
@@ -447,20 +448,20 @@
 		return true;
 	ep = gate_choose(f->g, f, &none);
 	if (!ep) {
-		f->held_for = wait_reason(f, none);
+		f->blocked_by = wait_reason(f, none);
 		return false;
 	}
 	if (times_stop_would_cut(f, ep)) {
-		gate_limit_unused(f, ep);
+		gate_limit_release(f, ep);
 		forward_refuse_draining(f);
 		return true;
 	}
 	/* Every send after the first is a retry. */
 	if (f->sends > 0 && !forward_take_retry(f)) {
-		gate_limit_unused(f, ep);
+		gate_limit_release(f, ep);
 		if (f->started)
 			forward_end(f, false, "the retry budget is used up");
-		else if (f->unknown)
+		else if (f->may_have_run)
 			forward_refuse(f, 502, "lost",
 				       "the retry budget is used up", 0);
 		else
@@ -485,12 +486,12 @@
 		forward_refuse_draining(f);
 	} else if (quarantine_blocks(f)) {
 		return;
-	} else if (ep->known && !ep->leaving && gate_words_admit(f->g, ep)) {
+	} else if (ep->known && !ep->draining && gate_signals_admit(f->g, ep)) {
 		send_to(f, ep);
 	} else {
 		forward_leave_endpoint(f);
 		forward_enqueue(f);
-		forward_try(f);
+		forward_try_send(f);
 	}
 }
 
@@ -500,7 +501,7 @@
 	int64_t now = gate_now(f->g);
 
 	g_hash_table_remove(f->g->tickets, &f->ticket);
-	f->state = FORWARD_WAITS;
+	f->state = FORWARD_WAIT_ENDPOINT;
 	if (code == 0 && ep) {
 		gate_ep_add_adapter(ep, f->model, f->adapter);
 		send_after_load(f, ep);
@@ -512,13 +513,13 @@
 		 f->id, f->ep_addr, f->model, f->adapter, SS_FMT(text),
 		 now - f->sent_ms);
 	if (ep && code == SS_ERROR_UNKNOWN_MODEL)
-		gate_ep_lacks(ep, f->model, "");
+		gate_ep_remove_model(ep, f->model, "");
 	forward_leave_endpoint(f);
-	if (f->asks >= ADAPTER_ATTEMPTS_MAX ||
+	if (f->adapter_requests >= ADAPTER_ATTEMPTS_MAX ||
 	    f->deadline_ms - now < times_first_ms(f)) {
-		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
+		forward_refuse(f, f->may_have_run ? 502 : 503, "unavailable",
 			       "its adapter can't be loaded",
-			       f->unknown ? 0 : model_retry_after_ms(f));
+			       f->may_have_run ? 0 : model_retry_after_ms(f));
 		return;
 	}
 	forward_enqueue(f);
@@ -547,11 +548,11 @@
 	struct gate_ep *ep = gate_ep_of(f);
 
 	if (ep && left_silent_engine(f))
-		gate_ep_note(g, ep, true);
-	(*g->n_gone)++;
+		gate_ep_note_result(g, ep, true);
+	(*g->n_callers_left)++;
 	f->why = state_names[f->state];
 	record_end(f, "caller_left");
-	if (f->lane)
+	if (f->queue)
 		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	forward_free(f);
@@ -562,7 +563,7 @@
 /* True for a waiting request that can't be started in time. */
 static bool is_too_late(const struct forward *f, int64_t now)
 {
-	const struct lane *l = f->lane;
+	const struct model_queue *l = f->queue;
 	int64_t wait_max_ms = f->begin_by_ms - f->start_ms;
 	int64_t first = times_first_ms(f);
 
@@ -570,7 +571,7 @@
 		return true;
 	/* open_ms is no bound where another engine may load the model. */
 	if (!*f->model)
-		return f->open_ms + first > f->begin_by_ms;
+		return f->admit_ms + first > f->begin_by_ms;
 	if (l->eta_ms != SS_NEVER)
 		return MAX(l->eta_ms, now) + first > f->begin_by_ms;
 	return (double)(now - f->start_ms) >
@@ -584,7 +585,7 @@
 
 	if (f->started)
 		return f->deadline_ms - first;
-	if (!*f->model || f->lane->eta_ms != SS_NEVER)
+	if (!*f->model || f->queue->eta_ms != SS_NEVER)
 		return f->begin_by_ms - first;
 	return MIN(f->begin_by_ms - first,
 		   f->start_ms + (int64_t)(wait_max_ms * NO_ETA_WAIT_SHARE));
@@ -600,15 +601,15 @@
 	} else if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
 	} else if (resume_hopeless(f)) {
-		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
+		forward_refuse(f, f->may_have_run ? 502 : 503, "unavailable",
 			       "its version is gone",
-			       f->unknown ? 0 : model_retry_after_ms(f));
+			       f->may_have_run ? 0 : model_retry_after_ms(f));
 	} else if (is_too_late(f, now)) {
-		forward_refuse(f, f->unknown ? 502 : 503, "unavailable",
+		forward_refuse(f, f->may_have_run ? 502 : 503, "unavailable",
 			       "it can't be begun in time",
-			       f->unknown ? 0 : model_retry_after_ms(f));
+			       f->may_have_run ? 0 : model_retry_after_ms(f));
 	} else if (gate_start_wait_over(f, now)) {
-		forward_try(f);
+		forward_try_send(f);
 	}
 }
 
@@ -627,9 +628,9 @@
 	if (times_stop_would_cut(f, gate_ep_of(f)))
 		forward_refuse_draining(f);
 	else if (now >= f->deadline_ms)
-		forward_refuse(f, f->unknown ? 504 : 503, "deadline",
+		forward_refuse(f, f->may_have_run ? 504 : 503, "deadline",
 			       "its adapter came too late",
-			       f->unknown ? 0 : model_retry_after_ms(f));
+			       f->may_have_run ? 0 : model_retry_after_ms(f));
 	else if (now - f->sent_ms > f->g->o.adapter_wait_ms + ADAPTER_GRACE_MS)
 		forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
 				      SS_LIT("its agent says nothing"));
@@ -640,21 +641,21 @@
  * connection, nor where it can't be sent again, as nothing is gained then. */
 static bool is_lost(const struct forward *f, int64_t now)
 {
-	return f->lost_ms && now >= f->lost_ms && !f->paused &&
+	return f->lost_ms && now >= f->lost_ms && !f->reading_paused &&
 	       is_repeatable(f) && has_sends_left(f);
 }
 
 void forward_tick(struct forward *f, int64_t now)
 {
-	if (f->state == FORWARD_QUOTA) {
+	if (f->state == FORWARD_WAIT_QUOTA) {
 		tick_quota(f, now);
-	} else if (f->state == FORWARD_WAITS) {
+	} else if (f->state == FORWARD_WAIT_ENDPOINT) {
 		tick_waiting(f, now);
-	} else if (f->state == FORWARD_LOOKS) {
+	} else if (f->state == FORWARD_WAIT_VERSION) {
 		resume_tick(f, now);
-	} else if (f->state == FORWARD_ASKS) {
+	} else if (f->state == FORWARD_WAIT_TRIAL) {
 		quarantine_trial_tick(f, now);
-	} else if (f->state == FORWARD_ADAPTER) {
+	} else if (f->state == FORWARD_WAIT_ADAPTER) {
 		tick_adapter(f, now);
 	} else if (is_lost(f, now)) {
 		if (f->is_events)
@@ -673,7 +674,7 @@
 {
 	if (f->started)
 		forward_end(f, false, "this process ends");
-	else if (f->state <= FORWARD_ADAPTER && !f->unknown)
+	else if (f->state <= FORWARD_WAIT_ADAPTER && !f->may_have_run)
 		forward_refuse(f, 503, "draining", "this process ends",
 			       RETRY_AFTER_MIN_MS);
 	else
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -28,20 +28,20 @@
 static const struct callers_limits initial_limits = { 16 << 10, 4 << 20, 3000,
 						      15000 };
 
-struct stream_timing *gate_pace(struct gate *g, const struct forward *f)
+struct stream_timing *gate_timing(struct gate *g, const struct forward *f)
 {
 	const char *service = f->service->name;
 	char *key = f->route->kind == ROUTE_STREAM ?
 			    g_strdup(service) :
 			    g_strdup_printf("%s\n%s", service, f->route->name);
-	struct stream_timing *p = g_hash_table_lookup(g->paces, key);
+	struct stream_timing *p = g_hash_table_lookup(g->timings, key);
 
 	if (p) {
 		g_free(key);
 		return p;
 	}
 	p = g_new0(struct stream_timing, 1);
-	g_hash_table_insert(g->paces, key, p);
+	g_hash_table_insert(g->timings, key, p);
 	return p;
 }
 
@@ -118,7 +118,7 @@
 	return g->routing_version;
 }
 
-void gate_routing_told(struct gate *g, uint64_t version)
+void gate_routing_reported(struct gate *g, uint64_t version)
 {
 	freshness_received(&g->freshness, version, gate_now(g));
 }
@@ -126,8 +126,8 @@
 void gate_leader_lost(struct gate *g)
 {
 	freshness_leader_lost(&g->freshness, gate_now(g));
-	quota_lease.clients_link(g->quota, NULL, false, gate_now(g));
-	quota_lease.clients_link(g->limits, NULL, false, gate_now(g));
+	quota_lease.clients_link(g->quota_client, NULL, false, gate_now(g));
+	quota_lease.clients_link(g->limit_client, NULL, false, gate_now(g));
 }
 
 bool gate_is_stale(const struct gate *g)
@@ -161,7 +161,7 @@
 
 		/* A request that was freed meanwhile isn't in the table. */
 		if (!g_hash_table_contains(g->forwards, f) ||
-		    f->state != FORWARD_ADAPTER)
+		    f->state != FORWARD_WAIT_ADAPTER)
 			continue;
 		ep = gate_ep_at(g, f->ep_addr);
 		if (!ep || !strcmp(ep->agent, agent))
@@ -173,7 +173,8 @@
 
 /* Reports. */
 
-static void report_queue(struct gate *g, struct gate_report *r, struct lane *l)
+static void report_queue(struct gate *g, struct gate_report *r,
+			 struct model_queue *l)
 {
 	const struct forward *first = model_queue_next(l, gate_now(g));
 	uint64_t waiting = 0;
@@ -184,13 +185,13 @@
 
 	/* Includes requests that wait for a slot on a loaded replica: a
 	 * second replica would serve them. */
-	waiting = ss_queue_length(l->waits);
+	waiting = ss_queue_length(l->waiting);
 	if (!*l->model || !strcmp(l->version, RESUME_UNVERSIONED) ||
-	    (!l->arrivals && !waiting && !l->told))
+	    (!l->arrivals && !waiting && !l->reported))
 		return;
 	d.waiting = waiting;
 	d.slack_ms = first ? first->objective_ms - gate_now(g) : 0;
-	l->told = waiting;
+	l->reported = waiting;
 	l->arrivals = 0;
 	g_array_append_val(r->models, d);
 }
@@ -211,7 +212,7 @@
 		if (h.model.n)
 			g_array_append_val(models, h);
 	}
-	g_ptr_array_add(r->lists, models);
+	g_ptr_array_add(r->call_lists, models);
 	e.models = (struct wire_list){ models->data, models->len };
 	if (models->len)
 		g_array_append_val(r->calls, e);
@@ -223,7 +224,8 @@
 			  struct endpoint_results *e)
 {
 	if (!ep->failed &&
-	    !(ep->answered && failure_rate_permille(&ep->told, gate_now(g)))) {
+	    !(ep->answered &&
+	      failure_rate_permille(&ep->reported_failing, gate_now(g)))) {
 		ep->answered = MIN(ep->answered, ANSWERED_KEPT);
 		return false;
 	}
@@ -241,19 +243,19 @@
 	bool failed = report_failed(g, ep, &e);
 
 	if (gate_speed_report(g, ep, &e) || failed)
-		g_array_append_val(r->ends, e);
+		g_array_append_val(r->results, e);
 }
 
 static bool has_changes(struct gate *g, const struct gate_report *r)
 {
 	GString *bytes = g_string_new(NULL);
-	uint64_t before = g->report_print;
+	uint64_t before = g->report_hash;
 
 	frame_add(bytes, MSG_DEMAND, &r->m);
-	g->report_print = XXH3_64bits(bytes->str, bytes->len);
+	g->report_hash = XXH3_64bits(bytes->str, bytes->len);
 	g_string_free(bytes, TRUE);
-	return r->models->len || r->ends->len || r->words->len ||
-	       g->report_print != before;
+	return r->models->len || r->results->len || r->signals->len ||
+	       g->report_hash != before;
 }
 
 void gate_report(struct gate *g, struct gate_report *r)
@@ -264,25 +266,25 @@
 	memset(r, 0, sizeof(*r));
 	r->models = g_array_new(FALSE, TRUE, sizeof(struct model_demand));
 	r->calls = g_array_new(FALSE, TRUE, sizeof(struct endpoint_calls));
-	r->ends = g_array_new(FALSE, TRUE, sizeof(struct endpoint_results));
-	r->words = g_array_new(FALSE, TRUE, sizeof(struct endpoint_signals));
-	r->lists =
+	r->results = g_array_new(FALSE, TRUE, sizeof(struct endpoint_results));
+	r->signals = g_array_new(FALSE, TRUE, sizeof(struct endpoint_signals));
+	r->call_lists =
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_array_unref);
-	g_hash_table_iter_init(&it, g->lanes);
+	g_hash_table_iter_init(&it, g->model_queues);
 	while (g_hash_table_iter_next(&it, NULL, &p))
 		report_queue(g, r, p);
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		report_calls(r, p);
 		report_results(g, r, p);
-		gate_words_report(g, p, r->words);
+		gate_signals_report(g, p, r->signals);
 	}
 	r->m.round = g->round;
 	r->m.routing = gate_routing_version(g);
 	r->m.models = (struct wire_list){ r->models->data, r->models->len };
 	r->m.calls = (struct wire_list){ r->calls->data, r->calls->len };
-	r->m.results = (struct wire_list){ r->ends->data, r->ends->len };
-	r->m.signals = (struct wire_list){ r->words->data, r->words->len };
+	r->m.results = (struct wire_list){ r->results->data, r->results->len };
+	r->m.signals = (struct wire_list){ r->signals->data, r->signals->len };
 	r->news = has_changes(g, r);
 }
 
@@ -290,9 +292,9 @@
 {
 	g_array_unref(r->models);
 	g_array_unref(r->calls);
-	g_array_unref(r->ends);
-	g_array_unref(r->words);
-	g_ptr_array_unref(r->lists);
+	g_array_unref(r->results);
+	g_array_unref(r->signals);
+	g_ptr_array_unref(r->call_lists);
 }
 
 /* Tick and planned stop. */
@@ -311,7 +313,7 @@
 {
 	int64_t now = gate_now(g);
 
-	if (g->end_ms)
+	if (g->stop_end_ms)
 		times_update_open(g, now);
 	freshness_tick(&g->freshness, now);
 	startup_hold_tick(g);
@@ -330,12 +332,12 @@
 	callers_check_timeouts(g->callers);
 	upstream_close_expired(g->upstream);
 	resume_tidy(g, now);
-	return_slots_expire(g->turns, now);
+	return_slots_expire(g->refused_slots, now);
 }
 
 void gate_drain(struct gate *g, int64_t end_ms)
 {
-	g->end_ms = end_ms;
+	g->stop_end_ms = end_ms;
 	callers_drain(g->callers);
 }
 
@@ -349,7 +351,7 @@
 	return g_hash_table_size(g->forwards) + callers_busy(g->callers);
 }
 
-void gate_give_up(struct gate *g)
+void gate_abort(struct gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->forwards);
 
@@ -370,7 +372,7 @@
 		metrics_value(m, "ss_gate_ended_total", "outcome=\"not_run\"");
 	g->n_failed =
 		metrics_value(m, "ss_gate_ended_total", "outcome=\"unknown\"");
-	g->n_gone = metrics_value(m, "ss_gate_callers_left_total", "");
+	g->n_callers_left = metrics_value(m, "ss_gate_callers_left_total", "");
 	g->n_retries = metrics_value(m, "ss_gate_retries_total", "");
 	g->n_retries_refused =
 		metrics_value(m, "ss_gate_retries_refused_total", "");
@@ -379,18 +381,19 @@
 	g->n_no_room = metrics_value(m, "ss_gate_no_room_total", "");
 	g->n_held = metrics_value(m, "ss_gate_held_bytes", "");
 	g->n_unread = metrics_value(m, "ss_gate_unread_bytes", "");
-	g->n_ended = metrics_value(m, "ss_gate_endpoints_ended_total", "");
+	g->n_crashes = metrics_value(m, "ss_gate_endpoints_ended_total", "");
 	g->n_quarantined = metrics_value(m, "ss_gate_quarantined_total", "");
 	g->n_over_quota = metrics_value(m, "ss_gate_over_quota_total", "");
-	g->n_taken_up = metrics_value(m, "ss_gate_taken_up_total", "");
-	g->n_taken_up_refused =
+	g->n_resumed = metrics_value(m, "ss_gate_taken_up_total", "");
+	g->n_resume_refused =
 		metrics_value(m, "ss_gate_taken_up_refused_total", "");
 	g->n_limited = metrics_value(m, "ss_gate_sent_limited_total", "");
-	g->n_rests = metrics_value(m, "ss_gate_rests_total", "");
-	g->n_sent_resting = metrics_value(m, "ss_gate_sent_resting_total", "");
-	g->n_sent_leaving = metrics_value(m, "ss_gate_sent_leaving_total", "");
-	g->n_turns_given = metrics_value(m, "ss_gate_turns_given_total", "");
-	g->n_turns_beyond = metrics_value(m, "ss_gate_turns_beyond_total", "");
+	g->n_backoffs = metrics_value(m, "ss_gate_rests_total", "");
+	g->n_sent_in_backoff =
+		metrics_value(m, "ss_gate_sent_resting_total", "");
+	g->n_sent_draining = metrics_value(m, "ss_gate_sent_leaving_total", "");
+	g->n_slots_given = metrics_value(m, "ss_gate_turns_given_total", "");
+	g->n_slots_beyond = metrics_value(m, "ss_gate_turns_beyond_total", "");
 	g->n_start_waits = metrics_value(m, "ss_gate_start_waits_total", "");
 	g->n_start_cuts = metrics_value(m, "ss_gate_start_cuts_total", "");
 	g->start_limits = metrics_hist(m, "ss_gate_start_limit", "");
@@ -422,18 +425,19 @@
 	g->seed = o->seed;
 	g->since_ms = gate_now(g);
 	freshness_init(&g->freshness, g->since_ms);
-	g->early = startup_hold_new();
-	g->quota = quota_lease.clients_new(&(struct quota_options){ 0 },
-					   g->since_ms);
-	g->limits = quota_lease.clients_new(&endpoint_limit_quota, g->since_ms);
-	g->counts =
+	g->startup_hold = startup_hold_new();
+	g->quota_client = quota_lease.clients_new(&(struct quota_options){ 0 },
+						  g->since_ms);
+	g->limit_client =
+		quota_lease.clients_new(&endpoint_limit_quota, g->since_ms);
+	g->counts_by_customer =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g->quota_lines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					       quota_line_free);
+	g->quota_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						quota_queue_free);
 	g->streams = stream_log_new(STREAMS_MAX);
-	g->turns = return_slots_new();
+	g->refused_slots = return_slots_new();
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
-	g->endings = g_ptr_array_new_with_free_func(crash_check_free);
+	g->crash_checks = g_ptr_array_new_with_free_func(crash_check_free);
 	g->suspects = suspects_new(&so, g->since_ms);
 	crash_log_init(&g->crash_log, CRASH_REPORTS_MAX);
 	g->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -441,9 +445,10 @@
 	model_queues_init(g);
 	g->retries =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g->paces =
+	g->timings =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g->hists = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	g->latency_hists =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g->forwards = g_hash_table_new(NULL, NULL);
 	g->tickets = g_hash_table_new(g_int64_hash, g_int64_equal);
 	make_counters(g);
@@ -468,10 +473,10 @@
 	/* Closes callers' connections, which frees all remaining requests. */
 	callers_free(g->callers);
 	upstream_free(g->upstream);
-	g_array_unref(g->early);
-	g_ptr_array_unref(g->endings);
+	g_array_unref(g->startup_hold);
+	g_ptr_array_unref(g->crash_checks);
 	stream_log_free(g->streams);
-	return_slots_free(g->turns);
+	return_slots_free(g->refused_slots);
 	g_array_unref(g->unnamed);
 	suspects_free(g->suspects);
 	crash_log_clear(&g->crash_log);
@@ -480,13 +485,13 @@
 	model_queues_clear(g);
 	g_hash_table_unref(g->eps);
 	g_hash_table_unref(g->retries);
-	g_hash_table_unref(g->paces);
-	g_hash_table_unref(g->hists);
+	g_hash_table_unref(g->timings);
+	g_hash_table_unref(g->latency_hists);
 	gate_speeds_free(g->speeds);
-	g_hash_table_unref(g->quota_lines);
-	g_hash_table_unref(g->counts);
-	quota_lease.clients_free(g->quota);
-	quota_lease.clients_free(g->limits);
+	g_hash_table_unref(g->quota_queues);
+	g_hash_table_unref(g->counts_by_customer);
+	quota_lease.clients_free(g->quota_client);
+	quota_lease.clients_free(g->limit_client);
 	routing_unref(g->routing);
 	g_free(g);
 }
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -18,15 +18,15 @@
 
 struct gate_ops {
 	/* Requests an adapter from an agent; false: it can't be reached. */
-	bool (*need_adapter)(void *arg, const char *agent,
-			     const struct msg_adapter *m);
+	bool (*request_adapter)(void *arg, const char *agent,
+				const struct msg_adapter *m);
 	/* Demand has changed; a report is due soon. */
-	void (*demand)(void *arg);
+	void (*demand_changed)(void *arg);
 	/* Asks the leader to allow a trial run of a quarantined request; false:
 	 * no leader is known. */
-	bool (*ask_trial)(void *arg, const struct msg_trial *m);
+	bool (*request_trial)(void *arg, const struct msg_trial *m);
 	/* Asks the leader which version began a stream; false as above. */
-	bool (*ask_stream)(void *arg, const struct msg_stream_request *m);
+	bool (*request_stream)(void *arg, const struct msg_stream_request *m);
 };
 
 /*
@@ -68,7 +68,7 @@
 uint64_t gate_routing_version(const struct gate *g);
 /* A confirmed leader reported the version in force; the leader was lost. The
  * gate derives from these whether its routing may be out of date. */
-void gate_routing_told(struct gate *g, uint64_t version);
+void gate_routing_reported(struct gate *g, uint64_t version);
 void gate_leader_lost(struct gate *g);
 /* Whether its routing is so old that it refuses all requests. */
 bool gate_is_stale(const struct gate *g);
@@ -91,8 +91,8 @@
 	/* It differs from the last report, or has arrivals, waiting requests,
 	 * call results or signals. */
 	bool news;
-	GArray *models, *calls, *ends, *words;
-	GPtrArray *lists;
+	GArray *models, *calls, *results, *signals;
+	GPtrArray *call_lists;
 };
 void gate_report(struct gate *g, struct gate_report *r);
 void gate_report_done(struct gate_report *r);
@@ -105,30 +105,31 @@
 void gate_take_trial(struct gate *g, const struct msg_trial *m);
 /*
  * Crash reports that the leader doesn't have yet, a piece at a time; false:
- * there are none. gate_ends_done() frees the piece, and marks it as reported
- * if it was sent.
+ * there are none. gate_crash_report_done() frees the piece, and marks it as
+ * reported if it was sent.
  */
-struct gate_ends {
+struct gate_crash_report {
 	struct msg_run_outcomes m;
-	GArray *ends, *recalled;
+	GArray *crashes, *recalled;
 	uint64_t recall; /* mark up to which suspects are reported again */
 };
-bool gate_ends(struct gate *g, struct gate_ends *r);
-void gate_ends_done(struct gate *g, struct gate_ends *r, bool sent);
+bool gate_crash_report(struct gate *g, struct gate_crash_report *r);
+void gate_crash_report_done(struct gate *g, struct gate_crash_report *r,
+			    bool sent);
 
 /* Streams begun here that the leader doesn't have yet; false: there are none.
- * Free it with gate_streams_done(). */
-bool gate_streams(struct gate *g, struct stream_wire *w);
-void gate_streams_done(struct gate *g, struct stream_wire *w, bool sent);
+ * Free it with gate_stream_report_done(). */
+bool gate_stream_report(struct gate *g, struct stream_wire *w);
+void gate_stream_report_done(struct gate *g, struct stream_wire *w, bool sent);
 void gate_take_stream(struct gate *g, const struct msg_stream_reply *m);
 
 /* Customers' limits: adds the requests for grants that are due, as struct
  * quota_request; their strings live until the next call. Takes the reply. */
-void gate_quota_asks(struct gate *g, GArray *out);
+void gate_quota_requests(struct gate *g, GArray *out);
 void gate_take_quota(struct gate *g, const struct msg_quota_reply *m);
 
 /* The same for limits that endpoints state, by address. */
-void gate_limit_asks(struct gate *g, GArray *out);
+void gate_limit_requests(struct gate *g, GArray *out);
 void gate_take_limit(struct gate *g, const struct msg_quota_reply *m);
 
 void gate_tick(struct gate *g);
@@ -144,6 +145,6 @@
 /* Number of requests and answers in progress. */
 size_t gate_busy(const struct gate *g);
 /* Ends all remaining requests at once. */
-void gate_give_up(struct gate *g);
+void gate_abort(struct gate *g);
 
 #endif
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -46,14 +46,14 @@
 	double others = g->entries > 1 ? (double)g->entries - 1 : 0;
 	double age_s = (double)(now - ep->reported_ms) / 1000.0;
 
-	return fleet_rate_at(&f->home->rate, now) * others * age_s;
+	return fleet_rate_at(&f->home_queue->rate, now) * others * age_s;
 }
 
 /* Whether all entries together exceed BURST_PER_S for the model. Assumes that
  * each gets as many calls as this one. */
 static bool is_burst(struct gate *g, const struct forward *f)
 {
-	double here = fleet_rate_at(&f->home->rate, gate_now(g));
+	double here = fleet_rate_at(&f->home_queue->rate, gate_now(g));
 
 	return f->service->engine &&
 	       here * (double)MAX(g->entries, 1) > BURST_PER_S;
@@ -65,21 +65,22 @@
 	int64_t now = gate_now(g);
 	bool fresh = now - ep->reported_ms < LOAD_MAX_AGE_MS;
 
-	n->usable = ep->known && !ep->leaving && !ep->words.leaving_ms &&
-		    now >= ep->shut_until_ms && may_send(f, ep) &&
+	n->usable = ep->known && !ep->draining && !ep->signals.draining_ms &&
+		    now >= ep->unreachable_until_ms && may_send(f, ep) &&
 		    resume_fits(f, ep) &&
-		    (!*f->model || g_hash_table_contains(ep->held, f->model));
+		    (!*f->model || g_hash_table_contains(ep->models, f->model));
 	n->near = !strcmp(ep->domain, g->o.domain);
 	n->has_adapter = gate_ep_has_adapter(ep, f->model, f->adapter) ||
 			 !*f->adapter;
-	n->usable &= n->has_adapter || !ep->busy;
+	n->usable &= n->has_adapter || !ep->loading;
 	n->tried = was_tried(f, ep);
 	n->slots = ep->slots;
-	n->reported = fresh ? ep->reported : 0;
-	n->sent_since = fresh ? ep->since : 0;
-	n->own_calls = ep->own;
+	n->reported = fresh ? ep->reported_calls : 0;
+	n->sent_since = fresh ? ep->sent_since : 0;
+	n->own_calls = ep->own_calls;
 	n->unreported = fresh ? unreported_calls(g, f, ep, now) : 0;
-	n->failure_rate = MAX(ep->failing, failure_rate_at(&ep->told, now));
+	n->failure_rate =
+		MAX(ep->failing, failure_rate_at(&ep->reported_failing, now));
 	n->affinity = affinity_of(f, ep);
 }
 
@@ -95,7 +96,7 @@
 /* Records the earliest time at which an endpoint admits the request. */
 static void note_admit_time(struct forward *f, int64_t ms)
 {
-	f->open_ms = f->open_ms ? MIN(f->open_ms, ms) : ms;
+	f->admit_ms = f->admit_ms ? MIN(f->admit_ms, ms) : ms;
 }
 
 static bool breaker_open(const struct gate *g, const struct gate_ep *ep)
@@ -139,8 +140,8 @@
 		fill_node(g, f, ep, &n);
 		if (!n.usable)
 			continue;
-		if (!gate_words_admit(g, ep)) {
-			note_admit_time(f, MAX(ep->words.rest_until_ms,
+		if (!gate_signals_admit(g, ep)) {
+			note_admit_time(f, MAX(ep->signals.backoff_until_ms,
 					       gate_now(g)));
 			c->backoff = true;
 			continue;
@@ -150,7 +151,7 @@
 	}
 }
 
-double gate_fill(const struct forward *f)
+double gate_fill_factor(const struct forward *f)
 {
 	return f->service->engine ? ENGINE_FILL : SERVICE_FILL;
 }
@@ -159,7 +160,7 @@
 		   const struct candidates *c)
 {
 	const struct balance_node *n = (struct balance_node *)c->nodes->data;
-	double fill = gate_fill(f);
+	double fill = gate_fill_factor(f);
 	uint64_t tie = ss_random(&g->seed);
 
 	return is_burst(g, f) ?
@@ -189,7 +190,7 @@
 		if (gate_limit_admits(f, ep))
 			return ep;
 		node_at(c, (guint)*at)->usable = false;
-		note_admit_time(f, MAX(ep->words.permit_ms, gate_now(g)));
+		note_admit_time(f, MAX(ep->signals.next_grant_ms, gate_now(g)));
 		c->limited = true;
 	}
 	return NULL;
@@ -221,9 +222,8 @@
 	double ms = (double)times_first_ms(f);
 
 	for (guint k = 0; k < c->start_limited->len; k++)
-		ms = MAX(ms,
-			 timing_estimate_bound(
-				 &start_limited_at(c, k)->stream_timing.first));
+		ms = MAX(ms, timing_estimate_bound(
+				     &start_limited_at(c, k)->timing.first));
 	return (int64_t)ms;
 }
 
@@ -233,9 +233,9 @@
 	int64_t least = INT64_MAX;
 
 	for (guint k = 0; k < c->start_limited->len; k++)
-		least = MIN(least, start_limited_at(c, k)->starts);
+		least = MIN(least, start_limited_at(c, k)->open_prompts);
 	for (guint k = c->start_limited->len; k-- > 0;) {
-		if (start_limited_at(c, k)->starts > least)
+		if (start_limited_at(c, k)->open_prompts > least)
 			continue;
 		node_at(c, g_array_index(c->start_limited, guint, k))->usable =
 			true;
@@ -268,7 +268,7 @@
 	struct candidates c = { 0 };
 	int at;
 
-	f->open_ms = 0;
+	f->admit_ms = 0;
 	collect_candidates(g, f, &c);
 	exclude_open_breakers(g, &c);
 	gate_speed_weigh(f, (struct balance_node *)c.nodes->data, c.eps);
@@ -277,14 +277,14 @@
 	if (!found && c.start_limited->len)
 		found = take_start_limited(g, f, &c, &at);
 	if (found) {
-		ejection_call_sent(&found->slow_rest, gate_now(g));
+		ejection_call_sent(&found->ejection, gate_now(g));
 	} else {
 		*none = why_none(at, &c);
-		gate_start_held(f, *none);
+		gate_start_blocked(f, *none);
 	}
 	/* A slot becomes free soon: the caller needn't wait for that time. */
 	if (found || at == BALANCE_FULL || at == BALANCE_START_LIMIT)
-		f->open_ms = 0;
+		f->admit_ms = 0;
 	g_array_unref(c.start_limited);
 	g_array_unref(c.nodes);
 	g_ptr_array_unref(c.eps);
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -11,7 +11,7 @@
 
 static void model_free(void *p)
 {
-	struct gate_held *h = p;
+	struct gate_model *h = p;
 
 	g_free(h->model);
 	g_hash_table_unref(h->adapters);
@@ -27,7 +27,7 @@
 	g_free(ep->service);
 	g_free(ep->domain);
 	g_free(ep->agent);
-	g_hash_table_unref(ep->held);
+	g_hash_table_unref(ep->models);
 	g_hash_table_unref(ep->calls);
 	g_free(ep);
 }
@@ -41,7 +41,7 @@
 {
 	struct gate_ep *ep = f->ep_addr ? gate_ep_at(f->g, f->ep_addr) : NULL;
 
-	return ep && ep->life == f->ep_life ? ep : NULL;
+	return ep && ep->incarnation_no == f->ep_incarnation_no ? ep : NULL;
 }
 
 static struct gate_ep *get_or_add_ep(struct gate *g, struct ss_str addr)
@@ -56,15 +56,15 @@
 	ep = g_new0(struct gate_ep, 1);
 	ep->addr = key;
 	ep->self.id = g_strdup("");
-	ep->life = ++g->lives;
-	ep->began_ms = g->fleet_known ? gate_now(g) : 0;
-	ep->words.limit.per_s = ENDPOINT_LIMIT_NONE;
+	ep->incarnation_no = ++g->last_incarnation_no;
+	ep->first_reported_ms = g->fleet_known ? gate_now(g) : 0;
+	ep->signals.limit.per_s = ENDPOINT_LIMIT_NONE;
 	gate_starts_reset(ep);
 	ep->service = g_strdup("");
 	ep->domain = g_strdup("");
 	ep->agent = g_strdup("");
-	ep->held = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					 model_free);
+	ep->models = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					   model_free);
 	ep->calls =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_hash_table_insert(g->eps, ep->addr, ep);
@@ -95,25 +95,26 @@
 static void reset_incarnation(struct gate *g, struct gate_ep *ep)
 {
 	schedule_lost_calls(g, ep);
-	ep->life = ++g->lives;
-	ep->began_ms = gate_now(g);
+	ep->incarnation_no = ++g->last_incarnation_no;
+	ep->first_reported_ms = gate_now(g);
 	ep->speed = (struct speed){ 0 };
-	ep->slow_rest = (struct ejection){ 0 };
-	ep->ratio = ep->own_ratio = 0;
+	ep->ejection = (struct ejection){ 0 };
+	ep->slowness = ep->own_slowness = 0;
 	ep->slowness_observed = (struct slowness_observed){ 0 };
 	ep->slowness_received = (struct slowness_received){ 0 };
 	ep->failing = 0;
 	memset(&ep->breaker, 0, sizeof(ep->breaker));
-	ep->shut_until_ms = 0;
-	gate_words_reset(g, ep);
+	ep->unreachable_until_ms = 0;
+	gate_signals_reset(g, ep);
 	gate_starts_reset(ep);
-	memset(&ep->stream_timing, 0, sizeof(ep->stream_timing));
-	memset(&ep->told, 0, sizeof(ep->told));
+	memset(&ep->timing, 0, sizeof(ep->timing));
+	memset(&ep->reported_failing, 0, sizeof(ep->reported_failing));
 	ep->answered = ep->failed = 0;
-	ep->own = ep->reported = ep->since = ep->reported_ms = 0;
-	ep->busy = ep->ending = false;
+	ep->own_calls = ep->reported_calls = ep->sent_since = ep->reported_ms =
+		0;
+	ep->loading = ep->removing = false;
 	g_hash_table_remove_all(ep->calls);
-	g_hash_table_remove_all(ep->held);
+	g_hash_table_remove_all(ep->models);
 	upstream_close_idle(g->upstream, ep->addr);
 }
 
@@ -139,14 +140,14 @@
 	return how;
 }
 
-static struct gate_held *add_model(struct gate_ep *ep, struct ss_str model)
+static struct gate_model *add_model(struct gate_ep *ep, struct ss_str model)
 {
-	struct gate_held *h = g_new0(struct gate_held, 1);
+	struct gate_model *h = g_new0(struct gate_model, 1);
 
 	h->model = ss_str_dup(model);
 	h->adapters =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	g_hash_table_replace(ep->held, h->model, h);
+	g_hash_table_replace(ep->models, h->model, h);
 	return h;
 }
 
@@ -154,9 +155,9 @@
 {
 	const struct held_model *m = list->items;
 
-	g_hash_table_remove_all(ep->held);
+	g_hash_table_remove_all(ep->models);
 	for (size_t i = 0; i < list->n; i++) {
-		struct gate_held *h = add_model(ep, m[i].model);
+		struct gate_model *h = add_model(ep, m[i].model);
 		const struct name_item *n = m[i].adapters.items;
 
 		for (size_t k = 0; k < m[i].adapters.n; k++)
@@ -168,9 +169,9 @@
 static void take_load(struct gate *g, struct gate_ep *ep, int64_t calls,
 		      int64_t age_ms)
 {
-	ep->reported = calls;
+	ep->reported_calls = calls;
 	ep->reported_ms = gate_now(g) - age_ms;
-	ep->since = 0;
+	ep->sent_since = 0;
 }
 
 /* Takes the failure share seen by all entries, in thousandths; 0: no
@@ -178,9 +179,9 @@
 static void take_failing(struct gate *g, struct gate_ep *ep, int64_t of_whole)
 {
 	int64_t now = gate_now(g);
-	int64_t before = failure_rate_permille(&ep->told, now);
+	int64_t before = failure_rate_permille(&ep->reported_failing, now);
 
-	failing_told(&ep->told, of_whole, now);
+	failing_told(&ep->reported_failing, of_whole, now);
 	if (of_whole >= before + FAILING_LOG_STEP)
 		log_info("endpoint_fails",
 			 "addr=%s id=%s failing=%" PRId64 " own=%.2f", ep->addr,
@@ -205,13 +206,13 @@
 		upstream_close_idle(g->upstream, ep->addr);
 	if (how == FLEET_STALE)
 		return;
-	ep->leaving = e->unusable;
-	ep->ending = e->draining;
-	ep->unread_ms = 0;
-	ep->busy = e->busy;
+	ep->draining = e->unusable;
+	ep->removing = e->draining;
+	ep->unreadable_ms = 0;
+	ep->loading = e->busy;
 	take_failing(g, ep, e->failure_rate);
-	gate_speed_told(g, ep, e->slowness);
-	gate_limit_told(g, ep, e->limit, e->limit_age);
+	gate_speed_received(g, ep, e->slowness);
+	gate_limit_received(g, ep, e->limit, e->limit_age);
 	if (e->tokens_total)
 		take_load(g, ep, e->running + e->waiting, e->age_ms);
 	take_models(ep, &e->held);
@@ -229,7 +230,7 @@
 		if (!ep)
 			continue;
 		take_failing(g, ep, x[i].failure_rate);
-		gate_speed_told(g, ep, x[i].slowness);
+		gate_speed_received(g, ep, x[i].slowness);
 		if (x[i].tokens_total)
 			take_load(g, ep, x[i].running + x[i].waiting,
 				  x[i].age_ms);
@@ -258,7 +259,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct gate_ep *ep = p;
 
-		if (ep->known || ep->own || gate_words_hold(g, ep))
+		if (ep->known || ep->own_calls || gate_signals_in_force(g, ep))
 			continue;
 		upstream_close_idle(g->upstream, ep->addr);
 		g_hash_table_iter_remove(&it);
@@ -274,7 +275,8 @@
 		char *service = ss_str_dup(e[i].service);
 		char *model = ss_str_dup(e[i].model);
 		char *version = ss_str_dup(e[i].version);
-		struct lane *l = gate_version_queue(g, service, model, version);
+		struct model_queue *l =
+			gate_version_queue(g, service, model, version);
 
 		l->eta_ms = e[i].eta_ms < 0 ? SS_NEVER : now + e[i].eta_ms;
 		g_free(version);
@@ -315,7 +317,7 @@
 		mark_fleet_known(g, "leader");
 	if (m->round > g->round) {
 		g->round = m->round;
-		g->o.ops->demand(g->o.arg);
+		g->o.ops->demand_changed(g->o.arg);
 	}
 	gate_dispatch(g, NULL);
 }
@@ -323,9 +325,9 @@
 /* Stops new calls to an endpoint; open calls and connections stay. */
 static void suspend(struct gate *g, struct gate_ep *ep)
 {
-	if (!ep->unread_ms)
-		ep->unread_ms = gate_now(g);
-	ep->leaving = true;
+	if (!ep->unreadable_ms)
+		ep->unreadable_ms = gate_now(g);
+	ep->draining = true;
 }
 
 static void take_instance(struct gate *g, struct gate_ep *ep,
@@ -345,12 +347,12 @@
 	ss_str_set(&ep->domain, ss_str(x->domain ? x->domain : ""));
 	ep->slots = x->slots;
 	ep->known = true;
-	ep->unread_ms = 0;
+	ep->unreadable_ms = 0;
 	if (how == FLEET_STALE)
 		return;
-	ep->leaving = ep->ending = x->draining;
+	ep->draining = ep->removing = x->draining;
 	/* Models that an agent reported are newer than the list. */
-	if (g_hash_table_size(ep->held))
+	if (g_hash_table_size(ep->models))
 		return;
 	for (guint k = 0; k < x->models->len; k++)
 		add_model(ep, ss_str(x->models->pdata[k]));
@@ -360,7 +362,8 @@
 static void take_unlisted(struct gate *g, struct gate_ep *ep,
 			  const struct fleet_list *list)
 {
-	int64_t unread_ms = ep->unread_ms ? gate_now(g) - ep->unread_ms : 0;
+	int64_t unread_ms =
+		ep->unreadable_ms ? gate_now(g) - ep->unreadable_ms : 0;
 
 	switch (fleet_list_presence(list, ep->self.id, ep->addr, unread_ms)) {
 	case FLEET_UNKNOWN:
@@ -409,7 +412,7 @@
 bool gate_ep_has_adapter(const struct gate_ep *ep, const char *model,
 			 const char *adapter)
 {
-	const struct gate_held *h = g_hash_table_lookup(ep->held, model);
+	const struct gate_model *h = g_hash_table_lookup(ep->models, model);
 
 	return h && (!*adapter || g_hash_table_contains(h->adapters, adapter));
 }
@@ -417,31 +420,32 @@
 void gate_ep_add_adapter(struct gate_ep *ep, const char *model,
 			 const char *adapter)
 {
-	struct gate_held *h = g_hash_table_lookup(ep->held, model);
+	struct gate_model *h = g_hash_table_lookup(ep->models, model);
 
 	if (h)
 		g_hash_table_add(h->adapters, g_strdup(adapter));
 }
 
-void gate_ep_lacks(struct gate_ep *ep, const char *model, const char *adapter)
+void gate_ep_remove_model(struct gate_ep *ep, const char *model,
+			  const char *adapter)
 {
-	struct gate_held *h = g_hash_table_lookup(ep->held, model);
+	struct gate_model *h = g_hash_table_lookup(ep->models, model);
 
 	if (h && *adapter && g_hash_table_remove(h->adapters, adapter))
 		return;
-	g_hash_table_remove(ep->held, model);
+	g_hash_table_remove(ep->models, model);
 }
 
-void gate_ep_begin(struct gate_ep *ep, const char *model)
+void gate_ep_begin_call(struct gate_ep *ep, const char *model)
 {
 	int n = GPOINTER_TO_INT(g_hash_table_lookup(ep->calls, model));
 
 	g_hash_table_insert(ep->calls, g_strdup(model), GINT_TO_POINTER(n + 1));
-	ep->own++;
-	ep->since++;
+	ep->own_calls++;
+	ep->sent_since++;
 }
 
-void gate_ep_end(struct gate_ep *ep, const char *model)
+void gate_ep_end_call(struct gate_ep *ep, const char *model)
 {
 	int n = GPOINTER_TO_INT(g_hash_table_lookup(ep->calls, model));
 
@@ -450,15 +454,15 @@
 				    GINT_TO_POINTER(n - 1));
 	else
 		g_hash_table_remove(ep->calls, model);
-	ep->own--;
+	ep->own_calls--;
 	/* The call is counted in one of these. */
-	if (ep->since > 0)
-		ep->since--;
-	else if (ep->reported > 0)
-		ep->reported--;
+	if (ep->sent_since > 0)
+		ep->sent_since--;
+	else if (ep->reported_calls > 0)
+		ep->reported_calls--;
 }
 
-void gate_ep_note(struct gate *g, struct gate_ep *ep, bool failed)
+void gate_ep_note_result(struct gate *g, struct gate_ep *ep, bool failed)
 {
 	bool open = ss_breaker_allows(&ep->breaker, gate_now(g));
 
@@ -470,13 +474,13 @@
 			 ep->self.id, ep->breaker.failures, ep->failing);
 }
 
-void gate_ep_load(struct gate *g, struct gate_ep *ep,
-		  const struct platform_answer *a)
+void gate_ep_update_load(struct gate *g, struct gate_ep *ep,
+			 const struct platform_answer *a)
 {
 	if (!a->has_load)
 		return;
-	ep->reported = a->running + a->waiting;
-	ep->since = 0;
+	ep->reported_calls = a->running + a->waiting;
+	ep->sent_since = 0;
 	ep->reported_ms = gate_now(g);
 	speed_work_received(&ep->speed, a->work_time_percent, gate_now(g));
 	if (a->slots > 0)
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -28,76 +28,76 @@
 #include "upstream.h"
 
 /* A model that is loaded on an endpoint and accepts requests. */
-struct gate_held {
+struct gate_model {
 	char *model;
 	GHashTable *adapters; /* set of names */
 };
 
 /* Signals that an endpoint states in its answers; valid for one incarnation. */
-struct gate_words {
-	int64_t leaving_ms;	 /* since when; 0: not draining */
-	int64_t leaving_told_ms; /* reported to the leader; 0: no */
-	int64_t rest_until_ms;	 /* 0: no backoff was requested */
-	bool rest_told;		 /* to the leader */
-	int64_t trial_ms; /* first request sent after a backoff; 0: none */
+struct gate_signals {
+	int64_t draining_ms;	      /* since when; 0: not draining */
+	int64_t draining_reported_ms; /* reported to the leader; 0: no */
+	int64_t backoff_until_ms;     /* 0: no backoff was requested */
+	bool backoff_reported;	      /* to the leader */
+	int64_t probe_ms; /* first request sent after a backoff; 0: none */
 	struct endpoint_limit limit;
 	/* The limit that the leader knows is out of date or missing. */
-	bool limit_owed;
-	int64_t limit_told_ms;	/* to the leader; 0: not yet */
-	int64_t limit_heard_ms; /* in an answer here; 0: never */
-	int64_t permit_ms;	/* no grant is available earlier */
-	double seat;	 /* grants reserved for a waiting request; 0: none */
-	int64_t seat_ms; /* reservation last confirmed */
+	bool limit_unreported;
+	int64_t limit_reported_ms; /* to the leader; 0: not yet */
+	int64_t limit_received_ms; /* in an answer here; 0: never */
+	int64_t next_grant_ms;	   /* no grant is available earlier */
+	double reserved; /* grants reserved for a waiting request; 0: none */
+	int64_t reserved_ms; /* reservation last confirmed */
 };
 
 /* An endpoint, as this gate knows it. */
 struct gate_ep {
 	char *addr, *service, *domain, *agent;
 	struct fleet_incarnation self;
-	uint64_t life; /* in this gate's own count */
+	uint64_t incarnation_no; /* in this gate's own count */
 	int64_t slots;
 	bool known; /* listed and not gone */
-	bool leaving;
-	bool ending;	   /* drains for removal, not for a restart */
-	int64_t unread_ms; /* list entry unreadable since; 0: readable */
-	bool busy;	   /* with a model, so it can't load an adapter */
-	GHashTable *held;  /* model -> struct gate_held */
+	bool draining;
+	bool removing;	       /* drains for removal, not for a restart */
+	int64_t unreadable_ms; /* list entry unreadable since; 0: readable */
+	bool loading;	       /* with a model, so it can't load an adapter */
+	GHashTable *models;    /* model -> struct gate_model */
 	GHashTable *calls; /* model -> GINT count of this gate's open calls */
-	int64_t own;	   /* open calls of this gate, all models */
-	int64_t reported, since; /* as in struct balance_node */
+	int64_t own_calls; /* open calls of this gate, all models */
+	int64_t reported_calls, sent_since; /* as in struct balance_node */
 	int64_t reported_ms;
-	double failing;		   /* failure share seen by this gate */
-	struct failure_rate told;  /* failure share seen by all entries */
+	double failing; /* failure share seen by this gate */
+	struct failure_rate
+		reported_failing;  /* failure share seen by all entries */
 	uint64_t answered, failed; /* since the last report */
 	struct ss_breaker breaker;
-	int64_t shut_until_ms; /* no connects before, as one failed */
-	struct gate_words words;
-	struct stream_timing
-		stream_timing; /* timing of its streams, all models */
+	int64_t unreachable_until_ms; /* no connects before, as one failed */
+	struct gate_signals signals;
+	struct stream_timing timing; /* timing of its streams, all models */
 	struct start_limit start_limit;
 	/* This gate's prompts there without an event yet. */
-	int64_t starts;
+	int64_t open_prompts;
 	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
-	struct timing_pending open;
+	struct timing_pending open_timing;
 	/* First report of this incarnation; 0: it came with the fleet. */
-	int64_t began_ms;
+	int64_t first_reported_ms;
 	struct speed speed;
-	double own_ratio; /* latest own slowness ratio; 0: not known */
-	double ratio;	  /* slowness ratio in use: own or reported */
+	double own_slowness; /* latest own slowness ratio; 0: not known */
+	double slowness;     /* slowness ratio in use: own or reported */
 	struct slowness_observed slowness_observed;
 	struct slowness_received slowness_received;
-	struct ejection slow_rest; /* ejection as an outlier */
+	struct ejection ejection; /* ejection as an outlier */
 };
 
 /* In the order that a request passes them. */
 enum forward_state {
-	FORWARD_QUOTA,	 /* waits for a grant of its customer's limit */
-	FORWARD_WAITS,	 /* waits in its model queue for an endpoint */
-	FORWARD_LOOKS,	 /* looks up the version of a stream to resume */
-	FORWARD_ASKS,	 /* waits for the leader to allow a trial run */
-	FORWARD_ADAPTER, /* waits for an agent to load its adapter */
-	FORWARD_SENT,	 /* sent; no byte of an answer yet */
-	FORWARD_ANSWERS, /* the answer arrives */
+	FORWARD_WAIT_QUOTA,    /* waits for a grant of its customer's limit */
+	FORWARD_WAIT_ENDPOINT, /* waits in its model queue for an endpoint */
+	FORWARD_WAIT_VERSION,  /* looks up the version of a stream to resume */
+	FORWARD_WAIT_TRIAL,    /* waits for the leader to allow a trial run */
+	FORWARD_WAIT_ADAPTER,  /* waits for an agent to load its adapter */
+	FORWARD_SENT,	       /* sent; no byte of an answer yet */
+	FORWARD_ANSWERING,     /* the answer arrives */
 };
 
 /* One caller's request. */
@@ -106,90 +106,90 @@
 	struct gate *g;
 	struct caller_call *caller;
 	struct ss_str body;
-	uint64_t routing; /* when it was accepted */
+	uint64_t routing_version; /* when it was accepted */
 	struct routing_route *route;
 	struct routing_service *service;
 	struct customer *customer; /* NULL: unknown or not needed */
 	bool keyed;		   /* that routing has customer keys */
 	double cost;		   /* against the customer's limit */
 	int64_t charged_ms;	   /* when the cost was spent; -1: not spent */
-	int64_t quota_ms;	   /* time spent waiting for a grant */
-	GQueue *quota_line;	   /* queue for a grant; NULL: none */
+	int64_t quota_waited_ms;   /* time spent waiting for a grant */
+	GQueue *quota_queue;	   /* queue for a grant; NULL: none */
 	struct quota_rank rank;	   /* among its customer's requests */
 	struct platform_call call; /* views into the caller's head */
 	char *id, *model, *adapter;
 	uint64_t affinity;
-	bool has_print;
-	struct fingerprint print; /* computed on first use */
-	bool trial;		  /* quarantined, and allowed one trial run */
-	bool trial_told;	  /* its result is reported or will be */
+	bool has_fingerprint;
+	struct fingerprint fingerprint; /* computed on first use */
+	bool trial_run;	     /* quarantined, and allowed one trial run */
+	bool trial_reported; /* its result is reported or will be */
 	int64_t start_ms, deadline_ms, objective_ms; /* on the clock */
 	int64_t begin_by_ms; /* the caller is expected to leave after this */
 	enum forward_state state;
 	/* Model queue that it uses when it waits. */
-	struct lane *home;
+	struct model_queue *home_queue;
 	/* Timing of a stream's service, or of a plain request's route. */
-	struct stream_timing *stream_timing;
-	struct lane *lane;	  /* NULL: not queued */
-	enum admission_rule turn; /* by which it was sent last */
+	struct stream_timing *timing;
+	struct model_queue *queue;     /* NULL: not queued */
+	enum admission_rule sent_rule; /* by which it was sent last */
 	/* Sends. */
 	GPtrArray *tried; /* struct fleet_incarnation of endpoints tried */
 	unsigned int sends;
-	unsigned int asks; /* sent to agents */
+	unsigned int adapter_requests; /* sent to agents */
 	/* Why the last try to send failed, for a log line; NULL: no reason. */
-	const char *held_for;
+	const char *blocked_by;
 	char *ep_addr, *ep_id;
-	char *version;	  /* of the endpoint tried last; NULL: none */
-	uint64_t ep_life; /* at ep_addr when it was sent */
+	char *version;		    /* of the endpoint tried last; NULL: none */
+	uint64_t ep_incarnation_no; /* at ep_addr when it was sent */
 	/*
 	 * Version that began the stream, once the caller has an event of it:
 	 * the stream can be resumed only there. Empty: the version isn't known
 	 * yet, so only that incarnation will do. NULL: nothing has begun.
 	 */
 	char *began_version, *began_addr;
-	uint64_t began_life;
-	uint64_t taken_up; /* key of the stream it resumes; 0: not named */
+	uint64_t began_incarnation_no;
+	uint64_t resumed_key; /* key of the stream it resumes; 0: not named */
 	/* First and latest lookup of the version of the stream it resumes. */
-	int64_t look_ms, asked_ms;
-	int64_t heard_ms; /* latest; it may yet learn the version */
+	int64_t lookup_first_ms, lookup_last_ms;
+	int64_t leader_reply_ms; /* latest; it may yet learn the version */
 	/* Given up then if it can be repeated, as its endpoint is gone; 0: no.
 	 */
 	int64_t lost_ms;
 	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
-	bool starting;	   /* counts among its endpoint's open prompts */
+	bool prompt_open;  /* counts among its endpoint's open prompts */
 	bool start_waited; /* has waited for a start limit */
-	int64_t lane_ms;   /* when it entered its model queue */
+	int64_t queued_ms; /* when it entered its model queue */
 	int64_t sent_ms;
 	/* Its time, as gate_speed.c compares it, when it was last counted as
 	 * slow while under way; 0: never. */
-	double seen_ms;
-	double limit_per_s;   /* of its endpoint when sent; -1: none */
-	double permits;	      /* grants taken for its endpoint, unused */
-	int64_t retry_ms;     /* of an unused retry; 0: none */
-	int64_t open_ms;      /* earliest at any endpoint; 0: not known */
-	int64_t waited_ms;    /* until it was first sent; -1: not yet */
-	int64_t first_ms;     /* until the answer began; -1: not yet */
-	int64_t stop_left_ms; /* of a planned stop when sent; -1: none */
+	double slow_counted_ms;
+	double limit_per_s;	/* of its endpoint when sent; -1: none */
+	double grants;		/* grants taken for its endpoint, unused */
+	int64_t retry_taken_ms; /* of an unused retry; 0: none */
+	int64_t admit_ms;	/* earliest at any endpoint; 0: not known */
+	int64_t waited_ms;	/* until it was first sent; -1: not yet */
+	int64_t first_ms;	/* until the answer began; -1: not yet */
+	int64_t stop_left_ms;	/* of a planned stop when sent; -1: none */
 	/* Latest estimate of how long its answer takes; SS_NEVER: no estimate,
 	 * or none possible. */
 	int64_t expected_ms;
 	struct upstream_call *up;
-	bool unknown; /* by an earlier send */
+	bool may_have_run; /* by an earlier send */
 	const char *why;
-	int64_t back_ms; /* retry delay given to the caller; 0: none */
+	int64_t retry_after_ms; /* retry delay given to the caller; 0: none */
 	/* The answer. */
 	int status;
 	bool is_events, started;
-	bool paused;	  /* until the caller has caught up */
-	GString *headers; /* to be passed on */
-	GString *held;	  /* until the answer is certain */
+	bool reading_paused; /* until the caller has caught up */
+	GString *headers;    /* to be passed on */
+	GString *withheld;   /* until the answer is certain */
 	int64_t length;
 	struct events events;
-	struct timing_mark mark; /* of this send; zeroed: no event yet */
+	struct timing_mark event_mark; /* of this send; zeroed: no event yet */
 	/* The newest event, and the longest time between two events. */
-	uint64_t event;
-	int64_t event_ms, pause_ms;
-	bool slowed; /* since that event */
+	uint64_t last_event;
+	int64_t last_event_ms, longest_pause_ms;
+	bool caller_delayed; /* since that event */
 };
 
 /* Metrics of a customer; all beyond the first hundreds share one set. */
@@ -199,29 +199,29 @@
 
 /* Queue of requests for one model of a service. With a version: requests that
  * resume streams which that version began. */
-struct lane {
+struct model_queue {
 	char *service, *model, *version;
-	struct ss_queue *waits; /* struct forward */
-	int64_t eta_ms;		/* on the clock; SS_NEVER: not known */
-	uint64_t arrivals;	/* since the last report */
-	struct fleet_rate rate; /* of arrivals at this gate */
-	uint64_t told;		/* queue length in the last report */
+	struct ss_queue *waiting; /* struct forward */
+	int64_t eta_ms;		  /* on the clock; SS_NEVER: not known */
+	uint64_t arrivals;	  /* since the last report */
+	struct fleet_rate rate;	  /* of arrivals at this gate */
+	uint64_t reported;	  /* queue length in the last report */
 	bool changed;
 	/* Requests wait for a start limit since; 0: they don't. */
-	int64_t starts_ms;
-	int64_t starts_first_ms; /* time to a first event expected there */
-	struct stream_timing stream_timing; /* of the model's streams */
-	struct timing_pending open;
+	int64_t start_wait_ms;
+	int64_t start_first_event_ms; /* time to a first event expected there */
+	struct stream_timing timing;  /* of the model's streams */
+	struct timing_pending open_timing;
 	struct model_queue_group *group;
 	GList link; /* in the group's list, while a request waits here */
 	/* Last dispatch round in which its head couldn't be sent; the same for
 	 * a head that was tried out of order because of its deadline. */
-	uint64_t passed, passed_by_time;
+	uint64_t blocked_round, time_blocked_round;
 };
 
 /* A stream sent to an incarnation whose version isn't known yet. */
 struct unnamed_stream {
-	uint64_t key, life;
+	uint64_t key, incarnation_no;
 	int64_t until_ms;
 };
 
@@ -234,53 +234,53 @@
 	uint64_t routing_version; /* of the routing set last */
 	struct freshness freshness;
 	GHashTable *eps; /* addr -> struct gate_ep */
-	/* "service\nmodel\nversion" -> struct lane */
-	GHashTable *lanes;
-	GHashTable *groups;    /* service -> struct model_queue_group */
-	GQueue groups_waiting; /* groups in which a request waits */
-	uint64_t pumps;	       /* counts dispatches of groups */
-	GHashTable *retries;   /* service -> struct service_retries */
+	/* "service\nmodel\nversion" -> struct model_queue */
+	GHashTable *model_queues;
+	GHashTable *groups;	 /* service -> struct model_queue_group */
+	GQueue groups_waiting;	 /* groups in which a request waits */
+	uint64_t dispatch_round; /* counts dispatches of groups */
+	GHashTable *retries;	 /* service -> struct service_retries */
 	/* service -> struct pace of its streams; "service\nroute" -> of plain
 	 * answers, as a slow route would hide among a fast one's many. */
-	GHashTable *paces;
+	GHashTable *timings;
 	GHashTable *forwards;
-	GHashTable *tickets; /* &ticket -> struct forward */
-	GHashTable *hists;   /* route name -> struct hist */
-	uint64_t seed, ticket, round, fence, lives;
-	GArray *early;	    /* until routing and fleet are known */
-	GPtrArray *endings; /* struct ending: suspected crashes */
+	GHashTable *tickets;	   /* &ticket -> struct forward */
+	GHashTable *latency_hists; /* route name -> struct hist */
+	uint64_t seed, ticket, round, fence, last_incarnation_no;
+	GArray *startup_hold;	 /* until routing and fleet are known */
+	GPtrArray *crash_checks; /* struct ending: suspected crashes */
 	struct suspects *suspects;
 	struct crash_log crash_log;
-	uint64_t recall;	    /* up to which the leader knows them */
+	uint64_t suspects_mark;	    /* up to which the leader knows them */
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
-	uint64_t streams_told, streams_sent; /* marks */
-	struct return_slots *turns;
-	uint64_t *n_turns_given, *n_turns_beyond;
+	uint64_t streams_reported, streams_sent; /* marks */
+	struct return_slots *refused_slots;
+	uint64_t *n_slots_given, *n_slots_beyond;
 	int64_t since_ms; /* start of this process */
 	/* Largest reported number of entries; they share the slack of retries.
 	 */
 	uint64_t entries;
 	bool fleet_known;
 	/* Requests that end meanwhile don't dispatch again. */
-	bool pumping;
-	int64_t end_ms; /* end of a planned stop; 0: none */
+	bool dispatching;
+	int64_t stop_end_ms; /* end of a planned stop; 0: none */
 	int64_t tidy_ms;
-	uint64_t report_print; /* of the last report */
+	uint64_t report_hash; /* of the last report */
 	struct gate_speeds *speeds;
-	void *quota;		 /* of customers' limits */
-	void *limits;		 /* of endpoints' limits */
-	int64_t seats_ms;	 /* last checked */
-	GHashTable *quota_lines; /* customer -> struct quota_line */
-	guint quota_waiting;	 /* in all of them */
-	GHashTable *counts;	 /* customer -> struct customer_counts */
-	uint64_t *n_requests, *n_ok, *n_refused, *n_failed, *n_gone, *n_retries,
-		*n_retries_refused, *n_waiting, *n_adapters, *n_bad, *n_cut,
-		*n_no_room, *n_held, *n_unread, *n_ended, *n_quarantined,
-		*n_taken_up, *n_taken_up_refused, *n_over_quota, *n_limited,
-		*n_rests, *n_sent_resting, *n_sent_leaving, *n_raised,
-		*n_examined, *n_waiting_by[SS_QUEUE_PRIORITIES], *n_start_waits,
-		*n_start_cuts;
+	void *quota_client;		/* of customers' limits */
+	void *limit_client;		/* of endpoints' limits */
+	int64_t reservations_ms;	/* last checked */
+	GHashTable *quota_queues;	/* customer -> struct quota_queue */
+	guint quota_waiting;		/* in all of them */
+	GHashTable *counts_by_customer; /* customer -> struct customer_counts */
+	uint64_t *n_requests, *n_ok, *n_refused, *n_failed, *n_callers_left,
+		*n_retries, *n_retries_refused, *n_waiting, *n_adapters, *n_bad,
+		*n_cut, *n_no_room, *n_held, *n_unread, *n_crashes,
+		*n_quarantined, *n_resumed, *n_resume_refused, *n_over_quota,
+		*n_limited, *n_backoffs, *n_sent_in_backoff, *n_sent_draining,
+		*n_raised, *n_examined, *n_waiting_by[SS_QUEUE_PRIORITIES],
+		*n_start_waits, *n_start_cuts;
 	struct hist *start_limits; /* in force when a prompt was sent */
 	/* By class; NULL: not created yet. */
 	uint64_t *n_class_spent[QUOTA_CLASSES], *n_class_over[QUOTA_CLASSES];
@@ -300,14 +300,15 @@
 void gate_ep_add_adapter(struct gate_ep *ep, const char *model,
 			 const char *adapter);
 /* The endpoint reported that it lacks a model, or an adapter of it. */
-void gate_ep_lacks(struct gate_ep *ep, const char *model, const char *adapter);
-void gate_ep_begin(struct gate_ep *ep, const char *model);
-void gate_ep_end(struct gate_ep *ep, const char *model);
+void gate_ep_remove_model(struct gate_ep *ep, const char *model,
+			  const char *adapter);
+void gate_ep_begin_call(struct gate_ep *ep, const char *model);
+void gate_ep_end_call(struct gate_ep *ep, const char *model);
 /* Updates the failure share and the breaker. */
-void gate_ep_note(struct gate *g, struct gate_ep *ep, bool failed);
+void gate_ep_note_result(struct gate *g, struct gate_ep *ep, bool failed);
 /* Takes the load that an answer reports. */
-void gate_ep_load(struct gate *g, struct gate_ep *ep,
-		  const struct platform_answer *a);
+void gate_ep_update_load(struct gate *g, struct gate_ep *ep,
+			 const struct platform_answer *a);
 void gate_ep_free(void *ep);
 
 /* gate_choose.c */
@@ -318,7 +319,7 @@
 
 /* Calls that an endpoint of the request's service may have, in multiples of its
  * slots. */
-double gate_fill(const struct forward *f);
+double gate_fill_factor(const struct forward *f);
 
 /* gate_speed.c: slowness of endpoints relative to each other */
 struct gate_speeds *gate_speeds_new(struct metrics *m);
@@ -329,7 +330,7 @@
  * called. */
 void gate_speed_left(struct forward *f);
 /* The leader reported a slowness ratio, in thousandths; 0: no information. */
-void gate_speed_told(struct gate *g, struct gate_ep *ep, int64_t ratio);
+void gate_speed_received(struct gate *g, struct gate_ep *ep, int64_t ratio);
 /* Adds the slowness seen since the last report if other entries need it;
  * false: nothing to add. */
 bool gate_speed_report(struct gate *g, struct gate_ep *ep,
@@ -341,24 +342,24 @@
 
 /* gate_signals.c: signals that endpoints state in their answers */
 /* Takes the signals of an answer; takes a limit that the leader reported. */
-void gate_words_heard(struct forward *f, struct gate_ep *ep,
-		      const struct platform_answer *a);
-void gate_limit_told(struct gate *g, struct gate_ep *ep, int64_t limit,
-		     int64_t age);
+void gate_signals_received(struct forward *f, struct gate_ep *ep,
+			   const struct platform_answer *a);
+void gate_limit_received(struct gate *g, struct gate_ep *ep, int64_t limit,
+			 int64_t age);
 /* The endpoint has a new incarnation. */
-void gate_words_reset(struct gate *g, struct gate_ep *ep);
+void gate_signals_reset(struct gate *g, struct gate_ep *ep);
 /* Whether signals stay in force though the endpoint is no longer listed. */
-bool gate_words_hold(const struct gate *g, const struct gate_ep *ep);
+bool gate_signals_in_force(const struct gate *g, const struct gate_ep *ep);
 /* A request is sent to the endpoint. */
-void gate_words_sent(struct gate *g, struct gate_ep *ep, int64_t now);
+void gate_signals_on_send(struct gate *g, struct gate_ep *ep, int64_t now);
 /* Whether the endpoint takes any requests of this entry now. */
-bool gate_words_admit(const struct gate *g, const struct gate_ep *ep);
+bool gate_signals_admit(const struct gate *g, const struct gate_ep *ep);
 /* Whether its limit admits this request; takes the grants if so. */
 bool gate_limit_admits(struct forward *f, struct gate_ep *ep);
 /* Returns the grants of a request that isn't sent after all. */
-void gate_limit_unused(struct forward *f, struct gate_ep *ep);
+void gate_limit_release(struct forward *f, struct gate_ep *ep);
 /* Adds signals to be reported to the leader, as struct endpoint_signals. */
-void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *words);
+void gate_signals_report(struct gate *g, struct gate_ep *ep, GArray *words);
 void gate_limits_tick(struct gate *g, int64_t now);
 
 /* gate_starts.c: limits of prompts in flight on engines */
@@ -379,7 +380,7 @@
 bool gate_start_waits(struct forward *f, int64_t first_ms);
 /* The request isn't sent, for this reason. If it heads its model queue and the
  * reason isn't a start limit, the queue no longer waits for one. */
-void gate_start_held(struct forward *f, enum balance_refusal none);
+void gate_start_blocked(struct forward *f, enum balance_refusal none);
 /* Whether the request has waited long enough in a model queue that waits for
  * start limits. */
 bool gate_start_wait_over(const struct forward *f, int64_t now);
@@ -433,7 +434,7 @@
 
 /* gate_quota.c: customers' limits */
 /* Frees a customer's queue of requests that wait for grants. */
-void quota_line_free(void *line);
+void quota_queue_free(void *line);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
 /* Whether its customer has a limit. */
 bool quota_limits(const struct forward *f);
@@ -441,7 +442,7 @@
  * it. */
 void quota_begin(struct forward *f);
 /* Removes it from the queue for grants, before f is freed. */
-void forward_leave_quota(struct forward *f);
+void forward_leave_quota_queue(struct forward *f);
 /* Returns the cost of a request that didn't run. */
 void forward_refund(struct forward *f);
 /* Retries the requests that wait for grants. */
@@ -457,7 +458,7 @@
 const char *forward_customer(const struct forward *f);
 void forward_caller_left(struct forward *f);
 /* Tries to send a waiting request; false: it goes on waiting. */
-bool forward_try(struct forward *f);
+bool forward_try_send(struct forward *f);
 /* Time on the clock after which a waiting request is refused. */
 int64_t forward_latest_send_ms(const struct forward *f);
 void forward_tick(struct forward *f, int64_t now);
@@ -481,7 +482,7 @@
  */
 bool resume_lookup(struct forward *f);
 /* Model queue in which it waits. */
-struct lane *resume_queue(struct forward *f);
+struct model_queue *resume_queue(struct forward *f);
 void resume_tick(struct forward *f, int64_t now);
 void resume_tidy(struct gate *g, int64_t now);
 /* The first event of its answer is about to be passed on. */
@@ -540,17 +541,17 @@
 void forward_leave_endpoint(struct forward *f);
 
 /* model_queues.c */
-struct lane *gate_model_queue(struct gate *g, const char *service,
-			      const char *model);
+struct model_queue *gate_model_queue(struct gate *g, const char *service,
+				     const char *model);
 /* version: empty for requests that may go to any version. */
-struct lane *gate_version_queue(struct gate *g, const char *service,
-				const char *model, const char *version);
-void model_queue_add(struct lane *l, struct forward *f);
+struct model_queue *gate_version_queue(struct gate *g, const char *service,
+				       const char *model, const char *version);
+void model_queue_add(struct model_queue *l, struct forward *f);
 /* Removes a request that is sent, and counts that for its customer's share. */
 void model_queue_take(struct forward *f);
 void model_queue_remove(struct forward *f);
 /* The next request to be sent; NULL: the queue is empty. */
-struct forward *model_queue_next(const struct lane *l, int64_t now);
+struct forward *model_queue_next(const struct model_queue *l, int64_t now);
 /* Sends what can be sent from a service's model queues; service NULL: from all.
  */
 void gate_dispatch(struct gate *g, const char *service);
@@ -561,7 +562,7 @@
 
 /* gate.c */
 /* Timing of the service for a stream, of the route for a plain request. */
-struct stream_timing *gate_pace(struct gate *g, const struct forward *f);
+struct stream_timing *gate_timing(struct gate *g, const struct forward *f);
 
 /* gate_retries.c */
 /* The leader reported the number of entries. */
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -24,7 +24,7 @@
 	GQueue classes[QUOTA_CLASSES]; /* struct forward, by objective */
 };
 
-void quota_line_free(void *queues)
+void quota_queue_free(void *queues)
 {
 	struct quota_queues *l = queues;
 
@@ -37,14 +37,16 @@
  * MAX_CUSTOMER_METRICS customers. */
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name)
 {
-	struct customer_counts *n = g_hash_table_lookup(g->counts, name);
+	struct customer_counts *n =
+		g_hash_table_lookup(g->counts_by_customer, name);
 	struct metrics *m = g->o.metrics;
 	char *labels;
 
-	if (!n && g_hash_table_size(g->counts) >= MAX_CUSTOMER_METRICS)
+	if (!n &&
+	    g_hash_table_size(g->counts_by_customer) >= MAX_CUSTOMER_METRICS)
 		name = "";
 	if (!n)
-		n = g_hash_table_lookup(g->counts, name);
+		n = g_hash_table_lookup(g->counts_by_customer, name);
 	if (n)
 		return n;
 	n = g_new0(struct customer_counts, 1);
@@ -53,7 +55,7 @@
 		metrics_value(m, "ss_gate_customer_requests_total", labels);
 	n->spent = metrics_value(m, "ss_gate_customer_spent_total", labels);
 	n->over = metrics_value(m, "ss_gate_customer_over_quota_total", labels);
-	g_hash_table_insert(g->counts, g_strdup(name), n);
+	g_hash_table_insert(g->counts_by_customer, g_strdup(name), n);
 	g_free(labels);
 	return n;
 }
@@ -65,10 +67,10 @@
 
 static void leave_queue(struct forward *f)
 {
-	if (!f->quota_line)
+	if (!f->quota_queue)
 		return;
-	g_queue_remove(f->quota_line, f);
-	f->quota_line = NULL;
+	g_queue_remove(f->quota_queue, f);
+	f->quota_queue = NULL;
 	f->g->quota_waiting--;
 }
 
@@ -105,7 +107,7 @@
 	const struct customer *c = f->customer;
 	int64_t now = gate_now(g);
 	struct quota_client_view view =
-		quota_lease.clients_view(g->quota, c->name, now);
+		quota_lease.clients_view(g->quota_client, c->name, now);
 
 	(*g->n_over_quota)++;
 	(*gate_customer_counts(g, c->name)->over)++;
@@ -118,7 +120,8 @@
 		 f->id, c->name, f->rank.class_id,
 		 view.served_ratio[f->rank.class_id], f->cost, view.balance,
 		 view.age_ms, view.disconnected, now - f->start_ms,
-		 retry_after_ms, c->limit.per_s, c->limit.burst, f->routing);
+		 retry_after_ms, c->limit.per_s, c->limit.burst,
+		 f->routing_version);
 }
 
 /* Charges the request to its customer and passes it on. True if it has to wait;
@@ -130,13 +133,13 @@
 	int64_t now = gate_now(g), retry_after_ms = 0;
 	struct quota_need need = { f->cost, queued, max_wait_ms(f) };
 
-	switch (quota_lease.take_ranked(g->quota, f->customer, &need, &f->rank,
-					now, &retry_after_ms)) {
+	switch (quota_lease.take_ranked(g->quota_client, f->customer, &need,
+					&f->rank, now, &retry_after_ms)) {
 	case QUOTA_WAIT:
 		return true;
 	case QUOTA_ADMIT:
 		f->charged_ms = now;
-		f->quota_ms = now - f->start_ms;
+		f->quota_waited_ms = now - f->start_ms;
 		count_spent(f);
 		leave_queue(f);
 		forward_queue_or_send(f);
@@ -155,7 +158,7 @@
 
 static GQueue *queue_of(struct forward *f)
 {
-	GHashTable *queues = f->g->quota_lines;
+	GHashTable *queues = f->g->quota_queues;
 	struct quota_queues *l = g_hash_table_lookup(queues, f->customer->name);
 
 	if (!l) {
@@ -180,12 +183,12 @@
 				f->call.tokens_in + f->call.tokens_out);
 	f->rank.class_id = (int)CLAMP(f->route->priority, 0, QUOTA_CLASSES - 1);
 	f->rank.due_ms = f->objective_ms;
-	f->state = FORWARD_QUOTA;
+	f->state = FORWARD_WAIT_QUOTA;
 	if (!charge_or_wait(f, false))
 		return;
-	f->quota_line = queue_of(f);
+	f->quota_queue = queue_of(f);
 	f->g->quota_waiting++;
-	g_queue_insert_sorted(f->quota_line, f, compare_objectives, NULL);
+	g_queue_insert_sorted(f->quota_queue, f, compare_objectives, NULL);
 }
 
 /* Dispatches requests from the head of a class, then tries those behind it that
@@ -211,12 +214,13 @@
 		dispatch_class(&l->classes[i], now);
 }
 
-void forward_leave_quota(struct forward *f)
+void forward_leave_quota_queue(struct forward *f)
 {
-	if (!f->quota_line)
+	if (!f->quota_queue)
 		return;
 	leave_queue(f);
-	quota_lease.cancel_ranked(f->g->quota, f->customer, f->cost, &f->rank);
+	quota_lease.cancel_ranked(f->g->quota_client, f->customer, f->cost,
+				  &f->rank);
 }
 
 void forward_refund(struct forward *f)
@@ -226,7 +230,7 @@
 	/* A refund of an old charge would come on top of later grants. */
 	if (f->charged_ms < 0 || gate_now(g) - f->charged_ms > REFUND_WINDOW_MS)
 		return;
-	quota_lease.refund(g->quota, f->customer, f->cost, &f->rank,
+	quota_lease.refund(g->quota_client, f->customer, f->cost, &f->rank,
 			   gate_now(g));
 	f->charged_ms = -1;
 }
@@ -237,15 +241,15 @@
 
 	if (!g->quota_waiting)
 		return;
-	queues = g_hash_table_get_values(g->quota_lines);
+	queues = g_hash_table_get_values(g->quota_queues);
 	for (GList *l = queues; l; l = l->next)
 		dispatch_customer(l->data, gate_now(g));
 	g_list_free(queues);
 }
 
-void gate_quota_asks(struct gate *g, GArray *out)
+void gate_quota_requests(struct gate *g, GArray *out)
 {
-	quota_lease.clients_requests(g->quota, gate_now(g), out);
+	quota_lease.clients_requests(g->quota_client, gate_now(g), out);
 }
 
 void gate_take_quota(struct gate *g, const struct msg_quota_reply *m)
@@ -255,9 +259,9 @@
 	for (size_t i = 0; i < m->replies.n; i++) {
 		char *name = ss_str_dup(w[i].customer);
 		struct quota_queues *queues =
-			g_hash_table_lookup(g->quota_lines, name);
+			g_hash_table_lookup(g->quota_queues, name);
 
-		quota_lease.clients_reply(g->quota, &w[i], gate_now(g));
+		quota_lease.clients_reply(g->quota_client, &w[i], gate_now(g));
 		if (queues)
 			dispatch_customer(queues, gate_now(g));
 		g_free(name);
--- a/src/proxy/gate_retries.c
+++ b/src/proxy/gate_retries.c
@@ -68,7 +68,7 @@
 
 	if (retry_budget_take(&s->budget, slack, gate_now(g))) {
 		(*g->n_retries)++;
-		f->retry_ms = gate_now(g);
+		f->retry_taken_ms = gate_now(g);
 		return true;
 	}
 	(*g->n_retries_refused)++;
@@ -78,9 +78,9 @@
 
 void forward_return_retry(struct forward *f)
 {
-	if (!f->retry_ms)
+	if (!f->retry_taken_ms)
 		return;
 	retry_budget_refund(&retries_of(f->g, f->service->name)->budget,
-			    f->retry_ms);
-	f->retry_ms = 0;
+			    f->retry_taken_ms);
+	f->retry_taken_ms = 0;
 }
--- a/src/proxy/gate_signals.c
+++ b/src/proxy/gate_signals.c
@@ -27,13 +27,13 @@
 static void log_limit(const struct gate_ep *ep, double before, const char *by)
 {
 	log_info("endpoint_limit", "addr=%s id=%s per_s=%.3f before=%.3f by=%s",
-		 ep->addr, ep->self.id, ep->words.limit.per_s, before, by);
+		 ep->addr, ep->self.id, ep->signals.limit.per_s, before, by);
 }
 
 static void receive_limit(struct forward *f, struct gate_ep *ep,
 			  const struct platform_answer *a)
 {
-	double before = ep->words.limit.per_s;
+	double before = ep->signals.limit.per_s;
 	struct gate *g = f->g;
 
 	/* A missing limit means that it is over only in a signed answer to a
@@ -41,14 +41,14 @@
 	 * not the endpoint's own. */
 	if (a->limit_per_s < 0 && (f->limit_per_s < 0 || !a->authentic))
 		return;
-	ep->words.limit_heard_ms = gate_now(g);
-	if (!endpoint_limit_update(&ep->words.limit, a->limit_per_s,
+	ep->signals.limit_received_ms = gate_now(g);
+	if (!endpoint_limit_update(&ep->signals.limit, a->limit_per_s,
 				   gate_now(g)))
 		return;
 	log_limit(ep, before, "answer");
-	ep->words.limit_owed = true;
-	ep->words.limit_told_ms = 0;
-	g->o.ops->demand(g->o.arg);
+	ep->signals.limit_unreported = true;
+	ep->signals.limit_reported_ms = 0;
+	g->o.ops->demand_changed(g->o.arg);
 }
 
 /*
@@ -56,14 +56,16 @@
  * that one yet, or is new: the entry that reported it to the previous leader
  * may have stopped. Then it is reported again.
  */
-void gate_limit_told(struct gate *g, struct gate_ep *ep, int64_t limit,
-		     int64_t age)
+void gate_limit_received(struct gate *g, struct gate_ep *ep, int64_t limit,
+			 int64_t age)
 {
-	double before = ep->words.limit.per_s;
+	double before = ep->signals.limit.per_s;
 
-	if (endpoint_limit_received(&ep->words.limit, limit, age, gate_now(g)))
+	if (endpoint_limit_received(&ep->signals.limit, limit, age,
+				    gate_now(g)))
 		log_limit(ep, before, "leader");
-	ep->words.limit_owed = endpoint_limit_wire(&ep->words.limit) != limit;
+	ep->signals.limit_unreported =
+		endpoint_limit_wire(&ep->signals.limit) != limit;
 }
 
 static void receive_backoff(struct gate *g, struct gate_ep *ep,
@@ -71,36 +73,36 @@
 {
 	int64_t now = gate_now(g);
 
-	ep->words.trial_ms = 0;
+	ep->signals.probe_ms = 0;
 	if (!a->backoff_ms) {
-		if (now >= ep->words.rest_until_ms)
-			ep->words.rest_until_ms = 0;
+		if (now >= ep->signals.backoff_until_ms)
+			ep->signals.backoff_until_ms = 0;
 		return;
 	}
-	(*g->n_rests)++;
+	(*g->n_backoffs)++;
 	log_info("endpoint_asks_rest",
 		 "addr=%s id=%s ms=%" PRId64 " left_before=%" PRId64, ep->addr,
 		 ep->self.id, a->backoff_ms,
-		 MAX(ep->words.rest_until_ms - now, 0));
-	ep->words.rest_until_ms =
-		MAX(ep->words.rest_until_ms, now + a->backoff_ms);
-	ep->words.rest_told = false;
-	g->o.ops->demand(g->o.arg);
+		 MAX(ep->signals.backoff_until_ms - now, 0));
+	ep->signals.backoff_until_ms =
+		MAX(ep->signals.backoff_until_ms, now + a->backoff_ms);
+	ep->signals.backoff_reported = false;
+	g->o.ops->demand_changed(g->o.arg);
 }
 
 /* Draining isn't revoked: only another incarnation is called again. */
 static void receive_draining(struct gate *g, struct gate_ep *ep)
 {
-	if (ep->words.leaving_ms)
+	if (ep->signals.draining_ms)
 		return;
 	log_info("endpoint_leaving", "addr=%s id=%s", ep->addr, ep->self.id);
-	ep->words.leaving_ms = gate_now(g);
-	ep->words.leaving_told_ms = 0;
-	g->o.ops->demand(g->o.arg);
+	ep->signals.draining_ms = gate_now(g);
+	ep->signals.draining_reported_ms = 0;
+	g->o.ops->demand_changed(g->o.arg);
 }
 
-void gate_words_heard(struct forward *f, struct gate_ep *ep,
-		      const struct platform_answer *a)
+void gate_signals_received(struct forward *f, struct gate_ep *ep,
+			   const struct platform_answer *a)
 {
 	receive_limit(f, ep, a);
 	receive_backoff(f->g, ep, a);
@@ -108,52 +110,52 @@
 		receive_draining(f->g, ep);
 }
 
-bool gate_words_hold(const struct gate *g, const struct gate_ep *ep)
+bool gate_signals_in_force(const struct gate *g, const struct gate_ep *ep)
 {
 	int64_t now = gate_now(g);
 
-	return now < ep->words.rest_until_ms ||
-	       (ep->words.leaving_ms &&
-		now - ep->words.leaving_ms < UNLISTED_KEEP_MS) ||
-	       (ep->words.limit.per_s >= 0 &&
-		now - ep->words.limit.signal_ms < UNLISTED_KEEP_MS);
+	return now < ep->signals.backoff_until_ms ||
+	       (ep->signals.draining_ms &&
+		now - ep->signals.draining_ms < UNLISTED_KEEP_MS) ||
+	       (ep->signals.limit.per_s >= 0 &&
+		now - ep->signals.limit.signal_ms < UNLISTED_KEEP_MS);
 }
 
-bool gate_words_admit(const struct gate *g, const struct gate_ep *ep)
+bool gate_signals_admit(const struct gate *g, const struct gate_ep *ep)
 {
-	const struct gate_words *w = &ep->words;
+	const struct gate_signals *w = &ep->signals;
 	int64_t now = gate_now(g);
 
-	return !w->leaving_ms && now >= w->rest_until_ms &&
-	       (!w->trial_ms || now - w->trial_ms >= PROBE_TIMEOUT_MS);
+	return !w->draining_ms && now >= w->backoff_until_ms &&
+	       (!w->probe_ms || now - w->probe_ms >= PROBE_TIMEOUT_MS);
 }
 
 /* After a backoff one request goes first as a probe. If all the
  * waiting ones were sent, they would be rejected together, at the cost of a
  * retry each. */
-void gate_words_sent(struct gate *g, struct gate_ep *ep, int64_t now)
+void gate_signals_on_send(struct gate *g, struct gate_ep *ep, int64_t now)
 {
-	*g->n_limited += ep->words.limit.per_s >= 0;
-	*g->n_sent_resting += now < ep->words.rest_until_ms;
-	*g->n_sent_leaving += ep->words.leaving_ms != 0;
-	if (ep->words.rest_until_ms && now >= ep->words.rest_until_ms)
-		ep->words.trial_ms = now;
+	*g->n_limited += ep->signals.limit.per_s >= 0;
+	*g->n_sent_in_backoff += now < ep->signals.backoff_until_ms;
+	*g->n_sent_draining += ep->signals.draining_ms != 0;
+	if (ep->signals.backoff_until_ms && now >= ep->signals.backoff_until_ms)
+		ep->signals.probe_ms = now;
 }
 
 static void release_reservation(struct gate *g, struct gate_ep *ep)
 {
 	struct customer c =
-		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
+		endpoint_limit_as_customer(&ep->signals.limit, ep->addr);
 
-	if (ep->words.seat > 0)
-		quota_lease.cancel(g->limits, &c, ep->words.seat);
-	ep->words.seat = 0;
+	if (ep->signals.reserved > 0)
+		quota_lease.cancel(g->limit_client, &c, ep->signals.reserved);
+	ep->signals.reserved = 0;
 }
 
-void gate_words_reset(struct gate *g, struct gate_ep *ep)
+void gate_signals_reset(struct gate *g, struct gate_ep *ep)
 {
 	release_reservation(g, ep);
-	ep->words = (struct gate_words){
+	ep->signals = (struct gate_signals){
 		.limit = { .per_s = ENDPOINT_LIMIT_NONE }
 	};
 }
@@ -178,41 +180,42 @@
 	struct quota_need need = { .hold_ms = f->begin_by_ms - now };
 	struct customer c;
 
-	if (ep->words.limit.per_s < 0)
+	if (ep->signals.limit.per_s < 0)
 		return true;
-	if (now < ep->words.permit_ms)
+	if (now < ep->signals.next_grant_ms)
 		return false;
 	need.cost = request_cost(f, ep);
 	/* A reservation has a fixed cost; this request may need another. */
-	if (ep->words.seat > 0 && ep->words.seat != need.cost)
+	if (ep->signals.reserved > 0 && ep->signals.reserved != need.cost)
 		release_reservation(g, ep);
-	need.queued = ep->words.seat > 0;
-	ep->words.seat = 0;
-	c = endpoint_limit_as_customer(&ep->words.limit, ep->addr);
-	switch (quota_lease.take(g->limits, &c, &need, now, &retry_after_ms)) {
+	need.queued = ep->signals.reserved > 0;
+	ep->signals.reserved = 0;
+	c = endpoint_limit_as_customer(&ep->signals.limit, ep->addr);
+	switch (quota_lease.take(g->limit_client, &c, &need, now,
+				 &retry_after_ms)) {
 	case QUOTA_ADMIT:
-		f->permits = need.cost;
+		f->grants = need.cost;
 		return true;
 	case QUOTA_WAIT:
-		ep->words.seat = need.cost;
-		ep->words.seat_ms = now;
+		ep->signals.reserved = need.cost;
+		ep->signals.reserved_ms = now;
 		return false;
 	case QUOTA_REFUSE:
 		break;
 	}
-	ep->words.permit_ms = now + retry_after_ms;
+	ep->signals.next_grant_ms = now + retry_after_ms;
 	return false;
 }
 
-void gate_limit_unused(struct forward *f, struct gate_ep *ep)
+void gate_limit_release(struct forward *f, struct gate_ep *ep)
 {
 	struct customer c =
-		endpoint_limit_as_customer(&ep->words.limit, ep->addr);
+		endpoint_limit_as_customer(&ep->signals.limit, ep->addr);
 
-	if (f->permits > 0)
-		quota_lease.refund(f->g->limits, &c, f->permits,
+	if (f->grants > 0)
+		quota_lease.refund(f->g->limit_client, &c, f->grants,
 				   &(struct quota_rank){ 0 }, gate_now(f->g));
-	f->permits = 0;
+	f->grants = 0;
 }
 
 void gate_limits_tick(struct gate *g, int64_t now)
@@ -220,15 +223,15 @@
 	GHashTableIter it;
 	void *p;
 
-	if (now - g->seats_ms < RESERVATION_TTL_MS)
+	if (now - g->reservations_ms < RESERVATION_TTL_MS)
 		return;
-	g->seats_ms = now;
+	g->reservations_ms = now;
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct gate_ep *ep = p;
 
-		if (ep->words.seat > 0 &&
-		    now - ep->words.seat_ms > RESERVATION_TTL_MS)
+		if (ep->signals.reserved > 0 &&
+		    now - ep->signals.reserved_ms > RESERVATION_TTL_MS)
 			release_reservation(g, ep);
 	}
 }
@@ -240,23 +243,24 @@
 
 static bool limit_report_is_due(const struct gate_ep *ep, int64_t now)
 {
-	bool refresh = ep->words.limit.per_s >= 0 &&
-		       ep->words.limit_heard_ms > ep->words.limit_told_ms &&
-		       now - ep->words.limit_told_ms >= REFRESH_INTERVAL_MS;
+	bool refresh =
+		ep->signals.limit.per_s >= 0 &&
+		ep->signals.limit_received_ms > ep->signals.limit_reported_ms &&
+		now - ep->signals.limit_reported_ms >= REFRESH_INTERVAL_MS;
 
-	return refresh || (ep->words.limit_owed &&
-			   resend_is_due(ep->words.limit_told_ms, now));
+	return refresh || (ep->signals.limit_unreported &&
+			   resend_is_due(ep->signals.limit_reported_ms, now));
 }
 
-void gate_words_report(struct gate *g, struct gate_ep *ep, GArray *signals)
+void gate_signals_report(struct gate *g, struct gate_ep *ep, GArray *signals)
 {
 	int64_t now = gate_now(g);
-	struct gate_words *x = &ep->words;
+	struct gate_signals *x = &ep->signals;
 	bool limit = limit_report_is_due(ep, now);
-	bool backoff = now < x->rest_until_ms && !x->rest_told;
+	bool backoff = now < x->backoff_until_ms && !x->backoff_reported;
 	/* Until the leader lists it as draining, too. */
-	bool draining = x->leaving_ms && ep->known && !ep->leaving &&
-			resend_is_due(x->leaving_told_ms, now);
+	bool draining = x->draining_ms && ep->known && !ep->draining &&
+			resend_is_due(x->draining_reported_ms, now);
 	struct endpoint_signals w = { 0 };
 
 	if (!limit && !backoff && !draining)
@@ -264,23 +268,23 @@
 	w.addr = ss_str(ep->addr);
 	w.id = ss_str(ep->self.id);
 	w.started_ms = ep->self.started_ms;
-	w.backoff_ms = MAX(x->rest_until_ms - now, 0);
-	x->rest_told = true;
+	w.backoff_ms = MAX(x->backoff_until_ms - now, 0);
+	x->backoff_reported = true;
 	if (draining) {
 		w.draining = true;
-		x->leaving_told_ms = now;
+		x->draining_reported_ms = now;
 	}
 	if (limit) {
 		w.limit = endpoint_limit_wire(&x->limit);
 		w.limit_age = endpoint_limit_wire_age(&x->limit, now);
-		x->limit_told_ms = now;
+		x->limit_reported_ms = now;
 	}
 	g_array_append_val(signals, w);
 }
 
-void gate_limit_asks(struct gate *g, GArray *out)
+void gate_limit_requests(struct gate *g, GArray *out)
 {
-	quota_lease.clients_requests(g->limits, gate_now(g), out);
+	quota_lease.clients_requests(g->limit_client, gate_now(g), out);
 }
 
 void gate_take_limit(struct gate *g, const struct msg_quota_reply *m)
@@ -288,6 +292,6 @@
 	const struct quota_reply *w = m->replies.items;
 
 	for (size_t i = 0; i < m->replies.n; i++)
-		quota_lease.clients_reply(g->limits, &w[i], gate_now(g));
+		quota_lease.clients_reply(g->limit_client, &w[i], gate_now(g));
 	gate_dispatch(g, NULL);
 }
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -78,8 +78,8 @@
 	if (f->route->kind == ROUTE_STREAM)
 		return 1 + (double)MIN(f->call.tokens_in, PROMPT_TOKENS_MAX) /
 				   FIXED_COST_TOKENS;
-	return f->stream_timing->first.n >= ROUTE_MIN_ANSWERS ?
-		       f->stream_timing->first.mean_ms :
+	return f->timing->first.n >= ROUTE_MIN_ANSWERS ?
+		       f->timing->first.mean_ms :
 		       0;
 }
 
@@ -96,7 +96,8 @@
  * that delays it. */
 static bool is_pending(const struct forward *f)
 {
-	return f->state >= FORWARD_SENT && !f->mark.events && !f->paused;
+	return f->state >= FORWARD_SENT && !f->event_mark.events &&
+	       !f->reading_paused;
 }
 
 /* Adds a time to the next report to the other entries. */
@@ -110,11 +111,11 @@
 			   double median)
 {
 	/* The request was sent again. */
-	if (ms < f->seen_ms)
-		f->seen_ms = 0;
-	if (ms < PENDING_SLOW_RATIO * MAX(median, f->seen_ms))
+	if (ms < f->slow_counted_ms)
+		f->slow_counted_ms = 0;
+	if (ms < PENDING_SLOW_RATIO * MAX(median, f->slow_counted_ms))
 		return;
-	f->seen_ms = ms;
+	f->slow_counted_ms = ms;
 	record_ratio(ep, ms, median);
 }
 
@@ -168,10 +169,10 @@
 
 static void update_ratio(struct gate_ep *ep, double median, int64_t now)
 {
-	ep->own_ratio = speed_ratio(&ep->speed, median, now);
-	ep->ratio = slowness_effective(&ep->slowness_received, ep->own_ratio,
-				       speed_sample_weight(&ep->speed, now),
-				       now);
+	ep->own_slowness = speed_ratio(&ep->speed, median, now);
+	ep->slowness =
+		slowness_effective(&ep->slowness_received, ep->own_slowness,
+				   speed_sample_weight(&ep->speed, now), now);
 }
 
 static void update_speeds(struct gate *g, int64_t now)
@@ -202,17 +203,17 @@
 {
 	int64_t now = gate_now(g);
 
-	ejection_begin(&ep->slow_rest, now);
+	ejection_begin(&ep->ejection, now);
 	if (speed_load_factor(
 		    slowness_received_ratio(&ep->slowness_received, now)) > 1)
-		ejection_spread(&ep->slow_rest, MAX(g->entries, 1),
+		ejection_spread(&ep->ejection, MAX(g->entries, 1),
 				balance_random(&g->seed), now);
 	(*g->speeds->n_ejections)++;
 	log_info("endpoint_slow",
 		 "addr=%s id=%s ratio=%.1f first_ms=%.0f median_ms=%.0f "
 		 "ms=%" PRId64,
-		 ep->addr, ep->self.id, ep->ratio, ep->ratio * median_ms,
-		 median_ms, ep->slow_rest.until_ms - now);
+		 ep->addr, ep->self.id, ep->slowness, ep->slowness * median_ms,
+		 median_ms, ep->ejection.until_ms - now);
 }
 
 void gate_speed_answered(struct forward *f)
@@ -228,10 +229,10 @@
 	median = service_at(g->speeds, ep->service)->median;
 	update_ratio(ep, median, now);
 	record_ratio(ep, ms, median);
-	if (ep->own_ratio > 0)
+	if (ep->own_slowness > 0)
 		hist_add(g->speeds->slowness,
-			 (uint64_t)(ep->own_ratio * PERCENT));
-	if (ejection_call_answered(&ep->slow_rest, ep->own_ratio))
+			 (uint64_t)(ep->own_slowness * PERCENT));
+	if (ejection_call_answered(&ep->ejection, ep->own_slowness))
 		begin_ejection(g, ep, median * scale_of(f));
 }
 
@@ -248,7 +249,7 @@
 	record_pending(ep, f, ms, median);
 }
 
-void gate_speed_told(struct gate *g, struct gate_ep *ep, int64_t ratio)
+void gate_speed_received(struct gate *g, struct gate_ep *ep, int64_t ratio)
 {
 	int64_t now = gate_now(g);
 	double before = slowness_received_ratio(&ep->slowness_received, now),
@@ -260,13 +261,13 @@
 		return;
 	(*g->speeds->n_reported_slow)++;
 	log_info("endpoint_told_slow", "addr=%s id=%s ratio=%.1f own=%.1f",
-		 ep->addr, ep->self.id, reported, ep->own_ratio);
+		 ep->addr, ep->self.id, reported, ep->own_slowness);
 }
 
 bool gate_speed_report(struct gate *g, struct gate_ep *ep,
 		       struct endpoint_results *e)
 {
-	bool unusual = is_unusual(ep->own_ratio) ||
+	bool unusual = is_unusual(ep->own_slowness) ||
 		       is_unusual(slowness_received_ratio(
 			       &ep->slowness_received, gate_now(g)));
 
@@ -293,14 +294,15 @@
 
 	if (reported > 0)
 		return reported;
-	return has_objective(f) ? ep->ratio : 0;
+	return has_objective(f) ? ep->slowness : 0;
 }
 
 static double slow_start_share(const struct forward *f,
 			       const struct gate_ep *ep, int64_t now)
 {
-	return has_objective(f) && ep->began_ms ?
-		       speed_slow_start(now - ep->began_ms, ep->speed.n) :
+	return has_objective(f) && ep->first_reported_ms ?
+		       speed_slow_start(now - ep->first_reported_ms,
+					ep->speed.n) :
 		       1;
 }
 
@@ -325,7 +327,7 @@
 			double median_ms)
 {
 	return has_objective(f) &&
-	       ejection_is_needed(ep->ratio, ep->ratio * median_ms,
+	       ejection_is_needed(ep->slowness, ep->slowness * median_ms,
 				  f->route->objective_ms);
 }
 
@@ -334,7 +336,7 @@
 	const struct gate_ep *x = *(struct gate_ep *const *)a;
 	const struct gate_ep *y = *(struct gate_ep *const *)b;
 
-	return (x->ratio < y->ratio) - (x->ratio > y->ratio);
+	return (x->slowness < y->slowness) - (x->slowness > y->slowness);
 }
 
 /* Limits ejections to the slowest half of the usable endpoints, so that the
@@ -356,14 +358,14 @@
 	for (guint i = 0; i < slow->len; i++) {
 		struct gate_ep *ep = slow->pdata[i];
 
-		if (ejection_is_due(&ep->slow_rest, now))
+		if (ejection_is_due(&ep->ejection, now))
 			begin_ejection(g, ep, median_ms);
 	}
 }
 
 static bool is_ejected(const struct gate_ep *ep, GPtrArray *slow, int64_t now)
 {
-	return ejection_is_active(&ep->slow_rest, now) &&
+	return ejection_is_active(&ep->ejection, now) &&
 	       g_ptr_array_find(slow, ep, NULL);
 }
 
@@ -372,7 +374,7 @@
 static void exclude_ejected(const struct forward *f, struct balance_node *n,
 			    const GPtrArray *eps, GPtrArray *slow, int64_t now)
 {
-	double fill = gate_fill(f);
+	double fill = gate_fill_factor(f);
 	bool room = false;
 
 	for (guint i = 0; !room && i < eps->len; i++)
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -23,7 +23,7 @@
 
 void gate_starts_reset(struct gate_ep *ep)
 {
-	ep->starts = 0;
+	ep->open_prompts = 0;
 	ep->start_logged_ms = 0;
 	start_limit_init(&ep->start_limit);
 }
@@ -34,9 +34,9 @@
 
 	if (!needs_prefill(f))
 		return;
-	f->starting = true;
-	ep->starts++;
-	start_limit_sent(l, ep->starts, gate_now(f->g));
+	f->prompt_open = true;
+	ep->open_prompts++;
+	start_limit_sent(l, ep->open_prompts, gate_now(f->g));
 	if (l->max_in_flight > 0)
 		hist_add(f->g->start_limits, (uint64_t)l->max_in_flight);
 }
@@ -45,9 +45,9 @@
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
-	if (f->starting && ep)
-		ep->starts--;
-	f->starting = false;
+	if (f->prompt_open && ep)
+		ep->open_prompts--;
+	f->prompt_open = false;
 }
 
 static void record_cut(struct gate *g, struct gate_ep *ep, const char *why)
@@ -86,33 +86,33 @@
 bool gate_start_admits(const struct forward *f, const struct gate_ep *ep)
 {
 	return !is_limited(f) ||
-	       start_limit_allows(&ep->start_limit, ep->starts);
+	       start_limit_allows(&ep->start_limit, ep->open_prompts);
 }
 
 /* When a request of a model queue that waits for start limits is sent despite
  * them: early enough for its answer to begin within its objective. */
 static int64_t wait_deadline_ms(const struct forward *f)
 {
-	const struct lane *l = f->lane;
-	int64_t since = MAX(f->lane_ms, l->starts_ms);
+	const struct model_queue *l = f->queue;
+	int64_t since = MAX(f->queued_ms, l->start_wait_ms);
 	int64_t share =
 		(int64_t)((double)f->route->objective_ms * START_WAIT_SHARE);
 
 	if (!is_limited(f))
 		return since;
-	return MIN(since + share, f->objective_ms - l->starts_first_ms);
+	return MIN(since + share, f->objective_ms - l->start_first_event_ms);
 }
 
 bool gate_start_waits(struct forward *f, int64_t first_ms)
 {
-	struct lane *l = f->lane;
+	struct model_queue *l = f->queue;
 	int64_t now = gate_now(f->g);
 
 	if (!l || f->started || f->began_version)
 		return false;
-	if (!l->starts_ms)
-		l->starts_ms = now;
-	l->starts_first_ms = first_ms;
+	if (!l->start_wait_ms)
+		l->start_wait_ms = now;
+	l->start_first_event_ms = first_ms;
 	if (now >= wait_deadline_ms(f))
 		return false;
 	if (!f->start_waited)
@@ -121,14 +121,15 @@
 	return true;
 }
 
-void gate_start_held(struct forward *f, enum balance_refusal none)
+void gate_start_blocked(struct forward *f, enum balance_refusal none)
 {
-	if (none != BALANCE_START_LIMIT && f->lane &&
-	    model_queue_next(f->lane, gate_now(f->g)) == f)
-		f->lane->starts_ms = 0;
+	if (none != BALANCE_START_LIMIT && f->queue &&
+	    model_queue_next(f->queue, gate_now(f->g)) == f)
+		f->queue->start_wait_ms = 0;
 }
 
 bool gate_start_wait_over(const struct forward *f, int64_t now)
 {
-	return f->lane && f->lane->starts_ms && now >= wait_deadline_ms(f);
+	return f->queue && f->queue->start_wait_ms &&
+	       now >= wait_deadline_ms(f);
 }
--- a/src/proxy/model_queues.c
+++ b/src/proxy/model_queues.c
@@ -11,7 +11,7 @@
  * endpoints. */
 struct model_queue_group {
 	struct admission admission;
-	GQueue waiting; /* struct lane, the queues that aren't empty */
+	GQueue waiting; /* struct model_queue, the queues that aren't empty */
 	GList link; /* in the gate's list of groups in which a request waits */
 	GArray *heads; /* struct admission_head, of the dispatch in progress */
 	const struct admission_head *tried; /* being sent now; NULL: none */
@@ -42,9 +42,9 @@
 
 static void lane_free(void *p)
 {
-	struct lane *l = p;
+	struct model_queue *l = p;
 
-	ss_queue_free(l->waits);
+	ss_queue_free(l->waiting);
 	g_free(l->service);
 	g_free(l->model);
 	g_free(l->version);
@@ -55,8 +55,8 @@
 {
 	struct metrics *m = g->o.metrics;
 
-	g->lanes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					 lane_free);
+	g->model_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						lane_free);
 	g->groups = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					  group_free);
 	g_queue_init(&g->groups_waiting);
@@ -74,35 +74,35 @@
 
 void model_queues_clear(struct gate *g)
 {
-	g_hash_table_unref(g->lanes);
+	g_hash_table_unref(g->model_queues);
 	g_hash_table_unref(g->groups);
 }
 
-struct lane *gate_model_queue(struct gate *g, const char *service,
-			      const char *model)
+struct model_queue *gate_model_queue(struct gate *g, const char *service,
+				     const char *model)
 {
 	return gate_version_queue(g, service, model, "");
 }
 
-struct lane *gate_version_queue(struct gate *g, const char *service,
-				const char *model, const char *version)
+struct model_queue *gate_version_queue(struct gate *g, const char *service,
+				       const char *model, const char *version)
 {
 	char *key = g_strdup_printf("%s\n%s\n%s", service, model, version);
-	struct lane *l = g_hash_table_lookup(g->lanes, key);
+	struct model_queue *l = g_hash_table_lookup(g->model_queues, key);
 
 	if (l) {
 		g_free(key);
 		return l;
 	}
-	l = g_new0(struct lane, 1);
+	l = g_new0(struct model_queue, 1);
 	l->service = g_strdup(service);
 	l->model = g_strdup(model);
 	l->version = g_strdup(version);
 	l->eta_ms = SS_NEVER;
-	l->waits = ss_queue_new(&queue_options);
+	l->waiting = ss_queue_new(&queue_options);
 	l->group = group_of(g, service);
 	l->link.data = l;
-	g_hash_table_insert(g->lanes, key, l);
+	g_hash_table_insert(g->model_queues, key, l);
 	return l;
 }
 
@@ -114,23 +114,23 @@
 	return SS_QUEUE_PRIORITIES - 1 - i->priority;
 }
 
-void model_queue_add(struct lane *l, struct forward *f)
+void model_queue_add(struct model_queue *l, struct forward *f)
 {
 	struct model_queue_group *gr = l->group;
 	struct gate *g = f->g;
 	int priority;
 
-	if (!ss_queue_length(l->waits)) {
+	if (!ss_queue_length(l->waiting)) {
 		if (!gr->waiting.length)
 			g_queue_push_tail_link(&g->groups_waiting, &gr->link);
 		g_queue_push_tail_link(&gr->waiting, &l->link);
 	}
 	/* The push can't fail: the queue has no length limit. */
-	ss_queue_push(l->waits, &f->item, NULL);
+	ss_queue_push(l->waiting, &f->item, NULL);
 	priority = priority_of(&f->item);
 	if (!*l->version)
 		admission_enter(&gr->admission, priority, gate_now(g));
-	f->lane = l;
+	f->queue = l;
 	(*g->n_waiting)++;
 	(*g->n_waiting_by[priority])++;
 }
@@ -138,17 +138,17 @@
 /* The request has been taken out of its model queue. */
 static void note_removed(struct forward *f)
 {
-	struct lane *l = f->lane;
+	struct model_queue *l = f->queue;
 	struct model_queue_group *gr = l->group;
 	struct gate *g = f->g;
 	int priority = priority_of(&f->item);
 
-	f->lane = NULL;
+	f->queue = NULL;
 	(*g->n_waiting)--;
 	(*g->n_waiting_by[priority])--;
 	if (!*l->version)
 		admission_leave(&gr->admission, priority);
-	if (ss_queue_length(l->waits))
+	if (ss_queue_length(l->waiting))
 		return;
 	g_queue_unlink(&gr->waiting, &l->link);
 	if (!gr->waiting.length)
@@ -159,33 +159,34 @@
  * one: a request that is sent on arrival was preferred to no other. */
 static void count_turn(struct forward *f)
 {
-	struct model_queue_group *gr = f->lane->group;
+	struct model_queue_group *gr = f->queue->group;
 	const struct admission_head *h = gr->tried;
 
 	if (!h || h->request != f)
 		return;
-	f->turn = admission_dispatched(&gr->admission, h, forward_customer(f),
-				       f->item.share, gate_now(f->g));
-	*f->g->n_raised += f->turn == ADMISSION_RAISED;
+	f->sent_rule = admission_dispatched(&gr->admission, h,
+					    forward_customer(f), f->item.share,
+					    gate_now(f->g));
+	*f->g->n_raised += f->sent_rule == ADMISSION_RAISED;
 }
 
 void model_queue_take(struct forward *f)
 {
 	count_turn(f);
-	ss_queue_take(f->lane->waits, &f->item);
+	ss_queue_take(f->queue->waiting, &f->item);
 	note_removed(f);
 }
 
 void model_queue_remove(struct forward *f)
 {
-	ss_queue_remove(f->lane->waits, &f->item);
+	ss_queue_remove(f->queue->waiting, &f->item);
 	note_removed(f);
 }
 
-struct forward *model_queue_next(const struct lane *l, int64_t now)
+struct forward *model_queue_next(const struct model_queue *l, int64_t now)
 {
 	/* The item is the first member of struct forward. */
-	return (struct forward *)ss_queue_peek(l->waits, now, 0);
+	return (struct forward *)ss_queue_peek(l->waiting, now, 0);
 }
 
 const char *model_queue_rule(const struct forward *f)
@@ -193,13 +194,13 @@
 	static const char *const turns[] = { "-", "order", "guaranteed",
 					     "raised" };
 
-	return turns[f->turn];
+	return turns[f->sent_rule];
 }
 
 /* Dispatching. */
 
-static void add_head(struct lane *l, struct ss_queue_item *i, bool by_order,
-		     bool by_time)
+static void add_head(struct model_queue *l, struct ss_queue_item *i,
+		     bool by_order, bool by_time)
 {
 	struct forward *f = (struct forward *)i;
 	struct admission_head h = { .resumes = *l->version,
@@ -215,11 +216,12 @@
 	g_array_append_val(l->group->heads, h);
 }
 
-static void add_heads(struct lane *l, bool by_time)
+static void add_heads(struct model_queue *l, bool by_time)
 {
 	for (int p = SS_QUEUE_PRIORITIES - 1; p >= 0; p--) {
-		struct ss_queue_item *fairest = ss_queue_fairest(l->waits, p);
-		struct ss_queue_item *earliest = ss_queue_earliest(l->waits, p);
+		struct ss_queue_item *fairest = ss_queue_fairest(l->waiting, p);
+		struct ss_queue_item *earliest =
+			ss_queue_earliest(l->waiting, p);
 
 		if (fairest)
 			add_head(l, fairest, true, by_time);
@@ -233,16 +235,18 @@
 {
 	g_array_set_size(gr->heads, 0);
 	for (GList *p = gr->waiting.head; p; p = p->next) {
-		struct lane *l = p->data;
+		struct model_queue *l = p->data;
 
 		(*g->n_examined)++;
-		if (l->passed != g->pumps)
-			add_heads(l, l->passed_by_time != g->pumps);
+		if (l->blocked_round != g->dispatch_round)
+			add_heads(l,
+				  l->time_blocked_round != g->dispatch_round);
 	}
 }
 
 /* The head of a queue blocks those behind it: what it can't get, none of them
- * may take. Once forward_try() returns true, the request has left its queue. */
+ * may take. Once forward_try_send() returns true, the request has left its
+ * queue. */
 static void try_head(struct gate *g, struct model_queue_group *gr, size_t at)
 {
 	struct admission_head *heads = (struct admission_head *)gr->heads->data;
@@ -251,7 +255,7 @@
 	bool sent;
 
 	gr->tried = &h;
-	sent = forward_try(f);
+	sent = forward_try_send(f);
 	gr->tried = NULL;
 	if (sent) {
 		collect_heads(g, gr);
@@ -259,9 +263,9 @@
 	}
 	if (gr->admission.rule == ADMISSION_GUARANTEED ||
 	    gr->admission.rule == ADMISSION_RAISED)
-		f->lane->passed_by_time = g->pumps;
+		f->queue->time_blocked_round = g->dispatch_round;
 	else
-		f->lane->passed = g->pumps;
+		f->queue->blocked_round = g->dispatch_round;
 	g_array_set_size(gr->heads,
 			 (guint)admission_skipped(&gr->admission, heads,
 						  gr->heads->len, at));
@@ -271,7 +275,7 @@
 {
 	int at;
 
-	g->pumps++;
+	g->dispatch_round++;
 	collect_heads(g, gr);
 	while ((at = admission_next(
 			&gr->admission,
@@ -285,9 +289,9 @@
 	struct model_queue_group *gr;
 	GList *groups;
 
-	if (*g->n_waiting == 0 || g->pumping)
+	if (*g->n_waiting == 0 || g->dispatching)
 		return;
-	g->pumping = true;
+	g->dispatching = true;
 	if (service) {
 		gr = g_hash_table_lookup(g->groups, service);
 		if (gr)
@@ -300,5 +304,5 @@
 			dispatch_group(g, p->data);
 		g_list_free(groups);
 	}
-	g->pumping = false;
+	g->dispatching = false;
 }
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -20,11 +20,11 @@
 {
 	const struct http1_head *h = caller_call_head(f->caller);
 
-	if (!f->has_print)
-		f->print = fingerprint_of(h->method, http1_value(h, "Host"),
-					  h->target, f->body);
-	f->has_print = true;
-	return &f->print;
+	if (!f->has_fingerprint)
+		f->fingerprint = fingerprint_of(
+			h->method, http1_value(h, "Host"), h->target, f->body);
+	f->has_fingerprint = true;
+	return &f->fingerprint;
 }
 
 /* Crashes and answers that this entry observes. */
@@ -47,7 +47,7 @@
 		struct forward *f = p->data;
 
 		if (g_hash_table_contains(g->forwards, f) &&
-		    f->state == FORWARD_WAITS)
+		    f->state == FORWARD_WAIT_ENDPOINT)
 			quarantine_blocks(f);
 	}
 	g_list_free(all);
@@ -73,14 +73,14 @@
 	    !suspects_answered(g->suspects, forward_fingerprint(f),
 			       gate_now(g)))
 		return;
-	record(g, &f->print, OUTCOME_ANSWERED, 0);
-	f->trial_told = true;
+	record(g, &f->fingerprint, OUTCOME_ANSWERED, 0);
+	f->trial_reported = true;
 }
 
 void quarantine_end_trial(struct forward *f)
 {
-	if (f->trial && !f->trial_told)
-		record(f->g, &f->print, OUTCOME_INCONCLUSIVE, 0);
+	if (f->trial_run && !f->trial_reported)
+		record(f->g, &f->fingerprint, OUTCOME_INCONCLUSIVE, 0);
 }
 
 /* Refusals and trial runs. */
@@ -93,7 +93,7 @@
 	(*f->g->n_quarantined)++;
 	if (f->started)
 		forward_end(f, false, why);
-	else if (f->unknown)
+	else if (f->may_have_run)
 		forward_refuse(f, 502, "lost", why, 0);
 	else
 		forward_refuse(f, 503, "quarantined", why, retry_after_ms);
@@ -103,18 +103,18 @@
 {
 	struct gate *g = f->g;
 	struct msg_trial m = { .sub = ++g->ticket,
-			       .fingerprint_hi = f->print.hi,
-			       .fingerprint_lo = f->print.lo };
+			       .fingerprint_hi = f->fingerprint.hi,
+			       .fingerprint_lo = f->fingerprint.lo };
 
-	if (!g->o.ops->ask_trial(g->o.arg, &m)) {
+	if (!g->o.ops->request_trial(g->o.arg, &m)) {
 		refuse(f, TRIAL_RETRY_AFTER_MS);
 		return;
 	}
-	if (f->lane)
+	if (f->queue)
 		model_queue_remove(f);
 	forward_leave_endpoint(f);
 	f->ticket = m.sub;
-	f->state = FORWARD_ASKS;
+	f->state = FORWARD_WAIT_TRIAL;
 	f->sent_ms = gate_now(g);
 	g_hash_table_insert(g->tickets, &f->ticket, f);
 }
@@ -129,11 +129,11 @@
 	left = suspects_remaining_ms(g->suspects, forward_fingerprint(f),
 				     gate_now(g));
 	/* A trial runs at one endpoint only: once sent, it isn't sent again. */
-	if (left < 0 || (f->trial && f->sends == 0))
+	if (left < 0 || (f->trial_run && f->sends == 0))
 		return false;
 	if (left > 0)
 		refuse(f, left);
-	else if (f->trial)
+	else if (f->trial_run)
 		refuse(f, TRIAL_RETRY_AFTER_MS);
 	else
 		request_trial(f);
@@ -155,7 +155,7 @@
 
 	if (m->admission == SUSPECT_FREE)
 		suspects_apply(g->suspects, &cleared, gate_now(g));
-	if (!f || f->state != FORWARD_ASKS) {
+	if (!f || f->state != FORWARD_WAIT_TRIAL) {
 		/* The caller has left meanwhile. */
 		if (m->admission == SUSPECT_TRIAL)
 			record(g, &fp, OUTCOME_INCONCLUSIVE, 0);
@@ -166,8 +166,8 @@
 		return;
 	}
 	g_hash_table_remove(g->tickets, &f->ticket);
-	f->trial = m->admission == SUSPECT_TRIAL;
-	log_info("trial", "request=%s allowed=%d", f->id, f->trial);
+	f->trial_run = m->admission == SUSPECT_TRIAL;
+	log_info("trial", "request=%s allowed=%d", f->id, f->trial_run);
 	service = g_strdup(f->service->name);
 	forward_enqueue(f);
 	gate_dispatch(g, service);
@@ -179,16 +179,16 @@
 void gate_leader_found(struct gate *g)
 {
 	crash_log_rewind(&g->crash_log);
-	g->recall = 0;
-	g->streams_told = 0;
-	quota_lease.clients_link(g->quota, NULL, true, gate_now(g));
-	quota_lease.clients_link(g->limits, NULL, true, gate_now(g));
+	g->suspects_mark = 0;
+	g->streams_reported = 0;
+	quota_lease.clients_link(g->quota_client, NULL, true, gate_now(g));
+	quota_lease.clients_link(g->limit_client, NULL, true, gate_now(g));
 }
 
 void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m)
 {
 	const struct suspect_item *x = m->suspects.items;
-	bool leader_knows = g->recall == suspects_mark(g->suspects);
+	bool leader_knows = g->suspects_mark == suspects_mark(g->suspects);
 	int64_t now = gate_now(g);
 
 	/* Messages of a leader that was replaced may still arrive. */
@@ -207,17 +207,17 @@
 	}
 	/* The leader knows what it has sent: that isn't reported back. */
 	if (leader_knows)
-		g->recall = suspects_mark(g->suspects);
+		g->suspects_mark = suspects_mark(g->suspects);
 	stop_quarantined(g);
 }
 
-static void add_recalled(struct gate *g, struct gate_ends *r)
+static void add_recalled(struct gate *g, struct gate_crash_report *r)
 {
 	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 
-	r->recall = suspects_changes(g->suspects, g->recall, ITEMS_PER_MESSAGE,
-				     gate_now(g), changes);
+	r->recall = suspects_changes(g->suspects, g->suspects_mark,
+				     ITEMS_PER_MESSAGE, gate_now(g), changes);
 	for (guint i = 0; i < changes->len; i++) {
 		const struct suspect_state *w =
 			&g_array_index(changes, struct suspect_state, i);
@@ -231,15 +231,15 @@
 	g_array_unref(changes);
 }
 
-bool gate_ends(struct gate *g, struct gate_ends *r)
+bool gate_crash_report(struct gate *g, struct gate_crash_report *r)
 {
 	size_t n;
 	const struct run_outcome *e =
 		crash_log_next(&g->crash_log, ITEMS_PER_MESSAGE, &n);
 
-	if (!n && g->recall == suspects_mark(g->suspects))
+	if (!n && g->suspects_mark == suspects_mark(g->suspects))
 		return false;
-	r->ends = g_array_new(FALSE, FALSE, sizeof(struct run_outcome_item));
+	r->crashes = g_array_new(FALSE, FALSE, sizeof(struct run_outcome_item));
 	r->recalled = g_array_new(FALSE, FALSE, sizeof(struct suspect_item));
 	for (size_t i = 0; i < n; i++) {
 		struct run_outcome_item x = { e[i].fingerprint.hi,
@@ -247,22 +247,23 @@
 					      e[i].incarnation_no,
 					      gate_now(g) - e[i].at_ms };
 
-		g_array_append_val(r->ends, x);
+		g_array_append_val(r->crashes, x);
 	}
 	add_recalled(g, r);
-	r->m.outcomes = (struct wire_list){ r->ends->data, r->ends->len };
+	r->m.outcomes = (struct wire_list){ r->crashes->data, r->crashes->len };
 	r->m.suspects =
 		(struct wire_list){ r->recalled->data, r->recalled->len };
 	return true;
 }
 
-void gate_ends_done(struct gate *g, struct gate_ends *r, bool sent)
+void gate_crash_report_done(struct gate *g, struct gate_crash_report *r,
+			    bool sent)
 {
 	if (sent) {
-		crash_log_reported(&g->crash_log, r->ends->len);
-		g->recall = r->recall;
+		crash_log_reported(&g->crash_log, r->crashes->len);
+		g->suspects_mark = r->recall;
 	}
-	g_array_unref(r->ends);
+	g_array_unref(r->crashes);
 	g_array_unref(r->recalled);
 }
 
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -35,7 +35,7 @@
 	if (!f->began_version || *f->began_version)
 		return;
 	ep = gate_ep_at(f->g, f->began_addr);
-	if (!ep || ep->life != f->began_life)
+	if (!ep || ep->incarnation_no != f->began_incarnation_no)
 		return;
 	g_free(f->began_version);
 	f->began_version = g_strdup(fleet_version(&ep->self));
@@ -49,7 +49,7 @@
 		return;
 	f->began_version = g_strdup(f->version);
 	f->began_addr = g_strdup(f->ep_addr);
-	f->began_life = ep ? ep->life : 0;
+	f->began_incarnation_no = ep ? ep->incarnation_no : 0;
 }
 
 bool resume_fits(const struct forward *f, const struct gate_ep *ep)
@@ -58,14 +58,14 @@
 		return true;
 	if (*f->began_version)
 		return !strcmp(f->began_version, fleet_version(&ep->self));
-	return ep->life == f->began_life;
+	return ep->incarnation_no == f->began_incarnation_no;
 }
 
 /* The endpoint runs the version that began the stream, or may turn out to. An
  * endpoint that is down counts, unless it is stopping for good. */
 static bool may_fit(const struct forward *f, const struct gate_ep *ep)
 {
-	return ep->known && !ep->ending && !ep->words.leaving_ms &&
+	return ep->known && !ep->removing && !ep->signals.draining_ms &&
 	       !strcmp(ep->service, f->service->name) &&
 	       (resume_fits(f, ep) ||
 		(*f->began_version && !*fleet_version(&ep->self)));
@@ -92,11 +92,11 @@
 
 /* Streams that wait for one version have a queue of their own, so that they
  * don't hold up requests which any endpoint may run. */
-struct lane *resume_queue(struct forward *f)
+struct model_queue *resume_queue(struct forward *f)
 {
 	learn_version(f);
 	if (!f->began_version)
-		return f->home;
+		return f->home_queue;
 	return gate_version_queue(f->g, f->service->name, f->model,
 				  *f->began_version ? f->began_version :
 						      RESUME_UNVERSIONED);
@@ -109,11 +109,11 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, g->lanes);
+	g_hash_table_iter_init(&it, g->model_queues);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct lane *l = p;
+		const struct model_queue *l = p;
 
-		if (*l->version && !ss_queue_length(l->waits) && !l->told)
+		if (*l->version && !ss_queue_length(l->waiting) && !l->reported)
 			g_hash_table_iter_remove(&it);
 	}
 }
@@ -139,7 +139,7 @@
 void resume_note_stream(struct forward *f, const struct gate_ep *ep)
 {
 	struct gate *g = f->g;
-	struct unnamed_stream u = { .life = ep->life };
+	struct unnamed_stream u = { .incarnation_no = ep->incarnation_no };
 
 	if (f->route->kind != ROUTE_STREAM || !f->route->resumable ||
 	    f->began_version || f->call.after_event >= 0 || !f->call.id.n)
@@ -168,7 +168,7 @@
 		const struct unnamed_stream *u =
 			&g_array_index(g->unnamed, struct unnamed_stream, i);
 
-		if (u->life != ep->life)
+		if (u->incarnation_no != ep->incarnation_no)
 			continue;
 		log_stream(g, u->key, ep, u->until_ms - gate_now(g));
 		g_array_remove_index_fast(g->unnamed, i);
@@ -185,14 +185,14 @@
 			g_array_remove_index_fast(g->unnamed, i);
 }
 
-bool gate_streams(struct gate *g, struct stream_wire *w)
+bool gate_stream_report(struct gate *g, struct stream_wire *w)
 {
 	GArray *items;
 
-	if (stream_log_is_reported(g->streams, g->streams_told))
+	if (stream_log_is_reported(g->streams, g->streams_reported))
 		return false;
 	items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
-	g->streams_sent = stream_log_changes(g->streams, g->streams_told,
+	g->streams_sent = stream_log_changes(g->streams, g->streams_reported,
 					     STREAMS_PER_MESSAGE, gate_now(g),
 					     items);
 	stream_wire_pack(w, items);
@@ -200,10 +200,10 @@
 	return true;
 }
 
-void gate_streams_done(struct gate *g, struct stream_wire *w, bool sent)
+void gate_stream_report_done(struct gate *g, struct stream_wire *w, bool sent)
 {
 	if (sent)
-		g->streams_told = g->streams_sent;
+		g->streams_reported = g->streams_sent;
 	stream_wire_clear(w);
 }
 
@@ -213,18 +213,18 @@
 {
 	int64_t now = gate_now(f->g);
 
-	(*f->g->n_taken_up)++;
+	(*f->g->n_resumed)++;
 	log_info("taken_up",
 		 "request=%s resumes=%.*s after=%" PRId64
 		 " service=%s version=%s from=%s ms=%" PRId64,
 		 f->id, SS_FMT(forward_resumed_request(f)), f->call.after_event,
 		 f->service->name, f->began_version, from,
-		 f->look_ms ? now - f->look_ms : 0);
+		 f->lookup_first_ms ? now - f->lookup_first_ms : 0);
 }
 
 static void refuse(struct forward *f, const char *why, int64_t retry_after_ms)
 {
-	(*f->g->n_taken_up_refused)++;
+	(*f->g->n_resume_refused)++;
 	forward_refuse(f, 503, "unavailable", why, retry_after_ms);
 }
 
@@ -243,7 +243,7 @@
 	if (!usable)
 		return false;
 	forward_set_service(f, s);
-	f->home = gate_model_queue(g, s->name, f->model);
+	f->home_queue = gate_model_queue(g, s->name, f->model);
 	return true;
 }
 
@@ -265,11 +265,11 @@
 {
 	struct gate *g = f->g;
 	struct msg_stream_request m = { .sub = f->ticket,
-					.key = f->taken_up,
+					.key = f->resumed_key,
 					.service = ss_str(f->service->name) };
 
-	f->asked_ms = gate_now(g);
-	g->o.ops->ask_stream(g->o.arg, &m);
+	f->lookup_last_ms = gate_now(g);
+	g->o.ops->request_stream(g->o.arg, &m);
 }
 
 bool resume_lookup(struct forward *f)
@@ -280,14 +280,14 @@
 	if (f->route->kind != ROUTE_STREAM || f->call.after_event < 0)
 		return false;
 	if (f->call.resumed_id.n)
-		f->taken_up = stream_key(ss_str(forward_customer(f)),
-					 f->call.resumed_id);
-	if (f->taken_up &&
-	    stream_log_find(g->streams, f->taken_up, gate_now(g), &x))
+		f->resumed_key = stream_key(ss_str(forward_customer(f)),
+					    f->call.resumed_id);
+	if (f->resumed_key &&
+	    stream_log_find(g->streams, f->resumed_key, gate_now(g), &x))
 		return !bind_to_version(f, x.service, x.version, "here");
 	f->ticket = ++g->ticket;
-	f->state = FORWARD_LOOKS;
-	f->look_ms = gate_now(g);
+	f->state = FORWARD_WAIT_VERSION;
+	f->lookup_first_ms = gate_now(g);
 	g_hash_table_insert(g->tickets, &f->ticket, f);
 	send_lookup(f);
 	return true;
@@ -339,10 +339,10 @@
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 	char *service, *version;
 
-	if (!f || f->state != FORWARD_LOOKS)
+	if (!f || f->state != FORWARD_WAIT_VERSION)
 		return;
 	if (m->result == STREAM_PENDING) {
-		f->heard_ms = gate_now(g);
+		f->leader_reply_ms = gate_now(g);
 		return;
 	}
 	if (m->result == STREAM_UNKNOWN) {
@@ -363,8 +363,9 @@
 		forward_refuse_draining(f);
 	else if (now + times_first_ms(f) > f->begin_by_ms)
 		refuse(f, "it can't be begun in time", 0);
-	else if (now - MAX(f->look_ms, f->heard_ms) >= LOOKUP_TIMEOUT_MS)
+	else if (now - MAX(f->lookup_first_ms, f->leader_reply_ms) >=
+		 LOOKUP_TIMEOUT_MS)
 		resume_disconnected(f);
-	else if (now - f->asked_ms >= LOOKUP_RESEND_MS)
+	else if (now - f->lookup_last_ms >= LOOKUP_RESEND_MS)
 		send_lookup(f);
 }
--- a/src/proxy/retry_after.c
+++ b/src/proxy/retry_after.c
@@ -39,10 +39,10 @@
 	struct return_slot slot;
 
 	a->max_ms = (f->deadline_ms - now) / MAX_WAIT_DIVISOR;
-	slot = return_slots_assign(g->turns, a, now);
+	slot = return_slots_assign(g->refused_slots, a, now);
 	if (slot.width_ms > 0) {
 		spread_ms = MIN(spread_ms, slot.width_ms);
-		(*(slot.reserved ? g->n_turns_given : g->n_turns_beyond))++;
+		(*(slot.reserved ? g->n_slots_given : g->n_slots_beyond))++;
 	}
 	return slot.delay_ms +
 	       (int64_t)(ss_random(&g->seed) % (uint64_t)spread_ms);
@@ -75,7 +75,8 @@
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
 
-	return_slots_served(g->turns, model_key(f), 1, now);
+	return_slots_served(g->refused_slots, model_key(f), 1, now);
 	if (f->charged_ms >= 0)
-		return_slots_served(g->turns, quota_key(f), f->cost, now);
+		return_slots_served(g->refused_slots, quota_key(f), f->cost,
+				    now);
 }
--- a/src/proxy/startup_hold.c
+++ b/src/proxy/startup_hold.c
@@ -35,10 +35,10 @@
 {
 	struct held_request e = { c, body, arrived_ms };
 
-	if (g->end_ms || gate_now(g) >= until_ms ||
-	    g->early->len >= STARTUP_HOLD_MAX)
+	if (g->stop_end_ms || gate_now(g) >= until_ms ||
+	    g->startup_hold->len >= STARTUP_HOLD_MAX)
 		return false;
-	g_array_append_val(g->early, e);
+	g_array_append_val(g->startup_hold, e);
 	return true;
 }
 
@@ -51,20 +51,21 @@
 
 void startup_hold_drop(struct gate *g, const struct caller_call *c)
 {
-	for (guint i = 0; i < g->early->len; i++)
-		if (g_array_index(g->early, struct held_request, i).call == c) {
-			g_array_remove_index(g->early, i);
+	for (guint i = 0; i < g->startup_hold->len; i++)
+		if (g_array_index(g->startup_hold, struct held_request, i)
+			    .call == c) {
+			g_array_remove_index(g->startup_hold, i);
 			return;
 		}
 }
 
 void startup_hold_tick(struct gate *g)
 {
-	GArray *held = g->early;
+	GArray *held = g->startup_hold;
 
 	if (!held->len)
 		return;
-	g->early = startup_hold_new();
+	g->startup_hold = startup_hold_new();
 	for (guint i = 0; i < held->len; i++) {
 		const struct held_request *e =
 			&g_array_index(held, struct held_request, i);
--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -115,7 +115,7 @@
 		g_snprintf(e->id, sizeof(e->id), "i-%d.%d", i, e->starts);
 }
 
-void end_endpoint(struct fix *f, int i)
+void crash_endpoint(struct fix *f, int i)
 {
 	stop_listening(f, i);
 	while (reset_oldest(f, i))
@@ -158,7 +158,8 @@
 	e->n_replies = 1;
 }
 
-void script(struct fix *f, int i, const char *text, bool close, bool reset)
+void script_answer(struct fix *f, int i, const char *text, bool close,
+		   bool reset)
 {
 	struct endpoint *e = &f->eps[i];
 
@@ -168,7 +169,7 @@
 	e->replies[e->n_replies++] = (struct reply){ text, close, reset };
 }
 
-void say(struct fix *f, int i, const char *text)
+void endpoint_send(struct fix *f, int i, const char *text)
 {
 	assert_non_null(f->eps[i].newest);
 	bufferevent_write(f->eps[i].newest, text, strlen(text));
@@ -241,7 +242,7 @@
 	"\"limits\":{\"maxHeaderBytes\":2048,\"maxBodyBytes\":4096,"
 	"\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000}}";
 
-void tell_fleet(struct fix *f, const char *service, const char *model)
+void report_fleet(struct fix *f, const char *service, const char *model)
 {
 	struct held_model held = { .model = ss_str(model) };
 	struct fleet_endpoint e[ENDPOINTS] = { 0 };
@@ -282,7 +283,7 @@
 	routing_unref(r);
 }
 
-void tell_routing(struct fix *f)
+void set_default_routing(struct fix *f)
 {
 	set_routing(f, routing_json);
 }
@@ -330,9 +331,9 @@
 void fix_open(struct fix *f, const char *service, const char *model)
 {
 	fix_open_fresh(f);
-	tell_routing(f);
+	set_default_routing(f);
 	if (service)
-		tell_fleet(f, service, model);
+		report_fleet(f, service, model);
 }
 
 static void caller_free(struct caller *c)
@@ -401,7 +402,7 @@
 	return c;
 }
 
-void tell(struct caller *c, const char *text)
+void caller_send(struct caller *c, const char *text)
 {
 	ssize_t n = (ssize_t)strlen(text);
 
@@ -409,13 +410,13 @@
 			 n);
 }
 
-void leave(struct caller *c)
+void caller_leave(struct caller *c)
 {
 	bufferevent_free(c->bev);
 	c->bev = NULL;
 }
 
-void turn(struct fix *f)
+void run_loop_once(struct fix *f)
 {
 	struct timeval ms = { 0, 1000 };
 
@@ -424,26 +425,26 @@
 	gate_tick(f->gate);
 }
 
-bool got(const struct caller *c, const char *text)
+bool has_received(const struct caller *c, const char *text)
 {
 	return strstr(c->got->str, text) != NULL;
 }
 
-bool ends(const struct caller *c, const char *text)
+bool received_ends_with(const struct caller *c, const char *text)
 {
 	return g_str_has_suffix(c->got->str, text);
 }
 
 /* Streams with timed events. */
 
-struct caller *ask(struct fix *f, const char *model, const char *text)
+struct caller *ask_endpoint(struct fix *f, const char *model, const char *text)
 {
-	tell_fleet(f, *model ? "lm" : "web", model);
+	report_fleet(f, *model ? "lm" : "web", model);
 	return call(f, text);
 }
 
-void say_events(struct fix *f, struct caller *c, int from, int to,
-		int64_t gap_ms)
+void send_events(struct fix *f, struct caller *c, int from, int to,
+		 int64_t gap_ms)
 {
 	for (int i = from; i <= to; i++) {
 		char *event = g_strdup_printf("id: %d\ndata: e%d\n\n", i, i);
@@ -451,43 +452,44 @@
 			g_strdup_printf("%zx\r\n%s\r\n", strlen(event), event);
 
 		f->clock.fake_ms += gap_ms;
-		say(f, f->at, chunk);
-		UNTIL(f, got(c, event));
+		endpoint_send(f, f->at, chunk);
+		UNTIL(f, has_received(c, event));
 		g_free(chunk);
 		g_free(event);
 	}
 }
 
-void say_end(struct fix *f, struct caller *c)
+void send_stream_end(struct fix *f, struct caller *c)
 {
-	say(f, f->at, "0\r\n\r\n");
-	UNTIL(f, ends(c, "0\r\n\r\n"));
+	endpoint_send(f, f->at, "0\r\n\r\n");
+	UNTIL(f, received_ends_with(c, "0\r\n\r\n"));
 }
 
-void carry_stream(struct fix *f, int64_t first_ms, int64_t gap_ms)
+void run_one_stream(struct fix *f, int64_t first_ms, int64_t gap_ms)
 {
 	int before = f->eps[f->at].requests;
-	struct caller *c = ask(f, "m", STREAM("/chat/x", "100"));
+	struct caller *c = ask_endpoint(f, "m", STREAM("/chat/x", "100"));
 
 	UNTIL(f, f->eps[f->at].requests == before + 1);
-	say_events(f, c, 1, 1, first_ms);
-	say_events(f, c, 2, EVENTS_FOR(100), gap_ms);
-	say_end(f, c);
+	send_events(f, c, 1, 1, first_ms);
+	send_events(f, c, 2, EVENTS_FOR(100), gap_ms);
+	send_stream_end(f, c);
 }
 
-int carry_event(struct fix *f, const char *text,
-		const int64_t first_ms[ENDPOINTS])
+int run_one_event(struct fix *f, const char *text,
+		  const int64_t first_ms[ENDPOINTS])
 {
 	int before[ENDPOINTS] = { f->eps[0].requests, f->eps[1].requests };
-	struct caller *c = ask(f, "m", text);
+	struct caller *c = ask_endpoint(f, "m", text);
 	int at;
 
 	UNTIL(f,
 	      f->eps[0].requests + f->eps[1].requests > before[0] + before[1]);
 	at = f->eps[0].requests > before[0] ? 0 : 1;
 	f->clock.fake_ms += first_ms[at];
-	say(f, at, "1b\r\nid: 1\ndata: 0123456789abc\n\n\r\n0\r\n\r\n");
-	UNTIL(f, ends(c, "0\r\n\r\n"));
+	endpoint_send(f, at,
+		      "1b\r\nid: 1\ndata: 0123456789abc\n\n\r\n0\r\n\r\n");
+	UNTIL(f, received_ends_with(c, "0\r\n\r\n"));
 	return at;
 }
 
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -93,14 +93,14 @@
 void fix_close(struct fix *f);
 
 /* Puts the fixture's own routing in force. */
-void tell_routing(struct fix *f);
+void set_default_routing(struct fix *f);
 /* Puts a routing in force, from its JSON text. */
 void set_routing(struct fix *f, const char *json);
 
 /* Reports both endpoints to the gate; model: loaded on both; empty: none. */
-void tell_fleet(struct fix *f, const char *service, const char *model);
+void report_fleet(struct fix *f, const char *service, const char *model);
 /* Ends the endpoint's process: resets its connections and stops listening. */
-void end_endpoint(struct fix *f, int i);
+void crash_endpoint(struct fix *f, int i);
 /* The same in single steps. */
 void stop_listening(struct fix *f, int i);
 bool reset_oldest(struct fix *f, int i);
@@ -108,33 +108,34 @@
 void start_endpoint(struct fix *f, int i);
 
 /* Adds the endpoint's next answer. */
-void script(struct fix *f, int i, const char *text, bool close, bool reset);
+void script_answer(struct fix *f, int i, const char *text, bool close,
+		   bool reset);
 
 /* Sends more of the current answer on the endpoint's newest connection. */
-void say(struct fix *f, int i, const char *text);
+void endpoint_send(struct fix *f, int i, const char *text);
 
 /* Opens a caller's connection and sends text on it. */
 struct caller *call(struct fix *f, const char *text);
 /* Sends text on an open connection without buffering. */
-void tell(struct caller *c, const char *text);
-void leave(struct caller *c);
+void caller_send(struct caller *c, const char *text);
+void caller_leave(struct caller *c);
 /* Whether the bytes received contain text, or end with it. */
-bool got(const struct caller *c, const char *text);
-bool ends(const struct caller *c, const char *text);
+bool has_received(const struct caller *c, const char *text);
+bool received_ends_with(const struct caller *c, const char *text);
 
 /* Sends a request after reporting f->at as the endpoint with less load. */
-struct caller *ask(struct fix *f, const char *model, const char *text);
+struct caller *ask_endpoint(struct fix *f, const char *model, const char *text);
 /* Sends events of that endpoint's current answer, gap_ms apart. */
-void say_events(struct fix *f, struct caller *c, int from, int to,
-		int64_t gap_ms);
+void send_events(struct fix *f, struct caller *c, int from, int to,
+		 int64_t gap_ms);
 /* Ends the answer after its last event. */
-void say_end(struct fix *f, struct caller *c);
+void send_stream_end(struct fix *f, struct caller *c);
 /* Runs a stream of 100 tokens from its request to its end. */
-void carry_stream(struct fix *f, int64_t first_ms, int64_t gap_ms);
+void run_one_stream(struct fix *f, int64_t first_ms, int64_t gap_ms);
 /* Runs a stream of one event, which comes after first_ms of the endpoint that
  * the gate chooses. Returns the endpoint's index. */
-int carry_event(struct fix *f, const char *text,
-		const int64_t first_ms[ENDPOINTS]);
+int run_one_event(struct fix *f, const char *text,
+		  const int64_t first_ms[ENDPOINTS]);
 
 /* Captures the process's log between begin and end. */
 struct log_capture {
@@ -149,7 +150,7 @@
 char *log_capture_end(struct log_capture *l);
 
 /* Runs the loop once, for at most 1 ms, and then the gate's tick. */
-void turn(struct fix *f);
+void run_loop_once(struct fix *f);
 
 /* Runs the loop until the condition holds; fails after WAIT_ROUNDS. */
 #define UNTIL(f, cond)                                                         \
@@ -158,7 +159,7 @@
 		while (!(cond)) {                                              \
 			if (++rounds > WAIT_ROUNDS)                            \
 				fail_msg("never came: %s", #cond);             \
-			turn(f);                                               \
+			run_loop_once(f);                                      \
 		}                                                              \
 	} while (0)
 
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -217,15 +217,18 @@
 		struct fix f;
 
 		fix_open(&f, a->service, a->model);
-		script(&f, 0, a->first.text, a->first.close, a->first.reset);
-		script(&f, 1, a->second.text, a->second.close, a->second.reset);
+		script_answer(&f, 0, a->first.text, a->first.close,
+			      a->first.reset);
+		script_answer(&f, 1, a->second.text, a->second.close,
+			      a->second.reset);
 		c = call(&f, a->request);
 		if (a->want)
-			UNTIL(&f, got(c, a->want) || got(c, "HTTP/1.1 50"));
+			UNTIL(&f, has_received(c, a->want) ||
+					  has_received(c, "HTTP/1.1 50"));
 		else
 			UNTIL(&f, f.eps[0].requests > 0);
-		if ((a->want && !got(c, a->want)) ||
-		    (a->not_wanted && got(c, a->not_wanted)))
+		if ((a->want && !has_received(c, a->want)) ||
+		    (a->not_wanted && has_received(c, a->not_wanted)))
 			fail_msg("%s: got \"%s\"", a->label, c->got->str);
 		for (int k = 0; k < ENDPOINTS; k++)
 			if (f.eps[k].requests != a->requests[k])
@@ -246,11 +249,12 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n7\r\nid: 2\nd\r\n",
-	       true, false);
+	script_answer(&f, 0,
+		      EVENTS "f\r\nid: 1\ndata: a\n\n\r\n7\r\nid: 2\nd\r\n",
+		      true, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, c->ended);
-	assert_true(ends(c, "id: 1\ndata: a\n\n\r\n"));
+	assert_true(received_ends_with(c, "id: 1\ndata: a\n\n\r\n"));
 	assert_int_equal(f.eps[1].requests, 0);
 	fix_close(&f);
 }
@@ -262,11 +266,11 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", true, false);
-	script(&f, 1, EVENTS "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n", false,
-	       false);
+	script_answer(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", true, false);
+	script_answer(&f, 1, EVENTS "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n",
+		      false, false);
 	c = call(&f, POST_NIGHT);
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	assert_null(strstr(f.eps[0].seen->str, "Last-Event-Id"));
 	assert_non_null(strstr(f.eps[1].seen->str, "Last-Event-Id: 1\r\n"));
 	fix_close(&f);
@@ -284,10 +288,10 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	script(&f, 0, OK_TEXT OK_TEXT, false, false);
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	c = call(&f, GET_SAFE GET_SAFE);
-	UNTIL(&f, f.eps[0].requests == 2 && ends(c, "hello"));
+	UNTIL(&f, f.eps[0].requests == 2 && received_ends_with(c, "hello"));
 	assert_int_equal(f.eps[0].opened, 2);
 	assert_null(strstr(c->got->str, "hellohello"));
 	fix_close(&f);
@@ -300,9 +304,9 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	c = call(&f, GET_SAFE GET_SAFE);
-	UNTIL(&f, f.eps[0].requests == 2 && ends(c, "hello"));
+	UNTIL(&f, f.eps[0].requests == 2 && received_ends_with(c, "hello"));
 	assert_int_equal(f.eps[0].opened, 1);
 	fix_close(&f);
 }
@@ -344,8 +348,8 @@
 
 		fix_open(&f, "web", "");
 		c = call(&f, b->text);
-		UNTIL(&f, got(c, "HTTP/1.1 "));
-		if (!got(c, b->want))
+		UNTIL(&f, has_received(c, "HTTP/1.1 "));
+		if (!has_received(c, b->want))
 			fail_msg("%s: got \"%s\"", b->label, c->got->str);
 		assert_int_equal(f.eps[0].requests + f.eps[1].requests, 0);
 		fix_close(&f);
@@ -364,8 +368,8 @@
 	g_string_append(text, "\r\n\r\n");
 	fix_open(&f, "web", "");
 	c = call(&f, text->str);
-	UNTIL(&f, got(c, "HTTP/1.1 "));
-	assert_true(got(c, "HTTP/1.1 431 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 "));
+	assert_true(has_received(c, "HTTP/1.1 431 "));
 	g_string_free(text, TRUE);
 	fix_close(&f);
 }
@@ -377,10 +381,10 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	c = call(&f, REQ("POST", "/once/x") "Transfer-Encoding: chunked\r\n\r\n"
 					    "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-	UNTIL(&f, got(c, "hello"));
+	UNTIL(&f, has_received(c, "hello"));
 	assert_non_null(
 		strstr(f.eps[0].seen->str, "Content-Length: 5\r\n\r\nabcde"));
 	fix_close(&f);
@@ -402,15 +406,15 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	script(&f, 0, OK_TEXT, false, false);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	e.addr = ss_str(f.eps[0].addr);
 	e.id = ss_str(f.eps[0].id);
 	gate_take_fleet(f.gate, &m);
 	for (int i = 0; i < 5; i++) {
 		struct caller *c = call(&f, GET_SAFE);
 
-		UNTIL(&f, ends(c, "hello"));
+		UNTIL(&f, received_ends_with(c, "hello"));
 	}
 	assert_int_equal(f.eps[0].requests, 0);
 	assert_int_equal(f.eps[1].requests, 5);
@@ -420,7 +424,7 @@
 	gate_take_fleet(f.gate, &m);
 	call(&f, GET_SAFE);
 	UNTIL(&f, gate_busy(f.gate) > 0);
-	turn(&f);
+	run_loop_once(&f);
 	assert_int_equal(f.eps[0].requests + f.eps[1].requests, 5);
 	fix_close(&f);
 }
@@ -450,13 +454,13 @@
 	for (size_t i = 0; i < body / 16; i++)
 		g_string_append(text, "0123456789abcdef");
 	fix_open(&f, "web", "");
-	script(&f, 0, text->str, false, false);
+	script_answer(&f, 0, text->str, false, false);
 	c = call(&f, GET_SAFE);
 	setsockopt(bufferevent_getfd(c->bev), SOL_SOCKET, SO_RCVBUF, &small,
 		   sizeof(small));
 	bufferevent_disable(c->bev, EV_READ);
 	for (size_t i = 0; i < loop_rounds; i++)
-		turn(&f);
+		run_loop_once(&f);
 	assert_int_equal(c->got->len, 0);
 	bufferevent_enable(c->bev, EV_READ);
 	while (c->got->len < body) {
@@ -490,15 +494,17 @@
 	fix_open(&f, "lm", "m");
 	assert_true(report_has_news(&f));
 	assert_false(report_has_news(&f));
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
-	script(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
+	script_answer(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false,
+		      false);
+	script_answer(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false,
+		      false);
 	c = call(&f, POST_CHAT);
-	UNTIL(&f, got(c, "data: a"));
+	UNTIL(&f, has_received(c, "data: a"));
 	/* An arrival and an open call, and then no change while it lasts. */
 	assert_true(report_has_news(&f));
 	report_has_news(&f);
 	assert_false(report_has_news(&f));
-	leave(c);
+	caller_leave(c);
 	UNTIL(&f, gate_busy(f.gate) == 0);
 	assert_true(report_has_news(&f));
 	assert_false(report_has_news(&f));
--- a/test/test_gate_admission.c
+++ b/test/test_gate_admission.c
@@ -95,9 +95,9 @@
 
 		f->clock.fake_ms += service_ms;
 		gate_tick(f->gate);
-		say(f, 0, OK_TEXT);
+		endpoint_send(f, 0, OK_TEXT);
 		while (f->eps[0].requests == before && ++rounds < 50)
-			turn(f);
+			run_loop_once(f);
 		if (f->eps[0].requests == before)
 			return;
 		g_string_append_c(got, last_received(f));
--- a/test/test_gate_backoff.c
+++ b/test/test_gate_backoff.c
@@ -74,7 +74,7 @@
 		send_empty_list(f);
 	if ((x->listing == LISTED_AGAIN && at % 200 == 0) ||
 	    (x->listing == MISSING_BRIEFLY && at % 600 == 100))
-		tell_fleet(f, x->service, x->model);
+		report_fleet(f, x->service, x->model);
 }
 
 /* Loads a requested adapter immediately. */
@@ -104,10 +104,10 @@
 	f->at = 0;
 	f->eps[1].leaving = x->only_endpoint;
 	for (int i = 0; i < 3; i++)
-		script(f, 0, x->answer, false, false);
-	script(f, 1, OK_TEXT, false, false);
-	tell_routing(f);
-	tell_fleet(f, x->service, x->model);
+		script_answer(f, 0, x->answer, false, false);
+	script_answer(f, 1, OK_TEXT, false, false);
+	set_default_routing(f);
+	report_fleet(f, x->service, x->model);
 	call(f, x->request);
 	UNTIL(f, (load_adapter(f), f->eps[0].requests > 0));
 }
@@ -143,7 +143,7 @@
 			fail_msg("%s: %d requests during its backoff", x->label,
 				 after - before);
 		/* After the backoff it gets requests again. */
-		tell_fleet(&f, x->service, x->model);
+		report_fleet(&f, x->service, x->model);
 		send_requests(&f, x, BACKOFF_MS, BACKOFF_MS + 2000, 50);
 		if (x->only_endpoint && f.eps[0].requests == after)
 			fail_msg("%s: never called again", x->label);
@@ -161,7 +161,7 @@
 {
 	for (int64_t at = 0; at < ms; at += 10) {
 		if (at % 200 == 0)
-			tell_fleet(f, "lm", "m");
+			report_fleet(f, "lm", "m");
 		advance(f);
 	}
 }
@@ -186,15 +186,15 @@
 	advance_for(&f, 400);
 	assert_int_equal(f.eps[0].requests, 2);
 	f.eps[0].n_replies = 0;
-	script(&f, 0, SHED_BRIEFLY, false, false);
-	script(&f, 0, SHED_BRIEFLY, false, false);
-	script(&f, 0, NULL, false, false);
+	script_answer(&f, 0, SHED_BRIEFLY, false, false);
+	script_answer(&f, 0, SHED_BRIEFLY, false, false);
+	script_answer(&f, 0, NULL, false, false);
 	advance_for(&f, 400);
 	/* No other is sent until the probe is answered, or times out. */
 	assert_int_equal(f.eps[0].requests, 3);
 	advance_for(&f, 500);
 	assert_int_equal(f.eps[0].requests, 3);
-	say(&f, 0, OK_TEXT);
+	endpoint_send(&f, 0, OK_TEXT);
 	advance_for(&f, 100);
 	assert_int_equal(f.eps[0].requests, WAITERS + 2);
 	fix_close(&f);
@@ -215,9 +215,9 @@
 	(void)state;
 	open_case(&f, &x);
 	c = call(&f, POST_ONCE);
-	UNTIL(&f, got(c, "\r\n\r\n"));
-	assert_true(got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "\"outcome\":\"not_run\""));
+	UNTIL(&f, has_received(c, "\r\n\r\n"));
+	assert_true(has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "\"outcome\":\"not_run\""));
 	at = strstr(c->got->str, "Retry-After: ");
 	assert_non_null(at);
 	s = g_ascii_strtod(at + strlen("Retry-After: "), NULL);
@@ -261,7 +261,7 @@
 				 f.eps[0].requests - before, DRAIN_REACTION_MS);
 		/* A new incarnation isn't draining. */
 		g_strlcpy(f.eps[0].id, "i-next", sizeof(f.eps[0].id));
-		tell_fleet(&f, x->service, x->model);
+		report_fleet(&f, x->service, x->model);
 		send_requests(&f, x, DRAIN_END_MS, DRAIN_END_MS + 1000, 100);
 		if (x->only_endpoint && f.eps[0].requests == before)
 			fail_msg("%s: never called again", x->label);
--- a/test/test_gate_customers.c
+++ b/test/test_gate_customers.c
@@ -45,8 +45,8 @@
 {
 	fix_open(f, service, model);
 	apply_config(f, CONFIG("2", TWO_CUSTOMERS));
-	script(f, 0, answer, false, false);
-	script(f, 1, answer, false, false);
+	script_answer(f, 0, answer, false, false);
+	script_answer(f, 1, answer, false, false);
 }
 
 static bool any_endpoint_saw(const struct fix *f, const char *text)
@@ -98,8 +98,8 @@
 
 		open_with_keys(&f, "web", "", OK_TEXT);
 		c = call(&f, requests[i].request);
-		UNTIL(&f, got(c, "\r\n\r\n"));
-		if (!got(c, status))
+		UNTIL(&f, has_received(c, "\r\n\r\n"));
+		if (!has_received(c, status))
 			fail_msg("%s: %s", requests[i].label, c->got->str);
 		if (any_endpoint_saw(&f, "key-") ||
 		    any_endpoint_saw(&f, "uthorization"))
@@ -135,17 +135,17 @@
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_true(any_endpoint_saw(&f, "X-Tenant: acme"));
 	g_string_truncate(c->got, 0);
 	bufferevent_write(c->bev, GET_WITH(KEY("key-2")),
 			  strlen(GET_WITH(KEY("key-2"))));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
 	g_string_truncate(c->got, 0);
 	bufferevent_write(c->bev, GET_WITH(KEY("key-9")),
 			  strlen(GET_WITH(KEY("key-9"))));
-	UNTIL(&f, got(c, "HTTP/1.1 401 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 401 "));
 	fix_close(&f);
 }
 
@@ -158,12 +158,12 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	apply_config(&f, CONFIG("2", TWO_CUSTOMERS));
-	script(&f, 0, EVENTS, false, false);
-	script(&f, 1, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
+	script_answer(&f, 1, EVENTS, false, false);
 	c = call(&f, NIGHT(KEY("key-1")));
 	UNTIL(&f, f.eps[f.at].requests == 1);
-	say_events(&f, c, 1, 2, 10);
-	end_endpoint(&f, 0);
+	send_events(&f, c, 1, 2, 10);
+	crash_endpoint(&f, 0);
 	UNTIL(&f, f.eps[1].requests == 1);
 	assert_non_null(strstr(f.eps[1].seen->str, "Last-Event-Id: 2"));
 	assert_non_null(strstr(f.eps[1].seen->str, "X-Tenant: acme"));
@@ -183,18 +183,18 @@
 	apply_config(&f, CONFIG("3", CUSTOMER("acme", "") "," CUSTOMER(
 					     "beta", "\"key-2\",\"key-4\"")));
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, got(c, "HTTP/1.1 401 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 401 "));
 	c = call(&f, GET_WITH(KEY("key-4")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
 	apply_config(&f, CONFIG("4", CUSTOMER("acme", "\"key-4\"")));
 	c = call(&f, GET_WITH(KEY("key-4")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_true(any_endpoint_saw(&f, "X-Tenant: acme"));
 	/* No customers doesn't mean that every caller is accepted. */
 	apply_config(&f, CONFIG("5", ""));
 	c = call(&f, GET_WITH(KEY("key-4")));
-	UNTIL(&f, got(c, "HTTP/1.1 401 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 401 "));
 	fix_close(&f);
 }
 
@@ -223,17 +223,17 @@
 	open_with_keys(&f, "lm", "m", EVENTS);
 	runs = call(&f, NIGHT(KEY("key-1")));
 	UNTIL(&f, f.eps[f.at].requests == 1);
-	say_events(&f, runs, 1, 1, 10);
-	tell_fleet(&f, "lm", "");
+	send_events(&f, runs, 1, 1, 10);
+	report_fleet(&f, "lm", "");
 	waits = call(&f, NIGHT(KEY("key-2")));
 	UNTIL(&f, count_waiting(&f) == 1);
 	apply_config(&f, CONFIG("3", CUSTOMER("acme", "")));
-	say_events(&f, runs, 2, 2, 10);
-	say_end(&f, runs);
-	tell_fleet(&f, "lm", "m");
+	send_events(&f, runs, 2, 2, 10);
+	send_stream_end(&f, runs);
+	report_fleet(&f, "lm", "m");
 	UNTIL(&f, f.eps[f.at].requests == 2);
 	assert_true(any_endpoint_saw(&f, "X-Tenant: beta"));
-	leave(waits);
+	caller_leave(waits);
 	fix_close(&f);
 }
 
@@ -241,7 +241,7 @@
 {
 	for (; ms > 0; ms -= 100) {
 		f->clock.fake_ms += MIN(ms, 100);
-		turn(f);
+		run_loop_once(f);
 	}
 }
 
@@ -254,15 +254,15 @@
 
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
-	gate_routing_told(f.gate, 3);
+	gate_routing_reported(f.gate, 3);
 	c = call(&f, GET_WITH(KEY("key-5")));
 	advance_clock(&f, 300);
 	assert_int_equal(c->got->len, 0);
 	apply_config(&f, CONFIG("3", CUSTOMER("acme", "\"key-5\"")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	/* The entry is up to date, so an unknown key is rejected. */
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, got(c, "HTTP/1.1 401 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 401 "));
 	fix_close(&f);
 }
 
@@ -275,11 +275,11 @@
 
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
-	gate_routing_told(f.gate, 3);
+	gate_routing_reported(f.gate, 3);
 	advance_clock(&f, FRESHNESS_APPLY_MS + FRESHNESS_HOLD_MS + 100);
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "not_run"));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "not_run"));
 	fix_close(&f);
 }
 
@@ -292,23 +292,23 @@
 
 	(void)state;
 	fix_open_with(&f, &(struct fix_options){ .keys_trust_ms = 2000 });
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	apply_config(&f, CONFIG("2", TWO_CUSTOMERS));
-	script(&f, 0, OK_TEXT, false, false);
-	script(&f, 1, OK_TEXT, false, false);
-	gate_routing_told(f.gate, 2);
+	script_answer(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
+	gate_routing_reported(f.gate, 2);
 	gate_leader_lost(f.gate);
 	advance_clock(&f, 1500);
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	advance_clock(&f, 1000);
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	c = call(&f, REQ("GET", "/free/x") "\r\n");
-	UNTIL(&f, ends(c, "hello"));
-	gate_routing_told(f.gate, 2);
+	UNTIL(&f, received_ends_with(c, "hello"));
+	gate_routing_reported(f.gate, 2);
 	c = call(&f, GET_WITH(KEY("key-1")));
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	fix_close(&f);
 }
 
--- a/test/test_gate_draining.c
+++ b/test/test_gate_draining.c
@@ -11,20 +11,20 @@
 static void serve_plain(struct fix *f, int64_t ms)
 {
 	int before = f->eps[0].requests;
-	struct caller *c = ask(f, "", GET_SAFE);
+	struct caller *c = ask_endpoint(f, "", GET_SAFE);
 
 	UNTIL(f, f->eps[0].requests == before + 1);
 	f->clock.fake_ms += ms;
-	say(f, 0, OK_TEXT);
-	UNTIL(f, ends(c, "hello"));
+	endpoint_send(f, 0, OK_TEXT);
+	UNTIL(f, received_ends_with(c, "hello"));
 }
 
 /* Completes enough streams for the time between events to be known. */
 static void measure_fast_engine(struct fix *f)
 {
-	script(f, 0, EVENTS, false, false);
+	script_answer(f, 0, EVENTS, false, false);
 	for (int i = 0; i < ENOUGH_STREAMS; i++)
-		carry_stream(f, FAST_MS, FAST_MS);
+		run_one_stream(f, FAST_MS, FAST_MS);
 }
 
 /*
@@ -41,14 +41,14 @@
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	lengthy = ask(&f, "m", STREAM("/chat/x", "950"));
-	UNTIL(&f, got(lengthy, "HTTP/1.1 503 "));
-	assert_true(got(lengthy, "Retry-After: "));
+	lengthy = ask_endpoint(&f, "m", STREAM("/chat/x", "950"));
+	UNTIL(&f, has_received(lengthy, "HTTP/1.1 503 "));
+	assert_true(has_received(lengthy, "Retry-After: "));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
-	brief = ask(&f, "m", STREAM("/chat/x", "100"));
+	brief = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
-	say_events(&f, brief, 1, EVENTS_FOR(100), FAST_MS);
-	say_end(&f, brief);
+	send_events(&f, brief, 1, EVENTS_FOR(100), FAST_MS);
+	send_stream_end(&f, brief);
 	fix_close(&f);
 }
 
@@ -76,16 +76,16 @@
 		waiting = metrics_value(f.metrics, "ss_gate_waiting", "");
 		measure_fast_engine(&f);
 		gate_drain(f.gate, f.clock.fake_ms + 4000);
-		tell_fleet(&f, "lm", "");
+		report_fleet(&f, "lm", "");
 		c = call(&f, requests[i]);
 		UNTIL(&f, *waiting == 1);
 		for (int k = 0; k < 10; k++)
-			turn(&f);
+			run_loop_once(&f);
 		assert_int_equal(c->got->len, 0);
 		f.clock.fake_ms += 1700;
-		tell_fleet(&f, "lm", "m");
-		UNTIL(&f, got(c, "HTTP/1.1 503 "));
-		assert_true(got(c, "not_run"));
+		report_fleet(&f, "lm", "m");
+		UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+		assert_true(has_received(c, "not_run"));
 		assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 		fix_close(&f);
 	}
@@ -100,17 +100,18 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	open = ask(&f, "m", STREAM("/chat/x", "12"));
-	UNTIL(&f, got(open, "HTTP/1.1 503 "));
-	bounded = ask(&f, "m",
-		      REQ("POST", "/chat/x") "X-Model: m\r\n"
-					     "X-Token-Usage: 9,12\r\n"
-					     "X-Deadline-Ms: 3900\r\n"
-					     "Content-Length: 0\r\n\r\n");
+	open = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
+	UNTIL(&f, has_received(open, "HTTP/1.1 503 "));
+	bounded = ask_endpoint(&f, "m",
+			       REQ("POST",
+				   "/chat/x") "X-Model: m\r\n"
+					      "X-Token-Usage: 9,12\r\n"
+					      "X-Deadline-Ms: 3900\r\n"
+					      "Content-Length: 0\r\n\r\n");
 	UNTIL(&f, f.eps[0].requests == 1);
-	say_end(&f, bounded);
+	send_stream_end(&f, bounded);
 	fix_close(&f);
 }
 
@@ -132,13 +133,13 @@
 		struct fix f;
 
 		fix_open(&f, "lm", "m");
-		script(&f, 0, EVENTS, false, false);
-		carry_stream(&f, SLOW_MS, SLOW_MS);
+		script_answer(&f, 0, EVENTS, false, false);
+		run_one_stream(&f, SLOW_MS, SLOW_MS);
 		gate_drain(f.gate, f.clock.fake_ms + 3000);
-		c = ask(&f, "m", requests[i]);
-		UNTIL(&f, got(c, "HTTP/1.1 503 "));
-		assert_true(got(c, "not_run"));
-		assert_true(got(c, "Retry-After: "));
+		c = ask_endpoint(&f, "m", requests[i]);
+		UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+		assert_true(has_received(c, "not_run"));
+		assert_true(has_received(c, "Retry-After: "));
 		assert_int_equal(f.eps[0].requests, 1);
 		fix_close(&f);
 	}
@@ -155,16 +156,16 @@
 		struct fix f;
 
 		fix_open(&f, "web", "");
-		c = ask(&f, "", requests[i]);
+		c = ask_endpoint(&f, "", requests[i]);
 		UNTIL(&f, f.eps[0].requests == 1);
 		f.clock.fake_ms += 1500;
-		say(&f, 0, OK_TEXT);
-		UNTIL(&f, ends(c, "hello"));
+		endpoint_send(&f, 0, OK_TEXT);
+		UNTIL(&f, received_ends_with(c, "hello"));
 		gate_drain(f.gate, f.clock.fake_ms + 1000);
-		c = ask(&f, "", requests[i]);
-		UNTIL(&f, got(c, "HTTP/1.1 503 "));
-		assert_true(got(c, "not_run"));
-		assert_true(got(c, "Retry-After: "));
+		c = ask_endpoint(&f, "", requests[i]);
+		UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+		assert_true(has_received(c, "not_run"));
+		assert_true(has_received(c, "Retry-After: "));
 		assert_int_equal(f.eps[0].requests, 1);
 		fix_close(&f);
 	}
@@ -179,14 +180,14 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < ENOUGH_STREAMS; i++)
-		carry_stream(&f, SLOW_MS, SLOW_MS);
+		run_one_stream(&f, SLOW_MS, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask(&f, "m", STREAM("/chat/x", "12"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
-	say_events(&f, c, 1, EVENTS_FOR(12), SLOW_MS);
-	say_end(&f, c);
+	send_events(&f, c, 1, EVENTS_FOR(12), SLOW_MS);
+	send_stream_end(&f, c);
 	fix_close(&f);
 }
 
@@ -205,14 +206,14 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	slow = ask(&f, "m", STREAM("/chat/x", "300"));
+	slow = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
-	say_events(&f, slow, 1, 8, FAST_MS);
-	say_events(&f, slow, 9, 24, SLOW_MS);
+	send_events(&f, slow, 1, 8, FAST_MS);
+	send_events(&f, slow, 9, 24, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, got(c, REFUSED));
-	assert_true(got(c, "not_run"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	UNTIL(&f, has_received(c, REFUSED));
+	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
 	fix_close(&f);
 }
@@ -234,16 +235,16 @@
 	measure_fast_engine(&f);
 	f.agents = true;
 	gate_drain(f.gate, f.clock.fake_ms + 1500);
-	c = ask(&f, "m",
-		REQ("POST", "/chat/x") "X-Model: m/a1\r\n"
-				       "X-Token-Usage: 9,100\r\n"
-				       "Content-Length: 0\r\n\r\n");
+	c = ask_endpoint(&f, "m",
+			 REQ("POST", "/chat/x") "X-Model: m/a1\r\n"
+						"X-Token-Usage: 9,100\r\n"
+						"Content-Length: 0\r\n\r\n");
 	UNTIL(&f, f.asked);
 	f.clock.fake_ms += 900;
 	done.sub = f.asked;
 	gate_adapter_done(f.gate, &done);
-	UNTIL(&f, got(c, REFUSED));
-	assert_true(got(c, "not_run"));
+	UNTIL(&f, has_received(c, REFUSED));
+	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	fix_close(&f);
 }
@@ -260,15 +261,16 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	carry_stream(&f, SLOW_MS, SLOW_MS);
+	script_answer(&f, 0, EVENTS, false, false);
+	run_one_stream(&f, SLOW_MS, SLOW_MS);
 	for (int i = 0; i < 40; i++)
-		carry_stream(&f, FAST_MS, FAST_MS);
+		run_one_stream(&f, FAST_MS, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask(&f, "n",
-		REQ("POST", "/chat/x") "X-Model: n\r\nX-Token-Usage: 9,100\r\n"
-				       "Content-Length: 0\r\n\r\n");
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "n",
+			 REQ("POST",
+			     "/chat/x") "X-Model: n\r\nX-Token-Usage: 9,100\r\n"
+					"Content-Length: 0\r\n\r\n");
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 41);
 	fix_close(&f);
 }
@@ -285,24 +287,24 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	script(&f, 1, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
+	script_answer(&f, 1, EVENTS, false, false);
 	f.at = 1;
 	for (int i = 0; i < 4; i++)
-		carry_stream(&f, SLOW_MS, SLOW_MS);
+		run_one_stream(&f, SLOW_MS, SLOW_MS);
 	f.at = 0;
 	for (int i = 0; i < 40; i++)
-		carry_stream(&f, FAST_MS, FAST_MS);
+		run_one_stream(&f, FAST_MS, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
 	f.at = 1;
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[1].requests, 4);
 	f.at = 0;
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == 41);
-	say_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
-	say_end(&f, c);
+	send_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
+	send_stream_end(&f, c);
 	fix_close(&f);
 }
 
@@ -319,19 +321,19 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < 3; i++) {
-		c = ask(&f, "m", STREAM("/chat/x", "300"));
+		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == i + 1);
-		say_events(&f, c, 1, 10, FAST_MS);
-		say_end(&f, c);
+		send_events(&f, c, 1, 10, FAST_MS);
+		send_stream_end(&f, c);
 	}
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 4);
-	say_events(&f, c, 1, 20, FAST_MS);
+	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 1000);
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 4);
 	fix_close(&f);
 }
@@ -350,13 +352,13 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
+	script_answer(&f, 0, EVENTS, false, false);
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 1);
-	say_events(&f, c, 1, 20, FAST_MS);
+	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 2000);
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
 }
@@ -376,16 +378,16 @@
 		struct fix f;
 
 		fix_open(&f, "lm", "m");
-		script(&f, 0, EVENTS, false, false);
-		c = ask(&f, "m", STREAM("/chat/x", "300"));
+		script_answer(&f, 0, EVENTS, false, false);
+		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == 1);
-		say_events(&f, c, 1, events, FAST_MS);
+		send_events(&f, c, 1, events, FAST_MS);
 		f.clock.fake_ms += 20;
-		leave(c);
+		caller_leave(c);
 		UNTIL(&f, f.eps[0].reset == 1);
 		gate_drain(f.gate, f.clock.fake_ms + 2000);
-		c = ask(&f, "m", STREAM("/chat/x", "100"));
-		UNTIL(&f, got(c, REFUSED));
+		c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+		UNTIL(&f, has_received(c, REFUSED));
 		assert_int_equal(f.eps[0].requests, 1);
 		fix_close(&f);
 	}
@@ -404,14 +406,14 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	silent = ask(&f, "m", STREAM("/chat/x", "300"));
+	silent = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
-	say_events(&f, silent, 1, 8, FAST_MS);
+	send_events(&f, silent, 1, 8, FAST_MS);
 	f.clock.fake_ms += 1900;
 	gate_drain(f.gate, f.clock.fake_ms + 2000);
-	turn(&f);
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
-	UNTIL(&f, got(c, REFUSED));
+	run_loop_once(&f);
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
 	fix_close(&f);
 }
@@ -429,17 +431,17 @@
 	(void)state;
 	fix_open(&f, "web", "");
 	for (int i = 0; i < 5; i++) {
-		c = ask(&f, "", POST_ONCE);
+		c = ask_endpoint(&f, "", POST_ONCE);
 		UNTIL(&f, f.eps[0].requests == i + 1);
 		f.clock.fake_ms += 1500;
-		say(&f, 0, OK_TEXT);
-		UNTIL(&f, ends(c, "hello"));
+		endpoint_send(&f, 0, OK_TEXT);
+		UNTIL(&f, received_ends_with(c, "hello"));
 	}
 	for (int i = 0; i < 40; i++)
 		serve_plain(&f, 20);
 	gate_drain(f.gate, f.clock.fake_ms + 600);
-	c = ask(&f, "", POST_ONCE);
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "", POST_ONCE);
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 45);
 	fix_close(&f);
 }
@@ -453,17 +455,17 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < ENOUGH_STREAMS - 1; i++) {
-		c = ask(&f, "m", STREAM("/chat/x", "300"));
+		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == i + 1);
-		say_events(&f, c, 1, 10, FAST_MS);
-		say_end(&f, c);
+		send_events(&f, c, 1, 10, FAST_MS);
+		send_stream_end(&f, c);
 	}
 	/* Enough for three times as many events, but not for all of them. */
 	gate_drain(f.gate, f.clock.fake_ms + 30 * FAST_MS);
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
-	UNTIL(&f, got(c, REFUSED));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS - 1);
 	fix_close(&f);
 }
@@ -478,15 +480,15 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	c = ask(&f, "m", STREAM("/chat/x", "1"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "1"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
-	say_events(&f, c, 1, 2, FAST_MS);
-	say_end(&f, c);
+	send_events(&f, c, 1, 2, FAST_MS);
+	send_stream_end(&f, c);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	c = ask(&f, "m", STREAM("/chat/x", "100"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 2);
-	say_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
-	say_end(&f, c);
+	send_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
+	send_stream_end(&f, c);
 	fix_close(&f);
 }
 
@@ -499,15 +501,15 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
+	script_answer(&f, 0, EVENTS, false, false);
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 1);
-	say_events(&f, c, 1, 20, FAST_MS);
+	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 7900);
-	c = ask(&f, "m", STREAM("/chat/x", "12"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
 	UNTIL(&f, f.eps[0].requests == 2);
-	say_events(&f, c, 1, EVENTS_FOR(12), FAST_MS);
-	say_end(&f, c);
+	send_events(&f, c, 1, EVENTS_FOR(12), FAST_MS);
+	send_stream_end(&f, c);
 	fix_close(&f);
 }
 
@@ -532,14 +534,14 @@
 	f.agents = true;
 	end = f.clock.fake_ms + 1500;
 	gate_drain(f.gate, end);
-	c = ask(&f, "m", POST_ADAPTER);
+	c = ask_endpoint(&f, "m", POST_ADAPTER);
 	UNTIL(&f, f.asked);
-	while (!got(c, "HTTP/1.1 503 ") && f.clock.fake_ms < end) {
+	while (!has_received(c, "HTTP/1.1 503 ") && f.clock.fake_ms < end) {
 		f.clock.fake_ms += 10;
-		turn(&f);
-		turn(&f);
+		run_loop_once(&f);
+		run_loop_once(&f);
 	}
-	assert_true(got(c, "not_run"));
+	assert_true(has_received(c, "not_run"));
 	assert_true(end - f.clock.fake_ms > 500);
 	fix_close(&f);
 }
@@ -565,7 +567,7 @@
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
 	f.agents = true;
-	ask(&f, "m", POST_ADAPTER);
+	ask_endpoint(&f, "m", POST_ADAPTER);
 	UNTIL(&f, f.asked);
 	done.sub = f.asked;
 	e.addr = ss_str(f.eps[0].addr);
@@ -592,9 +594,9 @@
 	 * a tenth of its duration before the process does. */
 	gate_drain(f.gate,
 		   f.clock.fake_ms + EVENTS_FOR(300) * FAST_MS * 11 / 10);
-	c = ask(&f, "m", STREAM("/chat/x", "300"));
-	UNTIL(&f, got(c, REFUSED));
-	assert_true(got(c, "not_run"));
+	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	UNTIL(&f, has_received(c, REFUSED));
+	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
 	fix_close(&f);
 }
@@ -624,26 +626,26 @@
 		fix_open(&f, "web", "");
 		for (int n = 0; n < 30; n++)
 			serve_plain(&f, 20);
-		c = ask(&f, "", k->silent ? "" : GET_SAFE);
+		c = ask_endpoint(&f, "", k->silent ? "" : GET_SAFE);
 		if (k->kept) {
 			UNTIL(&f, f.eps[0].requests == 31);
-			say(&f, 0, OK_TEXT);
-			UNTIL(&f, ends(c, "hello"));
+			endpoint_send(&f, 0, OK_TEXT);
+			UNTIL(&f, received_ends_with(c, "hello"));
 			g_string_truncate(c->got, 0);
 		}
 		gate_drain(f.gate, f.clock.fake_ms + 4000);
 		for (int n = 0; n < k->turns; n++)
-			turn(&f);
+			run_loop_once(&f);
 		if (k->kept)
-			tell(c, GET_SAFE);
+			caller_send(c, GET_SAFE);
 		assert_false(gate_close(f.gate));
 		if (k->silent)
-			tell(c, GET_SAFE);
-		turn(&f);
+			caller_send(c, GET_SAFE);
+		run_loop_once(&f);
 		UNTIL(&f,
 		      (gate_close(f.gate), f.eps[0].requests == 31 + k->kept));
-		say(&f, 0, OK_TEXT);
-		UNTIL(&f, ends(c, "hello"));
+		endpoint_send(&f, 0, OK_TEXT);
+		UNTIL(&f, received_ends_with(c, "hello"));
 		UNTIL(&f, gate_close(f.gate));
 		fix_close(&f);
 	}
@@ -657,10 +659,10 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	c = ask(&f, "", "");
+	c = ask_endpoint(&f, "", "");
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
 	for (int i = 0; i < 3; i++)
-		turn(&f);
+		run_loop_once(&f);
 	assert_false(gate_close(f.gate));
 	f.clock.fake_ms += 1000;
 	UNTIL(&f, gate_close(f.gate) && c->ended);
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -38,14 +38,14 @@
 {
 	struct caller *c = call(f, POST_ONCE);
 
-	UNTIL(f, got(c, status));
+	UNTIL(f, has_received(c, status));
 }
 
 /* The endpoint that plain calls go to while both are idle. */
 static int preferred_endpoint(struct fix *f)
 {
-	script(f, 0, OK_TEXT, false, false);
-	script(f, 1, OK_TEXT, false, false);
+	script_answer(f, 0, OK_TEXT, false, false);
+	script_answer(f, 1, OK_TEXT, false, false);
 	call_once(f, "HTTP/1.1 200 ");
 	return f->eps[0].requests ? 0 : 1;
 }
@@ -67,7 +67,7 @@
 		call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 1);
 	f.clock.fake_ms += 60000;
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 2);
 	fix_close(&f);
@@ -89,7 +89,7 @@
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
-	script(&f, at, FAILS, false, false);
+	script_answer(&f, at, FAILS, false, false);
 	call_once(&f, "HTTP/1.1 500 ");
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, 1);
@@ -97,10 +97,10 @@
 	reported(&f, at, &failed, &answered);
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
-	script(&f, at, OK_TEXT, false, false);
+	script_answer(&f, at, OK_TEXT, false, false);
 	report_failing(&f, at, 20);
 	f.at = at;
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 4);
 	reported(&f, at, &failed, &answered);
@@ -117,8 +117,8 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	end_endpoint(&f, 0);
-	end_endpoint(&f, 1);
+	crash_endpoint(&f, 0);
+	crash_endpoint(&f, 1);
 	call(&f, POST_ONCE);
 	UNTIL(&f, *metrics_value(f.metrics, "ss_gate_connections_opened_total",
 				 "") >= 2);
@@ -149,19 +149,19 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	end_endpoint(&f, 0);
-	end_endpoint(&f, 1);
+	crash_endpoint(&f, 0);
+	crash_endpoint(&f, 1);
 	c = call(&f, POST_ONCE);
 	UNTIL(&f, opened(&f) == ENDPOINTS && waiting(&f) == 1);
 	for (int i = 0; i < 20; i++)
-		turn(&f);
+		run_loop_once(&f);
 	assert_int_equal(opened(&f), ENDPOINTS);
 	f.clock.fake_ms += 50;
 	UNTIL(&f, opened(&f) == 2 * ENDPOINTS && waiting(&f) == 1);
 	start_endpoint(&f, 0);
-	script(&f, 0, OK_TEXT, false, false);
-	tell_fleet(&f, "web", "");
-	UNTIL(&f, got(c, "HTTP/1.1 200 "));
+	script_answer(&f, 0, OK_TEXT, false, false);
+	report_fleet(&f, "web", "");
+	UNTIL(&f, has_received(c, "HTTP/1.1 200 "));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
 }
--- a/test/test_gate_lifecycle.c
+++ b/test/test_gate_lifecycle.c
@@ -11,11 +11,12 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
+	script_answer(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false,
+		      false);
 	c = call(&f, POST_CHAT);
-	UNTIL(&f, got(c, "data: a"));
+	UNTIL(&f, has_received(c, "data: a"));
 	assert_int_equal(f.eps[0].closed, 0);
-	leave(c);
+	caller_leave(c);
 	UNTIL(&f, f.eps[0].closed == 1);
 	assert_int_equal(gate_busy(f.gate), 0);
 	/* A reset: bytes delayed on the network aren't delivered later. */
@@ -35,10 +36,10 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, NULL, false, false);
+	script_answer(&f, 0, NULL, false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1);
-	leave(c);
+	caller_leave(c);
 	UNTIL(&f, f.eps[0].closed == 1);
 	assert_int_equal(f.eps[0].reset, 1);
 	fix_close(&f);
@@ -59,15 +60,16 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, NULL, false, false);
-	script(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false, false);
+	script_answer(&f, 0, NULL, false, false);
+	script_answer(&f, 1, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n", false,
+		      false);
 	for (int i = 0; i < SILENT_CALLS; i++) {
 		c[i] = call(&f, POST_CHAT);
 		UNTIL(&f, f.eps[0].requests == i + 1);
 	}
 	f.clock.fake_ms += 2500;
 	for (int i = 0; i < SILENT_CALLS; i++) {
-		leave(c[i]);
+		caller_leave(c[i]);
 		UNTIL(&f, f.eps[0].closed == i + 1);
 	}
 	for (int i = 0; i < NEW_CALLS; i++) {
@@ -87,9 +89,9 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	c = call(&f, GET_SAFE);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	f.clock.fake_ms += 60000;
 	gate_tick(f.gate);
 	UNTIL(&f, f.eps[0].closed == 1);
@@ -104,14 +106,14 @@
 
 	(void)state;
 	fix_open(&f, "lm", "");
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", false,
-	       false);
+	script_answer(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n",
+		      false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, gate_busy(f.gate) > 0);
-	turn(&f);
+	run_loop_once(&f);
 	assert_int_equal(f.eps[0].requests, 0);
-	tell_fleet(&f, "lm", "m");
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	report_fleet(&f, "lm", "m");
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
@@ -136,9 +138,9 @@
 					    "1\r\nContent-Length: 0\r\n\r\n");
 	UNTIL(&f, gate_busy(f.gate) > 0);
 	gate_take_fleet(f.gate, &m);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "Retry-After: "));
-	assert_true(got(c, "not_run"));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "Retry-After: "));
+	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.clock.fake_ms, 100000);
 	fix_close(&f);
 }
@@ -163,8 +165,8 @@
 	c = call(&f, POST_BRIEF);
 	UNTIL(&f, gate_busy(f.gate) > 0);
 	gate_take_fleet(f.gate, &m);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "Retry-After: 3."));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "Retry-After: 3."));
 	assert_int_equal(f.clock.fake_ms, 100000);
 	fix_close(&f);
 }
@@ -189,11 +191,11 @@
 	f.clock.fake_ms += 1500;
 	/* A refusal needs a tick, a write and a read to arrive. */
 	for (int i = 0; i < 10; i++)
-		turn(&f);
+		run_loop_once(&f);
 	assert_int_equal(c->got->len, 0);
 	f.clock.fake_ms += 200;
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "Retry-After: "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "Retry-After: "));
 	fix_close(&f);
 }
 
@@ -215,15 +217,15 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < 4; i++)
-		carry_stream(&f, 1000, 48);
-	tell_fleet(&f, "lm", "");
+		run_one_stream(&f, 1000, 48);
+	report_fleet(&f, "lm", "");
 	gate_take_fleet(f.gate, &m);
 	now = f.clock.fake_ms;
 	c = call(&f, POST_BRIEF);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "Retry-After: 1."));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "Retry-After: 1."));
 	assert_int_equal(f.clock.fake_ms, now);
 	fix_close(&f);
 }
@@ -238,10 +240,10 @@
 	c = call(&f, POST_ONCE);
 	UNTIL(&f, f.eps[0].requests == 1);
 	f.clock.fake_ms += 1900;
-	turn(&f);
+	run_loop_once(&f);
 	assert_int_equal(c->got->len, 0);
 	f.clock.fake_ms += 100;
-	UNTIL(&f, got(c, "HTTP/1.1 504 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 504 "));
 	UNTIL(&f, f.eps[0].closed == 1);
 	fix_close(&f);
 }
@@ -259,13 +261,13 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", false,
-	       false);
+	script_answer(&f, 0, EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n",
+		      false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1);
 	gate_drain(f.gate, f.clock.fake_ms + 8000);
 	UNTIL(&f, c->ended);
-	assert_true(ends(c, "0\r\n\r\n"));
+	assert_true(received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
@@ -278,19 +280,19 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	script(&f, 0, NULL, false, false);
-	carry_stream(&f, 100, 50);
-	c = ask(&f, "m", POST_BRIEF);
+	script_answer(&f, 0, EVENTS, false, false);
+	script_answer(&f, 0, NULL, false, false);
+	run_one_stream(&f, 100, 50);
+	c = ask_endpoint(&f, "m", POST_BRIEF);
 	UNTIL(&f, f.eps[0].requests == 2);
 	f.clock.fake_ms += 2010;
-	say(&f, 0,
-	    "HTTP/1.1 503 Full\r\nX-Request-Id: q1\r\n"
-	    "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
-	UNTIL(&f, ends(c, "}}"));
-	assert_true(got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "\"deadline\""));
-	assert_true(got(c, "Retry-After: "));
+	endpoint_send(&f, 0,
+		      "HTTP/1.1 503 Full\r\nX-Request-Id: q1\r\n"
+		      "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
+	UNTIL(&f, received_ends_with(c, "}}"));
+	assert_true(has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "\"deadline\""));
+	assert_true(has_received(c, "Retry-After: "));
 	fix_close(&f);
 }
 
@@ -305,8 +307,8 @@
 	fix_open(&f, NULL, NULL);
 	f.clock.fake_ms += 1500;
 	c = call(&f, GET_SAFE);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "not_run"));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "not_run"));
 	fix_close(&f);
 }
 
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -62,8 +62,8 @@
 {
 	select_gate(c, i);
 	c->holders[i] = ++c->last_incarnation;
-	tell_routing(&c->f);
-	tell_fleet(&c->f, x->service, x->model);
+	set_default_routing(&c->f);
+	report_fleet(&c->f, x->service, x->model);
 	gate_leader_found(c->gates[i]);
 }
 
@@ -103,7 +103,7 @@
 	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	struct msg_quota_reply m;
 
-	gate_limit_asks(c->gates[i], grant_requests);
+	gate_limit_requests(c->gates[i], grant_requests);
 	for (guint k = 0; k < grant_requests->len; k++) {
 		const struct quota_request *a =
 			&g_array_index(grant_requests, struct quota_request, k);
@@ -138,7 +138,7 @@
 		changed |= receive_signals(c, c->gates[i]);
 	for (int i = 0; changed && i < GATES; i++) {
 		select_gate(c, i);
-		tell_fleet(&c->f, c->x->service, c->x->model);
+		report_fleet(&c->f, c->x->service, c->x->model);
 	}
 	for (int i = 0; i < GATES; i++)
 		reply_to_grant_requests(c, i);
@@ -163,7 +163,7 @@
 	start_leader(c);
 	for (int i = 0; i < ENDPOINTS; i++) {
 		c->arrivals[i] = g_array_new(FALSE, FALSE, sizeof(int64_t));
-		script(&c->f, i, x->answer, x->close, false);
+		script_answer(&c->f, i, x->answer, x->close, false);
 	}
 	for (int i = 0; i < GATES; i++) {
 		c->f.options.seed = (uint64_t)i + 1;
@@ -229,7 +229,7 @@
 		for (int i = 0; i < GATES; i++) {
 			gate_leader_found(c->gates[i]);
 			select_gate(c, i);
-			tell_fleet(&c->f, x->service, x->model);
+			report_fleet(&c->f, x->service, x->model);
 		}
 	}
 }
@@ -330,19 +330,19 @@
 	(void)state;
 	fix_open(&f, "web", "");
 	f.limits[0] = (struct endpoint_limit){ 2, f.clock.fake_ms };
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	f.clock.fake_ms += 5000;
 	/* The leader has it already. */
 	assert_int_equal(reported_limit(&f), -1);
 	f.limits[0] = (struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	assert_int_equal(reported_limit(&f), 2 * QUOTA_MILLI + 1);
 	/* Repeated at an interval until the leader has it. */
 	assert_int_equal(reported_limit(&f), -1);
 	f.clock.fake_ms += 1000;
 	assert_int_equal(reported_limit(&f), 2 * QUOTA_MILLI + 1);
 	f.limits[0] = (struct endpoint_limit){ 2, f.clock.fake_ms };
-	tell_fleet(&f, "web", "");
+	report_fleet(&f, "web", "");
 	f.clock.fake_ms += 5000;
 	assert_int_equal(reported_limit(&f), -1);
 	fix_close(&f);
@@ -354,7 +354,7 @@
 	GArray *grant_requests =
 		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	gate_limit_asks(f->gate, grant_requests);
+	gate_limit_requests(f->gate, grant_requests);
 	for (guint i = 0; i < grant_requests->len; i++) {
 		const struct quota_request *a =
 			&g_array_index(grant_requests, struct quota_request, i);
@@ -379,8 +379,8 @@
 	fix_open(&f, "web", "");
 	f.eps[1].leaving = true;
 	f.limits[0] = (struct endpoint_limit){ 500, f.clock.fake_ms };
-	script(&f, 0, OK_LIMIT("500"), false, false);
-	tell_fleet(&f, "web", "");
+	script_answer(&f, 0, OK_LIMIT("500"), false, false);
+	report_fleet(&f, "web", "");
 	gate_leader_found(f.gate);
 	for (int i = 0; i < 3; i++) {
 		assert_int_equal(reported_limit(&f), -1);
@@ -388,7 +388,7 @@
 		/* No answer has come meanwhile. */
 		assert_int_equal(reported_limit(&f), -1);
 		c = call(&f, POST_ONCE);
-		UNTIL(&f, (grant_all(&f), ends(c, "hello")));
+		UNTIL(&f, (grant_all(&f), received_ends_with(c, "hello")));
 		assert_int_equal(reported_limit(&f), 500 * QUOTA_MILLI + 1);
 	}
 	fix_close(&f);
--- a/test/test_gate_list.c
+++ b/test/test_gate_list.c
@@ -105,7 +105,7 @@
 	for (int k = 0; k < 3; k++) {
 		struct caller *c = call(f, GET_SAFE);
 
-		UNTIL(f, ends(c, "hello"));
+		UNTIL(f, received_ends_with(c, "hello"));
 	}
 	return f->eps[i].requests - before;
 }
@@ -115,8 +115,8 @@
 static int open_listed(struct fix *f)
 {
 	fix_open(f, NULL, NULL);
-	script(f, 0, OK_TEXT, false, false);
-	script(f, 1, OK_TEXT, false, false);
+	script_answer(f, 0, OK_TEXT, false, false);
+	script_answer(f, 1, OK_TEXT, false, false);
 	read_list(f, 0, READ);
 	return calls_to(f, 0) ? 0 : 1;
 }
@@ -166,15 +166,15 @@
 
 	(void)state;
 	fix_open(&f, NULL, NULL);
-	script(&f, 0, NULL, false, false);
-	script(&f, 1, NULL, false, false);
+	script_answer(&f, 0, NULL, false, false);
+	script_answer(&f, 1, NULL, false, false);
 	read_list(&f, 0, READ);
 	c = call(&f, GET_SAFE);
 	UNTIL(&f, f.eps[0].requests + f.eps[1].requests == 1);
 	i = f.eps[0].requests ? 0 : 1;
 	for (enum shape s = BY_ID; s <= UNKNOWN_SERVICE; s++) {
 		read_list(&f, i, s);
-		turn(&f);
+		run_loop_once(&f);
 	}
 	assert_int_equal(f.eps[i].closed, 0);
 	assert_false(c->ended);
@@ -190,8 +190,8 @@
 	(void)state;
 	for (int i = 0; i < ENDPOINTS; i++) {
 		fix_open(&f, NULL, NULL);
-		script(&f, 0, OK_TEXT, false, false);
-		script(&f, 1, OK_TEXT, false, false);
+		script_answer(&f, 0, OK_TEXT, false, false);
+		script_answer(&f, 1, OK_TEXT, false, false);
 		read_list(&f, i, UNKNOWN_SERVICE);
 		assert_int_equal(calls_to(&f, i), 0);
 		/* Its entry is corrected. */
@@ -213,7 +213,7 @@
 	read_list(&f, i, UNREADABLE);
 	f.clock.fake_ms += FLEET_UNREADABLE_GRACE_MS - 1;
 	read_list(&f, i, UNREADABLE);
-	turn(&f);
+	run_loop_once(&f);
 	assert_int_equal(f.eps[i].closed, 0);
 	f.clock.fake_ms += 1;
 	read_list(&f, i, UNREADABLE);
@@ -232,12 +232,12 @@
 
 	(void)state;
 	fix_open(&f, NULL, NULL);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	assert_false(gate_knows_fleet(f.gate));
 	read_list(&f, 0, INCOMPLETE);
 	assert_true(gate_knows_fleet(f.gate));
 	c = call(&f, GET_SAFE);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	fix_close(&f);
 }
 
--- a/test/test_gate_memory.c
+++ b/test/test_gate_memory.c
@@ -22,8 +22,8 @@
 	struct fix_options o = { .memory = memory };
 
 	fix_open_with(f, &o);
-	tell_routing(f);
-	tell_fleet(f, "web", "");
+	set_default_routing(f);
+	report_fleet(f, "web", "");
 }
 
 static double metric(struct fix *f, const char *name)
@@ -64,8 +64,8 @@
 
 	(void)state;
 	fix_open_small(&f, BODIES_MEMORY);
-	script(&f, 0, OK_TEXT, false, false);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < CALLERS; i++) {
 		c[i] = call(&f, text);
 		/* One after another, so that the first ones are accepted. */
@@ -76,12 +76,12 @@
 	UNTIL(&f, metric(&f, "ss_gate_no_room_total ") == CALLERS - ACCEPTED);
 	for (int i = 0; i < CALLERS; i++) {
 		if (i < ACCEPTED)
-			tell(c[i], "last");
+			caller_send(c[i], "last");
 		UNTIL(&f, c[i]->got->len || c[i]->ended);
-		refused += got(c[i], "HTTP/1.1 503 ") &&
-			   got(c[i], "Retry-After: ");
-		UNTIL(&f, refused || got(c[i], "hello"));
-		accepted += got(c[i], "hello");
+		refused += has_received(c[i], "HTTP/1.1 503 ") &&
+			   has_received(c[i], "Retry-After: ");
+		UNTIL(&f, refused || has_received(c[i], "hello"));
+		accepted += has_received(c[i], "hello");
 	}
 	assert_int_equal(accepted, ACCEPTED);
 	assert_int_equal(refused, CALLERS - ACCEPTED);
@@ -98,12 +98,12 @@
 
 	(void)state;
 	fix_open_small(&f, BODIES_MEMORY);
-	script(&f, 0, OK_TEXT, false, false);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < 2 * ACCEPTED; i++) {
 		struct caller *c = call(&f, text);
 
-		UNTIL(&f, got(c, "hello"));
+		UNTIL(&f, has_received(c, "hello"));
 	}
 	assert_int_equal(metric(&f, "ss_gate_held_bytes "), 0);
 	assert_int_equal(metric(&f, "ss_gate_no_room_total "), 0);
@@ -129,7 +129,7 @@
 
 	for (int unchanged = 0; unchanged < UNCHANGED_TURNS;) {
 		before = now;
-		turn(f);
+		run_loop_once(f);
 		now = metric(f, "ss_gate_unread_bytes ");
 		assert_true(now <= UNREAD_MAX + CALLERS * READ_MAX);
 		unchanged = now > 0 && now == before ? unchanged + 1 : 0;
@@ -151,8 +151,8 @@
 	for (size_t i = 0; i < RESPONSE_BYTES / 16; i++)
 		g_string_append(response, "0123456789abcdef");
 	fix_open_small(&f, MEMORY);
-	script(&f, 0, response->str, false, false);
-	script(&f, 1, response->str, false, false);
+	script_answer(&f, 0, response->str, false, false);
+	script_answer(&f, 1, response->str, false, false);
 	for (int i = 0; i < CALLERS; i++) {
 		slow[i] = call(&f, GET_SAFE);
 		bufferevent_disable(slow[i]->bev, EV_READ);
