--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -20,7 +20,7 @@
 static void run_rounds(struct fix *f, int n)
 {
 	while (n-- > 0)
-		turn(f);
+		run_loop_once(f);
 }
 
 static int requests(const struct fix *f)
@@ -41,9 +41,9 @@
 /* Takes the reports that are due; with sent false, sending the first fails. */
 static void take_reports(struct fix *f, struct reported *t, bool sent)
 {
-	struct gate_ends r;
+	struct gate_crash_report r;
 
-	while (gate_ends(f->gate, &r)) {
+	while (gate_crash_report(f->gate, &r)) {
 		const struct run_outcome_item *x = r.m.outcomes.items;
 
 		for (size_t i = 0; i < r.m.outcomes.n; i++) {
@@ -52,7 +52,7 @@
 			t->nothing += x[i].kind == OUTCOME_INCONCLUSIVE;
 		}
 		t->recalled += (int)r.m.suspects.n;
-		gate_ends_done(f->gate, &r, sent);
+		gate_crash_report_done(f->gate, &r, sent);
 		if (!sent)
 			return;
 	}
@@ -74,11 +74,11 @@
 {
 	uint64_t crashes = metric(f, "ss_gate_endpoints_ended_total");
 	int before = f->eps[f->at].requests;
-	struct caller *c = ask(f, "m", text);
+	struct caller *c = ask_endpoint(f, "m", text);
 
 	UNTIL(f, f->eps[f->at].requests == before + 1);
-	end_endpoint(f, f->at);
-	UNTIL(f, got(c, "HTTP/1.1 502 "));
+	crash_endpoint(f, f->at);
+	UNTIL(f, has_received(c, "HTTP/1.1 502 "));
 	UNTIL(f, metric(f, "ss_gate_endpoints_ended_total") == crashes + 1);
 	start_endpoint(f, f->at);
 }
@@ -87,7 +87,7 @@
 static void set_answer(struct fix *f, int i, const char *text)
 {
 	f->eps[i].n_replies = 0;
-	script(f, i, text, false, false);
+	script_answer(f, i, text, false, false);
 }
 
 /*
@@ -108,15 +108,15 @@
 	for (int i = 0; i < SUSPECT_CRASH_THRESHOLD; i++)
 		send_and_crash(&f, POST_CHAT);
 	before = requests(&f);
-	script(&f, 0, WHOLE_STREAM, false, false);
-	c = ask(&f, "m", POST_CHAT);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
-	assert_true(got(c, "Retry-After: 600.000"));
-	assert_true(got(c, "\"not_run\""));
+	script_answer(&f, 0, WHOLE_STREAM, false, false);
+	c = ask_endpoint(&f, "m", POST_CHAT);
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
+	assert_true(has_received(c, "Retry-After: 600.000"));
+	assert_true(has_received(c, "\"not_run\""));
 	assert_int_equal(requests(&f), before);
 	set_answer(&f, 0, WHOLE_STREAM);
-	other = ask(&f, "m", OTHER_CHAT);
-	UNTIL(&f, ends(other, "0\r\n\r\n"));
+	other = ask_endpoint(&f, "m", OTHER_CHAT);
+	UNTIL(&f, received_ends_with(other, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
@@ -140,23 +140,23 @@
 		fix_open(&f, "lm", "m");
 		f.eps[1].empty = true;
 		if (cases[k] == BROKEN_OFF)
-			script(&f, 0, FIRST_EVENT, true, false);
+			script_answer(&f, 0, FIRST_EVENT, true, false);
 		if (cases[k] == RESET)
-			script(&f, 0, FIRST_EVENT, false, true);
+			script_answer(&f, 0, FIRST_EVENT, false, true);
 		for (int i = 0; i < SUSPECT_CRASH_THRESHOLD + 1; i++) {
-			c = ask(&f, "m", POST_CHAT);
+			c = ask_endpoint(&f, "m", POST_CHAT);
 			UNTIL(&f, f.eps[0].requests == i + 1);
 			if (cases[k] == PLANNED) {
 				f.eps[0].leaving = true;
-				tell_fleet(&f, "lm", "m");
-				end_endpoint(&f, 0);
-				UNTIL(&f, got(c, "HTTP/1.1 502 "));
+				report_fleet(&f, "lm", "m");
+				crash_endpoint(&f, 0);
+				UNTIL(&f, has_received(c, "HTTP/1.1 502 "));
 				start_endpoint(&f, 0);
 				f.eps[0].leaving = false;
 			} else if (cases[k] == LEFT) {
-				leave(c);
+				caller_leave(c);
 				UNTIL(&f, f.eps[0].closed == i + 1);
-				end_endpoint(&f, 0);
+				crash_endpoint(&f, 0);
 				start_endpoint(&f, 0);
 			} else {
 				UNTIL(&f, c->ended);
@@ -182,18 +182,19 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	f.at = 1;
-	ask(&f, "m",
-	    REQ("POST",
-		"/chat/elsewhere") "X-Model: m\r\nContent-Length: 2\r\n\r\nhi");
+	ask_endpoint(&f, "m",
+		     REQ("POST",
+			 "/chat/elsewhere") "X-Model: m\r\nContent-Length: "
+					    "2\r\n\r\nhi");
 	UNTIL(&f, f.eps[1].requests == 1);
 	f.at = 0;
-	ask(&f, "m", POST_CHAT);
+	ask_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1);
-	ask(&f, "m", OTHER_CHAT);
+	ask_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, f.eps[0].requests == 2);
-	ask(&f, "m", OTHER_CHAT);
+	ask_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, f.eps[0].requests == 3);
-	end_endpoint(&f, 0);
+	crash_endpoint(&f, 0);
 	UNTIL(&f, metric(&f, "ss_gate_endpoints_ended_total") == 1);
 	take_reports(&f, &t, true);
 	assert_int_equal(t.crashes, 2);
@@ -212,20 +213,20 @@
 	waits = call(&f, POST_CHAT);
 	UNTIL(&f, metric(&f, "ss_gate_waiting") == 1);
 	send_suspect(&f, 1, "/chat/x", 300, false);
-	UNTIL(&f, got(waits, "HTTP/1.1 503 "));
-	assert_true(got(waits, "Retry-After: 0.300"));
-	tell_fleet(&f, "lm", "m");
+	UNTIL(&f, has_received(waits, "HTTP/1.1 503 "));
+	assert_true(has_received(waits, "Retry-After: 0.300"));
+	report_fleet(&f, "lm", "m");
 	c = call(&f, POST_CHAT);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_int_equal(requests(&f), 0);
 	/* A replaced leader can't clear the request, the new one can. */
 	send_suspect(&f, 0, "/chat/x", 0, true);
 	c = call(&f, POST_CHAT);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	send_suspect(&f, 1, "/chat/x", 0, true);
-	script(&f, 0, WHOLE_STREAM, false, false);
-	c = ask(&f, "m", POST_CHAT);
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	script_answer(&f, 0, WHOLE_STREAM, false, false);
+	c = ask_endpoint(&f, "m", POST_CHAT);
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
@@ -268,8 +269,8 @@
 		fix_open(&f, "lm", "m");
 		f.leads = cases[i].leads;
 		send_suspect(&f, 1, "/chat/x", 0, false);
-		script(&f, 0, WHOLE_STREAM, false, false);
-		c = ask(&f, "m", POST_CHAT);
+		script_answer(&f, 0, WHOLE_STREAM, false, false);
+		c = ask_endpoint(&f, "m", POST_CHAT);
 		UNTIL(&f, f.trial.sub);
 		run_rounds(&f, 3);
 		assert_int_equal(requests(&f), 0);
@@ -277,9 +278,9 @@
 			answer_trial(&f, cases[i].leave, 7000);
 		else
 			f.clock.fake_ms += 500;
-		UNTIL(&f,
-		      got(c, cases[i].status) && got(c, cases[i].retry_after));
-		UNTIL(&f, !runs || ends(c, "0\r\n\r\n"));
+		UNTIL(&f, has_received(c, cases[i].status) &&
+				  has_received(c, cases[i].retry_after));
+		UNTIL(&f, !runs || received_ends_with(c, "0\r\n\r\n"));
 		run_rounds(&f, 3);
 		assert_int_equal(requests(&f), runs);
 		take_reports(&f, &t, true);
@@ -303,12 +304,12 @@
 	fix_open(&f, "lm", "m");
 	f.leads = true;
 	send_suspect(&f, 1, "/night/x", 0, false);
-	c = ask(&f, "m", POST_NIGHT);
+	c = ask_endpoint(&f, "m", POST_NIGHT);
 	UNTIL(&f, f.trial.sub);
 	answer_trial(&f, SUSPECT_TRIAL, 0);
 	UNTIL(&f, f.eps[0].requests == 1);
-	end_endpoint(&f, 0);
-	UNTIL(&f, got(c, "HTTP/1.1 502 "));
+	crash_endpoint(&f, 0);
+	UNTIL(&f, has_received(c, "HTTP/1.1 502 "));
 	UNTIL(&f, metric(&f, "ss_gate_endpoints_ended_total") == 1);
 	assert_int_equal(requests(&f), 1);
 	take_reports(&f, &t, true);
@@ -330,13 +331,13 @@
 		fix_open(&f, "lm", "m");
 		f.leads = true;
 		send_suspect(&f, 1, "/chat/x", 0, false);
-		c = ask(&f, "m", POST_CHAT);
+		c = ask_endpoint(&f, "m", POST_CHAT);
 		UNTIL(&f, f.trial.sub);
 		if (runs) {
 			answer_trial(&f, SUSPECT_TRIAL, 0);
 			UNTIL(&f, f.eps[0].requests == 1);
 		}
-		leave(c);
+		caller_leave(c);
 		UNTIL(&f, gate_busy(f.gate) == 0);
 		if (!runs)
 			answer_trial(&f, SUSPECT_TRIAL, 0);
@@ -391,8 +392,8 @@
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
 	set_answer(&f, 0, WHOLE_STREAM);
-	c = ask(&f, "m", POST_CHAT);
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	c = ask_endpoint(&f, "m", POST_CHAT);
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	take_reports(&f, &t, true);
 	assert_int_equal(t.answered, 1);
 	assert_int_equal(t.crashes, 0);
@@ -401,8 +402,8 @@
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
 	set_answer(&f, 0, WHOLE_STREAM);
-	c = ask(&f, "m", POST_CHAT);
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	c = ask_endpoint(&f, "m", POST_CHAT);
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
@@ -412,13 +413,13 @@
 	struct caller *c;
 
 	fix_open(f, "lm", "m");
-	c = ask(f, "m", POST_CHAT);
+	c = ask_endpoint(f, "m", POST_CHAT);
 	UNTIL(f, f->eps[0].requests == 1);
-	ask(f, "m", OTHER_CHAT);
+	ask_endpoint(f, "m", OTHER_CHAT);
 	UNTIL(f, f->eps[0].requests == 2);
 	stop_listening(f, 0);
 	reset_oldest(f, 0);
-	UNTIL(f, got(c, "HTTP/1.1 502 "));
+	UNTIL(f, has_received(c, "HTTP/1.1 502 "));
 }
 
 /* Failure: a crashed endpoint is taken for a running one, as its other
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -60,9 +60,9 @@
 	 * before, and a whole burst is available. */
 	for (int i = 0; i < 70; i++) {
 		l->f.clock.fake_ms += 100;
-		turn(&l->f);
+		run_loop_once(&l->f);
 	}
-	tell_fleet(&l->f, service, model);
+	report_fleet(&l->f, service, model);
 	gate_leader_found(l->f.gate);
 }
 
@@ -80,7 +80,7 @@
 	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	struct msg_quota_reply m;
 
-	gate_quota_asks(l->f.gate, requests);
+	gate_quota_requests(l->f.gate, requests);
 	for (guint i = 0; i < requests->len; i++) {
 		const struct quota_request *a =
 			&g_array_index(requests, struct quota_request, i);
@@ -106,8 +106,8 @@
 
 static void script_both(struct quota_fix *l, const char *text)
 {
-	script(&l->f, 0, text, false, false);
-	script(&l->f, 1, text, false, false);
+	script_answer(&l->f, 0, text, false, false);
+	script_answer(&l->f, 1, text, false, false);
 }
 
 static int count_run(const struct quota_fix *l)
@@ -125,7 +125,7 @@
 	quota_fix_open(&l, CONFIG(ACME("1000") "," FREE), "web", "");
 	script_both(&l, OK_TEXT);
 	c = call(&l.f, GET_KEY("key-2"));
-	UNTIL(&l.f, ends(c, "hello"));
+	UNTIL(&l.f, received_ends_with(c, "hello"));
 	exchange_grants(&l);
 	assert_int_equal(l.requests, 0);
 	quota_fix_close(&l);
@@ -144,9 +144,9 @@
 	c = call(&l.f, GET_KEY("key-1"));
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
 	for (int i = 0; i < 20; i++)
-		turn(&l.f);
+		run_loop_once(&l.f);
 	assert_int_equal(count_run(&l), 0);
-	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	EXCHANGE_UNTIL(&l, received_ends_with(c, "hello"));
 	quota_fix_close(&l);
 }
 
@@ -165,12 +165,12 @@
 	/* Costs more than the whole burst: a debt of two seconds. */
 	c = call(&l.f, REQ("GET", "/safe/x") "Authorization: Bearer key-1\r\n"
 					     "X-Token-Usage: 2000,400\r\n\r\n");
-	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	EXCHANGE_UNTIL(&l, received_ends_with(c, "hello"));
 	c = call(&l.f, GET_KEY("key-1"));
-	EXCHANGE_UNTIL(&l, got(c, "\r\n\r\n"));
-	assert_true(got(c, "HTTP/1.1 429 "));
-	assert_true(got(c, "\"type\":\"quota\""));
-	assert_true(got(c, "\"outcome\":\"not_run\""));
+	EXCHANGE_UNTIL(&l, has_received(c, "\r\n\r\n"));
+	assert_true(has_received(c, "HTTP/1.1 429 "));
+	assert_true(has_received(c, "\"type\":\"quota\""));
+	assert_true(has_received(c, "\"outcome\":\"not_run\""));
 	at = strstr(c->got->str, "Retry-After: ");
 	assert_non_null(at);
 	s = g_ascii_strtod(at + strlen("Retry-After: "), NULL);
@@ -179,7 +179,7 @@
 	/* A caller that returns after that time is served. */
 	l.f.clock.fake_ms += 2500;
 	c = call(&l.f, GET_KEY("key-1"));
-	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	EXCHANGE_UNTIL(&l, received_ends_with(c, "hello"));
 	quota_fix_close(&l);
 }
 
@@ -197,11 +197,11 @@
 	c = call(&l.f, NIGHT_COST("300,100"));
 	for (int i = 0; i < 50; i++) {
 		exchange_grants(&l);
-		turn(&l.f);
+		run_loop_once(&l.f);
 	}
 	assert_int_equal(c->got->len, 0);
 	gate_drain(l.f.gate, l.f.clock.fake_ms + 1);
-	UNTIL(&l.f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&l.f, has_received(c, "HTTP/1.1 503 "));
 	assert_int_equal(count_run(&l), 0);
 	quota_fix_close(&l);
 }
@@ -227,8 +227,8 @@
 					  i);
 		struct caller *c = call(&l.f, q);
 
-		UNTIL(&l.f, ends(c, "hello"));
-		leave(c);
+		UNTIL(&l.f, received_ends_with(c, "hello"));
+		caller_leave(c);
 		g_free(q);
 	}
 	text = g_string_new(NULL);
@@ -256,11 +256,11 @@
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
 	second = call(&l.f, GET_KEY("key-1"));
 	for (int i = 0; i < 20; i++)
-		turn(&l.f);
-	leave(first);
+		run_loop_once(&l.f);
+	caller_leave(first);
 	for (int i = 0; i < 20; i++)
-		turn(&l.f);
-	EXCHANGE_UNTIL(&l, ends(second, "hello"));
+		run_loop_once(&l.f);
+	EXCHANGE_UNTIL(&l, received_ends_with(second, "hello"));
 	assert_int_equal(count_run(&l), 1);
 	quota_fix_close(&l);
 }
@@ -279,17 +279,17 @@
 	c = call(&l.f, GET_KEY("key-1"));
 	for (int i = 0; i < 25 && !c->got->len; i++) {
 		l.f.clock.fake_ms += 100;
-		turn(&l.f);
+		run_loop_once(&l.f);
 	}
-	UNTIL(&l.f, got(c, "HTTP/1.1 429 "));
-	assert_true(got(c, "Retry-After: "));
+	UNTIL(&l.f, has_received(c, "HTTP/1.1 429 "));
+	assert_true(has_received(c, "Retry-After: "));
 	/* The next one is refused immediately. */
 	c = call(&l.f, GET_KEY("key-1"));
-	UNTIL(&l.f, got(c, "HTTP/1.1 429 "));
+	UNTIL(&l.f, has_received(c, "HTTP/1.1 429 "));
 	assert_int_equal(count_run(&l), 0);
 	gate_leader_found(l.f.gate);
 	c = call(&l.f, GET_KEY("key-1"));
-	EXCHANGE_UNTIL(&l, ends(c, "hello"));
+	EXCHANGE_UNTIL(&l, received_ends_with(c, "hello"));
 	quota_fix_close(&l);
 }
 
@@ -306,10 +306,10 @@
 	script_both(&l, EVENTS);
 	c = call(&l.f, NIGHT_COST("300,100"));
 	EXCHANGE_UNTIL(&l, l.f.eps[l.f.at].requests == 1);
-	say_events(&l.f, c, 1, 2, 10);
+	send_events(&l.f, c, 1, 2, 10);
 	exchange_grants(&l);
 	requests_before = l.requests;
-	end_endpoint(&l.f, 0);
+	crash_endpoint(&l.f, 0);
 	UNTIL(&l.f, l.f.eps[1].requests == 1);
 	exchange_grants(&l);
 	assert_true(l.requests - requests_before <= 1);
@@ -330,25 +330,25 @@
 	script_both(&l, OK_TEXT);
 	/* Costs more than is available: a debt of about 0.3 s. */
 	large = call(&l.f, GET_COST("/safe/x", "800,0"));
-	EXCHANGE_UNTIL(&l, ends(large, "hello"));
+	EXCHANGE_UNTIL(&l, received_ends_with(large, "hello"));
 	patient = call(&l.f, GET_COST("/late/x", "300,0"));
 	UNTIL(&l.f, gate_busy(l.f.gate) > 0);
 	for (int i = 0; i < 20; i++)
-		turn(&l.f);
+		run_loop_once(&l.f);
 	urgent = call(&l.f, GET_COST("/safe/x", "100,0"));
-	for (int i = 0; i < 100 && !ends(urgent, "hello"); i++) {
+	for (int i = 0; i < 100 && !received_ends_with(urgent, "hello"); i++) {
 		l.f.clock.fake_ms += 10;
 		exchange_grants(&l);
-		turn(&l.f);
+		run_loop_once(&l.f);
 	}
-	assert_true(ends(urgent, "hello"));
+	assert_true(received_ends_with(urgent, "hello"));
 	assert_int_equal(patient->got->len, 0);
-	for (int i = 0; i < 500 && !ends(patient, "hello"); i++) {
+	for (int i = 0; i < 500 && !received_ends_with(patient, "hello"); i++) {
 		l.f.clock.fake_ms += 10;
 		exchange_grants(&l);
-		turn(&l.f);
+		run_loop_once(&l.f);
 	}
-	assert_true(ends(patient, "hello"));
+	assert_true(received_ends_with(patient, "hello"));
 	text = g_string_new(NULL);
 	metrics_print(l.f.metrics, text);
 	assert_non_null(strstr(
--- a/test/test_gate_restart.c
+++ b/test/test_gate_restart.c
@@ -15,14 +15,14 @@
 {
 	fix_open(f, NULL, "");
 	f->eps[0].started_ms = f->eps[1].started_ms = 100;
-	tell_fleet(f, service, model);
+	report_fleet(f, service, model);
 }
 
 /* Reports a new incarnation of the first endpoint. */
 static void restart(struct fix *f, const char *service, const char *model)
 {
 	f->eps[0].started_ms = 200;
-	tell_fleet(f, service, model);
+	report_fleet(f, service, model);
 }
 
 /* Requests in progress; gate_busy() counts each one and its connection. */
@@ -34,7 +34,7 @@
 static void run_turns(struct fix *f, int n)
 {
 	while (n-- > 0)
-		turn(f);
+		run_loop_once(f);
 }
 
 /*
@@ -50,17 +50,17 @@
 
 	(void)state;
 	open_with_starts(&f, "lm", "m");
-	script(&f, 0, FIRST_EVENT, false, false);
-	script(&f, 1, LAST_EVENT, false, false);
+	script_answer(&f, 0, FIRST_EVENT, false, false);
+	script_answer(&f, 1, LAST_EVENT, false, false);
 	c = call(&f, POST_NIGHT);
-	UNTIL(&f, got(c, "data: a"));
+	UNTIL(&f, has_received(c, "data: a"));
 	f.eps[0].empty = true;
 	restart(&f, "lm", "m");
 	f.clock.fake_ms += 499;
 	run_turns(&f, 3);
 	assert_int_equal(f.eps[1].requests, 0);
 	f.clock.fake_ms += 1;
-	UNTIL(&f, ends(c, "0\r\n\r\n"));
+	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	assert_non_null(strstr(f.eps[1].seen->str, "Last-Event-Id: 1"));
 	fix_close(&f);
 }
@@ -76,8 +76,8 @@
 
 	(void)state;
 	open_with_starts(&f, "web", "");
-	script(&f, 0, NULL, false, false);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 0, NULL, false, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	c = call(&f, POST_ONCE);
 	UNTIL(&f, f.eps[0].requests == 1);
 	restart(&f, "web", "");
@@ -85,7 +85,7 @@
 	run_turns(&f, 3);
 	assert_int_equal(c->got->len, 0);
 	f.clock.fake_ms += 1000;
-	UNTIL(&f, got(c, "HTTP/1.1 504 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 504 "));
 	assert_int_equal(f.eps[0].requests, 1);
 	assert_int_equal(f.eps[1].requests, 0);
 	fix_close(&f);
@@ -104,8 +104,8 @@
 
 	(void)state;
 	open_with_starts(&f, "lm", "m");
-	script(&f, 0, NOT_HELD, false, false);
-	script(&f, 0, LAST_EVENT, false, false);
+	script_answer(&f, 0, NOT_HELD, false, false);
+	script_answer(&f, 0, LAST_EVENT, false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1 && requests_in_progress(&f) > 0);
 	run_turns(&f, 3);
@@ -113,7 +113,7 @@
 	run_turns(&f, 3);
 	assert_int_equal(f.eps[0].requests, 1);
 	f.clock.fake_ms += 9000;
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_int_equal(f.eps[1].requests, 0);
 	fix_close(&f);
 }
@@ -135,7 +135,7 @@
 	f.agents = true;
 	f.eps[1].empty = true;
 	f.eps[0].started_ms = 100;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	c = call(&f, CHAT_ADAPTER);
 	UNTIL(&f, f.asked);
 	done.sub = f.asked;
@@ -162,17 +162,17 @@
 	fix_open(&f, NULL, "");
 	f.eps[0].started_ms = 200;
 	f.eps[0].empty = f.eps[1].empty = true;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	f.eps[0].started_ms = 100;
 	f.eps[0].empty = false;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	call(&f, POST_CHAT);
 	UNTIL(&f, requests_in_progress(&f) > 0);
 	run_turns(&f, 3);
 	assert_int_equal(f.eps[0].requests, 0);
 	/* The endpoint is still known, and can report the model later. */
 	f.eps[0].started_ms = 200;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	UNTIL(&f, f.eps[0].requests == 1);
 	fix_close(&f);
 }
@@ -235,7 +235,7 @@
 		fix_open(&f, NULL, "");
 		f.eps[0].started_ms = 200;
 		f.eps[0].empty = f.eps[1].empty = true;
-		tell_fleet(&f, "lm", "m");
+		report_fleet(&f, "lm", "m");
 		for (size_t k = 0; k < c->n; k++)
 			add_entry(&f, list.instances, c->entries[k].id,
 				  c->entries[k].started_ms,
@@ -265,20 +265,20 @@
 
 	(void)state;
 	open_with_starts(&f, "web", "");
-	script(&f, 0, "", true, false);
-	script(&f, 1, OK_TEXT, false, false);
+	script_answer(&f, 0, "", true, false);
+	script_answer(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < 10; i++) {
 		c = call(&f, GET_SAFE);
-		UNTIL(&f, ends(c, "hello"));
+		UNTIL(&f, received_ends_with(c, "hello"));
 	}
 	before = f.eps[0].requests;
 	c = call(&f, GET_SAFE);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_int_equal(f.eps[0].requests, before);
 	f.eps[0].replies[0] = (struct reply){ OK_TEXT, false, false };
 	restart(&f, "web", "");
 	c = call(&f, GET_SAFE);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	assert_int_equal(f.eps[0].requests, before + 1);
 	fix_close(&f);
 }
@@ -299,8 +299,8 @@
 	fix_open(&f, NULL, "");
 	f.eps[1].empty = true;
 	f.eps[0].started_ms = 100;
-	tell_fleet(&f, "lm", "m");
-	script(&f, 0, NULL, false, false);
+	report_fleet(&f, "lm", "m");
+	script_answer(&f, 0, NULL, false, false);
 	for (int i = 0; i < SLOTS; i++)
 		callers[i] = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == SLOTS);
@@ -311,7 +311,7 @@
 	restart(&f, "lm", "m");
 	UNTIL(&f, f.eps[0].requests == SLOTS + SLOTS);
 	for (int i = 0; i < SLOTS; i++)
-		leave(callers[i]);
+		caller_leave(callers[i]);
 	UNTIL(&f, requests_in_progress(&f) == SLOTS);
 	/* Still full: the callers that left used no slots of the new
 	 * incarnation. */
--- a/test/test_gate_retries.c
+++ b/test/test_gate_retries.c
@@ -35,16 +35,17 @@
 {
 	struct msg_fleet m = { .fence = 1, .entries = x->entries };
 
-	tell_routing(f);
-	tell_fleet(f, "web", "");
+	set_default_routing(f);
+	report_fleet(f, "web", "");
 	gate_take_fleet(f->gate, &m);
 	for (int i = 0; i < ENDPOINTS; i++)
-		script(f, i, FAILURE, false, false);
+		script_answer(f, i, FAILURE, false, false);
 	f->clock.fake_ms += x->age_ms;
 	for (int i = 0; i < REQUESTS; i++) {
 		struct caller *c = call(f, GET_SAFE);
 
-		UNTIL(f, got(c, "HTTP/1.1 500 ") || got(c, "HTTP/1.1 502 "));
+		UNTIL(f, has_received(c, "HTTP/1.1 500 ") ||
+				 has_received(c, "HTTP/1.1 502 "));
 	}
 }
 
--- a/test/test_gate_retry_after.c
+++ b/test/test_gate_retry_after.c
@@ -33,7 +33,7 @@
 {
 	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	gate_quota_asks(f->gate, asks);
+	gate_quota_requests(f->gate, asks);
 	for (guint i = 0; i < asks->len; i++)
 		*number = g_array_index(asks, struct quota_request, i).number;
 	g_array_unref(asks);
@@ -59,8 +59,8 @@
 {
 	struct caller *c = call(f, text);
 
-	UNTIL(f, got(c, "\r\n\r\n"));
-	assert_true(got(c, "HTTP/1.1 429 "));
+	UNTIL(f, has_received(c, "\r\n\r\n"));
+	assert_true(has_received(c, "HTTP/1.1 429 "));
 	return c;
 }
 
@@ -71,8 +71,8 @@
 	gate_leader_found(f->gate);
 	/* By now requests no longer wait as after a change of leader. */
 	f->clock.fake_ms += 3000;
-	script(f, 0, OK_TEXT, false, false);
-	script(f, 1, OK_TEXT, false, false);
+	script_answer(f, 0, OK_TEXT, false, false);
+	script_answer(f, 1, OK_TEXT, false, false);
 }
 
 /* One request is served from a grant that arrives while it waits. */
@@ -83,7 +83,7 @@
 
 	UNTIL(f, take_requests(f, number));
 	grant(f, customer, 1, number);
-	UNTIL(f, ends(c, "hello"));
+	UNTIL(f, received_ends_with(c, "hello"));
 }
 
 /* For one second, every second request is over the limit. */
@@ -95,7 +95,7 @@
 		f->clock.fake_ms += 50;
 		grant(f, "acme", 1, number);
 		c = call(f, GET_KEY("key-1"));
-		UNTIL(f, ends(c, "hello"));
+		UNTIL(f, received_ends_with(c, "hello"));
 		refused(f, GET_KEY("key-1"));
 	}
 }
@@ -163,7 +163,7 @@
 	UNTIL(f, count(f, "ss_gate_waiting") == (uint64_t)n);
 	f->clock.fake_ms += 1700;
 	for (int i = 0; i < n; i++)
-		UNTIL(f, got(c[i], "HTTP/1.1 503 "));
+		UNTIL(f, has_received(c[i], "HTTP/1.1 503 "));
 }
 
 /* Failure: callers that a full model refuses return at the same moment, and
@@ -176,7 +176,7 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	refuse_full(&f, c, 1);
 	s = retry_after(c[0]);
 	assert_true(s >= 0.4 && s < 0.6);
@@ -184,7 +184,7 @@
 		f.clock.fake_ms += 40;
 		tell_running(&f, 1, -1);
 		c[0] = call(&f, POST_BRIEF);
-		UNTIL(&f, ends(c[0], "hello"));
+		UNTIL(&f, received_ends_with(c[0], "hello"));
 	}
 	refuse_full(&f, c, BURST);
 	for (int i = 0; i < BURST; i++)
@@ -193,7 +193,7 @@
 	/* The model isn't held any more, and is being loaded. */
 	tell_running(&f, 0, 2500);
 	c[0] = call(&f, POST_BRIEF);
-	UNTIL(&f, got(c[0], "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c[0], "HTTP/1.1 503 "));
 	s = retry_after(c[0]);
 	assert_true(s >= 2.6 && s < 2.9);
 	fix_close(&f);
@@ -215,7 +215,7 @@
 	fix_open(&f, "lm", "m");
 	log_capture_begin(&log);
 	c = call(&f, request);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	text = log_capture_end(&log);
 	assert_non_null(strstr(text,
 			       " back_ms=0 why=\"the routing in force has "
--- a/test/test_gate_slow_reports.c
+++ b/test/test_gate_slow_reports.c
@@ -23,10 +23,10 @@
 {
 	fix_open(f, "lm", "m");
 	for (int i = 0; i < ENDPOINTS; i++) {
-		script(f, i, EVENTS, false, false);
+		script_answer(f, i, EVENTS, false, false);
 		f->at = i;
 		for (int k = 0; k < 3; k++)
-			carry_stream(f, FAST_MS, 1);
+			run_one_stream(f, FAST_MS, 1);
 	}
 	f->clock.fake_ms += 100;
 }
@@ -36,7 +36,7 @@
 {
 	static const int64_t first_ms[] = { FAST_MS, FAST_MS };
 
-	return carry_event(f, STREAM("/brief/x", "100"), first_ms);
+	return run_one_event(f, STREAM("/brief/x", "100"), first_ms);
 }
 
 /* The number of answers of an endpoint in the gate's report. */
@@ -96,10 +96,10 @@
 	(void)state;
 	open_equal(&f);
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
-	carry_stream(&f, FAST_MS, 1);
+	run_one_stream(&f, FAST_MS, 1);
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
 	send_slow_ratio(&f, 1, 2000);
-	carry_stream(&f, FAST_MS, 1);
+	run_one_stream(&f, FAST_MS, 1);
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 1);
 	assert_in_range(sum_ln + 100, 0, 200);
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
@@ -108,11 +108,11 @@
 	f.eps[0].leaving = true;
 	for (int i = 0; i < 3; i++) {
 		f.clock.fake_ms += 100;
-		carry_stream(&f, FAST_MS, 1);
+		run_one_stream(&f, FAST_MS, 1);
 	}
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 0);
 	/* Ten times the median, by the gate's own measurement. */
-	carry_stream(&f, 10 * FAST_MS, 1);
+	run_one_stream(&f, 10 * FAST_MS, 1);
 	assert_int_equal(reported_answers(&f, 1, &sum_ln), 1);
 	assert_in_range(sum_ln, 2000, 2600);
 	fix_close(&f);
@@ -130,7 +130,7 @@
 	(void)state;
 	open_equal(&f);
 	before = f.eps[1].requests;
-	ask(&f, "m", STREAM("/chat/x", "100"));
+	ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[1].requests == before + 1);
 	f.at = 0;
 	for (int i = 0; i < 10; i++) {
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -19,15 +19,15 @@
 {
 	f->at = at;
 	for (int i = 0; i < 3; i++)
-		carry_stream(f, first_ms, 1);
+		run_one_stream(f, first_ms, 1);
 }
 
 /* Endpoint 0 is fast; endpoint 1 is slow and less loaded. */
 static void open_with_slow_endpoint(struct fix *f)
 {
 	fix_open(f, "lm", "m");
-	script(f, 0, EVENTS, false, false);
-	script(f, 1, EVENTS, false, false);
+	script_answer(f, 0, EVENTS, false, false);
+	script_answer(f, 1, EVENTS, false, false);
 	run_streams(f, 1, SLOW_MS);
 	run_streams(f, 0, FAST_MS);
 	f->at = 1;
@@ -41,7 +41,7 @@
 {
 	const int64_t first_ms[] = { FAST_MS, slow_ms };
 
-	return carry_event(f, text, first_ms);
+	return run_one_event(f, text, first_ms);
 }
 
 /* Guards against requests with an objective that are late on a slow engine
@@ -111,14 +111,14 @@
 
 	(void)state;
 	fix_open(&f, "lm", "m");
-	script(&f, 0, EVENTS, false, false);
-	script(&f, 1, EVENTS, false, false);
+	script_answer(&f, 0, EVENTS, false, false);
+	script_answer(&f, 1, EVENTS, false, false);
 	run_streams(&f, 1, FAST_MS);
 	run_streams(&f, 0, FAST_MS);
 	f.at = 1;
 	before = f.eps[1].requests;
 	for (int i = 0; i < 5; i++) {
-		ask(&f, "m", STREAM("/chat/x", "100"));
+		ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
 		UNTIL(&f, f.eps[1].requests == before + i + 1);
 	}
 	f.clock.fake_ms += SLOW_MS;
@@ -141,7 +141,7 @@
 	g_strlcpy(f.eps[1].id, "i-next", sizeof(f.eps[1].id));
 	before = f.eps[0].requests + f.eps[1].requests;
 	for (int i = 1; i <= REQUESTS; i++) {
-		ask(&f, "m", POST_URGENT);
+		ask_endpoint(&f, "m", POST_URGENT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests == before + i);
 	}
 	/* It gets about one in twenty, at random. */
@@ -177,15 +177,15 @@
 		struct fix f;
 
 		fix_open(&f, "web", "");
-		script(&f, 0, x->answer, false, false);
-		script(&f, 1, OK_TEXT, false, false);
+		script_answer(&f, 0, x->answer, false, false);
+		script_answer(&f, 1, OK_TEXT, false, false);
 		f.at = 0;
 		for (int k = 0; k <= REQUESTS; k++) {
 			struct caller *c;
 
-			tell_fleet(&f, "web", "");
+			report_fleet(&f, "web", "");
 			c = call(&f, POST_ONCE);
-			UNTIL(&f, got(c, "hello"));
+			UNTIL(&f, has_received(c, "hello"));
 			first = f.eps[0].requests - 1;
 			f.clock.fake_ms += x->later_ms;
 		}
--- a/test/test_gate_stale.c
+++ b/test/test_gate_stale.c
@@ -10,8 +10,8 @@
 static void open_answering(struct fix *f)
 {
 	fix_open(f, "web", "");
-	script(f, 0, OK_TEXT, false, false);
-	script(f, 1, OK_TEXT, false, false);
+	script_answer(f, 0, OK_TEXT, false, false);
+	script_answer(f, 1, OK_TEXT, false, false);
 }
 
 static void set_newer_routing(struct fix *f)
@@ -38,7 +38,7 @@
 {
 	for (; ms > 0; ms -= 100) {
 		f->clock.fake_ms += MIN(ms, 100);
-		turn(f);
+		run_loop_once(f);
 	}
 }
 
@@ -52,15 +52,15 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_told(f.gate, 9);
+	gate_routing_reported(f.gate, 9);
 	c = call(&f, NEW_ROUTE);
 	advance_clock(&f, 300);
 	assert_int_equal(c->got->len, 0);
 	set_newer_routing(&f);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	/* With the current version a missing route is certain. */
 	c = call(&f, REQ("GET", "/none/x") "\r\n");
-	UNTIL(&f, got(c, "HTTP/1.1 404 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 404 "));
 	fix_close(&f);
 }
 
@@ -73,21 +73,21 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_told(f.gate, 9);
+	gate_routing_reported(f.gate, 9);
 	old = call(&f, GET_SAFE);
-	UNTIL(&f, ends(old, "hello"));
+	UNTIL(&f, received_ends_with(old, "hello"));
 	new = call(&f, NEW_ROUTE);
 	advance_clock(&f, FRESHNESS_APPLY_MS + FRESHNESS_HOLD_MS + 100);
-	UNTIL(&f, got(new, "HTTP/1.1 503 "));
-	assert_true(got(new, "Retry-After: 0.2"));
-	assert_true(got(new, "not_run"));
+	UNTIL(&f, has_received(new, "HTTP/1.1 503 "));
+	assert_true(has_received(new, "Retry-After: 0.2"));
+	assert_true(has_received(new, "not_run"));
 	assert_true(gate_is_stale(f.gate));
 	late = call(&f, GET_SAFE);
-	UNTIL(&f, got(late, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(late, "HTTP/1.1 503 "));
 	set_newer_routing(&f);
 	assert_false(gate_is_stale(f.gate));
 	late = call(&f, NEW_ROUTE);
-	UNTIL(&f, ends(late, "hello"));
+	UNTIL(&f, received_ends_with(late, "hello"));
 	fix_close(&f);
 }
 
@@ -100,21 +100,21 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_told(f.gate, 1);
+	gate_routing_reported(f.gate, 1);
 	gate_leader_lost(f.gate);
 	advance_clock(&f, FRESHNESS_LEADER_LOST_MS);
 	unknown = call(&f, NEW_ROUTE);
 	old = call(&f, GET_SAFE);
-	UNTIL(&f, ends(old, "hello"));
+	UNTIL(&f, received_ends_with(old, "hello"));
 	assert_int_equal(unknown->got->len, 0);
 	advance_clock(&f, FRESHNESS_HOLD_MS);
-	UNTIL(&f, got(unknown, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(unknown, "HTTP/1.1 503 "));
 	unknown = call(&f, NEW_ROUTE);
-	UNTIL(&f, got(unknown, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(unknown, "HTTP/1.1 503 "));
 	/* A new leader confirms that the version is unchanged. */
-	gate_routing_told(f.gate, 1);
+	gate_routing_reported(f.gate, 1);
 	unknown = call(&f, NEW_ROUTE);
-	UNTIL(&f, got(unknown, "HTTP/1.1 404 "));
+	UNTIL(&f, has_received(unknown, "HTTP/1.1 404 "));
 	fix_close(&f);
 }
 
@@ -127,17 +127,17 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_told(f.gate, 1);
-	turn(&f);
+	gate_routing_reported(f.gate, 1);
+	run_loop_once(&f);
 	f.clock.fake_ms += 3000;
 	c = call(&f, NEW_ROUTE);
 	for (int i = 0; i < 20; i++)
-		turn(&f);
+		run_loop_once(&f);
 	assert_int_equal(c->got->len, 0);
-	gate_routing_told(f.gate, 9);
+	gate_routing_reported(f.gate, 9);
 	set_newer_routing(&f);
 	advance_clock(&f, FRESHNESS_CATCH_UP_MS);
-	UNTIL(&f, ends(c, "hello"));
+	UNTIL(&f, received_ends_with(c, "hello"));
 	fix_close(&f);
 }
 
--- a/test/test_gate_starts.c
+++ b/test/test_gate_starts.c
@@ -42,8 +42,8 @@
 	f->at = 0;
 	f->eps[1].empty = only_engine;
 	for (int i = 0; i < ENDPOINTS; i++)
-		script(f, i, EVENTS, false, false);
-	tell_fleet(f, "lm", "m");
+		script_answer(f, i, EVENTS, false, false);
+	report_fleet(f, "lm", "m");
 }
 
 static int64_t metric(struct fix *f, const char *name)
@@ -59,9 +59,9 @@
 	struct caller *c = call(f, request);
 
 	UNTIL(f, f->eps[0].requests == before + 1);
-	say_events(f, c, 1, 1, first_ms);
-	say_events(f, c, 2, 2, pause_ms);
-	say_end(f, c);
+	send_events(f, c, 1, 1, first_ms);
+	send_events(f, c, 2, 2, pause_ms);
+	send_stream_end(f, c);
 }
 
 /* The first engine may prefill only one prompt at a time. */
@@ -71,7 +71,7 @@
 	for (int i = 0; i < 6; i++)
 		run_stream(f, CHAT, 50, PAUSE_MS + 1);
 	assert_int_equal(metric(f, "ss_gate_start_cuts_total"), 1);
-	tell_fleet(f, "lm", "m");
+	report_fleet(f, "lm", "m");
 }
 
 static int count_sent(const struct fix *f)
@@ -82,7 +82,7 @@
 static void settle(struct fix *f)
 {
 	for (int i = 0; i < 20; i++)
-		turn(f);
+		run_loop_once(f);
 }
 
 /* Calls with a request that must not be sent within some rounds of the loop. */
@@ -128,7 +128,7 @@
 	call_held(&f, CHAT);
 	call_held(&f, CHAT);
 	assert_int_equal(metric(&f, "ss_gate_start_waits_total"), 1);
-	say_events(&f, first, 1, 1, 20);
+	send_events(&f, first, 1, 1, 20);
 	settle(&f);
 	assert_int_equal(count_sent(&f), 8);
 	fix_close(&f);
@@ -162,7 +162,7 @@
 	open_limited(&f, true);
 	for (int i = 0; i < 60; i++)
 		run_stream(&f, CHAT, OBJECTIVE_MS - REMAINING_MS, 1);
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	/* The limit has grown by one. */
 	call_sent(&f, CHAT);
 	call_sent(&f, CHAT);
@@ -218,7 +218,7 @@
 		for (int i = 0; i < 4; i++)
 			run_stream(&f, requests[k], OBJECTIVE_MS + 100,
 				   k ? PAUSE_MS * 4 : PAUSE_MS);
-		tell_fleet(&f, "lm", "m");
+		report_fleet(&f, "lm", "m");
 		for (int i = 0; i < 8; i++)
 			call_sent(&f, requests[k]);
 		assert_int_equal(f.eps[0].requests, 12);
@@ -261,22 +261,22 @@
 {
 	switch (how) {
 	case CALLER_LEAVES:
-		leave(c);
+		caller_leave(c);
 		break;
 	case REJECTED:
 		/* The request waits again. */
 		settle(f);
-		leave(c);
+		caller_leave(c);
 		break;
 	case LEAVES_IN_QUEUE:
-		leave(call_held(f, CHAT));
-		leave(c);
+		caller_leave(call_held(f, CHAT));
+		caller_leave(c);
 		break;
 	case TIMES_OUT:
 		f->clock.fake_ms += 9000;
 		break;
 	case IS_RESUMED:
-		say_events(f, c, 1, 1, 20);
+		send_events(f, c, 1, 1, 20);
 		reset_oldest(f, 0);
 		settle(f);
 		/* The resumed stream's prompt is prefilled again. */
@@ -312,7 +312,7 @@
 		end_request(&f, endings[k].ending, c);
 		settle(&f);
 		e->replies[0].text = EVENTS;
-		tell_fleet(&f, "lm", "m");
+		report_fleet(&f, "lm", "m");
 		f.clock.fake_ms += 2000;
 		settle(&f);
 		call_sent(&f, CHAT);
@@ -333,13 +333,13 @@
 	(void)state;
 	open_limited(&f, true);
 	f.eps[0].started_ms = 1000;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	call_sent(&f, CHAT);
-	end_endpoint(&f, 0);
+	crash_endpoint(&f, 0);
 	start_endpoint(&f, 0);
 	f.eps[0].started_ms = 2000;
 	f.clock.fake_ms += 2000;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	settle(&f);
 	for (int i = 0; i < 5; i++)
 		call_sent(&f, CHAT);
@@ -356,12 +356,12 @@
 	(void)state;
 	open_routes(&f, true);
 	c = call_sent(&f, STREAM("/again/x", "100"));
-	say_events(&f, c, 1, 1, 20);
+	send_events(&f, c, 1, 1, 20);
 	reset_oldest(&f, 0);
 	UNTIL(&f, count_sent(&f) == 2);
-	say_events(&f, c, 2, 2, PAUSE_MS + 1);
+	send_events(&f, c, 2, 2, PAUSE_MS + 1);
 	assert_int_equal(metric(&f, "ss_gate_start_cuts_total"), 0);
-	say_events(&f, c, 3, 3, PAUSE_MS + 1);
+	send_events(&f, c, 3, 3, PAUSE_MS + 1);
 	assert_int_equal(metric(&f, "ss_gate_start_cuts_total"), 1);
 	fix_close(&f);
 }
--- a/test/test_gate_startup_hold.c
+++ b/test/test_gate_startup_hold.c
@@ -11,7 +11,7 @@
 static void run_quiet(struct fix *f)
 {
 	for (int i = 0; i < QUIET_ROUNDS; i++)
-		turn(f);
+		run_loop_once(f);
 }
 
 /*
@@ -27,19 +27,19 @@
 
 	(void)state;
 	fix_open_fresh(&f);
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	plain = call(&f, POST_ONCE);
 	run_quiet(&f);
 	assert_int_equal(plain->got->len, 0);
 	f.clock.fake_ms += 600;
-	tell_routing(&f);
+	set_default_routing(&f);
 	run_quiet(&f);
 	assert_int_equal(plain->got->len, 0);
-	tell_fleet(&f, "web", "");
-	UNTIL(&f, ends(plain, "hello"));
+	report_fleet(&f, "web", "");
+	UNTIL(&f, received_ends_with(plain, "hello"));
 	/* No request is held once routing and fleet are known. */
 	stream = call(&f, GET_SAFE);
-	UNTIL(&f, ends(stream, "hello"));
+	UNTIL(&f, received_ends_with(stream, "hello"));
 	fix_close(&f);
 }
 
@@ -55,12 +55,12 @@
 	c = call(&f, POST_SHORT);
 	run_quiet(&f);
 	f.clock.fake_ms += 700;
-	tell_routing(&f);
-	tell_fleet(&f, "lm", "m");
+	set_default_routing(&f);
+	report_fleet(&f, "lm", "m");
 	UNTIL(&f, f.eps[0].requests == 1);
 	assert_non_null(strstr(f.eps[0].seen->str, "X-Deadline-Ms: 1300"));
 	f.clock.fake_ms += 1301;
-	UNTIL(&f, got(c, "HTTP/1.1 504 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 504 "));
 	fix_close(&f);
 }
 
@@ -77,11 +77,11 @@
 	run_quiet(&f);
 	assert_int_equal(held->got->len, 0);
 	f.clock.fake_ms += 1500;
-	UNTIL(&f, got(held, "HTTP/1.1 503 "));
-	assert_true(got(held, "not_run"));
-	assert_true(got(held, "Retry-After: "));
+	UNTIL(&f, has_received(held, "HTTP/1.1 503 "));
+	assert_true(has_received(held, "not_run"));
+	assert_true(has_received(held, "Retry-After: "));
 	late = call(&f, POST_ONCE);
-	UNTIL(&f, got(late, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(late, "HTTP/1.1 503 "));
 	fix_close(&f);
 }
 
@@ -93,16 +93,16 @@
 
 	(void)state;
 	fix_open_fresh(&f);
-	script(&f, 0, OK_TEXT, false, false);
+	script_answer(&f, 0, OK_TEXT, false, false);
 	gone = call(&f, POST_ONCE);
 	run_quiet(&f);
 	stays = call(&f, POST_ONCE);
 	run_quiet(&f);
-	leave(gone);
+	caller_leave(gone);
 	run_quiet(&f);
-	tell_routing(&f);
-	tell_fleet(&f, "web", "");
-	UNTIL(&f, ends(stays, "hello"));
+	set_default_routing(&f);
+	report_fleet(&f, "web", "");
+	UNTIL(&f, received_ends_with(stays, "hello"));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
 }
@@ -119,7 +119,7 @@
 	c = call(&f, POST_ONCE);
 	run_quiet(&f);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	UNTIL(&f, got(c, "HTTP/1.1 503 "));
+	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	fix_close(&f);
 }
 
--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -7,9 +7,9 @@
 
 static void script_all(struct fix *f)
 {
-	script(f, 0, BROKEN_ANSWER, true, false);
-	script(f, 0, RESUMED_ANSWER, false, false);
-	script(f, 1, RESUMED_ANSWER, false, false);
+	script_answer(f, 0, BROKEN_ANSWER, true, false);
+	script_answer(f, 0, RESUMED_ANSWER, false, false);
+	script_answer(f, 1, RESUMED_ANSWER, false, false);
 }
 
 struct answer_case {
@@ -43,21 +43,21 @@
 		for (int k = 0; k < ENDPOINTS; k++)
 			f.eps[k].version = x->versions[k];
 		script_all(&f);
-		tell_routing(&f);
-		c = ask(&f, "m", POST_NIGHT);
-		UNTIL(&f, got(c, "event2"));
+		set_default_routing(&f);
+		c = ask_endpoint(&f, "m", POST_NIGHT);
+		UNTIL(&f, has_received(c, "event2"));
 		if (x->crashes)
-			end_endpoint(&f, 0);
+			crash_endpoint(&f, 0);
 		f.at = x->resumed_at > 0 ? 1 : 0;
 		/* Until its timeout, if no endpoint may resume it. */
-		for (int k = 0; k < 1000 && !c->ended && !got(c, "event3");
-		     k++) {
+		for (int k = 0;
+		     k < 1000 && !c->ended && !has_received(c, "event3"); k++) {
 			f.clock.fake_ms += 10;
 			if (k % 20 == 0)
-				tell_fleet(&f, "lm", "m");
-			turn(&f);
+				report_fleet(&f, "lm", "m");
+			run_loop_once(&f);
 		}
-		whole = got(c, "event3");
+		whole = has_received(c, "event3");
 		if (whole != (x->resumed_at >= 0))
 			fail_msg("%s: whole %d", x->label, whole);
 		if (f.eps[1].requests != (x->resumed_at == 1))
@@ -90,9 +90,9 @@
 	f->leads = true;
 	f->at = 1;
 	for (int k = 0; k < ENDPOINTS; k++)
-		script(f, k, ANSWERS_ID("q2"), false, false);
-	tell_routing(f);
-	tell_fleet(f, "lm", "m");
+		script_answer(f, k, ANSWERS_ID("q2"), false, false);
+	set_default_routing(f);
+	report_fleet(f, "lm", "m");
 }
 
 /* A caller resumes a stream, and the gate has asked the leader about it. */
@@ -110,7 +110,7 @@
 {
 	for (int64_t at = 0; at < ms; at += 10) {
 		f->clock.fake_ms += 10;
-		turn(f);
+		run_loop_once(f);
 	}
 }
 
@@ -158,9 +158,9 @@
 		m.sub = f.stream.sub;
 		gate_take_stream(f.gate, &m);
 		if (x->served < 0)
-			UNTIL(&f, got(c, "503"));
+			UNTIL(&f, has_received(c, "503"));
 		else
-			UNTIL(&f, got(c, "event3"));
+			UNTIL(&f, has_received(c, "event3"));
 		for (int k = 0; k < ENDPOINTS; k++)
 			if (f.eps[k].requests != (x->served == k))
 				fail_msg("%s: %d sends to %d", x->label,
@@ -174,9 +174,9 @@
 {
 	struct stream_wire w;
 
-	while (gate_streams(f->gate, &w)) {
+	while (gate_stream_report(f->gate, &w)) {
 		stream_wire_apply(log, &w.m, f->clock.fake_ms);
-		gate_streams_done(f->gate, &w, true);
+		gate_stream_report_done(f->gate, &w, true);
 	}
 }
 
@@ -202,7 +202,7 @@
 
 	(void)state;
 	open_two(&f);
-	script(&f, 1, EVENTS, false, false);
+	script_answer(&f, 1, EVENTS, false, false);
 	call(&f, POST_NIGHT);
 	UNTIL(&f, f.eps[1].requests == 1);
 	report_streams(&f, log);
@@ -228,16 +228,16 @@
 	(void)state;
 	open_two(&f);
 	f.eps[1].started_ms = 100;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	f.eps[1].version = NULL;
 	f.eps[1].started_ms = 200;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	call(&f, POST_NIGHT);
 	UNTIL(&f, f.eps[1].requests == 1);
 	report_streams(&f, log);
 	assert_string_equal(logged_version(log, &f), "");
 	f.eps[1].version = "v3";
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	report_streams(&f, log);
 	assert_string_equal(logged_version(log, &f), "v3");
 	fix_close(&f);
@@ -256,11 +256,11 @@
 	c = call(&f, resumed);
 	UNTIL(&f, f.streams_asked);
 	pass_ms(&f, 1000);
-	assert_false(got(c, "503"));
+	assert_false(has_received(c, "503"));
 	assert_true(f.streams_asked > 3);
 	pass_ms(&f, 1000);
-	UNTIL(&f, got(c, "503"));
-	assert_true(got(c, "Retry-After: "));
+	UNTIL(&f, has_received(c, "503"));
+	assert_true(has_received(c, "Retry-After: "));
 	assert_int_equal(f.eps[0].requests + f.eps[1].requests, 0);
 	fix_close(&f);
 }
@@ -282,10 +282,10 @@
 		gate_take_stream(f.gate, &m);
 		pass_ms(&f, 100);
 	}
-	assert_false(got(c, "503"));
+	assert_false(has_received(c, "503"));
 	m.result = STREAM_KNOWN;
 	gate_take_stream(f.gate, &m);
-	UNTIL(&f, got(c, "event3"));
+	UNTIL(&f, has_received(c, "event3"));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
 }
@@ -299,12 +299,12 @@
 
 	(void)state;
 	c = open_and_resume(&f);
-	for (int k = 0; k < 100 && !got(c, "503"); k++) {
+	for (int k = 0; k < 100 && !has_received(c, "503"); k++) {
 		m.sub = f.stream.sub;
 		gate_take_stream(f.gate, &m);
 		pass_ms(&f, 100);
 	}
-	assert_true(got(c, "503"));
+	assert_true(has_received(c, "503"));
 	assert_int_equal(f.eps[0].requests + f.eps[1].requests, 0);
 	fix_close(&f);
 }
@@ -343,8 +343,8 @@
 	(void)state;
 	fix_open_fresh(&f);
 	f.leads = true;
-	script(&f, 0, ANSWERS_ID("q2"), false, false);
-	tell_routing(&f);
+	script_answer(&f, 0, ANSWERS_ID("q2"), false, false);
+	set_default_routing(&f);
 	tell_running(&f, 8);
 	for (int k = 0; k < 20; k++)
 		call(&f, POST_NIGHT);
@@ -358,7 +358,7 @@
 	tell_running(&f, 7);
 	UNTIL(&f, f.eps[0].requests >= 1);
 	assert_non_null(strstr(f.eps[0].seen->str, "X-Request-Id: q2"));
-	UNTIL(&f, got(c, "event3"));
+	UNTIL(&f, has_received(c, "event3"));
 	fix_close(&f);
 }
 
@@ -372,14 +372,14 @@
 	(void)state;
 	open_two(&f);
 	f.at = 0;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	c = call(&f, POST_NIGHT);
 	UNTIL(&f, f.eps[0].requests == 1);
-	leave(c);
+	caller_leave(c);
 	f.at = 1;
-	tell_fleet(&f, "lm", "m");
+	report_fleet(&f, "lm", "m");
 	c = call(&f, resumed);
-	UNTIL(&f, got(c, "event3"));
+	UNTIL(&f, has_received(c, "event3"));
 	assert_int_equal(f.eps[0].requests, 2);
 	assert_int_equal(f.streams_asked, 0);
 	fix_close(&f);
@@ -399,15 +399,15 @@
 	fix_open_fresh(&f);
 	f.eps[0].version = f.eps[1].version = "v1";
 	f.eps[0].empty = f.eps[1].empty = true;
-	script(&f, 0, ANSWERS_ID("q1"), false, false);
-	tell_routing(&f);
-	tell_fleet(&f, "lm", "m");
+	script_answer(&f, 0, ANSWERS_ID("q1"), false, false);
+	set_default_routing(&f);
+	report_fleet(&f, "lm", "m");
 	log_capture_begin(&log);
 	c = call(&f, POST_NIGHT);
 	pass_ms(&f, 100);
 	f.eps[0].empty = false;
-	tell_fleet(&f, "lm", "m");
-	UNTIL(&f, got(c, "event3"));
+	report_fleet(&f, "lm", "m");
+	UNTIL(&f, has_received(c, "event3"));
 	text = log_capture_end(&log);
 	fix_close(&f);
 	assert_non_null(strstr(text, "held_for=model"));
