--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -44,19 +44,20 @@
 static void send_request(struct client *c, const char *addr, const char *method,
 			 const char *path, const char *body, struct response *r)
 {
-	struct http_get_options options = { .base = r->base,
-					    .addr = addr,
-					    .method = method,
-					    .path = path,
-					    .token = c->token,
-					    .body = ss_str(body),
-					    .timeout_ms = ATTEMPT_TIMEOUT_MS,
-					    .done = on_response,
-					    .arg = r };
+	struct http_request_options options = { .base = r->base,
+						.addr = addr,
+						.method = method,
+						.path = path,
+						.token = c->token,
+						.body = ss_str(body),
+						.timeout_ms =
+							ATTEMPT_TIMEOUT_MS,
+						.done = on_response,
+						.arg = r };
 
 	r->status = 0;
 	r->body = NULL;
-	http_get(&options);
+	http_request(&options);
 	event_base_dispatch(r->base);
 	/* Process pending events, so that the connection is freed. */
 	event_base_loop(r->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -310,7 +310,8 @@
 
 /* What operators' HTTP asks. */
 
-static void op_change(void *arg, struct command *c, struct operator_done done)
+static void op_change(void *arg, struct command *c,
+		      struct operator_callback done)
 {
 	struct control_role *k = arg;
 
@@ -424,10 +425,10 @@
 	.confirm = op_confirm,
 	.state = op_state,
 	.status = op_status,
-	.why = op_why,
+	.explain = op_why,
 	.members = op_members,
 	.remove_member = op_remove,
-	.plain = op_plain,
+	.serve_public = op_plain,
 };
 
 /* What the platform's operators ask. */
@@ -441,8 +442,8 @@
 {
 	struct control_role *k = arg;
 
-	return routing_http_peer(group_leader_addr(k->group),
-				 k->d->config.fleet.operator_listen);
+	return routing_http_operator_addr(group_leader_addr(k->group),
+					  k->d->config.fleet.operator_listen);
 }
 
 static const struct routing_http_ops routing_table = {
@@ -451,7 +452,7 @@
 	.change = op_change,
 	.confirm = op_confirm,
 	.state = op_state,
-	.plain = op_plain,
+	.serve_public = op_plain,
 };
 
 static bool start_routing(struct control_role *k, GError **error)
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -8,7 +8,7 @@
 #include "../core/endpoint_limit.h"
 #include "../core/engine.h"
 #include "../core/fleet_wire.h"
-#include "../net/keep.h"
+#include "../net/http_client.h"
 
 /* Reports are free on the engine's own VM, but cost processor time. */
 #define READ_BUSY_MS 20
@@ -34,7 +34,7 @@
 	char *addr; /* of the engine */
 	struct msg_hello hello;
 	struct engine *engine;
-	struct keep *endpoint;
+	struct http_client *endpoint;
 	struct link *link;
 	struct routing_service *service; /* whose models it can hold */
 	struct fleet_report *report;	 /* the newest; NULL: none */
@@ -75,7 +75,7 @@
 }
 
 /* What an answer says of the engine itself, as those to callers do. */
-static void hear(struct engine_agent *a, const struct keep_answer *r)
+static void hear(struct engine_agent *a, const struct http_client_response *r)
 {
 	struct http1_field fields[HEADERS_MOST];
 	struct http1_head h = { .status = r->status, .fields = fields };
@@ -223,7 +223,7 @@
  * Orders name the id; it is asked for after each start. Where the id is the
  * same, the engine's memory is kept free for such an order (delayed_orders.h).
  */
-static void on_instance(void *arg, const struct keep_answer *r)
+static void on_instance(void *arg, const struct http_client_response *r)
 {
 	struct engine_agent *a = arg;
 
@@ -249,16 +249,18 @@
 static void ask_instance(struct engine_agent *a)
 {
 	const char *path = a->service ? a->service->health_path : NULL;
-	struct keep_call c = { .method = "GET",
-			       .path = path ? path : users_platform.path_health,
-			       .want = users_platform.header_instance,
-			       .timeout_ms = READ_TIMEOUT_MS,
-			       .done = on_instance,
-			       .arg = a };
+	struct http_client_call c = {
+		.method = "GET",
+		.path = path ? path : users_platform.path_health,
+		.response_header = users_platform.header_instance,
+		.timeout_ms = READ_TIMEOUT_MS,
+		.done = on_instance,
+		.arg = a
+	};
 
 	a->reading = true;
 	a->read_ms = now_ms(a);
-	keep_ask(a->endpoint, &c);
+	http_client_send(a->endpoint, &c);
 }
 
 /*
@@ -293,7 +295,7 @@
 	return true;
 }
 
-static void on_read(void *arg, const struct keep_answer *r)
+static void on_read(void *arg, const struct http_client_response *r)
 {
 	struct engine_agent *a = arg;
 	struct fleet_report report;
@@ -322,11 +324,11 @@
 
 static void read_engine(struct engine_agent *a)
 {
-	struct keep_call c = { .method = "GET",
-			       .path = users_platform.path_report,
-			       .timeout_ms = READ_TIMEOUT_MS,
-			       .done = on_read,
-			       .arg = a };
+	struct http_client_call c = { .method = "GET",
+				      .path = users_platform.path_report,
+				      .timeout_ms = READ_TIMEOUT_MS,
+				      .done = on_read,
+				      .arg = a };
 
 	if (now_ms(a) < a->rest_until_ms)
 		return;
@@ -336,12 +338,12 @@
 	}
 	a->reading = true;
 	a->read_ms = now_ms(a);
-	keep_ask(a->endpoint, &c);
+	http_client_send(a->endpoint, &c);
 }
 
 /* Orders. */
 
-static void on_ordered(void *arg, const struct keep_answer *r)
+static void on_ordered(void *arg, const struct http_client_response *r)
 {
 	struct engine_agent *a = arg;
 	enum fleet_order_answer answer = users_platform.order_answer(r->status);
@@ -362,14 +364,14 @@
 {
 	struct engine_agent *a = arg;
 	GString *body = users_platform.write_order(o);
-	struct keep_call c = { .method = "POST",
-			       .path = users_platform.path_order,
-			       .body = ss_str_gs(body),
-			       .header = users_platform.header_expect,
-			       .value = a->self.id,
-			       .timeout_ms = ORDER_TIMEOUT_MS,
-			       .done = on_ordered,
-			       .arg = a };
+	struct http_client_call c = { .method = "POST",
+				      .path = users_platform.path_order,
+				      .body = ss_str_gs(body),
+				      .header = users_platform.header_expect,
+				      .value = a->self.id,
+				      .timeout_ms = ORDER_TIMEOUT_MS,
+				      .done = on_ordered,
+				      .arg = a };
 
 	(*a->n_orders)++;
 	log_info("order",
@@ -377,7 +379,7 @@
 		 " fence=%" PRIu64,
 		 a->addr, o->load ? "load" : "unload", o->model,
 		 o->adapter ? o->adapter : "-", o->expect, o->fence);
-	keep_ask(a->endpoint, &c);
+	http_client_send(a->endpoint, &c);
 	g_string_free(body, TRUE);
 }
 
@@ -558,7 +560,7 @@
 	if (!a)
 		return;
 	link_free(a->link);
-	keep_free(a->endpoint);
+	http_client_free(a->endpoint);
 	engine_free(a->engine);
 	report_free(a->report);
 	routing_service_unref(a->service);
@@ -596,7 +598,7 @@
 	a->n_orders = metrics_value(d->metrics, "ss_agent_orders_total", "");
 	a->n_adapters =
 		metrics_value(d->metrics, "ss_agent_adapters_total", "");
-	a->endpoint = keep_new(d->base, a->addr);
+	a->endpoint = http_client_new(d->base, a->addr);
 	a->link = link_new(&lo);
 	return a;
 }
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -43,7 +43,7 @@
 		g_hash_table_insert(g->outs, o->addr, o);
 	}
 	if (o->conn && !conn_is_connected(o->conn) &&
-	    group_now(g) - o->tried_ms > CONN_ANSWER_MS) {
+	    group_now(g) - o->tried_ms > CONN_CONNECT_MS) {
 		conn_set_data(o->conn, NULL);
 		conn_close(o->conn);
 		o->conn = NULL;
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -44,13 +44,13 @@
 static void need_leader(struct relay_role *r)
 {
 	r->asked_ms = ss_clock_now(&r->d->clock);
-	link_wake(r->link);
+	link_resume(r->link);
 }
 
 static void tell(struct relay_role *r, struct conn *c)
 {
 	const char *addr = link_leader(r->link);
-	GArray *known = link_known(r->link);
+	GArray *known = link_control_addrs(r->link);
 	struct msg_leader m = { .group = r->d->hello.group,
 				.addr = ss_str(addr ? addr : ""),
 				.members = { known->data, known->len } };
@@ -102,7 +102,7 @@
 		take_join(r, c);
 	if (f->kind != MSG_LEADER || conn_peer(c)->role != ROLE_CONTROL)
 		return;
-	link_told(r->link, &f->u.leader);
+	link_leader_announced(r->link, &f->u.leader);
 	/* The leader may be out of this VM's reach, and not of theirs. */
 	if (!knew)
 		tell_all(r);
@@ -127,7 +127,7 @@
 		r->d->hello.group = group;
 	log_info("leader_found", "addr=%s", link_leader(r->link));
 	tell_all(r);
-	routing_http_look(r->http);
+	routing_http_check_held(r->http);
 }
 
 static void link_down(void *arg)
@@ -154,8 +154,8 @@
 	struct relay_role *r = arg;
 
 	need_leader(r);
-	return routing_http_peer(link_leader(r->link),
-				 r->d->config.fleet.operator_listen);
+	return routing_http_operator_addr(link_leader(r->link),
+					  r->d->config.fleet.operator_listen);
 }
 
 static bool relay_ready(void *role)
@@ -175,7 +175,7 @@
 static const struct routing_http_ops routing_table = {
 	.leads = leads,
 	.leader = leader,
-	.plain = plain,
+	.serve_public = plain,
 };
 
 static void on_look(evutil_socket_t fd, short what, void *arg)
@@ -184,9 +184,9 @@
 
 	(void)fd;
 	(void)what;
-	routing_http_look(r->http);
+	routing_http_check_held(r->http);
 	if (ss_clock_now(&r->d->clock) - r->asked_ms > REST_AFTER_MS)
-		link_rest(r->link);
+		link_suspend(r->link);
 }
 
 static void relay_free(void *role)
@@ -238,7 +238,7 @@
 		return NULL;
 	}
 	r->link = link_new(&lo);
-	link_rest(r->link);
+	link_suspend(r->link);
 	r->look = daemon_every(d, LOOK_MS, on_look, r);
 	return r;
 }
--- a/src/daemon/routing_fetch.c
+++ b/src/daemon/routing_fetch.c
@@ -81,7 +81,7 @@
 {
 	struct routing_fetch *r = arg;
 	const char *leader = r->link ? link_leader(r->link) : NULL;
-	GArray *known = r->link ? link_known(r->link) : NULL;
+	GArray *known = r->link ? link_control_addrs(r->link) : NULL;
 	bool there = false;
 
 	for (guint i = 0; known && i < known->len; i++) {
--- a/src/engine/http.c
+++ b/src/engine/http.c
@@ -40,13 +40,13 @@
 {
 	json_object *o = json_object_new_object();
 	struct order_done *d = g_new0(struct order_done, 1);
-	struct http_get_options get = { .base = e->o.base,
-					.addr = e->addr,
-					.method = "POST",
-					.path = path,
-					.timeout_ms = e->o.timeout_ms,
-					.done = on_ordered,
-					.arg = d };
+	struct http_request_options get = { .base = e->o.base,
+					    .addr = e->addr,
+					    .method = "POST",
+					    .path = path,
+					    .timeout_ms = e->o.timeout_ms,
+					    .done = on_ordered,
+					    .arg = d };
 
 	d->done = done;
 	d->arg = arg;
@@ -57,7 +57,7 @@
 	json_object_object_add(o, "fence",
 			       json_object_new_int64((int64_t)fence));
 	get.body = ss_str(json_object_to_json_string(o));
-	http_get(&get);
+	http_request(&get);
 	json_object_put(o);
 }
 
@@ -172,17 +172,17 @@
 			void *arg)
 {
 	struct read_done *d = g_new0(struct read_done, 1);
-	struct http_get_options get = { .base = e->o.base,
-					.addr = e->addr,
-					.method = "GET",
-					.path = "/admin/state",
-					.timeout_ms = e->o.timeout_ms,
-					.done = on_state,
-					.arg = d };
+	struct http_request_options get = { .base = e->o.base,
+					    .addr = e->addr,
+					    .method = "GET",
+					    .path = "/admin/state",
+					    .timeout_ms = e->o.timeout_ms,
+					    .done = on_state,
+					    .arg = d };
 
 	d->done = done;
 	d->arg = arg;
-	http_get(&get);
+	http_request(&get);
 }
 
 struct endpoint_call {
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -226,7 +226,7 @@
 }
 
 struct client_request {
-	struct http_get_options o;
+	struct http_request_options o;
 	struct evhttp_connection *conn;
 };
 
@@ -275,7 +275,7 @@
 	evhttp_make_request(conn, req, method_of(method), path);
 }
 
-void http_get(const struct http_get_options *o)
+void http_request(const struct http_request_options *o)
 {
 	struct client_request *g = g_new0(struct client_request, 1);
 	struct evhttp_request *req = evhttp_request_new(on_response, g);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -41,7 +41,7 @@
 /* The body parsed as a JSON object; NULL with SS_ERROR_BAD_REQUEST. */
 struct json_object *http_body_json(struct evhttp_request *req, GError **error);
 
-struct http_get_options {
+struct http_request_options {
 	struct event_base *base;
 	const char *addr;
 	const char *method; /* GET, POST, PUT, PATCH, DELETE */
@@ -57,7 +57,7 @@
 
 /* Sends one request on a connection of its own. done is called from the event
  * loop. */
-void http_get(const struct http_get_options *o);
+void http_request(const struct http_request_options *o);
 
 /* Sends a client request on a connection. body: JSON; empty: none. Strings are
  * copied. */
--- a/src/net/keep.c
+++ b/src/net/http_client.c
@@ -1,12 +1,12 @@
 /* An HTTP client on one persistent connection. */
-#include "keep.h"
+#include "http_client.h"
 
 #include "../base/timeval.h"
 #include "http.h"
 
 #include <event2/buffer.h>
 
-struct keep {
+struct http_client {
 	struct event_base *base;
 	char *addr, *ip;
 	uint16_t port;
@@ -15,16 +15,16 @@
 };
 
 struct call {
-	struct keep *k;
+	struct http_client *k;
 	char *want;
-	void (*done)(void *arg, const struct keep_answer *a);
+	void (*done)(void *arg, const struct http_client_response *a);
 	void *arg;
 };
 
 static void on_response(struct evhttp_request *req, void *arg)
 {
 	struct call *c = arg;
-	struct keep_answer a = {
+	struct http_client_response a = {
 		.status = req ? evhttp_request_get_response_code(req) : 0
 	};
 
@@ -40,9 +40,9 @@
 	g_free(c);
 }
 
-struct keep *keep_new(struct event_base *base, const char *addr)
+struct http_client *http_client_new(struct event_base *base, const char *addr)
 {
-	struct keep *k = g_new0(struct keep, 1);
+	struct http_client *k = g_new0(struct http_client, 1);
 
 	k->base = base;
 	k->addr = g_strdup(addr);
@@ -52,7 +52,7 @@
 	return k;
 }
 
-void keep_free(struct keep *k)
+void http_client_free(struct http_client *k)
 {
 	if (!k)
 		return;
@@ -63,14 +63,14 @@
 	g_free(k);
 }
 
-void keep_ask(struct keep *k, const struct keep_call *o)
+void http_client_send(struct http_client *k, const struct http_client_call *o)
 {
 	struct call *c = g_new0(struct call, 1);
 	struct evhttp_request *req = evhttp_request_new(on_response, c);
 	struct timeval tv = timeval_of(o->timeout_ms);
 
 	c->k = k;
-	c->want = g_strdup(o->want);
+	c->want = g_strdup(o->response_header);
 	c->done = o->done;
 	c->arg = o->arg;
 	evhttp_connection_set_timeout_tv(k->conn, &tv);
--- a/src/net/keep.h
+++ b/src/net/http_client.h
@@ -9,31 +9,32 @@
 #include <event2/keyvalq_struct.h>
 #include <sapphireshift/base.h>
 
-struct keep;
+struct http_client;
 
-struct keep_answer {
+struct http_client_response {
 	int status; /* 0: no response; the call may have been executed */
 	struct ss_str body;
 	const char *header; /* value of the header in want; NULL: missing */
 	const struct evkeyvalq *headers; /* all headers; NULL: no response */
 };
 
-struct keep_call {
+struct http_client_call {
 	const char *method; /* GET or POST */
 	const char *path;
-	struct ss_str body;	    /* JSON; empty: none */
-	const char *header, *value; /* additional request header; NULL: none */
-	const char *want; /* response header to pass to done; NULL: none */
+	struct ss_str body;	     /* JSON; empty: none */
+	const char *header, *value;  /* additional request header; NULL: none */
+	const char *response_header; /* response header to pass to done; NULL:
+					none */
 	int64_t timeout_ms;
-	void (*done)(void *arg, const struct keep_answer *a);
+	void (*done)(void *arg, const struct http_client_response *a);
 	void *arg;
 };
 
-struct keep *keep_new(struct event_base *base, const char *addr);
+struct http_client *http_client_new(struct event_base *base, const char *addr);
 /* Pending calls are dropped; done isn't called for them. */
-void keep_free(struct keep *k);
+void http_client_free(struct http_client *k);
 
 /* Queues a call. Strings are copied; done is called from the event loop. */
-void keep_ask(struct keep *k, const struct keep_call *c);
+void http_client_send(struct http_client *k, const struct http_client_call *c);
 
 #endif
--- a/src/node/conn.h
+++ b/src/node/conn.h
@@ -30,7 +30,7 @@
  * doesn't cover the hello: a process that waits for its disk would never get
  * connected.
  */
-#define CONN_ANSWER_MS 300
+#define CONN_CONNECT_MS 300
 /* Limit of the bytes buffered for a peer that doesn't read: what a link of
  * 100 Mbit/s carries in a third of a second. A control VM has 160 MB and six
  * such peers in its group; what it sends to hundreds of others is bounded
--- a/src/node/link.c
+++ b/src/node/link.c
@@ -36,7 +36,7 @@
 	struct event *timer;
 	GPtrArray *conns;	     /* struct control_conn */
 	struct control_conn *leader; /* one of conns; NULL: none is known */
-	bool suspended;		     /* no connections until link_wake() */
+	bool suspended;		     /* no connections until link_resume() */
 };
 
 static void control_conn_free(void *p)
@@ -105,7 +105,7 @@
 		struct control_conn *a = l->conns->pdata[i];
 
 		if (!conn_is_connected(a->conn) &&
-		    now - a->started_ms > CONN_ANSWER_MS)
+		    now - a->started_ms > CONN_CONNECT_MS)
 			remove_conn(l, a);
 	}
 }
@@ -269,7 +269,7 @@
 	return l->leader != NULL;
 }
 
-void link_rest(struct link *l)
+void link_suspend(struct link *l)
 {
 	l->suspended = true;
 	l->leader = NULL;
@@ -277,7 +277,7 @@
 	event_del(l->timer);
 }
 
-void link_wake(struct link *l)
+void link_resume(struct link *l)
 {
 	if (!l->suspended)
 		return;
@@ -286,14 +286,14 @@
 	schedule_ask(l);
 }
 
-void link_told(struct link *l, const struct msg_leader *m)
+void link_leader_announced(struct link *l, const struct msg_leader *m)
 {
 	add_members(l, m);
 	if (!l->leader && !l->suspended)
 		ask_next(l);
 }
 
-GArray *link_known(const struct link *l)
+GArray *link_control_addrs(const struct link *l)
 {
 	const GPtrArray *known = discovery_known(l->discovery);
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct control_addr));
--- a/src/node/link.h
+++ b/src/node/link.h
@@ -34,18 +34,18 @@
 bool link_is_up(const struct link *l);
 
 /*
- * Closes all connections until link_wake(), so that a process which rarely
+ * Closes all connections until link_resume(), so that a process which rarely
  * needs the leader doesn't cost it heartbeats. Known addresses of control VMs
  * are kept. down isn't called.
  */
-void link_rest(struct link *l);
-/* Searches for the leader again after link_rest(). */
-void link_wake(struct link *l);
+void link_suspend(struct link *l);
+/* Searches for the leader again after link_suspend(). */
+void link_resume(struct link *l);
 
 /* Handles an unsolicited announcement of the group by a member. */
-void link_told(struct link *l, const struct msg_leader *m);
+void link_leader_announced(struct link *l, const struct msg_leader *m);
 /* Control VMs reported by others, as struct control_addr. The strings are valid
  * until the next message; the caller unrefs the array. */
-GArray *link_known(const struct link *l);
+GArray *link_control_addrs(const struct link *l);
 
 #endif
--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -162,7 +162,7 @@
 
 static void change(struct api_call *a, struct command *c)
 {
-	struct operator_done done = { on_changed, a };
+	struct operator_callback done = { on_changed, a };
 	struct operator_http *h = a->h;
 
 	c->change_id = ss_str(text_field(a->body, "change_id"));
@@ -508,7 +508,7 @@
 
 static void show_why(struct api_call *a)
 {
-	json_object *o = a->h->o.ops->why(a->h->o.arg, a->name);
+	json_object *o = a->h->o.ops->explain(a->h->o.arg, a->name);
 
 	if (!o) {
 		api_call_fail(a, SS_ERROR_UNKNOWN_MODEL, "no such model");
@@ -581,7 +581,7 @@
 	struct api_call *a;
 	GError *error = NULL;
 
-	if (h->o.ops->plain(h->o.arg, req))
+	if (h->o.ops->serve_public(h->o.arg, req))
 		return;
 	if (!authorized(h, req)) {
 		(*h->o.denied)++;
--- a/src/operator/operator.h
+++ b/src/operator/operator.h
@@ -6,7 +6,7 @@
 #include "../net/http.h"
 
 /* Called with the result of a change. */
-struct operator_done {
+struct operator_callback {
 	void (*fn)(void *arg, const struct command_result *r,
 		   const GError *error);
 	void *arg;
@@ -15,7 +15,8 @@
 /* What the API needs from the control VM. */
 struct operator_ops {
 	/* Proposes a change to the group. */
-	void (*change)(void *arg, struct command *c, struct operator_done done);
+	void (*change)(void *arg, struct command *c,
+		       struct operator_callback done);
 	/* Calls fn when a majority has confirmed that this VM leads, or with ok
 	 * false. */
 	void (*confirm)(void *arg, void (*fn)(void *fn_arg, bool ok),
@@ -24,12 +25,12 @@
 	/* Adds the state of processes, replicas and queues. */
 	void (*status)(void *arg, struct json_object *o);
 	/* Explains a model's state; NULL if there is no such model. */
-	struct json_object *(*why)(void *arg, const char *model);
+	struct json_object *(*explain)(void *arg, const char *model);
 	struct json_object *(*members)(void *arg);
 	bool (*remove_member)(void *arg, uint64_t id, GError **error);
 	/* Replies to /healthz, /readyz and /metrics, which need no token. False
 	 * for other paths. */
-	bool (*plain)(void *arg, struct evhttp_request *req);
+	bool (*serve_public)(void *arg, struct evhttp_request *req);
 };
 
 struct operator_options {
--- a/src/operator/routing_http.c
+++ b/src/operator/routing_http.c
@@ -127,7 +127,8 @@
 	p->read_ms = ss_clock_now(h->o.clock) - p->received_ms;
 	routing_update_free(p->update);
 	p->update = NULL;
-	h->o.ops->change(h->o.arg, &c, (struct operator_done){ on_changed, p });
+	h->o.ops->change(h->o.arg, &c,
+			 (struct operator_callback){ on_changed, p });
 	g_string_free(packed, TRUE);
 }
 
@@ -261,7 +262,7 @@
 	g_array_append_val(h->held, held);
 }
 
-void routing_http_look(struct routing_http *h)
+void routing_http_check_held(struct routing_http *h)
 {
 	for (guint i = h->held->len; i-- > 0;) {
 		struct held_call *held =
@@ -287,7 +288,7 @@
 	bool is_get = !strcmp(path, h->o.platform->path_get) &&
 		      method == EVHTTP_REQ_GET;
 
-	if (h->o.ops->plain(h->o.arg, req))
+	if (h->o.ops->serve_public(h->o.arg, req))
 		return;
 	if (!is_put && !is_get)
 		refuse(req, SS_ERROR_NOT_FOUND, "no such call");
@@ -320,7 +321,7 @@
 	return NULL;
 }
 
-char *routing_http_peer(const char *addr, const char *own_listen)
+char *routing_http_operator_addr(const char *addr, const char *own_listen)
 {
 	const char *port = strrchr(own_listen, ':');
 	const char *colon = addr ? strrchr(addr, ':') : NULL;
--- a/src/operator/routing_http.h
+++ b/src/operator/routing_http.h
@@ -17,14 +17,15 @@
 	 * leader is known. */
 	char *(*leader)(void *arg);
 	/* Proposes a change to the group. */
-	void (*change)(void *arg, struct command *c, struct operator_done done);
+	void (*change)(void *arg, struct command *c,
+		       struct operator_callback done);
 	/* Calls fn when a majority has confirmed that this VM leads, or with ok
 	 * false. */
 	void (*confirm)(void *arg, void (*fn)(void *fn_arg, bool ok),
 			void *fn_arg);
 	const struct ss_state *(*state)(void *arg);
 	/* Replies to /healthz, /readyz and /metrics. False for other paths. */
-	bool (*plain)(void *arg, struct evhttp_request *req);
+	bool (*serve_public)(void *arg, struct evhttp_request *req);
 };
 
 struct routing_http_options {
@@ -50,11 +51,11 @@
  * VMs use the port of own_listen for operators. The caller frees it. NULL if
  * addr is NULL or has no port.
  */
-char *routing_http_peer(const char *addr, const char *own_listen);
+char *routing_http_operator_addr(const char *addr, const char *own_listen);
 
 /* Redirects requests that wait for a leader if one is known now, and refuses
  * those that have waited too long. */
-void routing_http_look(struct routing_http *h);
+void routing_http_check_held(struct routing_http *h);
 
 void routing_http_free(struct routing_http *h);
 
--- a/src/service/http.c
+++ b/src/service/http.c
@@ -33,17 +33,17 @@
 	     void (*done)(void *arg, const struct endpoint_state *s), void *arg)
 {
 	struct read_done *d = g_new0(struct read_done, 1);
-	struct http_get_options get = { .base = e->o.base,
-					.addr = e->addr,
-					.method = "GET",
-					.path = "/healthz",
-					.timeout_ms = e->o.timeout_ms,
-					.done = on_health,
-					.arg = d };
+	struct http_request_options get = { .base = e->o.base,
+					    .addr = e->addr,
+					    .method = "GET",
+					    .path = "/healthz",
+					    .timeout_ms = e->o.timeout_ms,
+					    .done = on_health,
+					    .arg = d };
 
 	d->done = done;
 	d->arg = arg;
-	http_get(&get);
+	http_request(&get);
 }
 
 static struct endpoint_call *service_call(struct endpoint *e,
--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -137,12 +137,12 @@
 	bool near = g_queue_find_custom(&e->cached, m->name,
 					(GCompareFunc)strcmp) != NULL;
 	char *path;
-	struct http_get_options get = { .base = e->s->base,
-					.addr = e->s->store,
-					.method = "GET",
-					.timeout_ms = 3600000,
-					.done = on_weights,
-					.arg = l };
+	struct http_request_options get = { .base = e->s->base,
+					    .addr = e->s->store,
+					    .method = "GET",
+					    .timeout_ms = 3600000,
+					    .done = on_weights,
+					    .arg = l };
 
 	l->e = e;
 	l->name = g_strdup(m->name);
@@ -153,7 +153,7 @@
 	}
 	path = g_strdup_printf("/weights/%s?bytes=%lld", m->name, m->bytes);
 	get.path = path;
-	http_get(&get);
+	http_request(&get);
 	g_free(path);
 }
 
--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -140,16 +140,16 @@
 static void request_page(struct instances *v)
 {
 	char *path = v->o.platform->list_path(v->page);
-	struct http_get_options get = { .base = v->o.base,
-					.addr = v->addr,
-					.method = "GET",
-					.path = path,
-					.timeout_ms = PAGE_TIMEOUT_MS,
-					.done = on_page,
-					.arg = v };
+	struct http_request_options get = { .base = v->o.base,
+					    .addr = v->addr,
+					    .method = "GET",
+					    .path = path,
+					    .timeout_ms = PAGE_TIMEOUT_MS,
+					    .done = on_page,
+					    .arg = v };
 
 	v->in_progress = true;
-	http_get(&get);
+	http_request(&get);
 	g_free(path);
 }
 
--- a/src/vmlist/vms.c
+++ b/src/vmlist/vms.c
@@ -72,20 +72,20 @@
 static void on_timer(evutil_socket_t fd, short what, void *arg)
 {
 	struct vms *v = arg;
-	struct http_get_options get = { .base = v->o.base,
-					.addr = v->addr,
-					.method = "GET",
-					.path = "/vms",
-					.timeout_ms = TIMEOUT_MS,
-					.done = on_list,
-					.arg = v };
+	struct http_request_options get = { .base = v->o.base,
+					    .addr = v->addr,
+					    .method = "GET",
+					    .path = "/vms",
+					    .timeout_ms = TIMEOUT_MS,
+					    .done = on_list,
+					    .arg = v };
 
 	(void)fd;
 	(void)what;
 	if (v->in_flight)
 		return;
 	v->in_flight = true;
-	http_get(&get);
+	http_request(&get);
 }
 
 struct vms *vms_new(const struct vms_options *o)
--- a/test/test_link.c
+++ b/test/test_link.c
@@ -133,7 +133,7 @@
 	setup(&f);
 	run_until(&f, &f.up, 1);
 	assert_true(link_is_up(f.link));
-	link_rest(f.link);
+	link_suspend(f.link);
 	assert_false(link_is_up(f.link));
 	run_until(&f, &f.closed, f.opened);
 	/* A suspended link hasn't lost its leader. */
@@ -147,13 +147,13 @@
 
 	(void)state;
 	setup(&f);
-	link_rest(f.link);
-	link_rest(f.link);
-	link_wake(f.link);
-	link_wake(f.link);
+	link_suspend(f.link);
+	link_suspend(f.link);
+	link_resume(f.link);
+	link_resume(f.link);
 	run_until(&f, &f.up, 1);
-	link_rest(f.link);
-	link_wake(f.link);
+	link_suspend(f.link);
+	link_resume(f.link);
 	run_until(&f, &f.up, 2);
 	assert_string_equal(link_leader(f.link), f.control->pdata[0]);
 	teardown(&f);
@@ -171,9 +171,9 @@
 
 	(void)state;
 	setup(&f);
-	link_rest(f.link);
-	link_told(f.link, &m);
-	known = link_known(f.link);
+	link_suspend(f.link);
+	link_leader_announced(f.link, &m);
+	known = link_control_addrs(f.link);
 	assert_int_equal(known->len, 1);
 	g_array_unref(known);
 	assert_int_equal(f.opened, 0);
@@ -296,7 +296,7 @@
 		run_until(&f, &f.up, 1);
 		addr.addr = ss_str(next.addr);
 		announced.members = (struct wire_list){ &addr, 1 };
-		link_told(f.link, &announced);
+		link_leader_announced(f.link, &announced);
 		/* Up to 400 iterations, with timers of both ends. */
 		while (f.down < 1 && rounds++ < 400) {
 			f.clock.fake_ms += cases[i].step_ms;
