--- a/src/caller/caller.c
+++ b/src/caller/caller.c
@@ -237,7 +237,7 @@
 	return NULL;
 }
 
-void caller_close(struct caller *c)
+void caller_stop_accepting(struct caller *c)
 {
 	if (c->htp->server)
 		evhtp_unbind_socket(c->htp);
@@ -263,7 +263,7 @@
 	return c->conns.length;
 }
 
-bool caller_written(const struct caller *c)
+bool caller_all_written(const struct caller *c)
 {
 	for (GList *p = c->conns.head; p; p = p->next) {
 		struct caller_conn *cc = p->data;
--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -43,10 +43,10 @@
 struct caller *caller_new(const struct caller_options *o, GError **error);
 void caller_free(struct caller *c);
 /* Stops accepting connections. */
-void caller_close(struct caller *c);
+void caller_stop_accepting(struct caller *c);
 size_t caller_connections(const struct caller *c);
 /* True if no connection has output left to write. */
-bool caller_written(const struct caller *c);
+bool caller_all_written(const struct caller *c);
 
 /* Returns the value of a header; NULL if it is absent. */
 const char *caller_header(const struct caller_head *h, const char *name);
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -479,9 +479,9 @@
 	/* First not ready, so that the balancer looks elsewhere. */
 	if (now - e->stop_ms < c->drain_ms)
 		return;
-	caller_close(e->caller);
+	caller_stop_accepting(e->caller);
 	/* The last call's end is no end before its caller has been sent it. */
-	if (router_calls(e->router) || !caller_written(e->caller))
+	if (router_calls(e->router) || !caller_all_written(e->caller))
 		e->done_ms = now;
 	if (now - e->done_ms >= DAEMON_LINGER_MS ||
 	    now - e->stop_ms > c->drain_ms + c->drain_max_ms)
--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -424,11 +424,11 @@
 	send_demand(e, now);
 	/* The leader hears of a limit first. */
 	send_asks(e, MSG_LIMIT_REQUEST, gate_limit_requests);
-	instances_run(e->list,
-		      !e->link_up &&
-			      now - e->leader_ms > (gate_knows_fleet(e->gate) ?
-							    LEADERLESS_MS :
-							    STARTING_MS));
+	instances_set_polling(
+		e->list,
+		!e->link_up && now - e->leader_ms > (gate_knows_fleet(e->gate) ?
+							     LEADERLESS_MS :
+							     STARTING_MS));
 	if (e->stop_ms)
 		advance_stop(e, now);
 	else
@@ -482,7 +482,7 @@
 	struct instances_options io = { .base = d->base,
 					.platform = &users_platform,
 					.addr = c->vm_list,
-					.every_ms = LIST_EVERY_MS,
+					.poll_interval_ms = LIST_EVERY_MS,
 					.metrics = d->metrics,
 					.list = on_list,
 					.arg = e };
--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_lead.c
@@ -183,7 +183,7 @@
 	struct instances_options o = { .base = d->base,
 				       .platform = &users_platform,
 				       .addr = d->config.fleet.vm_list,
-				       .every_ms = LIST_EVERY_MS,
+				       .poll_interval_ms = LIST_EVERY_MS,
 				       .metrics = m,
 				       .list = on_list,
 				       .arg = l };
@@ -214,7 +214,7 @@
 	read_state(l);
 	fleet_tell_routing(l);
 	l->list = instances_new(&o);
-	instances_run(l->list, true);
+	instances_set_polling(l->list, true);
 	return l;
 }
 
--- a/src/daemon/lead_nodes.c
+++ b/src/daemon/lead_nodes.c
@@ -212,7 +212,7 @@
 	if (vm) {
 		n->listed = true;
 		n->unlisted_ms = SS_NEVER;
-		if (vm->state == VM_LEAVING && rec->state == NODE_LIVE)
+		if (vm->state == VM_DRAINING && rec->state == NODE_LIVE)
 			set_node(l, rec, NODE_DRAINING);
 		return;
 	}
--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -188,9 +188,9 @@
 	return v;
 }
 
-void instances_run(struct instances *v, bool enabled)
+void instances_set_polling(struct instances *v, bool enabled)
 {
-	struct timeval interval = timeval_of(v->o.every_ms);
+	struct timeval interval = timeval_of(v->o.poll_interval_ms);
 
 	if (v->enabled == enabled)
 		return;
--- a/src/vmlist/instances.h
+++ b/src/vmlist/instances.h
@@ -13,7 +13,7 @@
 	struct event_base *base;
 	const struct platform_ops *platform;
 	const char *addr; /* "ip:port" */
-	int64_t every_ms;
+	int64_t poll_interval_ms;
 	struct metrics *metrics;
 	/* A poll completed; the list of all its pages is valid until return. */
 	void (*list)(void *arg, struct fleet_list *list);
@@ -24,6 +24,6 @@
 void instances_free(struct instances *v);
 
 /* Starts or stops polling; initially stopped. Starting polls at once. */
-void instances_run(struct instances *v, bool enabled);
+void instances_set_polling(struct instances *v, bool enabled);
 
 #endif
--- a/src/vmlist/vms.c
+++ b/src/vmlist/vms.c
@@ -39,7 +39,7 @@
 				 .state = VM_LIVE };
 
 		if (ss_str_eq(string_member(o, "state"), SS_LIT("leaving")))
-			vm.state = VM_LEAVING;
+			vm.state = VM_DRAINING;
 		if (vm.name.n)
 			g_array_append_val(vms, vm);
 	}
@@ -91,7 +91,8 @@
 struct vms *vms_new(const struct vms_options *o)
 {
 	struct vms *v = g_new0(struct vms, 1);
-	int64_t ms = o->every_ms ? o->every_ms : DEFAULT_INTERVAL_MS;
+	int64_t ms = o->poll_interval_ms ? o->poll_interval_ms :
+					   DEFAULT_INTERVAL_MS;
 	struct timeval tv = timeval_of(ms);
 
 	v->o = *o;
--- a/src/vmlist/vms.h
+++ b/src/vmlist/vms.h
@@ -5,7 +5,7 @@
 #include <event2/event.h>
 #include <sapphireshift/base.h>
 
-enum vm_state { VM_LIVE = 1, VM_LEAVING };
+enum vm_state { VM_LIVE = 1, VM_DRAINING };
 
 struct vm {
 	struct ss_str name;
@@ -16,8 +16,8 @@
 
 struct vms_options {
 	struct event_base *base;
-	const char *addr; /* "ip:port" */
-	int64_t every_ms; /* 0: 1000 */
+	const char *addr;	  /* "ip:port" */
+	int64_t poll_interval_ms; /* 0: 1000 */
 	/* A list was received; its strings are valid until return. */
 	void (*list)(void *arg, const struct vm *vms, size_t n);
 	void *arg;
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -379,7 +379,7 @@
 	v->on = false;
 }
 
-void instances_run(struct instances *v, bool on)
+void instances_set_polling(struct instances *v, bool on)
 {
 	v->on = on;
 }
--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -62,7 +62,7 @@
 static void start_fixture(struct fixture *w, const char *const *pages)
 {
 	struct instances_options o = { .platform = &users_platform,
-				       .every_ms = 1,
+				       .poll_interval_ms = 1,
 				       .list = on_list,
 				       .arg = w };
 	struct evhttp_bound_socket *s;
@@ -83,7 +83,7 @@
 	o.metrics = w->metrics;
 	o.addr = addr;
 	w->list = instances_new(&o);
-	instances_run(w->list, true);
+	instances_set_polling(w->list, true);
 }
 
 static void run_loop(struct fixture *w)
