--- a/bench/load.c
+++ b/bench/load.c
@@ -142,7 +142,8 @@
 	start = now_us();
 	for (int i = 0; i < conns; i++) {
 		struct client *c = g_new0(struct client, 1);
-		struct timeval at = timeval_of((int64_t)spread_ms * i / conns);
+		struct timeval at =
+			timeval_from_ms((int64_t)spread_ms * i / conns);
 
 		c->l = &l;
 		c->conn =
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -125,9 +125,9 @@
 	GString *packed = g_string_new(NULL), *opened;
 	double from;
 
-	pack_add(packed, ss_str_gs(text));
+	pack_compress(packed, ss_str_gs(text));
 	from = cpu_ms();
-	opened = pack_open(ss_str_gs(packed), 64u << 20, NULL);
+	opened = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
 	routing_unref(
 		routing_read(users_platform.routing, ss_str_gs(opened), NULL));
 	add_turn(c, cpu_ms() - from);
--- a/src/base/pack.c
+++ b/src/base/pack.c
@@ -9,7 +9,7 @@
  */
 #define COMPRESSION_LEVEL 1
 
-void pack_add(GString *out, struct ss_str bytes)
+void pack_compress(GString *out, struct ss_str bytes)
 {
 	ZSTD_CCtx *zstd = ZSTD_createCCtx();
 	size_t bound = ZSTD_compressBound(bytes.n);
@@ -35,7 +35,7 @@
 	return NULL;
 }
 
-GString *pack_open(struct ss_str packed, size_t max_size, GError **error)
+GString *pack_decompress(struct ss_str packed, size_t max_size, GError **error)
 {
 	unsigned long long size = ZSTD_getFrameContentSize(packed.p, packed.n);
 	ZSTD_DCtx *zstd;
--- a/src/base/pack.h
+++ b/src/base/pack.h
@@ -8,13 +8,13 @@
 #include <sapphireshift/base.h>
 
 /* Compresses bytes and appends the frame to out. */
-void pack_add(GString *out, struct ss_str bytes);
+void pack_compress(GString *out, struct ss_str bytes);
 
 /*
  * Returns the decompressed bytes, to be freed with g_string_free(). Fails with
  * SS_ERROR_FRAME if the frame is truncated or corrupt, or if its content is
  * larger than max_size.
  */
-GString *pack_open(struct ss_str packed, size_t max_size, GError **error);
+GString *pack_decompress(struct ss_str packed, size_t max_size, GError **error);
 
 #endif
--- a/src/base/timeval.h
+++ b/src/base/timeval.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 #include <sys/time.h>
 
-static inline struct timeval timeval_of(int64_t ms)
+static inline struct timeval timeval_from_ms(int64_t ms)
 {
 	struct timeval tv = { ms / 1000, (ms % 1000) * 1000 };
 
--- a/src/base/wire.c
+++ b/src/base/wire.c
@@ -253,7 +253,7 @@
 	return wire_unpack(&b->un.data, t, s, b->un.zone);
 }
 
-void wire_done(struct wire_buf *b)
+void wire_buf_clear(struct wire_buf *b)
 {
 	msgpack_unpacked_destroy(&b->un);
 }
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -64,12 +64,12 @@
 };
 
 /*
- * Decodes bytes into a struct; false if they are malformed. Call wire_done()
- * in either case.
+ * Decodes bytes into a struct; false if they are malformed. Call
+ * wire_buf_clear() in either case.
  */
 bool wire_decode(struct wire_buf *b, struct ss_str bytes,
 		 const struct wire_type *t, void *s);
-void wire_done(struct wire_buf *b);
+void wire_buf_clear(struct wire_buf *b);
 
 /* Write callback of a msgpack packer that appends to a GString. */
 int wire_write_gs(void *gs, const char *buf, size_t len);
--- a/src/core/document.c
+++ b/src/core/document.c
@@ -38,7 +38,7 @@
 	GString *bytes = wire_encode(&change_wire, c);
 	GString *out = g_string_new(NULL);
 
-	pack_add(out, ss_str_gs(bytes));
+	pack_compress(out, ss_str_gs(bytes));
 	g_string_free(bytes, TRUE);
 	return out;
 }
@@ -60,7 +60,7 @@
 struct document_patch *document_unpack(struct ss_str packed, GError **error)
 {
 	struct document_patch *n;
-	GString *unpacked = pack_open(packed, 2 * TEXT_MAX_BYTES, error);
+	GString *unpacked = pack_decompress(packed, 2 * TEXT_MAX_BYTES, error);
 
 	if (!unpacked)
 		return NULL;
@@ -80,7 +80,7 @@
 	if (!n)
 		return;
 	if (n->unpacked) {
-		wire_done(&n->buf);
+		wire_buf_clear(&n->buf);
 		g_string_free(n->unpacked, TRUE);
 	}
 	if (n->edits)
--- a/src/core/raft_log.c
+++ b/src/core/raft_log.c
@@ -42,7 +42,7 @@
 
 		ss_raft_copy_members(m, &view);
 	}
-	wire_done(&buf);
+	wire_buf_clear(&buf);
 	return ok;
 }
 
--- a/src/core/state.c
+++ b/src/core/state.c
@@ -449,7 +449,7 @@
 		change.text = ss_str(result->text);
 		state_put_change(s, &change);
 	}
-	wire_done(&buf);
+	wire_buf_clear(&buf);
 }
 
 GString *ss_command_encode(const struct command *c)
--- a/src/core/state_store.c
+++ b/src/core/state_store.c
@@ -350,7 +350,7 @@
 				 (struct change_rec *)snap.changes.items + i);
 	ok = !snap.routing.n || state_put_routing(s, snap.routing.items, NULL);
 out:
-	wire_done(&buf);
+	wire_buf_clear(&buf);
 	return ok;
 }
 
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -76,7 +76,7 @@
 struct event *daemon_every(struct daemon *d, int64_t ms, event_callback_fn fn,
 			   void *arg)
 {
-	struct timeval tv = timeval_of(ms);
+	struct timeval tv = timeval_from_ms(ms);
 	struct event *ev = event_new(d->base, -1, EV_PERSIST, fn, arg);
 
 	event_add(ev, &tv);
--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -224,7 +224,7 @@
 	if (wire_decode(b, (struct ss_str){ s->str + at + RECORD_HEAD, n },
 			&record_type, r))
 		return PARSED;
-	wire_done(b);
+	wire_buf_clear(b);
 	return PARSED_CORRUPT;
 }
 
@@ -274,7 +274,7 @@
 	}
 	if (parse_record(s, 0, &b, &r, &next) != PARSED)
 		return corrupt(d, error, "meta", 0);
-	wire_done(&b);
+	wire_buf_clear(&b);
 	if (r.version != FORMAT_VERSION) {
 		g_set_error(error, SS_ERROR, SS_ERROR_VERSION,
 			    "%s: data format %" PRIu64
@@ -309,7 +309,7 @@
 	snap->term = r.term;
 	snap->data = r.data; /* points into the buffer, which is kept */
 	snap->members = d->members;
-	wire_done(&b);
+	wire_buf_clear(&b);
 	return ok || corrupt(d, error, "snapshot", 0);
 }
 
@@ -329,7 +329,7 @@
 
 		if (parse_record(s, at, &b, &r, &next) != PARSED)
 			continue;
-		wire_done(&b);
+		wire_buf_clear(&b);
 		if (r.synced >= index)
 			return true;
 	}
@@ -362,7 +362,7 @@
 		if (p != PARSED)
 			break;
 		e = (struct ss_raft_entry){ r.index, r.term, r.kind, r.data };
-		wire_done(&b);
+		wire_buf_clear(&b);
 		if (r.index == 0)
 			continue;
 		if (d->offsets->len == 0)
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -280,7 +280,7 @@
 	struct client_request *g = g_new0(struct client_request, 1);
 	struct evhttp_request *req = evhttp_request_new(on_response, g);
 	struct evkeyvalq *headers = evhttp_request_get_output_headers(req);
-	struct timeval tv = timeval_of(o->timeout_ms);
+	struct timeval tv = timeval_from_ms(o->timeout_ms);
 	char *ip = NULL;
 	uint16_t port = 0;
 
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -67,7 +67,7 @@
 {
 	struct call *c = g_new0(struct call, 1);
 	struct evhttp_request *req = evhttp_request_new(on_response, c);
-	struct timeval tv = timeval_of(o->timeout_ms);
+	struct timeval tv = timeval_from_ms(o->timeout_ms);
 
 	c->k = k;
 	c->want = g_strdup(o->response_header);
--- a/src/net/probe.c
+++ b/src/net/probe.c
@@ -88,7 +88,7 @@
 	p->done = done;
 	p->arg = arg;
 	start_connect(p, addr);
-	wait = timeval_of(p->immediate ? 0 : wait_ms);
+	wait = timeval_from_ms(p->immediate ? 0 : wait_ms);
 	p->ev = event_new(base, p->immediate ? -1 : p->fd,
 			  p->immediate ? 0 : EV_WRITE, on_ready, p);
 	event_add(p->ev, &wait);
--- a/src/node/conn.c
+++ b/src/node/conn.c
@@ -256,7 +256,7 @@
 	bufferevent_setcb(c->bev, on_read, NULL, on_event, c);
 	bufferevent_enable(c->bev, EV_READ | EV_WRITE);
 	c->timer = event_new(o->base, -1, EV_PERSIST, on_timer, c);
-	tv = timeval_of(c->o.ping_ms);
+	tv = timeval_from_ms(c->o.ping_ms);
 	event_add(c->timer, &tv);
 	return c;
 }
--- a/src/node/frame.c
+++ b/src/node/frame.c
@@ -13,7 +13,7 @@
 		return;
 	packed = g_string_sized_new(bytes.n);
 	g_string_append_c(packed, FRAME_PACKED);
-	pack_add(packed, bytes);
+	pack_compress(packed, bytes);
 	if (packed->len < bytes.n) {
 		g_string_truncate(out, at);
 		g_string_append_len(out, packed->str, (gssize)packed->len);
@@ -93,7 +93,7 @@
 			(struct ss_str){ bytes.p + off, bytes.n - off }, t,
 			&f->u))
 		return true;
-	wire_done(&f->buf);
+	wire_buf_clear(&f->buf);
 	return bad_frame(error, "malformed message");
 }
 
@@ -104,8 +104,8 @@
 	f->unpacked = NULL;
 	if (body.n == 0 || body.p[0] != FRAME_PACKED)
 		return decode(f, body, error);
-	f->unpacked = pack_open((struct ss_str){ body.p + 1, body.n - 1 },
-				FRAME_MAX, error);
+	f->unpacked = pack_decompress((struct ss_str){ body.p + 1, body.n - 1 },
+				      FRAME_MAX, error);
 	if (!f->unpacked)
 		return false;
 	/* A nested compressed frame has an unknown kind, and is skipped. */
@@ -117,7 +117,7 @@
 
 void frame_done(struct frame *f)
 {
-	wire_done(&f->buf);
+	wire_buf_clear(&f->buf);
 	if (f->unpacked)
 		g_string_free(f->unpacked, TRUE);
 }
--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -280,7 +280,7 @@
 {
 	struct http1_options ro = { .head_max = u->o.head_max,
 				    .ops = &reader_ops };
-	struct timeval connect = timeval_of(CONNECT_TIMEOUT_MS);
+	struct timeval connect = timeval_from_ms(CONNECT_TIMEOUT_MS);
 	struct sockaddr_storage ss;
 	struct upstream_conn *l;
 	int len = sizeof(ss), one = 1;
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -48,7 +48,7 @@
 		   void (*fn)(evutil_socket_t fd, short what, void *arg),
 		   void *arg)
 {
-	struct timeval tv = timeval_of(ms);
+	struct timeval tv = timeval_from_ms(ms);
 
 	event_base_once(s->base, -1, EV_TIMEOUT, fn, arg, &tv);
 }
--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -190,7 +190,7 @@
 
 void instances_set_polling(struct instances *v, bool enabled)
 {
-	struct timeval interval = timeval_of(v->o.poll_interval_ms);
+	struct timeval interval = timeval_from_ms(v->o.poll_interval_ms);
 
 	if (v->enabled == enabled)
 		return;
--- a/src/vmlist/vms.c
+++ b/src/vmlist/vms.c
@@ -93,7 +93,7 @@
 	struct vms *v = g_new0(struct vms, 1);
 	int64_t ms = o->poll_interval_ms ? o->poll_interval_ms :
 					   DEFAULT_INTERVAL_MS;
-	struct timeval tv = timeval_of(ms);
+	struct timeval tv = timeval_from_ms(ms);
 
 	v->o = *o;
 	v->addr = g_strdup(o->addr);
--- a/test/test_pack.c
+++ b/test/test_pack.c
@@ -29,10 +29,10 @@
 		GString *prefixed = g_string_new("x"), *decompressed;
 		struct ss_str packed;
 
-		pack_add(prefixed, ss_str_gs(bytes));
+		pack_compress(prefixed, ss_str_gs(bytes));
 		packed =
 			(struct ss_str){ prefixed->str + 1, prefixed->len - 1 };
-		decompressed = pack_open(packed, MAX_SIZE, NULL);
+		decompressed = pack_decompress(packed, MAX_SIZE, NULL);
 		assert_true(g_string_equal(decompressed, bytes));
 		g_string_free(decompressed, TRUE);
 		g_string_free(bytes, TRUE);
@@ -62,7 +62,7 @@
 		size_t max_size = MAX_SIZE;
 		GError *error = NULL;
 
-		pack_add(packed, ss_str_gs(bytes));
+		pack_compress(packed, ss_str_gs(bytes));
 		switch (corruptions[i].kind) {
 		case TRUNCATED:
 			g_string_truncate(packed, packed->len - 1);
@@ -81,7 +81,7 @@
 					    (gssize)packed->len);
 			break;
 		}
-		if (pack_open(ss_str_gs(packed), max_size, &error))
+		if (pack_decompress(ss_str_gs(packed), max_size, &error))
 			fail_msg("%s was accepted", corruptions[i].label);
 		assert_int_equal(error->code, SS_ERROR_FRAME);
 		g_error_free(error);
--- a/test/test_stream_log.c
+++ b/test/test_stream_log.c
@@ -176,7 +176,7 @@
 	assert_true(
 		wire_decode(&buf, ss_str_gs(bytes), msg_type(MSG_STREAMS), &m));
 	stream_wire_apply(to, &m, now);
-	wire_done(&buf);
+	wire_buf_clear(&buf);
 	g_string_free(bytes, TRUE);
 	stream_wire_clear(&w);
 	g_array_unref(items);
