--- a/src/core/crash_log.h
+++ b/src/core/crash_log.h
@@ -3,8 +3,8 @@
  * leader. Each outcome is reported once; a crash is reported again to each new
  * leader. The log is bounded and drops its oldest outcome when it is full.
  */
-#ifndef SS_END_LOG_H
-#define SS_END_LOG_H
+#ifndef SS_CRASH_LOG_H
+#define SS_CRASH_LOG_H
 
 #include "fingerprint.h"
 
--- a/src/core/failure_rate.h
+++ b/src/core/failure_rate.h
@@ -2,8 +2,8 @@
  * Failure rate of an endpoint: the moving average of its failed calls. It also
  * decays with time, so that an endpoint that gets no calls is tried again.
  */
-#ifndef SS_FAILING_H
-#define SS_FAILING_H
+#ifndef SS_FAILURE_RATE_H
+#define SS_FAILURE_RATE_H
 
 #include <sapphireshift/base.h>
 
--- a/src/core/fleet_slowness.h
+++ b/src/core/fleet_slowness.h
@@ -5,8 +5,8 @@
  * report to the leader how long answers took relative to their own median; the
  * leader aggregates the reports and sends the ratio to all entries.
  */
-#ifndef SS_SLOW_POOL_H
-#define SS_SLOW_POOL_H
+#ifndef SS_FLEET_SLOWNESS_H
+#define SS_FLEET_SLOWNESS_H
 
 #include <sapphireshift/base.h>
 
--- a/src/core/stream_timing.h
+++ b/src/core/stream_timing.h
@@ -4,8 +4,8 @@
  * before a given time. Engines differ several times over by model, by batch and
  * by VM, so no fixed time per token fits all of them.
  */
-#ifndef SS_PACE_H
-#define SS_PACE_H
+#ifndef SS_STREAM_TIMING_H
+#define SS_STREAM_TIMING_H
 
 #include <sapphireshift/base.h>
 
--- a/src/customer/quota_client_int.h
+++ b/src/customer/quota_client_int.h
@@ -3,8 +3,8 @@
  * (quota_client.c) and requesting them (quota_client_request.c) share. Private
  * to these files.
  */
-#ifndef SS_QUOTA_PURSE_INT_H
-#define SS_QUOTA_PURSE_INT_H
+#ifndef SS_QUOTA_CLIENT_INT_H
+#define SS_QUOTA_CLIENT_INT_H
 
 #include "../core/stream_timing.h"
 #include "quota_classes.h"
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -2,8 +2,8 @@
  * An HTTP client that sends its requests to one address over one persistent
  * connection, one at a time, in the order in which they were queued.
  */
-#ifndef SS_KEEP_H
-#define SS_KEEP_H
+#ifndef SS_HTTP_CLIENT_H
+#define SS_HTTP_CLIENT_H
 
 #include <event2/event.h>
 #include <event2/keyvalq_struct.h>
