--- a/test/fleet/soak.py
+++ b/test/fleet/soak.py
@@ -19,11 +19,11 @@
 from soak_faults import FAMILIES, Faults
 from soak_fleet import RELAYS, ROOT, Fleet
 from soak_customer_checks import CustomerChecks
-from soak_customers import listed
+from soak_customers import routing_customers
 from soak_operators import Operators
 from soak_surge import surge
-from soak_uneven import begin_uneven, call_one_model
-from soak_versions import TAKERS, begin_with_versions, take_up
+from soak_uneven import draw_first_event_delays, call_one_model
+from soak_versions import RESUMING_CALLERS, draw_versions, resume_streams
 
 # Seeds that failed once, with the time of their faults, their size and the
 # cause. They are played as they were then, without relays.
@@ -51,7 +51,7 @@
 # hold few of those that are called.
 FILL_S = 11.0
 SIZE = 24            # entries and agents, as a rule
-LAG_LOOK_S = 0.05
+LAG_SAMPLE_S = 0.05
 
 
 async def until(what, seconds, why):
@@ -69,8 +69,8 @@
     """
     while True:
         before = time.monotonic()
-        await asyncio.sleep(LAG_LOOK_S)
-        world.lag = max(world.lag, time.monotonic() - before - LAG_LOOK_S)
+        await asyncio.sleep(LAG_SAMPLE_S)
+        world.lag = max(world.lag, time.monotonic() - before - LAG_SAMPLE_S)
 
 
 async def first_change(operators):
@@ -80,17 +80,17 @@
     await until(accepted, RECOVERY_S, "no change was accepted")
 
 
-async def play_faults(fleet, callers, operators, faults, seed, seconds):
+async def run_with_faults(fleet, callers, operators, faults, seed, seconds):
     async def kinds_served():
         return all(callers.answered.get(k, 0) > 2 for k in KINDS)
 
     async def entries_serve():
         missing = [e for e in fleet.entries if not callers.by_entry.get(e)]
-        await asyncio.gather(*[callers.ask(e) for e in missing])
+        await asyncio.gather(*[callers.send_single(e) for e in missing])
         return not missing
 
-    async def newest_is_followed():
-        got = await asyncio.gather(*[operators.probe_mark(e, operators.acked)
+    async def newest_is_in_force():
+        got = await asyncio.gather(*[operators.probe_version(e, operators.acked)
                                      for e in fleet.entries])
         return all(got)
 
@@ -100,8 +100,8 @@
     await first_change(operators)
     tasks = [asyncio.ensure_future(callers.loop(seed * 1000 + i))
              for i in range(6 + 2 * len(fleet.entries))]
-    tasks += [asyncio.ensure_future(take_up(fleet, callers, seed * 1000 + i))
-              for i in range(TAKERS if fleet.n_relays else 0)]
+    tasks += [asyncio.ensure_future(resume_streams(fleet, callers, seed * 1000 + i))
+              for i in range(RESUMING_CALLERS if fleet.n_relays else 0)]
     try:
         await until(kinds_served, RECOVERY_S, "not all kinds are served")
         tasks += [asyncio.ensure_future(loop)
@@ -116,32 +116,32 @@
         callers.on = False
         await asyncio.gather(*tasks)
     await until(newest_is_read, RECOVERY_S, "the newest isn't read back")
-    await until(newest_is_followed, RECOVERY_S,
+    await until(newest_is_in_force, RECOVERY_S,
                 "an entry doesn't follow the newest")
 
 
-class Played:
+class RunResult:
     """What is left of a run."""
 
     def __init__(self, fleet, callers, operators, faults):
         self.fleet, self.callers = fleet, callers
         self.operators, self.faults = operators, faults
-        self.bad = fleet.world.faults
+        self.violations = fleet.world.faults
 
 
-async def play(seed, seconds, size, daemon, only=(), relays=RELAYS):
+async def run_seed(seed, seconds, size, daemon, only=(), relays=RELAYS):
     entries = max(3, size * 2 // 5)
     fleet = Fleet(seed, daemon, entries, max(4, size - entries), relays)
     fleet.draw_speeds(random.Random(seed))
-    begin_with_versions(fleet, seed)
-    begin_uneven(fleet, seed)
+    draw_versions(fleet, seed)
+    draw_first_event_delays(fleet, seed)
     callers = Callers(fleet)
-    operators = Operators(fleet, seed, listed(surge=fleet.n_relays > 0))
+    operators = Operators(fleet, seed, routing_customers(surge=fleet.n_relays > 0))
     faults = Faults(fleet, seed, only)
     lag = asyncio.ensure_future(watch_lag(fleet.world))
     try:
         await fleet.start()
-        await play_faults(fleet, callers, operators, faults, seed, seconds)
+        await run_with_faults(fleet, callers, operators, faults, seed, seconds)
     except TimeoutError as e:
         fleet.world.faults.append(str(e))
     finally:
@@ -151,21 +151,21 @@
         lag.cancel()
     Checks(fleet, callers).all()
     CustomerChecks(fleet, callers).all()
-    return Played(fleet, callers, operators, faults)
+    return RunResult(fleet, callers, operators, faults)
 
 
 def report(seed, p):
     print("%s seed %d: %d processes, %d requests, %d faults, "
           "%d changes, %d ends by poison, %d of %d taken up went on, late by "
           "%.2f s at most" % (
-              "FAILED" if p.bad else "ok", seed, len(p.fleet.procs),
+              "FAILED" if p.violations else "ok", seed, len(p.fleet.procs),
               p.callers.n, len(p.faults.log), p.operators.acked,
               sum(map(len, p.fleet.world.ended_by.values())),
-              p.fleet.judged[1], p.fleet.judged[0],
+              p.fleet.resume_counts[1], p.fleet.resume_counts[0],
               p.fleet.world.lag))
-    for line in p.bad[:10]:
+    for line in p.violations[:10]:
         print("    " + line)
-    if p.bad:
+    if p.violations:
         print("    schedule: " + "; ".join(p.faults.log))
         print("    logs: " + p.fleet.folder)
     else:
@@ -195,9 +195,9 @@
              for s in range(int(first), int(last or first) + 1)]
     failed = 0
     for seed, seconds, size, relays in runs:
-        p = asyncio.run(play(seed, seconds, size, daemon, only, relays))
+        p = asyncio.run(run_seed(seed, seconds, size, daemon, only, relays))
         report(seed, p)
-        failed += bool(p.bad)
+        failed += bool(p.violations)
     print("%d passed, %d failed" % (len(runs) - failed, failed))
     sys.exit(failed > 0)
 
--- a/test/fleet/soak_callers.py
+++ b/test/fleet/soak_callers.py
@@ -6,7 +6,7 @@
 import time
 
 from soak_customers import bearer, customer_of
-from soak_http import Ended, connect
+from soak_http import ConnectionClosed, connect
 from standin import MODELS
 
 KINDS = ("once", "safe", "chat", "night")
@@ -19,24 +19,24 @@
              **dict.fromkeys(CLASSES, 9.0)}
 # A caller waits so much longer than its request may take.
 PATIENCE_S = 1.0
-LEAVING_SHARE = 0.08
+DISCONNECT_SHARE = 0.08
 # Events of a stream; at some 20 ms each the longest takes 3 s.
-LONGEST = 150
+MAX_EVENTS = 150
 
 
 class Request:
     """What a caller asked, and how that ended."""
 
-    def __init__(self, rid, kind, entry, rng, longest=LONGEST):
+    def __init__(self, rid, kind, entry, rng, longest=MAX_EVENTS):
         self.rid, self.kind, self.entry = rid, kind, entry
         self.deadline_ms = rng.randrange(3000, 8000)
-        self.limit_s = min(self.deadline_ms / 1000, TIMEOUT_S[kind])
-        self.total = min(draw_length(rng), longest)
+        self.timeout_s = min(self.deadline_ms / 1000, TIMEOUT_S[kind])
+        self.n_events = min(draw_event_count(rng), longest)
         self.work_ms = rng.choice([5, 20, 20, 200, 1200])
         # After how many events the caller leaves.
-        self.leaves_after = None
-        if kind in STREAMS and rng.random() < LEAVING_SHARE:
-            self.leaves_after = rng.randrange(0, self.total + 1)
+        self.disconnects_after = None
+        if kind in STREAMS and rng.random() < DISCONNECT_SHARE:
+            self.disconnects_after = rng.randrange(0, self.n_events + 1)
         self.model = ""
         if kind in STREAMS:
             self.model = rng.choice(sorted(MODELS))
@@ -55,28 +55,28 @@
              "X-Request-Id": self.rid, "X-Deadline-Ms": self.deadline_ms}
         if self.kind in STREAMS:
             h["X-Model"] = self.model
-            h["X-Events"] = self.total
-            h["X-Token-Usage"] = "10,%d" % self.total
+            h["X-Events"] = self.n_events
+            h["X-Token-Usage"] = "10,%d" % self.n_events
         else:
             h["X-Work-Ms"] = self.work_ms
         return h
 
 
-def draw_length(rng):
+def draw_event_count(rng):
     """Events of a stream: some end at once, some take seconds."""
     return rng.choice([rng.randrange(1, 8), rng.randrange(1, 8),
                        rng.randrange(1, 8), rng.randrange(10, 60),
-                       rng.randrange(60, LONGEST)])
+                       rng.randrange(60, MAX_EVENTS)])
 
 
 class Callers:
     """All callers of a run; longest: events of a stream at the most."""
 
-    def __init__(self, fleet, longest=LONGEST):
+    def __init__(self, fleet, longest=MAX_EVENTS):
         self.f = fleet
         self.longest = longest
         self.n = 0
-        self.surged = 0      # requests of the customer that surges
+        self.n_surge = 0      # requests of the customer that surges
         self.answered = {}   # kind -> count
         self.by_entry = {}   # entry -> count of answers
         self.requests = []   # those that have ended
@@ -99,8 +99,8 @@
         want = ("answer to " + r.rid).encode()
         if r.kind in STREAMS:
             want = b"".join(b"id: %d\ndata: %s %d of %d\n\n" % (
-                k, r.rid.encode(), k, r.total)
-                for k in range(1, r.total + 1))
+                k, r.rid.encode(), k, r.n_events)
+                for k in range(1, r.n_events + 1))
         if body != want:
             self.fail("%s: not its whole answer: %r" % (r.rid, body[:200]))
         self.answered[r.kind] = self.answered.get(r.kind, 0) + 1
@@ -110,7 +110,7 @@
         r.reused = c.used > 0
         # Each has a content of its own, as callers' prompts have.
         await c.send("POST", "/%s/x" % r.kind, r.rid.encode(), r.headers())
-        if r.leaves_after == 0:
+        if r.disconnects_after == 0:
             return "left"
         r.status, fields = await c.head()
         r.answer_began = True
@@ -119,45 +119,45 @@
         async for part in c.parts(fields):
             body += part
             events += part.count(b"\n\n")
-            if r.leaves_after and events >= r.leaves_after:
+            if r.disconnects_after and events >= r.disconnects_after:
                 return "left"
         if r.status == 200:
             self.check_answer(r, fields, body)
         return "answered"
 
-    async def one(self, r, lines):
+    async def send_request(self, r, connections):
         """Send r on the connection that is kept for its entry."""
         r.sent = time.monotonic()
         self.f.world.sent_to[r.rid] = r.entry
         try:
-            c = lines.get(r.entry)
+            c = connections.get(r.entry)
             if not c or not c.open:
-                c = lines[r.entry] = await connect(self.f.entries[r.entry])
+                c = connections[r.entry] = await connect(self.f.entries[r.entry])
             r.outcome = await asyncio.wait_for(
-                self.exchange(c, r), r.limit_s + PATIENCE_S)
-        except Ended:
+                self.exchange(c, r), r.timeout_s + PATIENCE_S)
+        except ConnectionClosed:
             r.outcome = "cut"
         except asyncio.TimeoutError:
             r.outcome = "late"
         except OSError:
             r.outcome = "unreachable"
         r.ended = time.monotonic()
-        if r.outcome != "answered" and r.entry in lines:
-            lines[r.entry].close()
+        if r.outcome != "answered" and r.entry in connections:
+            connections[r.entry].close()
         self.requests.append(r)
 
-    async def ask(self, entry):
+    async def send_single(self, entry):
         """One request of its own to an entry."""
         self.n += 1
-        lines = {}
-        await self.one(Request("q%d" % self.n, "safe", entry,
-                               random.Random(self.n)), lines)
-        for c in lines.values():
+        connections = {}
+        await self.send_request(Request("q%d" % self.n, "safe", entry,
+                               random.Random(self.n)), connections)
+        for c in connections.values():
             c.close()
 
     async def loop(self, seed):
         rng = random.Random(seed)
-        lines = {}
+        connections = {}
         entries = sorted(self.f.entries)
         entry = rng.choice(entries)
         while self.on:
@@ -166,11 +166,11 @@
             self.n += 1
             r = Request("q%d" % self.n, rng.choice(KINDS), entry, rng,
                         self.longest)
-            await self.one(r, lines)
+            await self.send_request(r, connections)
             if r.outcome == "unreachable":
                 entry = rng.choice(entries)
             await asyncio.sleep(rng.random() * 0.05)
-        for c in lines.values():
+        for c in connections.values():
             c.close()
 
     def check(self):
--- a/test/fleet/soak_checks.py
+++ b/test/fleet/soak_checks.py
@@ -12,24 +12,24 @@
 from soak_journal import most_in_window
 from soak_poison import CONTACT_S, ENDS, LATER
 from soak_uneven import slow_preferred
-from soak_versions import lost, mixed
+from soak_versions import too_few_resumed, mixed
 from soak_words import over_leaving, over_limit, over_rest
 
 # A fault still shows so long after its end: what it broke has to be found.
-AFTER_S = 2.5
+FAULT_TAIL_S = 2.5
 # Of a request's time, kept by entries to say that it is over.
-EARLY_S = 0.15
+TIMEOUT_MARGIN_S = 0.15
 # Kept by entries at the end of their grace time to write what is left.
 STOP_MARGIN_S = 0.25
 # A request that crosses the close of its connection finds it closed so soon.
-CROSSED_S = 0.5
+CLOSE_RACE_S = 0.5
 # Work of callers who left ends so soon, and none begins later.
-LEFT_S = 0.7
+CANCEL_BOUND_S = 0.7
 # What has left the list's ready ones: the list is read, then told on.
-LIST_SLACK_S = 0.3
+LIST_DELAY_S = 0.3
 WINDOW_S = 10.0      # of repeats
 LOADS_WINDOW_S = 5.0
-LOADS_FREE = 3
+LOADS_BURST = 3
 
 
 def within(times, start):
@@ -48,23 +48,23 @@
     def fail(self, text):
         self.world.faults.append(text)
 
-    def harmed(self, name, since, until, but=()):
-        return self.journal.harmed(name, since - AFTER_S,
-                                   until + self.world.lag, but)
+    def harmed(self, name, since, until, ignoring=()):
+        return self.journal.harmed(name, since - FAULT_TAIL_S,
+                                   until + self.world.lag, ignoring)
 
     def runs(self, r):
         return self.world.runs.get(r.rid, [])
 
-    def way_harmed(self, r):
+    def path_harmed(self, r):
         """A fault on the entry, or on an endpoint that worked on it."""
         return self.harmed(r.entry, r.sent, r.ended) or any(
-            self.harmed(run.server, r.sent, r.ended, but=("slower",))
+            self.harmed(run.server, r.sent, r.ended, ignoring=("slower",))
             for run in self.runs(r))
 
-    def any_harmed(self, r):
+    def candidate_harmed(self, r):
         """A fault on any endpoint that it may have been sent to."""
         service = "lm" if r.kind in STREAMS else "web"
-        return any(self.harmed(s.name, r.sent, r.ended, but=("slower",))
+        return any(self.harmed(s.name, r.sent, r.ended, ignoring=("slower",))
                    for s in self.f.servers if s.service == service)
 
     def outlasted_stop(self, r):
@@ -72,21 +72,21 @@
         over. What the entry has begun after the signal it should not have,
         but where the endpoint became slower since.
         """
-        for stop in self.journal.stops(r.entry, r.sent, r.ended):
-            last = stop.start + GRACE_MS / 1000 - STOP_MARGIN_S
+        for planned_stop in self.journal.stops(r.entry, r.sent, r.ended):
+            last = planned_stop.start + GRACE_MS / 1000 - STOP_MARGIN_S
             if r.ended < last:
                 continue
             for run in self.runs(r):
                 slower = self.journal.harmed(run.server, run.start, r.ended)
-                if run.start <= stop.start + self.world.lag or slower:
+                if run.start <= planned_stop.start + self.world.lag or slower:
                     return True
         return False
 
-    def crossed_close(self, r):
+    def raced_close(self, r):
         """Nobody read it: its connection was being closed."""
-        stopping = self.journal.touched(r.entry, r.sent - AFTER_S, r.ended)
+        stopping = self.journal.touched(r.entry, r.sent - FAULT_TAIL_S, r.ended)
         return not self.runs(r) and not r.answer_began and \
-            r.ended - r.sent < CROSSED_S and (r.reused or stopping)
+            r.ended - r.sent < CLOSE_RACE_S and (r.reused or stopping)
 
     def describe(self, r):
         at = self.journal.at
@@ -96,37 +96,37 @@
         stops = ["stop at %s" % at(s.start) for s in self.journal.stops(
             r.entry, r.sent, r.ended)]
         return "%s (%s, %d events) at %s, sent %s, ended %s; %s; ran: %s" % (
-            r.rid, r.kind, r.total, r.entry, at(r.sent), at(r.ended),
+            r.rid, r.kind, r.n_events, r.entry, at(r.sent), at(r.ended),
             ", ".join(stops) or "no stop", ", ".join(runs) or "nowhere")
 
-    def cuts(self):
+    def cut_answers(self):
         """Each request has an answer or a refusal."""
         for r in self.callers.requests:
-            if r.outcome != "cut" or self.way_harmed(r):
+            if r.outcome != "cut" or self.path_harmed(r):
                 continue
-            time_is_up = r.ended - r.sent >= r.limit_s - EARLY_S
-            if time_is_up or self.outlasted_stop(r) or self.crossed_close(r):
+            timed_out = r.ended - r.sent >= r.timeout_s - TIMEOUT_MARGIN_S
+            if timed_out or self.outlasted_stop(r) or self.raced_close(r):
                 continue
             self.fail("cut: " + self.describe(r))
 
-    def lost(self):
+    def bad_gateways(self):
         """A 502 says that nobody knows what became of the request. Where it
         ran nowhere, it was lost on the way to an endpoint.
         """
         for r in self.callers.requests:
-            if r.status != 502 or self.way_harmed(r) or \
+            if r.status != 502 or self.path_harmed(r) or \
                     self.outlasted_stop(r):
                 continue
-            if self.runs(r) or not self.any_harmed(r):
+            if self.runs(r) or not self.candidate_harmed(r):
                 self.fail("502 without a fault: " + self.describe(r))
 
-    def late(self):
+    def timeouts(self):
         """Each waiting request is answered in time."""
         for r in self.callers.requests:
-            if r.outcome == "late" and not self.way_harmed(r):
+            if r.outcome == "late" and not self.path_harmed(r):
                 self.fail("no answer in time: " + self.describe(r))
 
-    def doubled(self):
+    def duplicate_runs(self):
         """What can't be repeated runs at most once."""
         for r in self.callers.requests:
             n = len(self.runs(r))
@@ -137,12 +137,12 @@
         """An entry that isn't harmed takes callers until its stop closes."""
         for r in self.callers.requests:
             if r.outcome == "unreachable" and not self.journal.touched(
-                    r.entry, r.sent - AFTER_S, r.ended):
+                    r.entry, r.sent - FAULT_TAIL_S, r.ended):
                 self.fail("takes no callers: " + self.describe(r))
 
-    def left(self):
+    def cancelled(self):
         """Work of a caller who left is stopped, and none begins."""
-        bound = LEFT_S + self.world.lag
+        bound = CANCEL_BOUND_S + self.world.lag
         for r in self.callers.requests:
             if r.outcome != "left" or self.harmed(r.entry, r.sent, r.ended):
                 continue
@@ -153,9 +153,9 @@
                     self.fail("worked on %.2f s after its caller left: %s" % (
                         until - r.ended, self.describe(r)))
 
-    def leaving(self):
+    def draining(self):
         """A leaving endpoint gets no new work after its bound."""
-        bound = LEAVING_S + LIST_SLACK_S + self.world.lag
+        bound = LEAVING_S + LIST_DELAY_S + self.world.lag
         for rid, runs in self.world.runs.items():
             entry = self.world.sent_to.get(rid, "")
             for run in runs:
@@ -168,21 +168,21 @@
                                             self.journal.at(run.start),
                                             run.left_for))
 
-    def unasked(self):
+    def unsent(self):
         """Endpoints run only what callers have sent."""
         for rid in self.world.runs.keys() - self.world.sent_to.keys():
             self.fail("nobody sent %r, and it ran" % rid)
 
-    def repeats(self):
+    def retries(self):
         """Repeats over all entries stay in their share, in each window."""
         for service, arrived in self.world.arrivals.items():
-            known, firsts, again = set(), [], []
+            known, firsts_at, retries_at = set(), [], []
             for t, rid in arrived:
-                (again if rid in known else firsts).append(t)
+                (retries_at if rid in known else firsts_at).append(t)
                 known.add(rid)
-            for start in again:
-                n = within(again, start)
-                near = max(within(firsts, start - back) for back in (
+            for start in retries_at:
+                n = within(retries_at, start)
+                near = max(within(firsts_at, start - back) for back in (
                     0, WINDOW_S / 2, WINDOW_S))
                 if n > RETRY_RATIO * near + RETRY_SLACK:
                     self.fail("%s: %d repeats in a window with %d requests"
@@ -197,7 +197,7 @@
         calm = [t for t in self.world.loads if not any(
             self.journal.touched(c, t - LOADS_WINDOW_S, t) for c in controls)]
         n, start = most_in_window(calm, LOADS_WINDOW_S)
-        allowed = self.f.loads_per_s() * LOADS_WINDOW_S + LOADS_FREE
+        allowed = self.f.loads_per_s() * LOADS_WINDOW_S + LOADS_BURST
         if n > allowed:
             self.fail("%d loads from the store within %.0f s from %s, %.0f "
                       "are allowed" % (n, LOADS_WINDOW_S,
@@ -214,13 +214,13 @@
             late = [(t, rid) for t, rid in self.world.poison[body]
                     if t > ends[ENDS - 1] + CONTACT_S]
             calm = [rid for t, rid in late if not any(
-                self.journal.touched(name, t - CONTACT_S - AFTER_S, t)
+                self.journal.touched(name, t - CONTACT_S - FAULT_TAIL_S, t)
                 for name in [self.world.sent_to[rid], *controls])]
             if len(calm) > LATER:
                 self.fail("%r ended %d endpoints and was sent on %d times "
                           "more" % (body, len(ends), len(calm)))
 
-    def words(self):
+    def signals(self):
         """What endpoints say of themselves in their answers is heeded."""
         for check in (over_limit, over_rest, over_leaving):
             for text in check(self.f):
@@ -228,7 +228,7 @@
 
     def versions(self):
         """Streams go on at the version that began them, and mostly do."""
-        for text in mixed(self.world) + lost(self.f):
+        for text in mixed(self.world) + too_few_resumed(self.f):
             self.fail(text)
 
     def refusals(self):
@@ -239,25 +239,25 @@
                 self.fail("%d without a time to return: %s" % (
                     r.status, self.describe(r)))
 
-    def uneven(self):
+    def slow_engines(self):
         """Slow engines get fewer calls than fast ones beside them."""
         for text in slow_preferred(self.f):
             self.fail(text)
 
     def all(self):
         self.refusals()
-        self.uneven()
-        self.words()
+        self.slow_engines()
+        self.signals()
         self.versions()
         self.callers.check()
         self.unreachable()
-        self.left()
-        self.leaving()
-        self.unasked()
-        self.repeats()
+        self.cancelled()
+        self.draining()
+        self.unsent()
+        self.retries()
         self.store_loads()
-        self.doubled()
-        self.cuts()
-        self.lost()
-        self.late()
+        self.duplicate_runs()
+        self.cut_answers()
+        self.bad_gateways()
+        self.timeouts()
         self.poisoned()
--- a/test/fleet/soak_customer_checks.py
+++ b/test/fleet/soak_customer_checks.py
@@ -9,7 +9,7 @@
 
 # Requests of a class from which on its share is judged: with fewer the slack
 # could be more than 0.3.
-SHARE_FROM = 50
+MIN_SHARE_REQUESTS = 50
 # Standard deviations by which two shares may differ by chance.
 DEVIATIONS = 3.0
 
@@ -23,7 +23,7 @@
     def fail(self, text):
         self.world.faults.append(text)
 
-    def keys_stay(self):
+    def keys_withheld(self):
         """No key reaches an endpoint, and each is told whose request it is."""
         for r in self.callers.requests:
             for headers in self.world.heard.get(r.rid, []):
@@ -33,7 +33,7 @@
                     self.fail("%s: told to be of %r" % (
                         r.rid, headers.get("x-tenant")))
 
-    def none_refused(self):
+    def no_false_refusals(self):
         """Who has no limit is never refused for one."""
         for r in self.callers.requests:
             if r.status in (401, 403):
@@ -67,7 +67,7 @@
             got = [r.status != 429 for r in self.callers.requests
                    if r.kind == kind and (r.status == 429 or
                                           r.rid in self.world.runs)]
-            if len(got) >= SHARE_FROM:
+            if len(got) >= MIN_SHARE_REQUESTS:
                 out[kind] = len(got), sum(got) / len(got)
         return out
 
@@ -77,25 +77,25 @@
             if not share:
                 self.fail("%s: none of %d requests was served" % (kind, n))
 
-    def urgent_first(self):
+    def priority_order(self):
         """A less urgent class gets no larger share than a more urgent one,
         but by chance: the slack is that of two samples of one share. Costs
         are alike, so that requests count as tokens do.
         """
         shares = self.shares()
         for a, b in itertools.combinations(sorted(shares), 2):
-            (n_a, urgent), (n_b, patient) = shares[a], shares[b]
-            both = (n_a * urgent + n_b * patient) / (n_a + n_b)
+            (n_a, urgent), (n_b, less_urgent) = shares[a], shares[b]
+            both = (n_a * urgent + n_b * less_urgent) / (n_a + n_b)
             slack = DEVIATIONS * math.sqrt(
                 both * (1 - both) * (1 / n_a + 1 / n_b))
-            if patient > urgent + slack:
+            if less_urgent > urgent + slack:
                 self.fail("%s was served %.2f of %d requests, and %s %.2f of "
-                          "%d" % (b, patient, n_b, a, urgent, n_a))
+                          "%d" % (b, less_urgent, n_b, a, urgent, n_a))
 
     def all(self):
-        self.keys_stay()
-        self.none_refused()
+        self.keys_withheld()
+        self.no_false_refusals()
         for customer in LIMITS:
             self.limit_holds(customer)
         self.none_starved()
-        self.urgent_first()
+        self.priority_order()
--- a/test/fleet/soak_customers.py
+++ b/test/fleet/soak_customers.py
@@ -1,12 +1,12 @@
 """Customers of a soak, their keys and limits."""
 # The last one's limit is below what it sends; the others have none.
 CUSTOMERS = ("north", "south", "meter")
-PER_S = 60                     # tokens: some 400 a second are asked for
-PLAIN = 20                     # of a request that tells none
+METER_PER_S = 60                     # tokens: some 400 a second are asked for
+DEFAULT_TOKENS = 20                     # of a request that tells none
 # For some seconds its callers ask for several times its limit.
 SURGE = "surge"
 SURGE_PER_S = 150
-LIMITS = {CUSTOMERS[-1]: PER_S, SURGE: SURGE_PER_S}  # tokens a second
+LIMITS = {CUSTOMERS[-1]: METER_PER_S, SURGE: SURGE_PER_S}  # tokens a second
 
 
 def key(name):
@@ -25,7 +25,7 @@
     return {"Authorization": "Bearer " + key(name)}
 
 
-def listed(surge=False):
+def routing_customers(surge=False):
     """As a routing lists them."""
     names = [*CUSTOMERS, SURGE] if surge else CUSTOMERS
     out = [{"name": n, "keys": [key(n)]} for n in names]
@@ -33,9 +33,9 @@
         if c["name"] in LIMITS:
             per_s = LIMITS[c["name"]]
             c.update(unit="token", ratePerS=per_s, burst=per_s,
-                     rawTokens=PLAIN)
+                     rawTokens=DEFAULT_TOKENS)
     return out
 
 
 def cost(request):
-    return 10 + request.total if request.model else PLAIN
+    return 10 + request.n_events if request.model else DEFAULT_TOKENS
--- a/test/fleet/soak_faults.py
+++ b/test/fleet/soak_faults.py
@@ -13,8 +13,8 @@
 from soak_outage import outage
 from soak_poison import Sender
 from soak_uneven import slow_first_events
-from soak_versions import release
-from soak_words import ask_for_rest, name_limits
+from soak_versions import roll_out
+from soak_words import request_backoffs, state_rate_limits
 from standin import TO_CLIENT, TO_SERVER
 
 LEAVING_S = 3.0      # a leaving endpoint is left within it
@@ -22,7 +22,7 @@
 # its spare votes; two lost disks before that are more than three voters bear.
 JOINED = "event=joined"
 DROPPED = "event=drop_member "
-SLOWER = 5           # times that an engine slows down
+SLOWDOWN = 5           # times that an engine slows down
 
 
 def files_in(folder):
@@ -45,7 +45,7 @@
         self.kinds = [kind for name in only or self.rng.sample(names, n)
                       for kind in FAMILIES[name]]
 
-    def some(self, rng, role):
+    def pick_processes(self, rng, role):
         """A few processes of a role, at times all."""
         procs = self.f.of_role(role)
         n = rng.choice([1, 1, 2, len(procs)])
@@ -61,12 +61,12 @@
                 await asyncio.sleep(pause)
                 p.start()
 
-    async def stop(self, p, pause, beside=None):
+    async def stop(self, p, pause, during=None):
         """A planned stop, with something that happens beside it."""
         async with p.turn:
             with self.journal.span(p.name, "stop", planned=True):
-                task = asyncio.ensure_future(beside(p)) if beside else None
-                await p.stop_as_planned()
+                task = asyncio.ensure_future(during(p)) if during else None
+                await p.stop_gracefully()
                 if task:
                     await task
                 await asyncio.sleep(pause)
@@ -78,18 +78,18 @@
             await asyncio.sleep(seconds)
             p.send(signal.SIGCONT)
 
-    async def all(self, what, procs, rng):
+    async def run_for_each(self, what, procs, rng):
         await asyncio.gather(*[what(p, rng.uniform(0, 0.5)) for p in procs])
 
     async def kill_some(self, rng, role):
-        await self.all(self.kill, self.some(rng, role), rng)
+        await self.run_for_each(self.kill, self.pick_processes(rng, role), rng)
 
     async def freeze_some(self, rng, role):
         await asyncio.gather(*[self.freeze(p, rng.uniform(0.3, 3))
-                               for p in self.some(rng, role)])
+                               for p in self.pick_processes(rng, role)])
 
     async def stop_at_once(self, rng, role):
-        await self.all(self.stop, self.some(rng, role), rng)
+        await self.run_for_each(self.stop, self.pick_processes(rng, role), rng)
 
     async def stop_in_turn(self, rng, role):
         procs = self.f.of_role(role)
@@ -97,20 +97,20 @@
             await self.stop(p, rng.uniform(0, 0.3))
 
     async def stop_twice(self, rng, role):
-        async def again(p):
+        async def second_signal(p):
             await asyncio.sleep(rng.uniform(0, 1.5))
             p.send(signal.SIGTERM)
 
-        await self.stop(rng.choice(self.f.of_role(role)), 0.1, again)
+        await self.stop(rng.choice(self.f.of_role(role)), 0.1, second_signal)
 
     async def kill_in_stop(self, rng, role):
-        async def strike(p):
+        async def kill_later(p):
             await asyncio.sleep(rng.uniform(0, 3))
             if p.runs():
                 self.journal.note(p.name, "kill")
                 p.send(signal.SIGKILL)
 
-        await self.stop(rng.choice(self.f.of_role(role)), 0.1, strike)
+        await self.stop(rng.choice(self.f.of_role(role)), 0.1, kill_later)
 
     async def freeze_over_stop(self, rng, role):
         async def sleep(p):
@@ -125,18 +125,18 @@
         self.wiping = True
         i = rng.randrange(CONTROLS)
         p = self.f.procs["control-%d" % i]
-        dropped = self.said(DROPPED)
+        dropped = self.log_count(DROPPED)
         async with p.turn:
-            joined = self.said(JOINED, p.name)
+            joined = self.log_count(JOINED, p.name)
             with self.journal.span(p.name, "wipe"):
                 await p.end()
-                shutil.rmtree(self.f.data_of(i))
+                shutil.rmtree(self.f.data_dir(i))
                 self.f.control_settings(i, False)
                 p.start()
         end = time.monotonic() + 20
         while time.monotonic() < end:
-            if self.said(JOINED, p.name) > joined and \
-                    self.said(DROPPED) > dropped:
+            if self.log_count(JOINED, p.name) > joined and \
+                    self.log_count(DROPPED) > dropped:
                 self.wiping = False
                 return
             await asyncio.sleep(0.2)
@@ -150,16 +150,16 @@
         async with p.turn:
             p.check_runs()
             with self.journal.span(p.name, "disk full"):
-                most = max(os.path.getsize(f)
-                           for f in [p.log, *files_in(self.f.data_of(i))])
-                limit = most + rng.randrange(1, 2000)
+                largest = max(os.path.getsize(f)
+                           for f in [p.log, *files_in(self.f.data_dir(i))])
+                limit = largest + rng.randrange(1, 2000)
                 resource.prlimit(p.proc.pid, resource.RLIMIT_FSIZE,
                                  (limit, limit))
                 await p.ended(5.0)
                 await p.end()
                 p.start()
 
-    def said(self, text, name=None):
+    def log_count(self, text, name=None):
         """How often control VMs, or one process, have logged it."""
         names = [name] if name else [
             p.name for p in self.f.of_role("control")]
@@ -218,7 +218,7 @@
         e = rng.choice(self.f.engines)
         async with e.turn:
             step = e.step
-            e.step *= SLOWER
+            e.step *= SLOWDOWN
             self.journal.note(e.name, "slower")
             await asyncio.sleep(rng.uniform(1, 5))
             e.step = step
@@ -262,11 +262,11 @@
 
     async def link_one_way(self, rng, p):
         """Bytes of one direction vanish, also on new connections."""
-        way = rng.choice([TO_SERVER, TO_CLIENT])
-        p.deaf.add(way)
-        p.silence(way)
+        direction = rng.choice([TO_SERVER, TO_CLIENT])
+        p.deaf.add(direction)
+        p.silence(direction)
         await asyncio.sleep(rng.uniform(0.5, 3))
-        p.deaf.discard(way)
+        p.deaf.discard(direction)
         p.reset()
 
     # Much at once.
@@ -276,15 +276,15 @@
         zone = rng.choice(ZONES)
         servers = [s for s in self.f.servers if s.zone == zone]
         links = self.f.proxies_of([s.name for s in servers])
-        await asyncio.gather(self.all(self.kill, self.f.of_zone(zone), rng),
+        await asyncio.gather(self.run_for_each(self.kill, self.f.of_zone(zone), rng),
                              *[self.crash(rng, s) for s in servers],
                              *[self.link(rng, "refuse", p) for p in links])
 
     async def all_killed(self, rng):
-        await self.all(self.kill, list(self.f.procs.values()), rng)
+        await self.run_for_each(self.kill, list(self.f.procs.values()), rng)
 
     async def all_stopped(self, rng):
-        await self.all(self.stop, list(self.f.procs.values()), rng)
+        await self.run_for_each(self.stop, list(self.f.procs.values()), rng)
 
     async def exchange_seeds(self, seconds):
         """The addresses of all settings become others that serve control,
@@ -326,9 +326,9 @@
     async def run(self, seconds):
         tasks = [asyncio.ensure_future(self.exchange_seeds(seconds)),
                  asyncio.ensure_future(self.poison(seconds)),
-                 asyncio.ensure_future(name_limits(self, seconds)),
-                 asyncio.ensure_future(ask_for_rest(self, seconds)),
-                 asyncio.ensure_future(release(self, seconds)),
+                 asyncio.ensure_future(state_rate_limits(self, seconds)),
+                 asyncio.ensure_future(request_backoffs(self, seconds)),
+                 asyncio.ensure_future(roll_out(self, seconds)),
                  asyncio.ensure_future(slow_first_events(self, seconds)),
                  asyncio.ensure_future(outage(self, seconds))]
         end = time.monotonic() + seconds
--- a/test/fleet/soak_fleet.py
+++ b/test/fleet/soak_fleet.py
@@ -39,14 +39,14 @@
         self.role = name.split("-")[0]
         self.proc = None
         self.starts = 0
-        self.log_begin = 0   # where this start's lines begin
+        self.log_offset = 0   # where this start's lines begin
         # Faults overlap; two that restart one process take turns.
         self.turn = asyncio.Lock()
 
     def start(self):
         self.starts += 1
         with open(self.log, "ab") as out:
-            self.log_begin = out.tell()
+            self.log_offset = out.tell()
             self.proc = subprocess.Popen(self.argv, stdout=out, stderr=out,
                                          stdin=subprocess.DEVNULL, cwd=ROOT)
 
@@ -79,10 +79,10 @@
 
     def has_started(self):
         with open(self.log, "rb") as f:
-            f.seek(self.log_begin)
+            f.seek(self.log_offset)
             return b"event=start " in f.read()
 
-    async def stop_as_planned(self):
+    async def stop_gracefully(self):
         """SIGTERM; whether it ends in its bound and says that all is well."""
         self.check_runs()
         start = time.monotonic()
@@ -122,12 +122,12 @@
         self.servers = self.engines + self.webs
         self.frame_port, self.operator_port = free_port(), free_port()
         self.proxies = []
-        self.written = {}    # name -> settings of the process
+        self.process_settings = {}    # name -> settings of the process
         self.seeds = self.control_addrs()
         self.n_entries, self.n_relays = entries, relays
         self.entries = {}    # name -> address for callers
-        self.takers = []     # callers who take streams up
-        self.judged = (0, 0, 0, 0)  # of these: taken up, went on, new, began
+        self.resuming_callers = []     # callers who take streams up
+        self.resume_counts = (0, 0, 0, 0)  # of these: taken up, went on, new, began
 
     def draw_speeds(self, rng):
         """Engines differ; in half of the runs one is far slower."""
@@ -179,7 +179,7 @@
     def exchange_seeds(self, addrs):
         """Other addresses in all settings files, as at the next start."""
         self.seeds = list(addrs)
-        for name, settings in self.written.items():
+        for name, settings in self.process_settings.items():
             settings["control"] = self.seeds
             self.write_settings(name)
 
@@ -187,7 +187,7 @@
         """Whole or not at all: a process may be reading it."""
         path = self.settings_path(name)
         with open(path + ".new", "w") as f:
-            json.dump(self.written[name], f)
+            json.dump(self.process_settings[name], f)
         os.replace(path + ".new", path)
         return path
 
@@ -200,14 +200,14 @@
              "listen": listen, "control": self.seeds}
         s.update(more)
         s["fleet"] = dict(more.get("fleet", {}), on=True)
-        self.written[name] = s
+        self.process_settings[name] = s
         return self.write_settings(name)
 
     def add(self, name, path):
         self.procs[name] = Process(name, [self.daemon, path], os.path.join(
             self.folder, name + ".log"), self.world)
 
-    def data_of(self, i):
+    def data_dir(self, i):
         return os.path.join(self.folder, "data-%d" % i)
 
     def control_settings(self, i, first):
@@ -215,7 +215,7 @@
         return self.settings(
             "control-%d" % i, "control", "%s:%d" % (own, self.frame_port),
             advertise="%s:%d" % (self.control_ip(i), self.frame_port),
-            control_vm={"data": self.data_of(i), "found_group": first},
+            control_vm={"data": self.data_dir(i), "found_group": first},
             fleet={**QUOTA_SLACK, "operator_listen": "%s:%d" % (own, self.operator_port),
                    "vm_list": self.listing.addr})
 
--- a/test/fleet/soak_http.py
+++ b/test/fleet/soak_http.py
@@ -4,7 +4,7 @@
 from standin import read_head
 
 
-class Ended(EOFError):
+class ConnectionClosed(EOFError):
     """The connection ended before the answer did."""
 
 
@@ -33,7 +33,7 @@
         got = await read_head(self.reader)
         if not got:
             self.close()
-            raise Ended
+            raise ConnectionClosed
         line, fields = got
         if fields.get("connection") == "close":
             self.open = False
@@ -49,14 +49,14 @@
             while True:
                 size = int((await self.reader.readline()).strip() or b"-1", 16)
                 if size < 0:
-                    raise Ended
+                    raise ConnectionClosed
                 chunk = await self.reader.readexactly(size + 2)
                 if size == 0:
                     return
                 yield chunk[:-2]
-        except (asyncio.IncompleteReadError, ConnectionError, Ended) as e:
+        except (asyncio.IncompleteReadError, ConnectionError, ConnectionClosed) as e:
             self.close()
-            raise Ended from e
+            raise ConnectionClosed from e
 
 
 async def connect(addr):
--- a/test/fleet/soak_journal.py
+++ b/test/fleet/soak_journal.py
@@ -38,10 +38,10 @@
         with self.span(name, what):
             pass
 
-    def harmed(self, name, since, until, but=()):
+    def harmed(self, name, since, until, ignoring=()):
         """Was it harmed without a plan in that time?"""
         return any(s.touches(since, until) for s in self.spans.get(name, ())
-                   if not s.planned and s.what not in but)
+                   if not s.planned and s.what not in ignoring)
 
     def touched(self, name, since, until):
         return any(s.touches(since, until) for s in self.spans.get(name, ()))
--- a/test/fleet/soak_operators.py
+++ b/test/fleet/soak_operators.py
@@ -15,11 +15,11 @@
 from soak_fleet import engine_parts
 from soak_http import http
 
-MARKS = 40           # versions back that a routing still has a route for
+KEPT_VERSIONS = 40           # versions back that a routing still has a route for
 APPLY_S = 3.0        # an acknowledged change is in force everywhere
-CONTACT_S = 5.0      # that bound holds so long after the last fault
-RACING_SHARE = 0.25  # changes under a number that was already asked for
-ASK_S = 2.0
+CALM_S = 5.0      # that bound holds so long after the last fault
+REUSED_VERSION_SHARE = 0.25  # changes under a number that was already asked for
+CALL_TIMEOUT_S = 2.0
 CLASS_GOALS_MS = (500, 1000, 4000)   # by priority
 
 
@@ -42,7 +42,7 @@
         route("night", "/night/", "stream", "lm", t["night"], attempts=2,
               goalMs=2000, resumable=True)]
     routes += [mark("v%d" % k, "/v/%d/" % k)
-               for k in range(max(1, version - MARKS), version + 1)]
+               for k in range(max(1, version - KEPT_VERSIONS), version + 1)]
     routes.append(mark("w" + label, "/w/%s/" % label))
     if any(c["name"] == SURGE for c in customers or ()):
         routes += [route(name, "/%s/" % name, "stream", "lm", t[name],
@@ -88,7 +88,7 @@
         for _ in range(3):
             try:
                 status, headers, got = await asyncio.wait_for(
-                    http(addr, method, path, body), ASK_S)
+                    http(addr, method, path, body), CALL_TIMEOUT_S)
             except (OSError, asyncio.TimeoutError, EOFError):
                 return 0, b""
             if status != 307:
@@ -97,7 +97,7 @@
         return 0, b""
 
     def pick_version(self):
-        if self.version and self.rng.random() < RACING_SHARE:
+        if self.version and self.rng.random() < REUSED_VERSION_SHARE:
             return self.version
         self.version += 1
         return self.version
@@ -147,16 +147,16 @@
         try:
             status, _, _ = await asyncio.wait_for(
                 http(self.f.entries[entry], "POST", path, b"",
-                     {"X-Request-Id": rid}), ASK_S + 1)
+                     {"X-Request-Id": rid}), CALL_TIMEOUT_S + 1)
         except (OSError, asyncio.TimeoutError, EOFError):
             return 0
         return status
 
-    def calm(self, entry, sent):
+    def undisturbed(self, entry, sent):
         """No fault touched this entry or a control VM for long enough."""
         names = [entry] + [p.name for p in self.f.of_role("control")]
         return not any(self.f.journal.touched(
-            n, sent - CONTACT_S, time.monotonic()) for n in names)
+            n, sent - CALM_S, time.monotonic()) for n in names)
 
     def due(self):
         """The newest version that must be in force everywhere by now."""
@@ -164,59 +164,59 @@
         return max([v for v, at in self.acked_at.items() if at < before],
                    default=0)
 
-    async def probe_mark(self, entry, version):
+    async def probe_version(self, entry, version):
         """Whether this entry follows a version or a newer one."""
         start, sent = self.f.procs[entry].starts, time.monotonic()
-        late = version <= self.due()
+        overdue = version <= self.due()
         status = await self.probe(entry, "/v/%d/x" % version)
         if self.f.procs[entry].starts != start:
             return False
         if status == 200:
             self.seen[(entry, start)] = max(
                 version, self.seen.get((entry, start), 0))
-        elif status == 404 and late and self.calm(entry, sent):
+        elif status == 404 and overdue and self.undisturbed(entry, sent):
             self.fail("%s doesn't follow %d, acknowledged %.1f s before" % (
                 entry, version, sent - self.acked_at[version]))
         return status == 200
 
-    async def probe_seen(self, entry):
+    async def probe_rollback(self, entry):
         """A started entry never goes back behind what it has served."""
         start = self.f.procs[entry].starts
         version = self.seen.get((entry, start), 0)
-        if not version or version < self.version - MARKS // 2:
+        if not version or version < self.version - KEPT_VERSIONS // 2:
             return
         status = await self.probe(entry, "/v/%d/x" % version)
         if status == 404 and self.f.procs[entry].starts == start:
             self.fail("%s went back before %d" % (entry, version))
 
-    async def probe_other(self, entry):
+    async def probe_race_loser(self, entry):
         """What lost a race for its number is in force nowhere."""
-        raced = [n for n in self.content if len(self.asked[n]) > 1]
-        if not raced:
+        contested = [n for n in self.content if len(self.asked[n]) > 1]
+        if not contested:
             return
-        n = max(raced)
+        n = max(contested)
         label = self.rng.choice(sorted(self.asked[n] - {self.content[n]}))
         if await self.probe(entry, "/w/%s/x" % label) == 200:
             self.fail("%s follows what lost a race for its number" % entry)
 
     # Their rounds.
 
-    async def change(self, callers):
+    async def change_routing(self, callers):
         while callers.on:
             await self.put()
             await self.get()
             await asyncio.sleep(self.rng.uniform(0.1, 0.6))
 
-    async def watch(self, callers):
+    async def probe_entries(self, callers):
         while callers.on:
             entry = self.rng.choice(sorted(self.f.entries))
-            await self.probe_mark(entry, self.acked)
+            await self.probe_version(entry, self.acked)
             if self.due():
-                await self.probe_mark(entry, self.due())
-            await self.probe_seen(entry)
-            await self.probe_other(entry)
+                await self.probe_version(entry, self.due())
+            await self.probe_rollback(entry)
+            await self.probe_race_loser(entry)
             await asyncio.sleep(0.05)
 
     def loops(self, callers):
-        return [self.change(callers), self.change(callers),
-                self.watch(callers), self.watch(callers)]
+        return [self.change_routing(callers), self.change_routing(callers),
+                self.probe_entries(callers), self.probe_entries(callers)]
--- a/test/fleet/soak_outage.py
+++ b/test/fleet/soak_outage.py
@@ -5,7 +5,7 @@
 import time
 
 ALL_ANSWERS = 10 ** 9
-LONGEST_S = 8.0
+MAX_OUTAGE_S = 8.0
 
 
 async def outage(faults, seconds):
@@ -20,14 +20,14 @@
     servers = [s for s in faults.f.servers if s.service == service]
     faults.log.append("%s outage of %s" % (
         faults.journal.at(time.monotonic()), service))
-    end = time.monotonic() + min(LONGEST_S, seconds)
+    end = time.monotonic() + min(MAX_OUTAGE_S, seconds)
     with contextlib.ExitStack() as spans:
         for s in servers:
             spans.enter_context(faults.journal.span(s.name, "outage"))
             s.lose = ALL_ANSWERS
         for _ in range(rng.randrange(1, 4)):
             await asyncio.sleep(rng.uniform(0.5, 1.5))
-            await faults.all(faults.kill, faults.f.of_role("entry"), rng)
+            await faults.run_for_each(faults.kill, faults.f.of_role("entry"), rng)
         await asyncio.sleep(max(end - time.monotonic(), 0))
         for s in servers:
             s.lose = 0
--- a/test/fleet/soak_poison.py
+++ b/test/fleet/soak_poison.py
@@ -3,13 +3,13 @@
 import time
 
 from soak_customers import CUSTOMERS, bearer
-from soak_http import Ended, http
+from soak_http import ConnectionClosed, http
 
 # Endpoints that a request may end before it has to be stopped everywhere.
 ENDS = 3
 CONTACT_S = 3.0      # after the last of them it is known everywhere
 LATER = 3            # how often it may reach an endpoint after that
-EVERY_S = 0.25
+INTERVAL_S = 0.25
 
 
 class Sender:
@@ -17,9 +17,9 @@
     ids; body and path stay.
     """
 
-    def __init__(self, fleet, name, path="/chat/", every_s=EVERY_S, **headers):
+    def __init__(self, fleet, name, path="/chat/", interval_s=INTERVAL_S, **headers):
         self.f = fleet
-        self.every_s = every_s
+        self.interval_s = interval_s
         self.path = path + name
         self.body = b"poison " + name.encode()
         self.headers = headers
@@ -38,7 +38,7 @@
             status, fields, _ = await asyncio.wait_for(http(
                 self.f.entries[entry], "POST", self.path, self.body, headers),
                 5.0)
-        except (OSError, EOFError, Ended, asyncio.TimeoutError):
+        except (OSError, EOFError, ConnectionClosed, asyncio.TimeoutError):
             status, fields = 0, {}
         self.answers.append((time.monotonic(), entry, status, fields))
 
@@ -47,7 +47,7 @@
         while self.on:
             entry = sorted(self.f.entries)[self.n % len(self.f.entries)]
             tasks.append(asyncio.ensure_future(self.one(entry)))
-            await asyncio.sleep(self.every_s)
+            await asyncio.sleep(self.interval_s)
         await asyncio.gather(*tasks)
 
     def ends(self):
--- a/test/fleet/soak_surge.py
+++ b/test/fleet/soak_surge.py
@@ -6,54 +6,54 @@
 
 from soak_callers import CLASSES, Request
 
-LONGEST = 7          # events: costs are alike, and within the burst
+MAX_EVENTS = 7          # events: costs are alike, and within the burst
 CALLERS = 2          # of each class and manner
-OFTEN_S = 0.1
-MOST_S = 1.0         # longest wait that a caller honours
-BEGIN_S, LAST_S = 2.0, 15.0
+EAGER_RETRY_S = 0.1
+MAX_WAIT_S = 1.0         # longest wait that a caller honours
+MAX_START_S, SURGE_S = 2.0, 15.0
 
 
-def when_told(told_s):
-    return told_s
+def when_told(retry_after_s):
+    return retry_after_s
 
 
-def early(told_s):
-    return told_s / 4
+def early(retry_after_s):
+    return retry_after_s / 4
 
 
-def often(_told_s):
-    return OFTEN_S
+def often(_retry_after_s):
+    return EAGER_RETRY_S
 
 
-MANNERS = (when_told, early, often)
+RETRY_POLICIES = (when_told, early, often)
 
 
-def pause_s(r, manner, rng):
+def pause_s(r, policy, rng):
     """Until the caller's next request."""
     if r.status in (429, 503) and r.retry_after:
-        return min(manner(float(r.retry_after)), MOST_S)
+        return min(policy(float(r.retry_after)), MAX_WAIT_S)
     return rng.random() * 0.1
 
 
-async def caller(callers, kind, manner, seed, begin_s):
+async def surge_caller(callers, kind, policy, seed, start_s):
     rng = random.Random(seed)
-    entries, lines = sorted(callers.f.entries), {}
-    await asyncio.sleep(begin_s)
-    end = asyncio.get_running_loop().time() + LAST_S
+    entries, connections = sorted(callers.f.entries), {}
+    await asyncio.sleep(start_s)
+    end = asyncio.get_running_loop().time() + SURGE_S
     while callers.on and asyncio.get_running_loop().time() < end:
-        callers.surged += 1
-        r = Request("u%d" % callers.surged, kind, rng.choice(entries), rng,
-                    LONGEST)
-        await callers.one(r, lines)
-        await asyncio.sleep(pause_s(r, manner, rng))
-    for c in lines.values():
+        callers.n_surge += 1
+        r = Request("u%d" % callers.n_surge, kind, rng.choice(entries), rng,
+                    MAX_EVENTS)
+        await callers.send_request(r, connections)
+        await asyncio.sleep(pause_s(r, policy, rng))
+    for c in connections.values():
         c.close()
 
 
 def surge(callers, seed):
     """Tasks; each class has as many callers of each manner."""
-    begin_s = random.Random("surge %d" % seed).uniform(0, BEGIN_S)
-    return [asyncio.ensure_future(caller(
-        callers, kind, manner, "%s %s %d %d" % (
-            kind, manner.__name__, i, seed), begin_s))
-            for kind in CLASSES for manner in MANNERS for i in range(CALLERS)]
+    start_s = random.Random("surge %d" % seed).uniform(0, MAX_START_S)
+    return [asyncio.ensure_future(surge_caller(
+        callers, kind, policy, "%s %s %d %d" % (
+            kind, policy.__name__, i, seed), start_s))
+            for kind in CLASSES for policy in RETRY_POLICIES for i in range(CALLERS)]
--- a/test/fleet/soak_uneven.py
+++ b/test/fleet/soak_uneven.py
@@ -10,41 +10,41 @@
 FAST_S = 2 * STEP
 SLOW_S = 4 * FAST_S
 # What was harmed is used again gradually.
-AFTER_S = 5.0
+FAULT_TAIL_S = 5.0
 # Callers of one model: so many that several engines hold it.
-CALLERS, LONGEST = 6, 7
+CALLERS, MAX_EVENTS = 6, 7
 # With fewer calls chance alone could give the slow ones an even share.
-JUDGED_FROM = 30
+MIN_JUDGED_CALLS = 30
 
 
-def begin_uneven(fleet, seed):
+def draw_first_event_delays(fleet, seed):
     """Some engines are slow to their first event in half of the runs."""
     rng = random.Random("uneven %d" % seed)
     if not fleet.n_relays or rng.random() < 0.5:
         return
-    some = max(1, len(fleet.engines) // 3)
-    for e in rng.sample(fleet.engines, rng.randint(1, some)):
+    most = max(1, len(fleet.engines) // 3)
+    for e in rng.sample(fleet.engines, rng.randint(1, most)):
         e.first_s = rng.uniform(1, 2) * SLOW_S
 
 
-async def caller(callers, seed, model):
+async def model_caller(callers, seed, model):
     rng = random.Random(seed)
-    entries, lines = sorted(callers.f.entries), {}
+    entries, connections = sorted(callers.f.entries), {}
     while callers.on:
         callers.n += 1
         r = Request("q%d" % callers.n, "night", rng.choice(entries), rng,
-                    LONGEST)
+                    MAX_EVENTS)
         r.model = model
-        await callers.one(r, lines)
+        await callers.send_request(r, connections)
         await asyncio.sleep(rng.random() * 0.1)
-    for c in lines.values():
+    for c in connections.values():
         c.close()
 
 
 def call_one_model(callers, seed):
     """Tasks of callers to whom several engines are open."""
     model = random.Random("one model %d" % seed).choice(sorted(MODELS))
-    return [asyncio.ensure_future(caller(
+    return [asyncio.ensure_future(model_caller(
         callers, "one model %d %d" % (seed, i), model))
             for i in range(CALLERS)]
 
@@ -64,38 +64,38 @@
             e.first_s = 0.0
 
 
-def sound_holders(fleet, entry, run):
+def comparable_holders(fleet, entry, run):
     """Engine -> time to its first event: of the entry's failure domain, as
     near ones are preferred, and neither harmed nor limited.
     """
     zone = fleet.zone(int(entry.split("-")[1]))
     return {e: s for e, s in run.holders.items()
             if e.zone == zone and not e.named and not fleet.journal.touched(
-                e.name, run.start - AFTER_S, run.start)}
+                e.name, run.start - FAULT_TAIL_S, run.start)}
 
 
 def count_slow(fleet):
     """(calls with fast and slow engines to choose from, how many went to slow
     ones, how many would with even shares).
     """
-    n, to_slow, even = 0, 0, 0.0
+    n, to_slow, even_share = 0, 0, 0.0
     for rid, runs in fleet.world.runs.items():
         entry = fleet.world.sent_to.get(rid, "")
         for run in runs if entry in fleet.entries else []:
-            times = {e.name: s for e, s in sound_holders(
+            times = {e.name: s for e, s in comparable_holders(
                 fleet, entry, run).items() if s <= FAST_S or s >= SLOW_S}
             slow = [name for name, s in times.items() if s >= SLOW_S]
             if run.server in times and 0 < len(slow) < len(times):
                 n += 1
                 to_slow += run.server in slow
-                even += len(slow) / len(times)
-    return n, to_slow, even
+                even_share += len(slow) / len(times)
+    return n, to_slow, even_share
 
 
 def slow_preferred(fleet):
     """Slow engines that got as many calls as fast ones, as text."""
-    n, to_slow, even = count_slow(fleet)
-    if n < JUDGED_FROM or to_slow < even:
+    n, to_slow, even_share = count_slow(fleet)
+    if n < MIN_JUDGED_CALLS or to_slow < even_share:
         return []
     return ["slow engines got %d of %d calls, with even shares %.0f" % (
-        to_slow, n, even)]
+        to_slow, n, even_share)]
--- a/test/fleet/soak_versions.py
+++ b/test/fleet/soak_versions.py
@@ -6,7 +6,7 @@
 import time
 
 from soak_customers import CUSTOMERS, bearer
-from soak_http import Ended, connect
+from soak_http import ConnectionClosed, connect
 from standin import MODELS
 
 DEADLINE_S = 8.0
@@ -15,13 +15,13 @@
 PAUSE_S = 0.05
 # Of a run with relays: callers who take streams up, and restarts of engines as
 # other versions.
-TAKERS = 4
+RESUMING_CALLERS = 4
 VERSIONS = ["v1", "v2", "v3"]
 # Of the promise: of the streams that are taken up while two endpoints of their
 # version serve, half as many go on as new ones begin; judged from so many on.
-JUDGED_FROM, SHARE = 12, 0.5
+MIN_RESUMED, MIN_RESUME_RATIO = 12, 0.5
 # A process that was harmed needs so long until it is in touch.
-AFTER_S = 3.0
+FAULT_TAIL_S = 3.0
 
 
 class Taker:
@@ -29,10 +29,10 @@
     whole; entries are asked in turn, the last of them again and again.
     """
 
-    def __init__(self, fleet, name, model, total, entries, leaves_at=None):
+    def __init__(self, fleet, name, model, total, entries, disconnects_at=None):
         self.f, self.name, self.model = fleet, name, model
         self.total, self.entries = total, entries
-        self.leaves_at = leaves_at   # its connection ends after that event
+        self.disconnects_at = disconnects_at   # its connection ends after that event
         self.first = None    # request whose answer brought the first event
         self.events = 0      # that have come
         self.taken = 0       # tries with which it went on
@@ -72,15 +72,15 @@
                 if status == 200 and part:
                     self.first = self.first or rid
                     self.events += part.count(b"\n\n")
-                if self.leaves_at and self.events >= self.leaves_at:
-                    self.leaves_at = None
-                    raise Ended
+                if self.disconnects_at and self.events >= self.disconnects_at:
+                    self.disconnects_at = None
+                    raise ConnectionClosed
             self.whole = status == 200 and self.events == self.total
             self.tries.append((rid, entry, status, self.events))
             if status != 200:
                 self.refused += 1
             return float(fields.get("retry-after", PAUSE_S))
-        except Ended:
+        except ConnectionClosed:
             self.tries.append((rid, entry, "ended", self.events))
             return PAUSE_S
         finally:
@@ -128,13 +128,13 @@
     return out
 
 
-def share_of(takers):
+def share_of(resuming_callers):
     """Of those who took a stream up: how many got the rest of it."""
-    taken = [t for t in takers if t.taken]
+    taken = [t for t in resuming_callers if t.taken]
     return sum(t.whole for t in taken) / len(taken) if taken else 1.0
 
 
-async def take_up(fleet, callers, seed):
+async def resume_streams(fleet, callers, seed):
     """Streams, one after the other, that break off and are taken up."""
     rng = random.Random("takers %d" % seed)
     entries, n = sorted(fleet.entries), 0
@@ -144,18 +144,18 @@
         t = Taker(fleet, "t%d.%d" % (seed, n), rng.choice(sorted(MODELS)),
                   total, rng.sample(entries, min(3, len(entries))),
                   rng.randrange(1, total) if rng.random() < 0.6 else None)
-        fleet.takers.append(t)
+        fleet.resuming_callers.append(t)
         await t.run()
         await asyncio.sleep(rng.random() * 0.1)
 
 
-def begin_with_versions(fleet, seed):
+def draw_versions(fleet, seed):
     rng = random.Random("versions %d" % seed)
     for e in fleet.engines if fleet.n_relays else []:
         e.version = rng.choice(VERSIONS[:2])
 
 
-async def release(faults, seconds):
+async def roll_out(faults, seconds):
     """Engines start again as another version, under their id at times."""
     rng = random.Random("releases %d" % faults.seed)
     for _ in range(rng.randrange(1, 5) if faults.f.n_relays else 0):
@@ -167,46 +167,46 @@
         await e.restart(rng.uniform(0.1, 1), version, rng.random() < 0.5)
 
 
-def calm(fleet, entry, since, until):
+def undisturbed(fleet, entry, since, until):
     """In touch: neither the entry nor a control VM was harmed or stopped."""
     names = [entry] + [p.name for p in fleet.of_role("control")]
-    return not any(fleet.journal.touched(n, since - AFTER_S, until)
+    return not any(fleet.journal.touched(n, since - FAULT_TAIL_S, until)
                    for n in names)
 
 
-def served_by_two(fleet, version, since, until):
+def two_engines_serve(fleet, version, since, until):
     """Engines that were of that version, and sound, all the while."""
     return sum(e.version == version and
-               not fleet.journal.touched(e.name, since - AFTER_S, until) and
+               not fleet.journal.touched(e.name, since - FAULT_TAIL_S, until) and
                not fleet.journal.touched(e.name.replace("engine", "agent"),
-                                         since - AFTER_S, until)
+                                         since - FAULT_TAIL_S, until)
                for e in fleet.engines) >= 2
 
 
-def any_came(tries):
+def any_events(tries):
     """Of a caller's tries at one stream: whether events came in some; None
     where there were no tries.
     """
-    return any(came for *_, came in tries) if tries else None
+    return any(had_events for *_, had_events in tries) if tries else None
 
 
-def lost(fleet):
+def too_few_resumed(fleet):
     """Streams that were taken up at sound entries, and went on too seldom, as
     text. All tries at a stream count as one, as the promise is on streams.
     """
     new, taken = [], []
-    for t in fleet.takers:
-        in_touch = [s for s in t.spans if calm(fleet, s[3], s[1], s[2])]
-        new.append(any_came([s for s in in_touch if not s[0]]))
-        taken.append(any_came([s for s in in_touch if s[0] and served_by_two(
+    for t in fleet.resuming_callers:
+        in_touch = [s for s in t.spans if undisturbed(fleet, s[3], s[1], s[2])]
+        new.append(any_events([s for s in in_touch if not s[0]]))
+        taken.append(any_events([s for s in in_touch if s[0] and two_engines_serve(
             fleet, t.version, s[1], s[2])]))
-    new = [came for came in new if came is not None]
-    taken = [came for came in taken if came is not None]
-    fleet.judged = (len(taken), sum(taken), len(new), sum(new))
-    if len(taken) < JUDGED_FROM or not new:
+    new = [had_events for had_events in new if had_events is not None]
+    taken = [had_events for had_events in taken if had_events is not None]
+    fleet.resume_counts = (len(taken), sum(taken), len(new), sum(new))
+    if len(taken) < MIN_RESUMED or not new:
         return []
     share, begin = sum(taken) / len(taken), sum(new) / len(new)
-    if share >= SHARE * begin:
+    if share >= MIN_RESUME_RATIO * begin:
         return []
     return ["%.2f of %d streams that were taken up went on, %.2f of %d new ones "
             "began" % (share, len(taken), begin, len(new))]
--- a/test/fleet/soak_words.py
+++ b/test/fleet/soak_words.py
@@ -14,14 +14,14 @@
 # An endpoint that asked a VM for rest gets no more from it, from so long after
 # that on, until the rest is over; one that said so that it leaves gets nothing
 # from so long after that on.
-HEARD_S, MOST_IN_REST = 0.5, 2
+BACKOFF_DELAY_S, MAX_IN_BACKOFF = 0.5, 2
 DRAIN_S = 3.0
 # A process that was harmed needs so long to hear again.
-AFTER_S = 2.5
-LIMITS = [0.5, 1, 2, 5]
+FAULT_TAIL_S = 2.5
+RATE_LIMITS = [0.5, 1, 2, 5]
 
 
-async def name_limits(faults, seconds):
+async def state_rate_limits(faults, seconds):
     """Endpoints name a limit for some seconds, beside all else. Drawn apart,
     so that schedules of old seeds stay.
     """
@@ -33,7 +33,7 @@
             continue
         faults.log.append("%s limit of %s" % (
             faults.journal.at(time.monotonic()), server.name))
-        server.name_limit(rng.choice(LIMITS))
+        server.name_limit(rng.choice(RATE_LIMITS))
         await asyncio.sleep(rng.uniform(2, 8))
         server.drop_limit()
 
@@ -51,7 +51,7 @@
             times = [t for t, rid, _ in s.got
                      if rid is not None and since + CONTACT_S + world.lag <= t <= end and
                      not world.journal.harmed(world.sent_to.get(rid, ""),
-                                              since - AFTER_S, t)]
+                                              since - FAULT_TAIL_S, t)]
             worst, _ = most_in_window(times, WINDOW_S)
             allowed = RATIO * per_s * WINDOW_S + EXTRA
             if worst > allowed:
@@ -78,11 +78,11 @@
     for s in fleet.servers:
         for sender in senders(s, s.asked):
             got = [t for t, _ in sent_by(s, sender)]
-            for at, whom, rest_s in s.asked:
-                if whom != sender or forgot(fleet, s, sender, at, at + rest_s):
+            for at, receiver, rest_s in s.asked:
+                if receiver != sender or sender_disturbed(fleet, s, sender, at, at + rest_s):
                     continue
-                n = sum(at + HEARD_S + lag < t < at + rest_s for t in got)
-                if n > MOST_IN_REST:
+                n = sum(at + BACKOFF_DELAY_S + lag < t < at + rest_s for t in got)
+                if n > MAX_IN_BACKOFF:
                     out.append("%s asked %s for %s s of rest and got %d "
                                "requests in them" % (s.name, sender, rest_s, n))
                     break
@@ -99,14 +99,14 @@
         for (sender, instance), at in first.items():
             late = [t for t, i in sent_by(s, sender)
                     if i == instance and t > at + DRAIN_S + lag and
-                    not forgot(fleet, s, sender, at, t)]
+                    not sender_disturbed(fleet, s, sender, at, t)]
             if late and sender != AGENT:
                 out.append("%s said to %s that it leaves and got a request "
                            "%.2f s later" % (s.name, sender, late[0] - at))
     return out
 
 
-def forgot(fleet, server, sender, since, until):
+def sender_disturbed(fleet, server, sender, since, until):
     """The sender was killed, frozen or stopped since."""
     name = sender
     if sender == AGENT:
@@ -114,7 +114,7 @@
     return fleet.world.journal.touched(name, since, until)
 
 
-async def ask_for_rest(faults, seconds):
+async def request_backoffs(faults, seconds):
     """Endpoints turn everything away for some seconds, and ask for rest."""
     rng = random.Random("rests %d" % faults.seed)
     for _ in range(rng.randrange(0, 3) if faults.f.n_relays else 0):
