--- a/test/fleet/look.py
+++ b/test/fleet/look.py
@@ -1,4 +1,4 @@
-"""What a fleet's logs and operators' calls tell of it."""
+"""Queries of a running fleet: process logs and the current leader."""
 import asyncio
 import os
 
@@ -22,7 +22,7 @@
 
 
 async def leader_of(fleet):
-    """The number of the control VM that answers a read itself."""
+    """Index of the control VM that answers a read without a redirect."""
     for i in range(CONTROLS):
         addr = "%s:%d" % (fleet.control_ip(i), fleet.operator_port)
         try:
@@ -36,6 +36,6 @@
 
 
 def logged(fleet, text):
-    """How often, on all control VMs."""
+    """Number of occurrences in the logs of all control VMs."""
     return sum(log_count(fleet, "control-%d" % i, text)
                for i in range(CONTROLS))
