--- a/test/fleet/soak.py
+++ b/test/fleet/soak.py
@@ -1,10 +1,10 @@
-"""A randomized soak of a fleet: real processes on one machine, faults from
-outside, and checks of what callers and endpoints saw.
+"""Randomized soak test of a fleet: real processes on one machine, injected
+faults, and checks of what callers and endpoints observed.
 
     soak.py --seeds 1-50 [--seconds 15] [--size 24]
 
-The schedule of faults follows the seed; the processes' own timing does not,
-so a seed that failed is kept in REGRESSIONS and played each time.
+The seed determines the schedule of faults but not the timing of the processes,
+so a seed that has failed is kept in REGRESSIONS and runs every time.
 """
 import argparse
 import asyncio
@@ -22,40 +22,42 @@
 from soak_customers import routing_customers
 from soak_operators import Operators
 from soak_surge import surge
-from soak_uneven import draw_first_event_delays, call_one_model
+from soak_uneven import call_one_model, draw_first_event_delays
 from soak_versions import RESUMING_CALLERS, draw_versions, resume_streams
 
-# Seeds that failed once, with the time of their faults, their size and the
-# cause. They are played as they were then, without relays.
+# Seeds that have failed: (seconds of faults, size), each with the cause of the
+# failure. They run with the options that they failed with, without relays.
 REGRESSIONS = {
-    # A wiped control VM asked only the addresses of its settings to join;
-    # the leader was none of them, and followers didn't name it. The scenario
-    # wiped_vm_finds_a_leader_it_doesnt_know plays just that sequence. Here a
-    # planned stop cut a stream on the one slow engine of four, of which the
-    # entry had seen nothing yet and took it for one of the others.
+    # A wiped control VM sent its join request only to the addresses in its
+    # settings; the leader was not among them, and followers did not name it.
+    # The scenario wiped_vm_finds_a_leader_it_doesnt_know covers that sequence
+    # alone. In this run a planned stop cut a stream on the one slow engine of
+    # four: the entry had no measurements of it and assumed the others' speed.
     22: (6.0, 7),
-    # A planned stop began streams by a time for each token that engines of
-    # another deployment need; on slower ones it cut them in their midst.
+    # During a planned stop, an entry started streams by a time per token that
+    # holds for engines of another deployment; on slower engines it cut them
+    # before their end.
     403: (8.0, 24),
-    # An entry's estimate of a stream's time is by model, over all engines: of
-    # one ten times slower than the others' it knew little, and in its planned
-    # stop began streams there that its end cut.
+    # An entry estimated a stream's duration by model, over all engines. It had
+    # few measurements of one engine ten times slower than the others, and
+    # during its planned stop started streams there that its exit cut.
     416: (8.0, 24),
-    # A process some seconds old took lower bounds for figures: the events of
-    # a stream under way for its length, the time until a caller left for the
-    # time that answers take. Its planned stop began long streams and cut them.
+    # A process a few seconds old took lower bounds for measurements: the
+    # events so far of a running stream for its length, and the time until a
+    # caller disconnected for the time that answers take. During its planned
+    # stop it started long streams and cut them.
     455: (8.0, 200),
 }
-RECOVERY_S = 12.0    # after the last fault all kinds must be served again
-# Eight models at a load from the store each 1.3 s: before that, an engine may
-# hold few of those that are called.
+RECOVERY_S = 12.0    # after the last fault, until all kinds are served again
+# Eight models, one load from the store every 1.3 s. Until then engines may
+# hold few of the models in use.
 FILL_S = 11.0
-SIZE = 24            # entries and agents, as a rule
+SIZE = 24            # default number of entries and agents
 LAG_SAMPLE_S = 0.05
 
 
 async def until(what, seconds, why):
-    """Wait for a condition; a run that never meets it has failed."""
+    """Wait for a condition; raise TimeoutError(why) after the timeout."""
     end = time.monotonic() + seconds
     while not await what():
         if time.monotonic() > end:
@@ -64,8 +66,10 @@
 
 
 async def watch_lag(world):
-    """The soak is one process; where it gets no processor it sees late what
-    happened long before, and its bounds are longer by that.
+    """Record the longest scheduling delay of the soak's own event loop.
+
+    The soak is a single process: when it gets no CPU time it observes events
+    late, so the bounds of its checks are extended by this lag.
     """
     while True:
         before = time.monotonic()
@@ -90,8 +94,9 @@
         return not missing
 
     async def newest_is_in_force():
-        got = await asyncio.gather(*[operators.probe_version(e, operators.acked)
-                                     for e in fleet.entries])
+        got = await asyncio.gather(*[
+            operators.probe_version(e, operators.acked)
+            for e in fleet.entries])
         return all(got)
 
     async def newest_is_read():
@@ -100,8 +105,9 @@
     await first_change(operators)
     tasks = [asyncio.ensure_future(callers.loop(seed * 1000 + i))
              for i in range(6 + 2 * len(fleet.entries))]
-    tasks += [asyncio.ensure_future(resume_streams(fleet, callers, seed * 1000 + i))
-              for i in range(RESUMING_CALLERS if fleet.n_relays else 0)]
+    tasks += [asyncio.ensure_future(
+        resume_streams(fleet, callers, seed * 1000 + i))
+        for i in range(RESUMING_CALLERS if fleet.n_relays else 0)]
     try:
         await until(kinds_served, RECOVERY_S, "not all kinds are served")
         tasks += [asyncio.ensure_future(loop)
@@ -121,7 +127,7 @@
 
 
 class RunResult:
-    """What is left of a run."""
+    """Result of the run of one seed."""
 
     def __init__(self, fleet, callers, operators, faults):
         self.fleet, self.callers = fleet, callers
@@ -136,7 +142,8 @@
     draw_versions(fleet, seed)
     draw_first_event_delays(fleet, seed)
     callers = Callers(fleet)
-    operators = Operators(fleet, seed, routing_customers(surge=fleet.n_relays > 0))
+    operators = Operators(fleet, seed,
+                          routing_customers(surge=fleet.n_relays > 0))
     faults = Faults(fleet, seed, only)
     lag = asyncio.ensure_future(watch_lag(fleet.world))
     try:
@@ -177,11 +184,11 @@
     ap = argparse.ArgumentParser(description=__doc__)
     ap.add_argument("--seeds", default="1-3", help="N or N-M")
     ap.add_argument("--seconds", type=float, default=8.0,
-                    help="time of the faults in each run")
+                    help="duration of the faults in each run")
     ap.add_argument("--size", type=int, default=SIZE,
                     help="number of entries and agents")
     ap.add_argument("--fresh", action="store_true",
-                    help="without the seeds that failed once")
+                    help="skip the seeds in REGRESSIONS")
     ap.add_argument("--only", default="",
                     help="families of faults, separated by commas: " +
                     ", ".join(sorted(FAMILIES)))
