--- a/test/fleet/soak_callers.py
+++ b/test/fleet/soak_callers.py
@@ -1,5 +1,6 @@
-"""Callers that go on the whole time and keep their connections in use until
-these are closed; each answer is checked, and what ends otherwise is kept.
+"""Callers that send requests during the whole run on persistent connections.
+
+Each complete answer is checked; the outcome of every request is recorded.
 """
 import asyncio
 import random
@@ -10,22 +11,22 @@
 from standin import MODELS
 
 KINDS = ("once", "safe", "chat", "night")
-# Streams of one customer, by the priority of their routes.
+# Stream routes of the surge customer, in order of priority.
 CLASSES = ("class0", "class1", "class2")
 STREAMS = ("chat", "night", *CLASSES)
-# These run at most once.
+# Kinds that may run at most once.
 UNSAFE = ("once", "chat", *CLASSES)
 TIMEOUT_S = {"once": 3.0, "safe": 3.0, "chat": 9.0, "night": 9.0,
              **dict.fromkeys(CLASSES, 9.0)}
-# A caller waits so much longer than its request may take.
+# Time that a caller waits beyond its request's timeout.
 PATIENCE_S = 1.0
-DISCONNECT_SHARE = 0.08
-# Events of a stream; at some 20 ms each the longest takes 3 s.
+DISCONNECT_SHARE = 0.08   # share of streams that the caller aborts
+# Events of a stream; at about 20 ms each the longest takes 3 s.
 MAX_EVENTS = 150
 
 
 class Request:
-    """What a caller asked, and how that ended."""
+    """A request of a caller and its outcome."""
 
     def __init__(self, rid, kind, entry, rng, longest=MAX_EVENTS):
         self.rid, self.kind, self.entry = rid, kind, entry
@@ -33,7 +34,7 @@
         self.timeout_s = min(self.deadline_ms / 1000, TIMEOUT_S[kind])
         self.n_events = min(draw_event_count(rng), longest)
         self.work_ms = rng.choice([5, 20, 20, 200, 1200])
-        # After how many events the caller leaves.
+        # Number of events after which the caller disconnects.
         self.disconnects_after = None
         if kind in STREAMS and rng.random() < DISCONNECT_SHARE:
             self.disconnects_after = rng.randrange(0, self.n_events + 1)
@@ -46,8 +47,9 @@
         self.reused = False
         self.answer_began = False
         self.status = 0
-        self.retry_after = None   # seconds, as text
-        # answered, left, cut, late or unreachable
+        self.retry_after = None   # header value, in seconds
+        # "answered"; "left": the caller disconnected; "cut": the connection
+        # closed early; "late": no answer in time; or "unreachable".
         self.outcome = ""
 
     def headers(self):
@@ -63,23 +65,23 @@
 
 
 def draw_event_count(rng):
-    """Events of a stream: some end at once, some take seconds."""
+    """Draw the length of a stream: some end at once, some take seconds."""
     return rng.choice([rng.randrange(1, 8), rng.randrange(1, 8),
                        rng.randrange(1, 8), rng.randrange(10, 60),
                        rng.randrange(60, MAX_EVENTS)])
 
 
 class Callers:
-    """All callers of a run; longest: events of a stream at the most."""
+    """All callers of a run; longest: the maximum of events of a stream."""
 
     def __init__(self, fleet, longest=MAX_EVENTS):
         self.f = fleet
         self.longest = longest
         self.n = 0
-        self.n_surge = 0      # requests of the customer that surges
+        self.n_surge = 0     # requests of the surge customer
         self.answered = {}   # kind -> count
         self.by_entry = {}   # entry -> count of answers
-        self.requests = []   # those that have ended
+        self.requests = []   # finished requests
         self.on = True
 
     def fail(self, text):
@@ -108,7 +110,7 @@
 
     async def exchange(self, c, r):
         r.reused = c.used > 0
-        # Each has a content of its own, as callers' prompts have.
+        # Each body is unique, as callers' prompts are.
         await c.send("POST", "/%s/x" % r.kind, r.rid.encode(), r.headers())
         if r.disconnects_after == 0:
             return "left"
@@ -126,13 +128,14 @@
         return "answered"
 
     async def send_request(self, r, connections):
-        """Send r on the connection that is kept for its entry."""
+        """Send r on the persistent connection to its entry."""
         r.sent = time.monotonic()
         self.f.world.sent_to[r.rid] = r.entry
         try:
             c = connections.get(r.entry)
             if not c or not c.open:
-                c = connections[r.entry] = await connect(self.f.entries[r.entry])
+                c = connections[r.entry] = await connect(
+                    self.f.entries[r.entry])
             r.outcome = await asyncio.wait_for(
                 self.exchange(c, r), r.timeout_s + PATIENCE_S)
         except ConnectionClosed:
@@ -147,11 +150,12 @@
         self.requests.append(r)
 
     async def send_single(self, entry):
-        """One request of its own to an entry."""
+        """Send one request to an entry on a new connection."""
         self.n += 1
         connections = {}
-        await self.send_request(Request("q%d" % self.n, "safe", entry,
-                               random.Random(self.n)), connections)
+        await self.send_request(
+            Request("q%d" % self.n, "safe", entry, random.Random(self.n)),
+            connections)
         for c in connections.values():
             c.close()
 
@@ -174,7 +178,7 @@
             c.close()
 
     def check(self):
-        """What was said not to have run may not have."""
+        """Check that a request refused as not run did not run."""
         for r in self.requests:
             if r.kind in UNSAFE and r.outcome == "answered" and \
                     r.status in (408, 421, 429, 503) and \
