--- a/test/fleet/soak_checks.py
+++ b/test/fleet/soak_checks.py
@@ -1,8 +1,8 @@
-"""Checks of a run from what callers and endpoints saw.
+"""Checks of a run against what callers and endpoints observed.
 
-Each looks at one promise and adds a text to the run's faults where it is
-broken. What a fault of the soak explains is excused: only one without a
-plan, on the process or endpoint concerned and at that time.
+Each check covers one guarantee and appends a message to world.faults for each
+violation. A violation is excused only by an unplanned injected fault on the
+process or endpoint concerned, at that time.
 """
 import bisect
 
@@ -12,34 +12,35 @@
 from soak_journal import most_in_window
 from soak_poison import CONTACT_S, ENDS, LATER
 from soak_uneven import slow_preferred
-from soak_versions import too_few_resumed, mixed
+from soak_versions import mixed, too_few_resumed
 from soak_words import over_leaving, over_limit, over_rest
 
-# A fault still shows so long after its end: what it broke has to be found.
+# Time after a fault in which its effects are excused: processes have to detect
+# them first.
 FAULT_TAIL_S = 2.5
-# Of a request's time, kept by entries to say that it is over.
+# Part of a request's timeout that entries reserve to report the timeout.
 TIMEOUT_MARGIN_S = 0.15
-# Kept by entries at the end of their grace time to write what is left.
+# Part of the grace time that entries reserve to flush pending output.
 STOP_MARGIN_S = 0.25
-# A request that crosses the close of its connection finds it closed so soon.
+# Time within which a request that races the close of its connection fails.
 CLOSE_RACE_S = 0.5
-# Work of callers who left ends so soon, and none begins later.
+# Bound for cancelling the work of a caller that disconnected.
 CANCEL_BOUND_S = 0.7
-# What has left the list's ready ones: the list is read, then told on.
+# Time until the VM list is read and a changed state is passed on to entries.
 LIST_DELAY_S = 0.3
-WINDOW_S = 10.0      # of repeats
+WINDOW_S = 10.0      # window of the retry budget
 LOADS_WINDOW_S = 5.0
 LOADS_BURST = 3
 
 
 def within(times, start):
-    """How many of the sorted times lie in the window of repeats from there."""
+    """Number of the sorted times in the retry window that begins at start."""
     return (bisect.bisect_right(times, start + WINDOW_S) -
             bisect.bisect_left(times, start))
 
 
 class Checks:
-    """All checks; each method is one."""
+    """All checks of a run; each public method is one."""
 
     def __init__(self, fleet, callers):
         self.f, self.callers = fleet, callers
@@ -56,21 +57,24 @@
         return self.world.runs.get(r.rid, [])
 
     def path_harmed(self, r):
-        """A fault on the entry, or on an endpoint that worked on it."""
+        """Whether a fault hit r's entry, or an endpoint that ran r."""
         return self.harmed(r.entry, r.sent, r.ended) or any(
             self.harmed(run.server, r.sent, r.ended, ignoring=("slower",))
             for run in self.runs(r))
 
     def candidate_harmed(self, r):
-        """A fault on any endpoint that it may have been sent to."""
+        """Whether a fault hit any endpoint that r may have reached."""
         service = "lm" if r.kind in STREAMS else "web"
         return any(self.harmed(s.name, r.sent, r.ended, ignoring=("slower",))
                    for s in self.f.servers if s.service == service)
 
     def outlasted_stop(self, r):
-        """Under way at a planned stop, and still at work when its time was
-        over. What the entry has begun after the signal it should not have,
-        but where the endpoint became slower since.
+        """Whether the request was in progress at a planned stop of its entry
+        and still running at the end of the grace time.
+
+        A request that the entry started after the signal counts only if the
+        endpoint became slower since: else the entry should not have started
+        it.
         """
         for planned_stop in self.journal.stops(r.entry, r.sent, r.ended):
             last = planned_stop.start + GRACE_MS / 1000 - STOP_MARGIN_S
@@ -83,8 +87,9 @@
         return False
 
     def raced_close(self, r):
-        """Nobody read it: its connection was being closed."""
-        stopping = self.journal.touched(r.entry, r.sent - FAULT_TAIL_S, r.ended)
+        """Whether nobody read the request: its connection was closing."""
+        stopping = self.journal.touched(
+            r.entry, r.sent - FAULT_TAIL_S, r.ended)
         return not self.runs(r) and not r.answer_began and \
             r.ended - r.sent < CLOSE_RACE_S and (r.reused or stopping)
 
@@ -100,7 +105,7 @@
             ", ".join(stops) or "no stop", ", ".join(runs) or "nowhere")
 
     def cut_answers(self):
-        """Each request has an answer or a refusal."""
+        """Each request gets a complete answer or a refusal."""
         for r in self.callers.requests:
             if r.outcome != "cut" or self.path_harmed(r):
                 continue
@@ -110,8 +115,9 @@
             self.fail("cut: " + self.describe(r))
 
     def bad_gateways(self):
-        """A 502 says that nobody knows what became of the request. Where it
-        ran nowhere, it was lost on the way to an endpoint.
+        """A 502 says that the fate of the request is unknown. Where it ran
+        nowhere, it was lost on its way to an endpoint; a fault must explain
+        that.
         """
         for r in self.callers.requests:
             if r.status != 502 or self.path_harmed(r) or \
@@ -121,27 +127,27 @@
                 self.fail("502 without a fault: " + self.describe(r))
 
     def timeouts(self):
-        """Each waiting request is answered in time."""
+        """Each request that the caller waits for is answered in time."""
         for r in self.callers.requests:
             if r.outcome == "late" and not self.path_harmed(r):
                 self.fail("no answer in time: " + self.describe(r))
 
     def duplicate_runs(self):
-        """What can't be repeated runs at most once."""
+        """A request that is unsafe to retry runs at most once."""
         for r in self.callers.requests:
             n = len(self.runs(r))
             if n > 1 and r.kind in UNSAFE:
                 self.fail("ran %d times: %s" % (n, self.describe(r)))
 
     def unreachable(self):
-        """An entry that isn't harmed takes callers until its stop closes."""
+        """An entry without a fault accepts connections until it stops."""
         for r in self.callers.requests:
             if r.outcome == "unreachable" and not self.journal.touched(
                     r.entry, r.sent - FAULT_TAIL_S, r.ended):
                 self.fail("takes no callers: " + self.describe(r))
 
     def cancelled(self):
-        """Work of a caller who left is stopped, and none begins."""
+        """Work of a caller that disconnected is cancelled, and none starts."""
         bound = CANCEL_BOUND_S + self.world.lag
         for r in self.callers.requests:
             if r.outcome != "left" or self.harmed(r.entry, r.sent, r.ended):
@@ -154,7 +160,7 @@
                         until - r.ended, self.describe(r)))
 
     def draining(self):
-        """A leaving endpoint gets no new work after its bound."""
+        """A draining endpoint gets no new work after the drain bound."""
         bound = LEAVING_S + LIST_DELAY_S + self.world.lag
         for rid, runs in self.world.runs.items():
             entry = self.world.sent_to.get(rid, "")
@@ -169,12 +175,12 @@
                                             run.left_for))
 
     def unsent(self):
-        """Endpoints run only what callers have sent."""
+        """Endpoints run only requests that callers have sent."""
         for rid in self.world.runs.keys() - self.world.sent_to.keys():
             self.fail("nobody sent %r, and it ran" % rid)
 
     def retries(self):
-        """Repeats over all entries stay in their share, in each window."""
+        """In each window, retries of all entries stay in the budget."""
         for service, arrived in self.world.arrivals.items():
             known, firsts_at, retries_at = set(), [], []
             for t, rid in arrived:
@@ -191,7 +197,7 @@
 
     def store_loads(self):
         """Loads from the store keep to the rate that the routing allows,
-        but while the control VMs are harmed.
+        except while a control VM has a fault.
         """
         controls = [p.name for p in self.f.of_role("control")]
         calm = [t for t in self.world.loads if not any(
@@ -204,8 +210,8 @@
                                        self.journal.at(start), allowed))
 
     def poisoned(self):
-        """What has ended three endpoints reaches few more, once entries that
-        aren't harmed have had the time to hear of it.
+        """A request that has crashed three endpoints (ENDS) reaches few more,
+        once entries without a fault have had the time to learn of it.
         """
         controls = [p.name for p in self.f.of_role("control")]
         for body, ends in self.world.ended_by.items():
@@ -221,18 +227,18 @@
                           "more" % (body, len(ends), len(calm)))
 
     def signals(self):
-        """What endpoints say of themselves in their answers is heeded."""
+        """Entries and agents respect the signals in endpoints' answers."""
         for check in (over_limit, over_rest, over_leaving):
             for text in check(self.f):
                 self.fail(text)
 
     def versions(self):
-        """Streams go on at the version that began them, and mostly do."""
+        """Streams resume at the version that began them, and mostly do."""
         for text in mixed(self.world) + too_few_resumed(self.f):
             self.fail(text)
 
     def refusals(self):
-        """Each refusal for load carries a time to return."""
+        """Each refusal for load carries a Retry-After."""
         for r in self.callers.requests:
             if r.outcome == "answered" and r.status in (429, 503) and \
                     not float(r.retry_after or 0) > 0:
@@ -240,7 +246,7 @@
                     r.status, self.describe(r)))
 
     def slow_engines(self):
-        """Slow engines get fewer calls than fast ones beside them."""
+        """Slow engines get fewer calls than fast ones in the same zone."""
         for text in slow_preferred(self.f):
             self.fail(text)
 
