--- a/test/fleet/soak_customer_checks.py
+++ b/test/fleet/soak_customer_checks.py
@@ -1,4 +1,4 @@
-"""Checks of customers' keys and limits, by what callers and endpoints saw."""
+"""Checks of customers' keys and limits against observed requests."""
 import itertools
 import math
 
@@ -7,15 +7,15 @@
 from soak_fleet import QUOTA_SLACK
 from soak_journal import most_in_window
 
-# Requests of a class from which on its share is judged: with fewer the slack
-# could be more than 0.3.
+# Minimum of requests of a class for a check of its share: with fewer the
+# tolerance could exceed 0.3.
 MIN_SHARE_REQUESTS = 50
-# Standard deviations by which two shares may differ by chance.
+# Tolerance of a comparison of two shares, in standard deviations.
 DEVIATIONS = 3.0
 
 
 class CustomerChecks:
-    """Each method is one check."""
+    """All customer checks of a run; each method is one."""
 
     def __init__(self, fleet, callers):
         self.callers, self.world = callers, fleet.world
@@ -24,7 +24,7 @@
         self.world.faults.append(text)
 
     def keys_withheld(self):
-        """No key reaches an endpoint, and each is told whose request it is."""
+        """No key reaches an endpoint, and each request names its customer."""
         for r in self.callers.requests:
             for headers in self.world.heard.get(r.rid, []):
                 if any("key-of-" in v for v in headers.values()):
@@ -34,7 +34,7 @@
                         r.rid, headers.get("x-tenant")))
 
     def no_false_refusals(self):
-        """Who has no limit is never refused for one."""
+        """Valid keys are accepted; customers without a limit get no 429."""
         for r in self.callers.requests:
             if r.status in (401, 403):
                 self.fail("%s: its key was refused" % r.rid)
@@ -42,7 +42,7 @@
                 self.fail("%s: refused for a limit it doesn't have" % r.rid)
 
     def limit_holds(self, customer):
-        """In each window, whatever fails."""
+        """The customer's limit holds in each window, whatever fails."""
         spent, per_s = [], LIMITS[customer]
         for r in self.callers.requests:
             runs = self.world.runs.get(r.rid)
@@ -59,8 +59,9 @@
                 n, window_s, start, allowed))
 
     def shares(self):
-        """Class -> (requests, share served), where enough were made. Of the
-        requests that their customer's limit has decided on.
+        """Class -> (requests, share served), for classes with enough requests.
+
+        Only requests that the customer's limit has decided on count.
         """
         out = {}
         for kind in CLASSES:
@@ -72,15 +73,18 @@
         return out
 
     def none_starved(self):
-        """No class gets nothing of a limit."""
+        """Each class gets a part of the customer's limit."""
         for kind, (n, share) in self.shares().items():
             if not share:
                 self.fail("%s: none of %d requests was served" % (kind, n))
 
     def priority_order(self):
-        """A less urgent class gets no larger share than a more urgent one,
-        but by chance: the slack is that of two samples of one share. Costs
-        are alike, so that requests count as tokens do.
+        """A class of lower priority is not served a larger share than one of
+        higher priority.
+
+        The tolerance is the sampling error of two samples of one share. All
+        requests cost about the same, so that counting requests is as good as
+        counting tokens.
         """
         shares = self.shares()
         for a, b in itertools.combinations(sorted(shares), 2):
