--- a/test/fleet/soak_customers.py
+++ b/test/fleet/soak_customers.py
@@ -1,9 +1,9 @@
-"""Customers of a soak, their keys and limits."""
-# The last one's limit is below what it sends; the others have none.
+"""Customers of the soak, their keys and limits."""
+# Only the last one has a limit, which is below the load that it sends.
 CUSTOMERS = ("north", "south", "meter")
-METER_PER_S = 60                     # tokens: some 400 a second are asked for
-DEFAULT_TOKENS = 20                     # of a request that tells none
-# For some seconds its callers ask for several times its limit.
+METER_PER_S = 60         # tokens; the demand is about 400 a second
+DEFAULT_TOKENS = 20      # cost of a request that states no usage
+# This customer sends several times its limit for some seconds.
 SURGE = "surge"
 SURGE_PER_S = 150
 LIMITS = {CUSTOMERS[-1]: METER_PER_S, SURGE: SURGE_PER_S}  # tokens a second
@@ -14,7 +14,7 @@
 
 
 def customer_of(rid):
-    """Of a caller's request; the same at each run of a seed."""
+    """Customer of a request id; the same in each run of a seed."""
     if rid.startswith("u"):
         return SURGE
     n = int(rid[1:])
@@ -26,7 +26,7 @@
 
 
 def routing_customers(surge=False):
-    """As a routing lists them."""
+    """Customers as they are written in a routing."""
     names = [*CUSTOMERS, SURGE] if surge else CUSTOMERS
     out = [{"name": n, "keys": [key(n)]} for n in names]
     for c in out:
