--- a/test/fleet/soak_faults.py
+++ b/test/fleet/soak_faults.py
@@ -1,5 +1,7 @@
-"""Faults that come in series and overlap. The seed draws which families of
-faults a run has, when each comes, and all its figures.
+"""Injected faults of a run; they come in series and overlap.
+
+The seed determines which families of faults a run has, when each fault comes,
+and all its parameters.
 """
 import asyncio
 import os
@@ -17,12 +19,12 @@
 from soak_words import request_backoffs, state_rate_limits
 from standin import TO_CLIENT, TO_SERVER
 
-LEAVING_S = 3.0      # a leaving endpoint is left within it
-# A wiped control VM counts as replaced once the group has let go of it and
-# its spare votes; two lost disks before that are more than three voters bear.
+LEAVING_S = 3.0      # until a draining endpoint gets no new work
+# A wiped control VM counts as replaced once the group has removed it and its
+# spare votes. Three voters don't tolerate a second lost disk before that.
 JOINED = "event=joined"
 DROPPED = "event=drop_member "
-SLOWDOWN = 5           # times that an engine slows down
+SLOWDOWN = 5         # factor by which an engine slows down
 
 
 def files_in(folder):
@@ -31,7 +33,7 @@
 
 
 class Faults:
-    """The faults of one run; each method that FAMILIES names is one."""
+    """The faults of one run; each method named in FAMILIES is one."""
 
     def __init__(self, fleet, seed, only=()):
         self.f, self.journal = fleet, fleet.journal
@@ -39,14 +41,14 @@
         self.wiping = False
         self.log = []
         names = sorted(FAMILIES)
-        # Some runs have every family, others few: then what the others
-        # would excuse is judged.
+        # Some runs have all families, others few: faults of the missing ones
+        # then excuse no violation.
         n = self.rng.choice([2, 3, 5, len(names)])
         self.kinds = [kind for name in only or self.rng.sample(names, n)
                       for kind in FAMILIES[name]]
 
     def pick_processes(self, rng, role):
-        """A few processes of a role, at times all."""
+        """Draw one, two or all processes of a role."""
         procs = self.f.of_role(role)
         n = rng.choice([1, 1, 2, len(procs)])
         return rng.sample(procs, min(n, len(procs)))
@@ -62,7 +64,7 @@
                 p.start()
 
     async def stop(self, p, pause, during=None):
-        """A planned stop, with something that happens beside it."""
+        """A planned stop, and optionally an action that runs during it."""
         async with p.turn:
             with self.journal.span(p.name, "stop", planned=True):
                 task = asyncio.ensure_future(during(p)) if during else None
@@ -119,7 +121,7 @@
         await self.stop(rng.choice(self.f.of_role(role)), 0.1, sleep)
 
     async def wipe(self, rng):
-        """A control VM loses its disk and joins anew."""
+        """A control VM loses its disk and joins again."""
         if self.wiping:
             return
         self.wiping = True
@@ -142,16 +144,20 @@
             await asyncio.sleep(0.2)
 
     async def disk_full(self, rng):
-        """A control VM can't write past some byte: it ends in the midst of
-        a record. With its log's lines on the same limit it ends within some.
+        """A control VM can't write past a file size: it dies in the middle of
+        a record.
+
+        The limit is set from the largest file, its process log included, so
+        that it dies within a few lines of that log at the latest.
         """
         i = rng.randrange(CONTROLS)
         p = self.f.procs["control-%d" % i]
         async with p.turn:
             p.check_runs()
             with self.journal.span(p.name, "disk full"):
-                largest = max(os.path.getsize(f)
-                           for f in [p.log, *files_in(self.f.data_dir(i))])
+                largest = max(
+                    os.path.getsize(f)
+                    for f in [p.log, *files_in(self.f.data_dir(i))])
                 limit = largest + rng.randrange(1, 2000)
                 resource.prlimit(p.proc.pid, resource.RLIMIT_FSIZE,
                                  (limit, limit))
@@ -160,7 +166,7 @@
                 p.start()
 
     def log_count(self, text, name=None):
-        """How often control VMs, or one process, have logged it."""
+        """Count a text in the logs of all control VMs, or of one process."""
         names = [name] if name else [
             p.name for p in self.f.of_role("control")]
         n = 0
@@ -172,13 +178,13 @@
     # Settings.
 
     async def hang_up(self, rng, role):
-        """SIGHUP, with the same settings written anew, or with bad ones that
-        are mended before the process is started again.
+        """Send SIGHUP after rewriting the settings, either unchanged or
+        invalid. Valid ones are restored before the process can be restarted.
         """
         p = rng.choice(self.f.of_role(role))
         path = self.f.settings_path(p.name)
         async with p.turn:
-            # Before that nothing handles signals, and SIGHUP ends it.
+            # Before its start event it has no handler, and SIGHUP kills it.
             while p.runs() and not p.has_started():
                 await asyncio.sleep(0.02)
             with open(path) as f:
@@ -214,7 +220,7 @@
             s.silent = False
 
     async def slow(self, rng):
-        """An engine slows down, also midway in its streams."""
+        """An engine slows down, also during running streams."""
         e = rng.choice(self.f.engines)
         async with e.turn:
             step = e.step
@@ -224,7 +230,7 @@
             e.step = step
 
     async def leave(self, rng):
-        """An endpoint leaves as planned: its work ends, then it goes."""
+        """An endpoint drains: it finishes its work, then goes away."""
         s = rng.choice(self.f.servers)
         async with s.turn:
             s.leave()
@@ -256,12 +262,12 @@
         p.reset()
 
     async def link_silence(self, _rng, p):
-        """Found only by those who wait on it."""
+        """Existing connections go silent; only a timeout detects that."""
         p.silence(TO_SERVER, TO_CLIENT)
         await asyncio.sleep(3)
 
     async def link_one_way(self, rng, p):
-        """Bytes of one direction vanish, also on new connections."""
+        """Bytes of one direction are lost, also on new connections."""
         direction = rng.choice([TO_SERVER, TO_CLIENT])
         p.deaf.add(direction)
         p.silence(direction)
@@ -269,16 +275,17 @@
         p.deaf.discard(direction)
         p.reset()
 
-    # Much at once.
+    # Correlated faults.
 
     async def zone_fails(self, rng):
-        """All of a failure domain: processes, endpoints and links."""
+        """Fail all processes, endpoints and links of a failure domain."""
         zone = rng.choice(ZONES)
         servers = [s for s in self.f.servers if s.zone == zone]
         links = self.f.proxies_of([s.name for s in servers])
-        await asyncio.gather(self.run_for_each(self.kill, self.f.of_zone(zone), rng),
-                             *[self.crash(rng, s) for s in servers],
-                             *[self.link(rng, "refuse", p) for p in links])
+        await asyncio.gather(
+            self.run_for_each(self.kill, self.f.of_zone(zone), rng),
+            *[self.crash(rng, s) for s in servers],
+            *[self.link(rng, "refuse", p) for p in links])
 
     async def all_killed(self, rng):
         await self.run_for_each(self.kill, list(self.f.procs.values()), rng)
@@ -287,9 +294,11 @@
         await self.run_for_each(self.stop, list(self.f.procs.values()), rng)
 
     async def exchange_seeds(self, seconds):
-        """The addresses of all settings become others that serve control,
-        relays or members, once or several times; mostly all processes are
-        killed then. Drawn apart, so that schedules of old seeds stay.
+        """Replace the control addresses in all settings by three random ones
+        of members and relays, up to twice; mostly all processes are killed
+        after that.
+
+        A separate generator keeps the schedules of older seeds unchanged.
         """
         rng = random.Random("seeds %d" % self.seed)
         addrs = self.f.control_addrs(CONTROLS) + self.f.relay_addrs()
@@ -303,8 +312,11 @@
                 await self.all_killed(rng)
 
     async def poison(self, seconds):
-        """Requests that end what runs them, at all entries, beside all else.
-        Drawn apart too; seeds of before them are played without.
+        """Send requests that crash their endpoint to all entries, concurrently
+        with all other faults.
+
+        A separate generator keeps the schedules of older seeds unchanged;
+        REGRESSIONS run without poison requests.
         """
         rng = random.Random("poison %d" % self.seed)
         if not self.f.n_relays:
