--- a/test/fleet/soak_fleet.py
+++ b/test/fleet/soak_fleet.py
@@ -1,4 +1,4 @@
-"""The real processes of a fleet on loopback, with their stand-ins."""
+"""The processes of a fleet on loopback, with stand-ins for its endpoints."""
 import asyncio
 import json
 import os
@@ -15,23 +15,23 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(
     os.path.abspath(__file__))))
 CONTROLS = 4
-RELAYS = 3           # control VMs without a disk: they lead to the others
-ENTRIES, ENGINES, WEBS = 3, 4, 2    # of a small fleet
+RELAYS = 3           # control VMs without a disk or vote; they name the leader
+ENTRIES, ENGINES, WEBS = 3, 4, 2    # defaults of a small fleet
 ZONES = ["za", "zb"]
-GRACE_MS = 4000      # of an entry's planned stop
-# What the system may repeat: a share of the requests, and so many besides.
+GRACE_MS = 4000      # grace time of an entry's planned stop
+# Retry budget: a ratio of the requests, plus a constant.
 RETRY_RATIO, RETRY_SLACK = 0.1, 20
-# By how much a customer's limit may be exceeded in a window.
+# Tolerance by which a customer's limit may be exceeded in a window.
 QUOTA_SLACK = {"quota_window_s": 4.0, "quota_overage": 0.1,
                "quota_extra": 400}
-# A process that isn't harmed ends its planned stop so long after SIGTERM;
-# a control VM hands over first.
+# Time from SIGTERM to the exit of a process without a fault. A control VM
+# transfers its leadership first.
 STOP_BOUND_S = {"entry": GRACE_MS / 1000 + 0.5, "agent": 2.0, "control": 8.0,
                 "relay": 2.0}
 
 
 class Process:
-    """A started program; all signals go to it by its id."""
+    """A daemon process of the fleet, which is signalled by its process id."""
 
     def __init__(self, name, argv, log, world):
         self.name, self.argv, self.log = name, argv, log
@@ -39,8 +39,8 @@
         self.role = name.split("-")[0]
         self.proc = None
         self.starts = 0
-        self.log_offset = 0   # where this start's lines begin
-        # Faults overlap; two that restart one process take turns.
+        self.log_offset = 0  # where the lines of the current start begin
+        # Serializes overlapping faults that restart the process.
         self.turn = asyncio.Lock()
 
     def start(self):
@@ -58,13 +58,13 @@
             self.proc.send_signal(sig)
 
     def check_runs(self):
-        """It may not have ended but by the soak."""
+        """Check that it has not exited by itself."""
         if self.proc and not self.runs():
             self.world.faults.append("%s ended by itself: %d" % (
                 self.name, self.proc.returncode))
 
     async def ended(self, seconds=None):
-        """Wait for its end; False where the time is up before."""
+        """Wait for its exit; return False after the timeout."""
         end = time.monotonic() + (seconds or 1e9)
         while self.runs():
             if time.monotonic() > end:
@@ -83,7 +83,7 @@
             return b"event=start " in f.read()
 
     async def stop_gracefully(self):
-        """SIGTERM; whether it ends in its bound and says that all is well."""
+        """Send SIGTERM and check that it exits in time, with status 0."""
         self.check_runs()
         start = time.monotonic()
         bound = STOP_BOUND_S[self.role] + self.world.lag
@@ -95,7 +95,7 @@
                                          "than %.1f s" % (self.name, bound))
             elif self.proc.returncode == -signal.SIGTERM and \
                     not self.has_started():
-                pass  # it serves nobody yet, nor handles signals
+                pass  # not serving yet, and without a signal handler
             elif self.proc.returncode:
                 self.world.faults.append("%s: its planned stop ends with %d" %
                                          (self.name, self.proc.returncode))
@@ -122,15 +122,16 @@
         self.servers = self.engines + self.webs
         self.frame_port, self.operator_port = free_port(), free_port()
         self.proxies = []
-        self.process_settings = {}    # name -> settings of the process
+        self.process_settings = {}   # process name -> settings
         self.seeds = self.control_addrs()
         self.n_entries, self.n_relays = entries, relays
-        self.entries = {}    # name -> address for callers
-        self.resuming_callers = []     # callers who take streams up
-        self.resume_counts = (0, 0, 0, 0)  # of these: taken up, went on, new, began
+        self.entries = {}    # entry name -> address for callers
+        self.resuming_callers = []
+        # Streams judged: (resume tried, resumed, new, begun).
+        self.resume_counts = (0, 0, 0, 0)
 
     def draw_speeds(self, rng):
-        """Engines differ; in half of the runs one is far slower."""
+        """Draw the engines' speeds; in half of the runs one is far slower."""
         for e in self.engines:
             e.step = STEP * rng.choice([0.5, 1, 1, 2])
         if rng.random() < 0.5:
@@ -151,7 +152,7 @@
         return [p for p in self.proxies if p.name in names]
 
     def loads_per_s(self):
-        """From the store, by the routing: few enough to bind."""
+        """Rate limit of loads from the store, low enough to take effect."""
         return max(1, len(self.engines) // 7)
 
     def check_processes(self):
@@ -172,19 +173,19 @@
                 for i in range(CONTROLS, CONTROLS + self.n_relays)]
 
     def operator_addrs(self):
-        """Of all that operators may ask, members and relays."""
+        """Operator addresses of all control VMs, members and relays."""
         return ["%s:%d" % (self.control_ip(i), self.operator_port)
                 for i in range(CONTROLS + self.n_relays)]
 
     def exchange_seeds(self, addrs):
-        """Other addresses in all settings files, as at the next start."""
+        """Replace the control addresses in all settings files."""
         self.seeds = list(addrs)
         for name, settings in self.process_settings.items():
             settings["control"] = self.seeds
             self.write_settings(name)
 
     def write_settings(self, name):
-        """Whole or not at all: a process may be reading it."""
+        """Write settings atomically: a process may be reading them."""
         path = self.settings_path(name)
         with open(path + ".new", "w") as f:
             json.dump(self.process_settings[name], f)
@@ -216,7 +217,8 @@
             "control-%d" % i, "control", "%s:%d" % (own, self.frame_port),
             advertise="%s:%d" % (self.control_ip(i), self.frame_port),
             control_vm={"data": self.data_dir(i), "found_group": first},
-            fleet={**QUOTA_SLACK, "operator_listen": "%s:%d" % (own, self.operator_port),
+            fleet={**QUOTA_SLACK,
+                   "operator_listen": "%s:%d" % (own, self.operator_port),
                    "vm_list": self.listing.addr})
 
     def relay_settings(self, i):
@@ -245,8 +247,8 @@
 
     def add_agents(self):
         for i, e in enumerate(self.engines):
-            # The agent names its endpoint as the list does, and reaches
-            # it through the same proxy.
+            # The agent uses the address of its endpoint in the VM list, so
+            # that its traffic passes through the same proxy.
             self.add("agent-%d" % i, self.settings(
                 "agent-%d" % i, "agent", "127.0.0.1:%d" % free_port(),
                 fleet={"endpoint": e.listed, "holder": "vm-%d" % i}))
@@ -259,7 +261,8 @@
                 name, "entry", "127.0.0.1:%d" % free_port(),
                 fleet={"listen": self.entries[name],
                        "ready_listen": "127.0.0.1:%d" % free_port(),
-                       "vm_list": self.listing.addr, "grace_s": GRACE_MS / 1000,
+                       "vm_list": self.listing.addr,
+                       "grace_s": GRACE_MS / 1000,
                        "retry_ratio": RETRY_RATIO,
                        "retry_slack": RETRY_SLACK}))
 
@@ -283,7 +286,7 @@
             p.send(signal.SIGKILL)
         for p in self.procs.values():
             await p.end()
-        # A port that is still listened on here mustn't be given to others.
+        # Close all listeners before their ports are given out again.
         for x in self.proxies + self.servers:
             if x.server:
                 x.server.close()
@@ -291,7 +294,7 @@
 
 
 def engine_parts(loads_per_s):
-    """The model engines, as a routing describes them."""
+    """The engine section of a routing's service."""
     models = [{"name": m, "weightsMb": mb, "loadS": 0.6, "diskLoadS": 0.1,
                "warmS": 0.1, "adapters": 4, "adapterMb": 1}
               for m, mb in MODELS.items()]
