--- a/test/fleet/soak_http.py
+++ b/test/fleet/soak_http.py
@@ -1,19 +1,19 @@
-"""A small HTTP client of the soak: kept connections, answers in parts."""
+"""A small HTTP client with persistent connections and streamed answers."""
 import asyncio
 
 from standin import read_head
 
 
 class ConnectionClosed(EOFError):
-    """The connection ended before the answer did."""
+    """The connection closed before the end of the answer."""
 
 
 class Connection:
-    """A kept connection; used for one request after the other."""
+    """A persistent connection, which carries one request at a time."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
-        self.used = 0        # requests that it has carried
+        self.used = 0        # requests sent on it
         self.open = True
 
     def close(self):
@@ -21,15 +21,15 @@
         self.writer.transport.abort()
 
     async def send(self, method, path, body, headers):
-        head = "%s %s HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n" % (
-            method, path, len(body))
+        head = ("%s %s HTTP/1.1\r\nHost: h.example\r\n"
+                "Content-Length: %d\r\n") % (method, path, len(body))
         for name, value in (headers or {}).items():
             head += "%s: %s\r\n" % (name, value)
         self.used += 1
         self.writer.write(head.encode() + b"\r\n" + body)
 
     async def head(self):
-        """(status, headers)."""
+        """Read the head of an answer: (status, headers)."""
         got = await read_head(self.reader)
         if not got:
             self.close()
@@ -40,7 +40,7 @@
         return int(line.split(" ")[1]), fields
 
     async def parts(self, fields):
-        """The parts of a body as they come."""
+        """Yield the parts of a body as they arrive."""
         try:
             if fields.get("transfer-encoding") != "chunked":
                 yield await self.reader.readexactly(
@@ -54,7 +54,8 @@
                 if size == 0:
                     return
                 yield chunk[:-2]
-        except (asyncio.IncompleteReadError, ConnectionError, ConnectionClosed) as e:
+        except (asyncio.IncompleteReadError, ConnectionError,
+                ConnectionClosed) as e:
             self.close()
             raise ConnectionClosed from e
 
@@ -65,7 +66,7 @@
 
 
 async def http(addr, method, path, body=b"", headers=None):
-    """One request on its own connection: (status, headers, body)."""
+    """Send a request on a new connection: (status, headers, body)."""
     c = await connect(addr)
     try:
         await c.send(method, path, body, headers)
