--- a/test/fleet/soak_journal.py
+++ b/test/fleet/soak_journal.py
@@ -1,14 +1,14 @@
-"""When which process, server or link was harmed or stopped as planned.
+"""Record of injected faults and planned stops, by process, server or link.
 
-Checks ask it whether a fault of the soak excuses what a caller or an
-endpoint saw.
+Checks use it to decide whether a fault excuses what a caller or an endpoint
+observed.
 """
 import contextlib
 import time
 
 
 class Span:
-    """One fault; end is None while it lasts."""
+    """One fault or planned stop; end is None while it lasts."""
 
     def __init__(self, name, what, planned):
         self.name, self.what, self.planned = name, what, planned
@@ -19,11 +19,11 @@
 
 
 class Journal:
-    """All faults of a run, by the name of what they concern."""
+    """All faults of a run, by the name of what they hit."""
 
     def __init__(self):
         self.zero = time.monotonic()
-        self.spans = {}      # name -> [Span, ...]
+        self.spans = {}      # process, server or link -> [Span, ...]
 
     @contextlib.contextmanager
     def span(self, name, what, planned=False):
@@ -39,7 +39,7 @@
             pass
 
     def harmed(self, name, since, until, ignoring=()):
-        """Was it harmed without a plan in that time?"""
+        """Whether an unplanned fault hit it in that time."""
         return any(s.touches(since, until) for s in self.spans.get(name, ())
                    if not s.planned and s.what not in ignoring)
 
@@ -51,12 +51,12 @@
                 if s.planned and s.touches(since, until)]
 
     def at(self, t):
-        """A time as the schedule and messages write it."""
+        """Seconds since the start of the run, as text."""
         return "%.2f" % (t - self.zero)
 
 
 def most_in_window(times, window_s):
-    """(count, start) of the window that has most of the sorted times."""
+    """(count, start) of the window with the most of the sorted times."""
     best, first = (0, 0.0), 0
     for i, t in enumerate(times):
         while times[first] < t - window_s:
