--- a/test/fleet/soak_operators.py
+++ b/test/fleet/soak_operators.py
@@ -1,9 +1,9 @@
 """Two operators that change the routing in quick succession, and probes of
-what is in force at the entries. A fleet has no presets.
+the routing in force at the entries. A fleet has no presets.
 
-Each version k of the routing has routes /v/k/ for the last versions up to
-its own, and one route /w/LABEL/ for its own content: callers see by them
-which version an entry follows, and whose content.
+Version n of the routing has a route /v/k/ for each of the latest versions k up
+to n, and one route /w/LABEL/ that identifies its content. Requests to them
+show which version an entry applies, and which of two racing contents.
 """
 import asyncio
 import json
@@ -15,12 +15,12 @@
 from soak_fleet import engine_parts
 from soak_http import http
 
-KEPT_VERSIONS = 40           # versions back that a routing still has a route for
-APPLY_S = 3.0        # an acknowledged change is in force everywhere
-CALM_S = 5.0      # that bound holds so long after the last fault
-REUSED_VERSION_SHARE = 0.25  # changes under a number that was already asked for
+KEPT_VERSIONS = 40   # earlier versions that a routing has a route for
+APPLY_S = 3.0        # until an acknowledged change is in force everywhere
+CALM_S = 5.0         # time without faults from which APPLY_S holds
+REUSED_VERSION_SHARE = 0.25  # share of changes with a version sent before
 CALL_TIMEOUT_S = 2.0
-CLASS_GOALS_MS = (500, 1000, 4000)   # by priority
+CLASS_GOALS_MS = (500, 1000, 4000)   # latency goals, by priority
 
 
 def route(name, prefix, kind, service, timeout_s, **more):
@@ -57,7 +57,7 @@
 
 
 def label_of(got):
-    """The label in a routing that was read back."""
+    """The content label of a routing that was read back."""
     for r in got["routes"]:
         if r["prefix"].startswith("/w/"):
             return r["prefix"].split("/")[2]
@@ -65,7 +65,7 @@
 
 
 class Operators:
-    """What they have asked for, and what was acknowledged."""
+    """Changes that operators have sent, and which were acknowledged."""
 
     def __init__(self, fleet, seed, customers=None):
         self.f, self.world = fleet, fleet.world
@@ -73,17 +73,17 @@
         self.rng = random.Random(seed)
         self.version, self.acked = 0, 0
         self.acked_at = {}   # version -> time of its first acknowledgement
-        self.asked = {}      # version -> labels that were sent under it
-        self.content = {}    # version -> the label that was read back first
+        self.asked = {}      # version -> labels sent with it
+        self.content = {}    # version -> label that was read back first
         self.labels = 0
         self.probes = 0
-        self.seen = {}       # (entry, its start) -> newest mark served
+        self.seen = {}       # (entry, start number) -> newest version served
 
     def fail(self, text):
         self.world.faults.append(text)
 
     async def operate(self, method, path, body=b""):
-        """(status, body) from any control VM; (0, b"") where none came."""
+        """Call a control VM: (status, body), or (0, b"") without an answer."""
         addr = self.rng.choice(self.f.operator_addrs())
         for _ in range(3):
             try:
@@ -103,8 +103,10 @@
         return self.version
 
     async def put(self):
-        """A valid change is never refused; under a number that is held
-        already it is acknowledged and changes nothing.
+        """Send a change and check that it isn't refused.
+
+        A change with a version that is committed already is acknowledged and
+        has no effect.
         """
         n = self.pick_version()
         self.labels += 1
@@ -122,6 +124,7 @@
         return status
 
     async def get(self):
+        """Read the routing and check it against what was acknowledged."""
         acked = self.acked
         status, body = await self.operate("GET", "/sapphireshift/Config.Get")
         if status != 200:
@@ -137,10 +140,10 @@
                 label, n, self.content[n]))
         return n
 
-    # What entries follow.
+    # Probes of the version that entries apply.
 
     async def probe(self, entry, path):
-        """The status of one request, 0 where none came."""
+        """The status of one request, or 0 without an answer."""
         self.probes += 1
         rid = "p%d" % self.probes
         self.world.sent_to[rid] = entry
@@ -153,19 +156,19 @@
         return status
 
     def undisturbed(self, entry, sent):
-        """No fault touched this entry or a control VM for long enough."""
+        """Whether this entry and the control VMs had no fault for CALM_S."""
         names = [entry] + [p.name for p in self.f.of_role("control")]
         return not any(self.f.journal.touched(
             n, sent - CALM_S, time.monotonic()) for n in names)
 
     def due(self):
-        """The newest version that must be in force everywhere by now."""
+        """The newest version that must be in force everywhere now."""
         before = time.monotonic() - APPLY_S
         return max([v for v, at in self.acked_at.items() if at < before],
                    default=0)
 
     async def probe_version(self, entry, version):
-        """Whether this entry follows a version or a newer one."""
+        """Whether this entry applies this version or a newer one."""
         start, sent = self.f.procs[entry].starts, time.monotonic()
         overdue = version <= self.due()
         status = await self.probe(entry, "/v/%d/x" % version)
@@ -180,7 +183,7 @@
         return status == 200
 
     async def probe_rollback(self, entry):
-        """A started entry never goes back behind what it has served."""
+        """An entry never reverts to an older version while it runs."""
         start = self.f.procs[entry].starts
         version = self.seen.get((entry, start), 0)
         if not version or version < self.version - KEPT_VERSIONS // 2:
@@ -190,7 +193,7 @@
             self.fail("%s went back before %d" % (entry, version))
 
     async def probe_race_loser(self, entry):
-        """What lost a race for its number is in force nowhere."""
+        """Content that lost the race for its version is in force nowhere."""
         contested = [n for n in self.content if len(self.asked[n]) > 1]
         if not contested:
             return
@@ -199,7 +202,7 @@
         if await self.probe(entry, "/w/%s/x" % label) == 200:
             self.fail("%s follows what lost a race for its number" % entry)
 
-    # Their rounds.
+    # Loops of operators and probes.
 
     async def change_routing(self, callers):
         while callers.on:
