--- a/test/fleet/soak_outage.py
+++ b/test/fleet/soak_outage.py
@@ -1,4 +1,4 @@
-"""A service whose endpoints all lose their answers, while entries restart."""
+"""Fault: all endpoints of a service lose their answers; entries restart."""
 import asyncio
 import contextlib
 import random
@@ -9,8 +9,10 @@
 
 
 async def outage(faults, seconds):
-    """In half of the runs, for some seconds; all entries are killed in it, a
-    few times. Drawn apart, so that schedules of old seeds stay.
+    """In half of the runs, an outage of a service for some seconds, in which
+    all entries are killed one to three times.
+
+    A separate generator keeps the schedules of older seeds unchanged.
     """
     rng = random.Random("outage %d" % faults.seed)
     if not faults.f.n_relays or rng.random() < 0.5:
@@ -27,7 +29,8 @@
             s.lose = ALL_ANSWERS
         for _ in range(rng.randrange(1, 4)):
             await asyncio.sleep(rng.uniform(0.5, 1.5))
-            await faults.run_for_each(faults.kill, faults.f.of_role("entry"), rng)
+            await faults.run_for_each(
+                faults.kill, faults.f.of_role("entry"), rng)
         await asyncio.sleep(max(end - time.monotonic(), 0))
         for s in servers:
             s.lose = 0
