--- a/test/fleet/soak_poison.py
+++ b/test/fleet/soak_poison.py
@@ -1,23 +1,25 @@
-"""Requests that end each endpoint that runs them, sent again and again."""
+"""Poison requests, which crash each endpoint that runs them."""
 import asyncio
 import time
 
 from soak_customers import CUSTOMERS, bearer
 from soak_http import ConnectionClosed, http
 
-# Endpoints that a request may end before it has to be stopped everywhere.
+# Endpoints that a request may crash before all entries have to refuse it.
 ENDS = 3
-CONTACT_S = 3.0      # after the last of them it is known everywhere
-LATER = 3            # how often it may reach an endpoint after that
+CONTACT_S = 3.0      # from the last of these crashes until all entries know
+LATER = 3            # times that it may reach an endpoint after that
 INTERVAL_S = 0.25
 
 
 class Sender:
-    """Sends one request again and again, to each entry in turn, under new
-    ids; body and path stay.
+    """Sends one poison request periodically, to the entries in turn.
+
+    Each time it has a new request id, and the same path and body.
     """
 
-    def __init__(self, fleet, name, path="/chat/", interval_s=INTERVAL_S, **headers):
+    def __init__(self, fleet, name, path="/chat/", interval_s=INTERVAL_S,
+                 **headers):
         self.f = fleet
         self.interval_s = interval_s
         self.path = path + name
