--- a/test/fleet/soak_surge.py
+++ b/test/fleet/soak_surge.py
@@ -1,16 +1,18 @@
-"""Callers of one customer, in classes of different priority, who ask for more
-than its limit for some seconds and return in different manners when refused.
+"""Load of one customer above its limit, in classes of different priority.
+
+It lasts some seconds; the callers follow different policies for the time of a
+retry after a refusal.
 """
 import asyncio
 import random
 
 from soak_callers import CLASSES, Request
 
-MAX_EVENTS = 7          # events: costs are alike, and within the burst
-CALLERS = 2          # of each class and manner
+MAX_EVENTS = 7       # keeps costs similar, and within the burst
+CALLERS = 2          # callers of each class and retry policy
 EAGER_RETRY_S = 0.1
-MAX_WAIT_S = 1.0         # longest wait that a caller honours
-MAX_START_S, SURGE_S = 2.0, 15.0
+MAX_WAIT_S = 1.0     # longest Retry-After that a caller follows
+MAX_START_S, SURGE_S = 2.0, 15.0   # latest start, duration
 
 
 def when_told(retry_after_s):
@@ -25,11 +27,12 @@
     return EAGER_RETRY_S
 
 
+# Each returns the seconds until a retry. Their names are part of the seeds.
 RETRY_POLICIES = (when_told, early, often)
 
 
 def pause_s(r, policy, rng):
-    """Until the caller's next request."""
+    """Seconds until the caller's next request."""
     if r.status in (429, 503) and r.retry_after:
         return min(policy(float(r.retry_after)), MAX_WAIT_S)
     return rng.random() * 0.1
@@ -51,9 +54,10 @@
 
 
 def surge(callers, seed):
-    """Tasks; each class has as many callers of each manner."""
+    """Start CALLERS tasks for each class and retry policy."""
     start_s = random.Random("surge %d" % seed).uniform(0, MAX_START_S)
     return [asyncio.ensure_future(surge_caller(
         callers, kind, policy, "%s %s %d %d" % (
             kind, policy.__name__, i, seed), start_s))
-            for kind in CLASSES for policy in RETRY_POLICIES for i in range(CALLERS)]
+            for kind in CLASSES for policy in RETRY_POLICIES
+            for i in range(CALLERS)]
