--- a/test/fleet/soak_uneven.py
+++ b/test/fleet/soak_uneven.py
@@ -1,24 +1,25 @@
-"""Engines of uneven time to their first event: faults and the check."""
+"""Engines with different times to the first event: faults and a check."""
 import asyncio
 import random
 
 from soak_callers import Request
 from standin import MODELS, STEP
 
-# An engine up to FAST_S is fast; from four times that on it is slow, as the
-# ratio from which the system may rest an endpoint.
+# Bounds of the time to the first event, up to which an engine is fast and from
+# which it is slow. Four is the ratio from which the system may eject an
+# endpoint.
 FAST_S = 2 * STEP
 SLOW_S = 4 * FAST_S
-# What was harmed is used again gradually.
+# Time after a fault in which traffic to an engine is ramped up.
 FAULT_TAIL_S = 5.0
-# Callers of one model: so many that several engines hold it.
+# Callers of one model: enough for several engines to hold it.
 CALLERS, MAX_EVENTS = 6, 7
-# With fewer calls chance alone could give the slow ones an even share.
+# With fewer calls, slow engines could get an even share by chance.
 MIN_JUDGED_CALLS = 30
 
 
 def draw_first_event_delays(fleet, seed):
-    """Some engines are slow to their first event in half of the runs."""
+    """In half of the runs, give some engines a slow first event."""
     rng = random.Random("uneven %d" % seed)
     if not fleet.n_relays or rng.random() < 0.5:
         return
@@ -42,7 +43,7 @@
 
 
 def call_one_model(callers, seed):
-    """Tasks of callers to whom several engines are open."""
+    """Start callers of one model, which several engines come to hold."""
     model = random.Random("one model %d" % seed).choice(sorted(MODELS))
     return [asyncio.ensure_future(model_caller(
         callers, "one model %d %d" % (seed, i), model))
@@ -50,7 +51,7 @@
 
 
 async def slow_first_events(faults, seconds):
-    """An engine is slow to its first event for seconds, and fast again."""
+    """Slow down the first events of an engine for some seconds."""
     rng = random.Random("first events %d" % faults.seed)
     for _ in range(rng.randrange(0, 4) if faults.f.n_relays else 0):
         await asyncio.sleep(rng.uniform(0, seconds / 3))
@@ -65,8 +66,11 @@
 
 
 def comparable_holders(fleet, entry, run):
-    """Engine -> time to its first event: of the entry's failure domain, as
-    near ones are preferred, and neither harmed nor limited.
+    """Holders of the run's model that the entry could have chosen equally:
+    engine -> time to its first event.
+
+    They are in the entry's failure domain, as local ones are preferred, and
+    have neither a recent fault nor a rate limit.
     """
     zone = fleet.zone(int(entry.split("-")[1]))
     return {e: s for e, s in run.holders.items()
@@ -75,8 +79,8 @@
 
 
 def count_slow(fleet):
-    """(calls with fast and slow engines to choose from, how many went to slow
-    ones, how many would with even shares).
+    """Count calls that had both fast and slow engines to choose from:
+    (calls, calls that went to slow ones, the same with even shares).
     """
     n, to_slow, even_share = 0, 0, 0.0
     for rid, runs in fleet.world.runs.items():
@@ -93,7 +97,7 @@
 
 
 def slow_preferred(fleet):
-    """Slow engines that got as many calls as fast ones, as text."""
+    """Messages on slow engines that got as many calls as fast ones."""
     n, to_slow, even_share = count_slow(fleet)
     if n < MIN_JUDGED_CALLS or to_slow < even_share:
         return []
