--- a/test/fleet/soak_versions.py
+++ b/test/fleet/soak_versions.py
@@ -1,5 +1,5 @@
-"""Several software versions of the engines side by side, callers who take
-broken streams up, and what that shows.
+"""Engines of several software versions, callers that resume broken streams,
+and checks that streams resume, at the version that began them.
 """
 import asyncio
 import random
@@ -11,36 +11,39 @@
 
 DEADLINE_S = 8.0
 TRIES = 6
-# A caller whose stream breaks off comes back after so long.
+# Time until a caller resumes a stream that broke off.
 PAUSE_S = 0.05
-# Of a run with relays: callers who take streams up, and restarts of engines as
-# other versions.
+# Callers that resume streams, and versions that engines start with, in a run
+# with relays.
 RESUMING_CALLERS = 4
 VERSIONS = ["v1", "v2", "v3"]
-# Of the promise: of the streams that are taken up while two endpoints of their
-# version serve, half as many go on as new ones begin; judged from so many on.
+# Guarantee: while two endpoints of a stream's version serve, the success rate
+# of resuming streams is at least half of that of beginning new ones. It is
+# checked from MIN_RESUMED streams on.
 MIN_RESUMED, MIN_RESUME_RATIO = 12, 0.5
-# A process that was harmed needs so long until it is in touch.
+# Time that a process needs to reconnect after a fault.
 FAULT_TAIL_S = 3.0
 
 
 class Taker:
-    """A caller of one stream, who takes it up at other entries until it is
-    whole; entries are asked in turn, the last of them again and again.
+    """A caller that resumes its stream at other entries until it is complete.
+
+    It tries the entries in turn, and then repeats the last one.
     """
 
-    def __init__(self, fleet, name, model, total, entries, disconnects_at=None):
+    def __init__(self, fleet, name, model, total, entries,
+                 disconnects_at=None):
         self.f, self.name, self.model = fleet, name, model
         self.total, self.entries = total, entries
-        self.disconnects_at = disconnects_at   # its connection ends after that event
-        self.first = None    # request whose answer brought the first event
-        self.events = 0      # that have come
-        self.taken = 0       # tries with which it went on
-        self.refused = 0     # of these, told to come back
+        self.disconnects_at = disconnects_at   # event after which it does
+        self.first = None    # id of the request that got the first event
+        self.events = 0      # events received
+        self.taken = 0       # tries to resume
+        self.refused = 0     # tries with a status other than 200
         self.whole = self.done = False
-        self.waited = 0.0    # for the refusal that came last
-        self.tries = []      # (request, entry, what became of it)
-        # (events before, start, end, entry, whether events came) of each try
+        self.waited = 0.0    # duration of the latest try
+        self.tries = []      # (request id, entry, outcome, events)
+        # Each try: (events before it, start, end, entry, events received?).
         self.spans = []
 
     @property
@@ -53,7 +56,8 @@
         return "%s (%s): %s" % (self.name, self.version, self.tries)
 
     def headers(self, rid, until):
-        h = {**bearer(CUSTOMERS[0]), "X-Request-Id": rid, "X-Model": self.model,
+        h = {**bearer(CUSTOMERS[0]), "X-Request-Id": rid,
+             "X-Model": self.model,
              "X-Events": self.total, "X-Token-Usage": "10,%d" % self.total,
              "X-Deadline-Ms": int(1000 * (until - time.monotonic()))}
         if self.events:
@@ -62,7 +66,7 @@
         return h
 
     async def attempt(self, rid, entry, until):
-        """One try; seconds to wait before the next."""
+        """Make one try; return the seconds to wait before the next."""
         c = await connect(self.f.entries[entry])
         try:
             await c.send("POST", "/night/x", self.name.encode(),
@@ -112,8 +116,10 @@
 
 
 def mixed(world):
-    """Streams that hold events of several versions, as text. One that begins
-    anew, as nothing of it had come, holds nothing of before.
+    """Messages on streams that hold events of several versions.
+
+    A stream that starts again from event 1, as none had arrived, holds only
+    the events from there on.
     """
     out = []
     for stream, wrote in world.streams.items():
@@ -129,13 +135,13 @@
 
 
 def share_of(resuming_callers):
-    """Of those who took a stream up: how many got the rest of it."""
+    """Share of the callers that tried to resume and completed a stream."""
     taken = [t for t in resuming_callers if t.taken]
     return sum(t.whole for t in taken) / len(taken) if taken else 1.0
 
 
 async def resume_streams(fleet, callers, seed):
-    """Streams, one after the other, that break off and are taken up."""
+    """Request streams, one after the other, that break off and resume."""
     rng = random.Random("takers %d" % seed)
     entries, n = sorted(fleet.entries), 0
     while callers.on:
@@ -150,13 +156,14 @@
 
 
 def draw_versions(fleet, seed):
+    """Draw the software version of each engine, in a run with relays."""
     rng = random.Random("versions %d" % seed)
     for e in fleet.engines if fleet.n_relays else []:
         e.version = rng.choice(VERSIONS[:2])
 
 
 async def roll_out(faults, seconds):
-    """Engines start again as another version, under their id at times."""
+    """Restart engines with another version, partly under the same id."""
     rng = random.Random("releases %d" % faults.seed)
     for _ in range(rng.randrange(1, 5) if faults.f.n_relays else 0):
         await asyncio.sleep(rng.uniform(0, seconds / 3))
@@ -168,38 +175,40 @@
 
 
 def undisturbed(fleet, entry, since, until):
-    """In touch: neither the entry nor a control VM was harmed or stopped."""
+    """Whether neither the entry nor a control VM had a fault or stopped."""
     names = [entry] + [p.name for p in fleet.of_role("control")]
     return not any(fleet.journal.touched(n, since - FAULT_TAIL_S, until)
                    for n in names)
 
 
 def two_engines_serve(fleet, version, since, until):
-    """Engines that were of that version, and sound, all the while."""
+    """Whether two engines of that version had no fault in that time."""
     return sum(e.version == version and
-               not fleet.journal.touched(e.name, since - FAULT_TAIL_S, until) and
+               not fleet.journal.touched(
+                   e.name, since - FAULT_TAIL_S, until) and
                not fleet.journal.touched(e.name.replace("engine", "agent"),
                                          since - FAULT_TAIL_S, until)
                for e in fleet.engines) >= 2
 
 
 def any_events(tries):
-    """Of a caller's tries at one stream: whether events came in some; None
-    where there were no tries.
+    """Whether some of the tries at one stream got events; None without tries.
     """
     return any(had_events for *_, had_events in tries) if tries else None
 
 
 def too_few_resumed(fleet):
-    """Streams that were taken up at sound entries, and went on too seldom, as
-    text. All tries at a stream count as one, as the promise is on streams.
+    """Messages if too few streams were resumed at entries without faults.
+
+    All tries at a stream count as one, as the guarantee is on streams.
     """
     new, taken = [], []
     for t in fleet.resuming_callers:
         in_touch = [s for s in t.spans if undisturbed(fleet, s[3], s[1], s[2])]
         new.append(any_events([s for s in in_touch if not s[0]]))
-        taken.append(any_events([s for s in in_touch if s[0] and two_engines_serve(
-            fleet, t.version, s[1], s[2])]))
+        taken.append(any_events([
+            s for s in in_touch
+            if s[0] and two_engines_serve(fleet, t.version, s[1], s[2])]))
     new = [had_events for had_events in new if had_events is not None]
     taken = [had_events for had_events in taken if had_events is not None]
     fleet.resume_counts = (len(taken), sum(taken), len(new), sum(new))
@@ -208,5 +217,6 @@
     share, begin = sum(taken) / len(taken), sum(new) / len(new)
     if share >= MIN_RESUME_RATIO * begin:
         return []
-    return ["%.2f of %d streams that were taken up went on, %.2f of %d new ones "
-            "began" % (share, len(taken), begin, len(new))]
+    return ["%.2f of %d streams that were taken up went on, "
+            "%.2f of %d new ones began" % (
+                share, len(taken), begin, len(new))]
