--- a/test/fleet/soak_words.py
+++ b/test/fleet/soak_words.py
@@ -1,4 +1,7 @@
-"""What endpoints say of themselves in their answers: faults and checks."""
+"""Signals in endpoints' answers (rate limit, backoff, draining).
+
+Faults that make endpoints send them, and checks that they are respected.
+"""
 import asyncio
 import random
 import time
@@ -6,24 +9,27 @@
 from soak_journal import most_in_window
 from standin import AGENT
 
-# Of the promise: from so long after a limit was first named, an endpoint gets
-# in no window more than the ratio of what it allows, and some.
+# Guarantee on a rate limit: from CONTACT_S after its first statement, an
+# endpoint gets at most RATIO times what it allows plus EXTRA in each window.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
 RATIO, EXTRA = 1.5, 5
-# An endpoint that asked a VM for rest gets no more from it, from so long after
-# that on, until the rest is over; one that said so that it leaves gets nothing
-# from so long after that on.
+# Guarantees on backoff and draining: an endpoint that requested a backoff of a
+# VM gets at most MAX_IN_BACKOFF requests from it, from BACKOFF_DELAY_S on
+# until the end of the backoff. One that stated to a VM that it is draining
+# gets none from it after DRAIN_S.
 BACKOFF_DELAY_S, MAX_IN_BACKOFF = 0.5, 2
 DRAIN_S = 3.0
-# A process that was harmed needs so long to hear again.
+# Time that a process needs to receive signals again after a fault.
 FAULT_TAIL_S = 2.5
 RATE_LIMITS = [0.5, 1, 2, 5]
 
 
 async def state_rate_limits(faults, seconds):
-    """Endpoints name a limit for some seconds, beside all else. Drawn apart,
-    so that schedules of old seeds stay.
+    """Let endpoints state a rate limit for some seconds, concurrently with all
+    other faults.
+
+    A separate generator keeps the schedules of older seeds unchanged.
     """
     rng = random.Random("limits %d" % faults.seed)
     for _ in range(rng.randrange(0, 4) if faults.f.n_relays else 0):
@@ -39,8 +45,8 @@
 
 
 def over_limit(fleet):
-    """Endpoints that got more than their limit allows from entries that
-    nothing had harmed, as text.
+    """Messages on endpoints that got more than their rate limit allows from
+    entries without a fault.
     """
     world, out = fleet.world, []
     for s in fleet.servers:
@@ -49,7 +55,8 @@
             if not since:
                 continue
             times = [t for t, rid, _ in s.got
-                     if rid is not None and since + CONTACT_S + world.lag <= t <= end and
+                     if rid is not None and
+                     since + CONTACT_S + world.lag <= t <= end and
                      not world.journal.harmed(world.sent_to.get(rid, ""),
                                               since - FAULT_TAIL_S, t)]
             worst, _ = most_in_window(times, WINDOW_S)
@@ -66,31 +73,36 @@
 
 
 def sent_by(server, sender):
-    """(time, incarnation) of what came from an entry, or from its agent."""
+    """(time, incarnation) of the requests from an entry, or from its agent."""
     return [(t, i) for t, rid, i in server.got if server.sender(rid) == sender]
 
 
 def over_rest(fleet):
-    """Endpoints that got more than a request or two in a rest that they had
-    asked a VM for, as text. A harmed process may have forgotten it.
+    """Messages on endpoints that got more than MAX_IN_BACKOFF requests from a
+    VM in a backoff that they had requested of it.
+
+    Faults of the VM are excused: it may have lost the backoff.
     """
     lag, out = fleet.world.lag, []
     for s in fleet.servers:
         for sender in senders(s, s.asked):
             got = [t for t, _ in sent_by(s, sender)]
             for at, receiver, rest_s in s.asked:
-                if receiver != sender or sender_disturbed(fleet, s, sender, at, at + rest_s):
+                if receiver != sender or sender_disturbed(
+                        fleet, s, sender, at, at + rest_s):
                     continue
-                n = sum(at + BACKOFF_DELAY_S + lag < t < at + rest_s for t in got)
+                n = sum(at + BACKOFF_DELAY_S + lag < t < at + rest_s
+                        for t in got)
                 if n > MAX_IN_BACKOFF:
                     out.append("%s asked %s for %s s of rest and got %d "
-                               "requests in them" % (s.name, sender, rest_s, n))
+                               "requests in them" % (
+                                   s.name, sender, rest_s, n))
                     break
     return out
 
 
 def over_leaving(fleet):
-    """Endpoints that said that they leave and were sent to later, as text."""
+    """Messages on endpoints that got requests after stating to drain."""
     lag, out = fleet.world.lag, []
     for s in fleet.servers:
         first = {}
@@ -107,7 +119,7 @@
 
 
 def sender_disturbed(fleet, server, sender, since, until):
-    """The sender was killed, frozen or stopped since."""
+    """Whether the sender was killed, frozen or stopped in that time."""
     name = sender
     if sender == AGENT:
         name = server.name.replace("engine", AGENT)
@@ -115,7 +127,7 @@
 
 
 async def request_backoffs(faults, seconds):
-    """Endpoints turn everything away for some seconds, and ask for rest."""
+    """Let endpoints refuse all requests and ask for backoff for seconds."""
     rng = random.Random("rests %d" % faults.seed)
     for _ in range(rng.randrange(0, 3) if faults.f.n_relays else 0):
         await asyncio.sleep(rng.uniform(0, seconds / 3))
