--- a/test/fleet/soak_faults.py
+++ b/test/fleet/soak_faults.py
@@ -161,7 +161,7 @@
                 limit = largest + rng.randrange(1, 2000)
                 resource.prlimit(p.proc.pid, resource.RLIMIT_FSIZE,
                                  (limit, limit))
-                await p.ended(5.0)
+                await p.wait_exit(5.0)
                 await p.end()
                 p.start()
 
--- a/test/fleet/soak_fleet.py
+++ b/test/fleet/soak_fleet.py
@@ -63,7 +63,7 @@
             self.world.faults.append("%s ended by itself: %d" % (
                 self.name, self.proc.returncode))
 
-    async def ended(self, seconds=None):
+    async def wait_exit(self, seconds=None):
         """Wait for its exit; return False after the timeout."""
         end = time.monotonic() + (seconds or 1e9)
         while self.runs():
@@ -75,7 +75,7 @@
     async def end(self, sig=signal.SIGKILL):
         self.send(signal.SIGCONT)
         self.send(sig)
-        await self.ended()
+        await self.wait_exit()
 
     def has_started(self):
         with open(self.log, "rb") as f:
@@ -88,7 +88,7 @@
         start = time.monotonic()
         bound = STOP_BOUND_S[self.role] + self.world.lag
         self.send(signal.SIGTERM)
-        in_time = await self.ended(bound)
+        in_time = await self.wait_exit(bound)
         if not self.world.journal.harmed(self.name, start, time.monotonic()):
             if not in_time:
                 self.world.faults.append("%s: its planned stop takes more "
