--- a/test/fleet/soak_checks.py
+++ b/test/fleet/soak_checks.py
@@ -1,8 +1,8 @@
-"""Checks of a run from what callers and endpoints saw.
+"""Checks of a run against what callers and endpoints observed.
 
-Each looks at one promise and adds a text to the run's faults where it is
-broken. What a fault of the soak explains is excused: only one without a
-plan, on the process or endpoint concerned and at that time.
+Each check covers one guarantee and appends a message to world.faults for each
+violation. A violation is excused only by an unplanned injected fault on the
+process or endpoint concerned, at that time.
 """
 import bisect
 
@@ -12,34 +12,35 @@
 from soak_journal import most_in_window
 from soak_poison import CONTACT_S, ENDS, LATER
 from soak_uneven import slow_preferred
-from soak_versions import lost, mixed
+from soak_versions import mixed, too_few_resumed
 from soak_words import over_leaving, over_limit, over_rest
 
-# A fault still shows so long after its end: what it broke has to be found.
-AFTER_S = 2.5
-# Of a request's time, kept by entries to say that it is over.
-EARLY_S = 0.15
-# Kept by entries at the end of their grace time to write what is left.
+# Time after a fault in which its effects are excused: processes have to detect
+# them first.
+FAULT_TAIL_S = 2.5
+# Part of a request's timeout that entries reserve to report the timeout.
+TIMEOUT_MARGIN_S = 0.15
+# Part of the grace time that entries reserve to flush pending output.
 STOP_MARGIN_S = 0.25
-# A request that crosses the close of its connection finds it closed so soon.
-CROSSED_S = 0.5
-# Work of callers who left ends so soon, and none begins later.
-LEFT_S = 0.7
-# What has left the list's ready ones: the list is read, then told on.
-LIST_SLACK_S = 0.3
-WINDOW_S = 10.0      # of repeats
+# Time within which a request that races the close of its connection fails.
+CLOSE_RACE_S = 0.5
+# Bound for cancelling the work of a caller that disconnected.
+CANCEL_BOUND_S = 0.7
+# Time until the VM list is read and a changed state is passed on to entries.
+LIST_DELAY_S = 0.3
+WINDOW_S = 10.0      # window of the retry budget
 LOADS_WINDOW_S = 5.0
-LOADS_FREE = 3
+LOADS_BURST = 3
 
 
 def within(times, start):
-    """How many of the sorted times lie in the window of repeats from there."""
+    """Number of the sorted times in the retry window that begins at start."""
     return (bisect.bisect_right(times, start + WINDOW_S) -
             bisect.bisect_left(times, start))
 
 
 class Checks:
-    """All checks; each method is one."""
+    """All checks of a run; each public method is one."""
 
     def __init__(self, fleet, callers):
         self.f, self.callers = fleet, callers
@@ -48,45 +49,49 @@
     def fail(self, text):
         self.world.faults.append(text)
 
-    def harmed(self, name, since, until, but=()):
-        return self.journal.harmed(name, since - AFTER_S,
-                                   until + self.world.lag, but)
+    def harmed(self, name, since, until, ignoring=()):
+        return self.journal.harmed(name, since - FAULT_TAIL_S,
+                                   until + self.world.lag, ignoring)
 
     def runs(self, r):
         return self.world.runs.get(r.rid, [])
 
-    def way_harmed(self, r):
-        """A fault on the entry, or on an endpoint that worked on it."""
+    def path_harmed(self, r):
+        """Whether a fault hit r's entry, or an endpoint that ran r."""
         return self.harmed(r.entry, r.sent, r.ended) or any(
-            self.harmed(run.server, r.sent, r.ended, but=("slower",))
+            self.harmed(run.server, r.sent, r.ended, ignoring=("slower",))
             for run in self.runs(r))
 
-    def any_harmed(self, r):
-        """A fault on any endpoint that it may have been sent to."""
+    def candidate_harmed(self, r):
+        """Whether a fault hit any endpoint that r may have reached."""
         service = "lm" if r.kind in STREAMS else "web"
-        return any(self.harmed(s.name, r.sent, r.ended, but=("slower",))
+        return any(self.harmed(s.name, r.sent, r.ended, ignoring=("slower",))
                    for s in self.f.servers if s.service == service)
 
     def outlasted_stop(self, r):
-        """Under way at a planned stop, and still at work when its time was
-        over. What the entry has begun after the signal it should not have,
-        but where the endpoint became slower since.
+        """Whether the request was in progress at a planned stop of its entry
+        and still running at the end of the grace time.
+
+        A request that the entry started after the signal counts only if the
+        endpoint became slower since: else the entry should not have started
+        it.
         """
-        for stop in self.journal.stops(r.entry, r.sent, r.ended):
-            last = stop.start + GRACE_MS / 1000 - STOP_MARGIN_S
+        for planned_stop in self.journal.stops(r.entry, r.sent, r.ended):
+            last = planned_stop.start + GRACE_MS / 1000 - STOP_MARGIN_S
             if r.ended < last:
                 continue
             for run in self.runs(r):
                 slower = self.journal.harmed(run.server, run.start, r.ended)
-                if run.start <= stop.start + self.world.lag or slower:
+                if run.start <= planned_stop.start + self.world.lag or slower:
                     return True
         return False
 
-    def crossed_close(self, r):
-        """Nobody read it: its connection was being closed."""
-        stopping = self.journal.touched(r.entry, r.sent - AFTER_S, r.ended)
+    def raced_close(self, r):
+        """Whether nobody read the request: its connection was closing."""
+        stopping = self.journal.touched(
+            r.entry, r.sent - FAULT_TAIL_S, r.ended)
         return not self.runs(r) and not r.answer_began and \
-            r.ended - r.sent < CROSSED_S and (r.reused or stopping)
+            r.ended - r.sent < CLOSE_RACE_S and (r.reused or stopping)
 
     def describe(self, r):
         at = self.journal.at
@@ -96,53 +101,54 @@
         stops = ["stop at %s" % at(s.start) for s in self.journal.stops(
             r.entry, r.sent, r.ended)]
         return "%s (%s, %d events) at %s, sent %s, ended %s; %s; ran: %s" % (
-            r.rid, r.kind, r.total, r.entry, at(r.sent), at(r.ended),
+            r.rid, r.kind, r.n_events, r.entry, at(r.sent), at(r.ended),
             ", ".join(stops) or "no stop", ", ".join(runs) or "nowhere")
 
-    def cuts(self):
-        """Each request has an answer or a refusal."""
+    def cut_answers(self):
+        """Each request gets a complete answer or a refusal."""
         for r in self.callers.requests:
-            if r.outcome != "cut" or self.way_harmed(r):
+            if r.outcome != "cut" or self.path_harmed(r):
                 continue
-            time_is_up = r.ended - r.sent >= r.limit_s - EARLY_S
-            if time_is_up or self.outlasted_stop(r) or self.crossed_close(r):
+            timed_out = r.ended - r.sent >= r.timeout_s - TIMEOUT_MARGIN_S
+            if timed_out or self.outlasted_stop(r) or self.raced_close(r):
                 continue
             self.fail("cut: " + self.describe(r))
 
-    def lost(self):
-        """A 502 says that nobody knows what became of the request. Where it
-        ran nowhere, it was lost on the way to an endpoint.
+    def bad_gateways(self):
+        """A 502 says that the fate of the request is unknown. Where it ran
+        nowhere, it was lost on its way to an endpoint; a fault must explain
+        that.
         """
         for r in self.callers.requests:
-            if r.status != 502 or self.way_harmed(r) or \
+            if r.status != 502 or self.path_harmed(r) or \
                     self.outlasted_stop(r):
                 continue
-            if self.runs(r) or not self.any_harmed(r):
+            if self.runs(r) or not self.candidate_harmed(r):
                 self.fail("502 without a fault: " + self.describe(r))
 
-    def late(self):
-        """Each waiting request is answered in time."""
+    def timeouts(self):
+        """Each request that the caller waits for is answered in time."""
         for r in self.callers.requests:
-            if r.outcome == "late" and not self.way_harmed(r):
+            if r.outcome == "late" and not self.path_harmed(r):
                 self.fail("no answer in time: " + self.describe(r))
 
-    def doubled(self):
-        """What can't be repeated runs at most once."""
+    def duplicate_runs(self):
+        """A request that is unsafe to retry runs at most once."""
         for r in self.callers.requests:
             n = len(self.runs(r))
             if n > 1 and r.kind in UNSAFE:
                 self.fail("ran %d times: %s" % (n, self.describe(r)))
 
     def unreachable(self):
-        """An entry that isn't harmed takes callers until its stop closes."""
+        """An entry without a fault accepts connections until it stops."""
         for r in self.callers.requests:
             if r.outcome == "unreachable" and not self.journal.touched(
-                    r.entry, r.sent - AFTER_S, r.ended):
+                    r.entry, r.sent - FAULT_TAIL_S, r.ended):
                 self.fail("takes no callers: " + self.describe(r))
 
-    def left(self):
-        """Work of a caller who left is stopped, and none begins."""
-        bound = LEFT_S + self.world.lag
+    def cancelled(self):
+        """Work of a caller that disconnected is cancelled, and none starts."""
+        bound = CANCEL_BOUND_S + self.world.lag
         for r in self.callers.requests:
             if r.outcome != "left" or self.harmed(r.entry, r.sent, r.ended):
                 continue
@@ -153,9 +159,9 @@
                     self.fail("worked on %.2f s after its caller left: %s" % (
                         until - r.ended, self.describe(r)))
 
-    def leaving(self):
-        """A leaving endpoint gets no new work after its bound."""
-        bound = LEAVING_S + LIST_SLACK_S + self.world.lag
+    def draining(self):
+        """A draining endpoint gets no new work after the drain bound."""
+        bound = LEAVING_S + LIST_DELAY_S + self.world.lag
         for rid, runs in self.world.runs.items():
             entry = self.world.sent_to.get(rid, "")
             for run in runs:
@@ -168,21 +174,21 @@
                                             self.journal.at(run.start),
                                             run.left_for))
 
-    def unasked(self):
-        """Endpoints run only what callers have sent."""
+    def unsent(self):
+        """Endpoints run only requests that callers have sent."""
         for rid in self.world.runs.keys() - self.world.sent_to.keys():
             self.fail("nobody sent %r, and it ran" % rid)
 
-    def repeats(self):
-        """Repeats over all entries stay in their share, in each window."""
+    def retries(self):
+        """In each window, retries of all entries stay in the budget."""
         for service, arrived in self.world.arrivals.items():
-            known, firsts, again = set(), [], []
+            known, firsts_at, retries_at = set(), [], []
             for t, rid in arrived:
-                (again if rid in known else firsts).append(t)
+                (retries_at if rid in known else firsts_at).append(t)
                 known.add(rid)
-            for start in again:
-                n = within(again, start)
-                near = max(within(firsts, start - back) for back in (
+            for start in retries_at:
+                n = within(retries_at, start)
+                near = max(within(firsts_at, start - back) for back in (
                     0, WINDOW_S / 2, WINDOW_S))
                 if n > RETRY_RATIO * near + RETRY_SLACK:
                     self.fail("%s: %d repeats in a window with %d requests"
@@ -191,21 +197,21 @@
 
     def store_loads(self):
         """Loads from the store keep to the rate that the routing allows,
-        but while the control VMs are harmed.
+        except while a control VM has a fault.
         """
         controls = [p.name for p in self.f.of_role("control")]
         calm = [t for t in self.world.loads if not any(
             self.journal.touched(c, t - LOADS_WINDOW_S, t) for c in controls)]
         n, start = most_in_window(calm, LOADS_WINDOW_S)
-        allowed = self.f.loads_per_s() * LOADS_WINDOW_S + LOADS_FREE
+        allowed = self.f.loads_per_s() * LOADS_WINDOW_S + LOADS_BURST
         if n > allowed:
             self.fail("%d loads from the store within %.0f s from %s, %.0f "
                       "are allowed" % (n, LOADS_WINDOW_S,
                                        self.journal.at(start), allowed))
 
     def poisoned(self):
-        """What has ended three endpoints reaches few more, once entries that
-        aren't harmed have had the time to hear of it.
+        """A request that has crashed three endpoints (ENDS) reaches few more,
+        once entries without a fault have had the time to learn of it.
         """
         controls = [p.name for p in self.f.of_role("control")]
         for body, ends in self.world.ended_by.items():
@@ -214,50 +220,50 @@
             late = [(t, rid) for t, rid in self.world.poison[body]
                     if t > ends[ENDS - 1] + CONTACT_S]
             calm = [rid for t, rid in late if not any(
-                self.journal.touched(name, t - CONTACT_S - AFTER_S, t)
+                self.journal.touched(name, t - CONTACT_S - FAULT_TAIL_S, t)
                 for name in [self.world.sent_to[rid], *controls])]
             if len(calm) > LATER:
                 self.fail("%r ended %d endpoints and was sent on %d times "
                           "more" % (body, len(ends), len(calm)))
 
-    def words(self):
-        """What endpoints say of themselves in their answers is heeded."""
+    def signals(self):
+        """Entries and agents respect the signals in endpoints' answers."""
         for check in (over_limit, over_rest, over_leaving):
             for text in check(self.f):
                 self.fail(text)
 
     def versions(self):
-        """Streams go on at the version that began them, and mostly do."""
-        for text in mixed(self.world) + lost(self.f):
+        """Streams resume at the version that began them, and mostly do."""
+        for text in mixed(self.world) + too_few_resumed(self.f):
             self.fail(text)
 
     def refusals(self):
-        """Each refusal for load carries a time to return."""
+        """Each refusal for load carries a Retry-After."""
         for r in self.callers.requests:
             if r.outcome == "answered" and r.status in (429, 503) and \
                     not float(r.retry_after or 0) > 0:
                 self.fail("%d without a time to return: %s" % (
                     r.status, self.describe(r)))
 
-    def uneven(self):
-        """Slow engines get fewer calls than fast ones beside them."""
+    def slow_engines(self):
+        """Slow engines get fewer calls than fast ones in the same zone."""
         for text in slow_preferred(self.f):
             self.fail(text)
 
     def all(self):
         self.refusals()
-        self.uneven()
-        self.words()
+        self.slow_engines()
+        self.signals()
         self.versions()
         self.callers.check()
         self.unreachable()
-        self.left()
-        self.leaving()
-        self.unasked()
-        self.repeats()
+        self.cancelled()
+        self.draining()
+        self.unsent()
+        self.retries()
         self.store_loads()
-        self.doubled()
-        self.cuts()
-        self.lost()
-        self.late()
+        self.duplicate_runs()
+        self.cut_answers()
+        self.bad_gateways()
+        self.timeouts()
         self.poisoned()
--- a/test/fleet/soak_faults.py
+++ b/test/fleet/soak_faults.py
@@ -1,5 +1,7 @@
-"""Faults that come in series and overlap. The seed draws which families of
-faults a run has, when each comes, and all its figures.
+"""Injected faults of a run; they come in series and overlap.
+
+The seed determines which families of faults a run has, when each fault comes,
+and all its parameters.
 """
 import asyncio
 import os
@@ -13,16 +15,16 @@
 from soak_outage import outage
 from soak_poison import Sender
 from soak_uneven import slow_first_events
-from soak_versions import release
-from soak_words import ask_for_rest, name_limits
+from soak_versions import roll_out
+from soak_words import request_backoffs, state_rate_limits
 from standin import TO_CLIENT, TO_SERVER
 
-LEAVING_S = 3.0      # a leaving endpoint is left within it
-# A wiped control VM counts as replaced once the group has let go of it and
-# its spare votes; two lost disks before that are more than three voters bear.
+LEAVING_S = 3.0      # until a draining endpoint gets no new work
+# A wiped control VM counts as replaced once the group has removed it and its
+# spare votes. Three voters don't tolerate a second lost disk before that.
 JOINED = "event=joined"
 DROPPED = "event=drop_member "
-SLOWER = 5           # times that an engine slows down
+SLOWDOWN = 5         # factor by which an engine slows down
 
 
 def files_in(folder):
@@ -31,7 +33,7 @@
 
 
 class Faults:
-    """The faults of one run; each method that FAMILIES names is one."""
+    """The faults of one run; each method named in FAMILIES is one."""
 
     def __init__(self, fleet, seed, only=()):
         self.f, self.journal = fleet, fleet.journal
@@ -39,14 +41,14 @@
         self.wiping = False
         self.log = []
         names = sorted(FAMILIES)
-        # Some runs have every family, others few: then what the others
-        # would excuse is judged.
+        # Some runs have all families, others few: faults of the missing ones
+        # then excuse no violation.
         n = self.rng.choice([2, 3, 5, len(names)])
         self.kinds = [kind for name in only or self.rng.sample(names, n)
                       for kind in FAMILIES[name]]
 
-    def some(self, rng, role):
-        """A few processes of a role, at times all."""
+    def pick_processes(self, rng, role):
+        """Draw one, two or all processes of a role."""
         procs = self.f.of_role(role)
         n = rng.choice([1, 1, 2, len(procs)])
         return rng.sample(procs, min(n, len(procs)))
@@ -61,12 +63,12 @@
                 await asyncio.sleep(pause)
                 p.start()
 
-    async def stop(self, p, pause, beside=None):
-        """A planned stop, with something that happens beside it."""
+    async def stop(self, p, pause, during=None):
+        """A planned stop, and optionally an action that runs during it."""
         async with p.turn:
             with self.journal.span(p.name, "stop", planned=True):
-                task = asyncio.ensure_future(beside(p)) if beside else None
-                await p.stop_as_planned()
+                task = asyncio.ensure_future(during(p)) if during else None
+                await p.stop_gracefully()
                 if task:
                     await task
                 await asyncio.sleep(pause)
@@ -78,18 +80,18 @@
             await asyncio.sleep(seconds)
             p.send(signal.SIGCONT)
 
-    async def all(self, what, procs, rng):
+    async def run_for_each(self, what, procs, rng):
         await asyncio.gather(*[what(p, rng.uniform(0, 0.5)) for p in procs])
 
     async def kill_some(self, rng, role):
-        await self.all(self.kill, self.some(rng, role), rng)
+        await self.run_for_each(self.kill, self.pick_processes(rng, role), rng)
 
     async def freeze_some(self, rng, role):
         await asyncio.gather(*[self.freeze(p, rng.uniform(0.3, 3))
-                               for p in self.some(rng, role)])
+                               for p in self.pick_processes(rng, role)])
 
     async def stop_at_once(self, rng, role):
-        await self.all(self.stop, self.some(rng, role), rng)
+        await self.run_for_each(self.stop, self.pick_processes(rng, role), rng)
 
     async def stop_in_turn(self, rng, role):
         procs = self.f.of_role(role)
@@ -97,20 +99,20 @@
             await self.stop(p, rng.uniform(0, 0.3))
 
     async def stop_twice(self, rng, role):
-        async def again(p):
+        async def second_signal(p):
             await asyncio.sleep(rng.uniform(0, 1.5))
             p.send(signal.SIGTERM)
 
-        await self.stop(rng.choice(self.f.of_role(role)), 0.1, again)
+        await self.stop(rng.choice(self.f.of_role(role)), 0.1, second_signal)
 
     async def kill_in_stop(self, rng, role):
-        async def strike(p):
+        async def kill_later(p):
             await asyncio.sleep(rng.uniform(0, 3))
             if p.runs():
                 self.journal.note(p.name, "kill")
                 p.send(signal.SIGKILL)
 
-        await self.stop(rng.choice(self.f.of_role(role)), 0.1, strike)
+        await self.stop(rng.choice(self.f.of_role(role)), 0.1, kill_later)
 
     async def freeze_over_stop(self, rng, role):
         async def sleep(p):
@@ -119,48 +121,52 @@
         await self.stop(rng.choice(self.f.of_role(role)), 0.1, sleep)
 
     async def wipe(self, rng):
-        """A control VM loses its disk and joins anew."""
+        """A control VM loses its disk and joins again."""
         if self.wiping:
             return
         self.wiping = True
         i = rng.randrange(CONTROLS)
         p = self.f.procs["control-%d" % i]
-        dropped = self.said(DROPPED)
+        dropped = self.log_count(DROPPED)
         async with p.turn:
-            joined = self.said(JOINED, p.name)
+            joined = self.log_count(JOINED, p.name)
             with self.journal.span(p.name, "wipe"):
                 await p.end()
-                shutil.rmtree(self.f.data_of(i))
+                shutil.rmtree(self.f.data_dir(i))
                 self.f.control_settings(i, False)
                 p.start()
         end = time.monotonic() + 20
         while time.monotonic() < end:
-            if self.said(JOINED, p.name) > joined and \
-                    self.said(DROPPED) > dropped:
+            if self.log_count(JOINED, p.name) > joined and \
+                    self.log_count(DROPPED) > dropped:
                 self.wiping = False
                 return
             await asyncio.sleep(0.2)
 
     async def disk_full(self, rng):
-        """A control VM can't write past some byte: it ends in the midst of
-        a record. With its log's lines on the same limit it ends within some.
+        """A control VM can't write past a file size: it dies in the middle of
+        a record.
+
+        The limit is set from the largest file, its process log included, so
+        that it dies within a few lines of that log at the latest.
         """
         i = rng.randrange(CONTROLS)
         p = self.f.procs["control-%d" % i]
         async with p.turn:
             p.check_runs()
             with self.journal.span(p.name, "disk full"):
-                most = max(os.path.getsize(f)
-                           for f in [p.log, *files_in(self.f.data_of(i))])
-                limit = most + rng.randrange(1, 2000)
+                largest = max(
+                    os.path.getsize(f)
+                    for f in [p.log, *files_in(self.f.data_dir(i))])
+                limit = largest + rng.randrange(1, 2000)
                 resource.prlimit(p.proc.pid, resource.RLIMIT_FSIZE,
                                  (limit, limit))
-                await p.ended(5.0)
+                await p.wait_exit(5.0)
                 await p.end()
                 p.start()
 
-    def said(self, text, name=None):
-        """How often control VMs, or one process, have logged it."""
+    def log_count(self, text, name=None):
+        """Count a text in the logs of all control VMs, or of one process."""
         names = [name] if name else [
             p.name for p in self.f.of_role("control")]
         n = 0
@@ -172,13 +178,13 @@
     # Settings.
 
     async def hang_up(self, rng, role):
-        """SIGHUP, with the same settings written anew, or with bad ones that
-        are mended before the process is started again.
+        """Send SIGHUP after rewriting the settings, either unchanged or
+        invalid. Valid ones are restored before the process can be restarted.
         """
         p = rng.choice(self.f.of_role(role))
         path = self.f.settings_path(p.name)
         async with p.turn:
-            # Before that nothing handles signals, and SIGHUP ends it.
+            # Before its start event it has no handler, and SIGHUP kills it.
             while p.runs() and not p.has_started():
                 await asyncio.sleep(0.02)
             with open(path) as f:
@@ -214,17 +220,17 @@
             s.silent = False
 
     async def slow(self, rng):
-        """An engine slows down, also midway in its streams."""
+        """An engine slows down, also during running streams."""
         e = rng.choice(self.f.engines)
         async with e.turn:
             step = e.step
-            e.step *= SLOWER
+            e.step *= SLOWDOWN
             self.journal.note(e.name, "slower")
             await asyncio.sleep(rng.uniform(1, 5))
             e.step = step
 
     async def leave(self, rng):
-        """An endpoint leaves as planned: its work ends, then it goes."""
+        """An endpoint drains: it finishes its work, then goes away."""
         s = rng.choice(self.f.servers)
         async with s.turn:
             s.leave()
@@ -256,40 +262,43 @@
         p.reset()
 
     async def link_silence(self, _rng, p):
-        """Found only by those who wait on it."""
+        """Existing connections go silent; only a timeout detects that."""
         p.silence(TO_SERVER, TO_CLIENT)
         await asyncio.sleep(3)
 
     async def link_one_way(self, rng, p):
-        """Bytes of one direction vanish, also on new connections."""
-        way = rng.choice([TO_SERVER, TO_CLIENT])
-        p.deaf.add(way)
-        p.silence(way)
+        """Bytes of one direction are lost, also on new connections."""
+        direction = rng.choice([TO_SERVER, TO_CLIENT])
+        p.deaf.add(direction)
+        p.silence(direction)
         await asyncio.sleep(rng.uniform(0.5, 3))
-        p.deaf.discard(way)
+        p.deaf.discard(direction)
         p.reset()
 
-    # Much at once.
+    # Correlated faults.
 
     async def zone_fails(self, rng):
-        """All of a failure domain: processes, endpoints and links."""
+        """Fail all processes, endpoints and links of a failure domain."""
         zone = rng.choice(ZONES)
         servers = [s for s in self.f.servers if s.zone == zone]
         links = self.f.proxies_of([s.name for s in servers])
-        await asyncio.gather(self.all(self.kill, self.f.of_zone(zone), rng),
-                             *[self.crash(rng, s) for s in servers],
-                             *[self.link(rng, "refuse", p) for p in links])
+        await asyncio.gather(
+            self.run_for_each(self.kill, self.f.of_zone(zone), rng),
+            *[self.crash(rng, s) for s in servers],
+            *[self.link(rng, "refuse", p) for p in links])
 
     async def all_killed(self, rng):
-        await self.all(self.kill, list(self.f.procs.values()), rng)
+        await self.run_for_each(self.kill, list(self.f.procs.values()), rng)
 
     async def all_stopped(self, rng):
-        await self.all(self.stop, list(self.f.procs.values()), rng)
+        await self.run_for_each(self.stop, list(self.f.procs.values()), rng)
 
     async def exchange_seeds(self, seconds):
-        """The addresses of all settings become others that serve control,
-        relays or members, once or several times; mostly all processes are
-        killed then. Drawn apart, so that schedules of old seeds stay.
+        """Replace the control addresses in all settings by three random ones
+        of members and relays, up to twice; mostly all processes are killed
+        after that.
+
+        A separate generator keeps the schedules of older seeds unchanged.
         """
         rng = random.Random("seeds %d" % self.seed)
         addrs = self.f.control_addrs(CONTROLS) + self.f.relay_addrs()
@@ -303,8 +312,11 @@
                 await self.all_killed(rng)
 
     async def poison(self, seconds):
-        """Requests that end what runs them, at all entries, beside all else.
-        Drawn apart too; seeds of before them are played without.
+        """Send requests that crash their endpoint to all entries, concurrently
+        with all other faults.
+
+        A separate generator keeps the schedules of older seeds unchanged;
+        REGRESSIONS run without poison requests.
         """
         rng = random.Random("poison %d" % self.seed)
         if not self.f.n_relays:
@@ -326,9 +338,9 @@
     async def run(self, seconds):
         tasks = [asyncio.ensure_future(self.exchange_seeds(seconds)),
                  asyncio.ensure_future(self.poison(seconds)),
-                 asyncio.ensure_future(name_limits(self, seconds)),
-                 asyncio.ensure_future(ask_for_rest(self, seconds)),
-                 asyncio.ensure_future(release(self, seconds)),
+                 asyncio.ensure_future(state_rate_limits(self, seconds)),
+                 asyncio.ensure_future(request_backoffs(self, seconds)),
+                 asyncio.ensure_future(roll_out(self, seconds)),
                  asyncio.ensure_future(slow_first_events(self, seconds)),
                  asyncio.ensure_future(outage(self, seconds))]
         end = time.monotonic() + seconds
--- a/test/fleet/soak_operators.py
+++ b/test/fleet/soak_operators.py
@@ -1,9 +1,9 @@
 """Two operators that change the routing in quick succession, and probes of
-what is in force at the entries. A fleet has no presets.
+the routing in force at the entries. A fleet has no presets.
 
-Each version k of the routing has routes /v/k/ for the last versions up to
-its own, and one route /w/LABEL/ for its own content: callers see by them
-which version an entry follows, and whose content.
+Version n of the routing has a route /v/k/ for each of the latest versions k up
+to n, and one route /w/LABEL/ that identifies its content. Requests to them
+show which version an entry applies, and which of two racing contents.
 """
 import asyncio
 import json
@@ -15,12 +15,12 @@
 from soak_fleet import engine_parts
 from soak_http import http
 
-MARKS = 40           # versions back that a routing still has a route for
-APPLY_S = 3.0        # an acknowledged change is in force everywhere
-CONTACT_S = 5.0      # that bound holds so long after the last fault
-RACING_SHARE = 0.25  # changes under a number that was already asked for
-ASK_S = 2.0
-CLASS_GOALS_MS = (500, 1000, 4000)   # by priority
+KEPT_VERSIONS = 40   # earlier versions that a routing has a route for
+APPLY_S = 3.0        # until an acknowledged change is in force everywhere
+CALM_S = 5.0         # time without faults from which APPLY_S holds
+REUSED_VERSION_SHARE = 0.25  # share of changes with a version sent before
+CALL_TIMEOUT_S = 2.0
+CLASS_GOALS_MS = (500, 1000, 4000)   # latency goals, by priority
 
 
 def route(name, prefix, kind, service, timeout_s, **more):
@@ -42,7 +42,7 @@
         route("night", "/night/", "stream", "lm", t["night"], attempts=2,
               goalMs=2000, resumable=True)]
     routes += [mark("v%d" % k, "/v/%d/" % k)
-               for k in range(max(1, version - MARKS), version + 1)]
+               for k in range(max(1, version - KEPT_VERSIONS), version + 1)]
     routes.append(mark("w" + label, "/w/%s/" % label))
     if any(c["name"] == SURGE for c in customers or ()):
         routes += [route(name, "/%s/" % name, "stream", "lm", t[name],
@@ -57,7 +57,7 @@
 
 
 def label_of(got):
-    """The label in a routing that was read back."""
+    """The content label of a routing that was read back."""
     for r in got["routes"]:
         if r["prefix"].startswith("/w/"):
             return r["prefix"].split("/")[2]
@@ -65,7 +65,7 @@
 
 
 class Operators:
-    """What they have asked for, and what was acknowledged."""
+    """Changes that operators have sent, and which were acknowledged."""
 
     def __init__(self, fleet, seed, customers=None):
         self.f, self.world = fleet, fleet.world
@@ -73,22 +73,22 @@
         self.rng = random.Random(seed)
         self.version, self.acked = 0, 0
         self.acked_at = {}   # version -> time of its first acknowledgement
-        self.asked = {}      # version -> labels that were sent under it
-        self.content = {}    # version -> the label that was read back first
+        self.asked = {}      # version -> labels sent with it
+        self.content = {}    # version -> label that was read back first
         self.labels = 0
         self.probes = 0
-        self.seen = {}       # (entry, its start) -> newest mark served
+        self.seen = {}       # (entry, start number) -> newest version served
 
     def fail(self, text):
         self.world.faults.append(text)
 
     async def operate(self, method, path, body=b""):
-        """(status, body) from any control VM; (0, b"") where none came."""
+        """Call a control VM: (status, body), or (0, b"") without an answer."""
         addr = self.rng.choice(self.f.operator_addrs())
         for _ in range(3):
             try:
                 status, headers, got = await asyncio.wait_for(
-                    http(addr, method, path, body), ASK_S)
+                    http(addr, method, path, body), CALL_TIMEOUT_S)
             except (OSError, asyncio.TimeoutError, EOFError):
                 return 0, b""
             if status != 307:
@@ -97,14 +97,16 @@
         return 0, b""
 
     def pick_version(self):
-        if self.version and self.rng.random() < RACING_SHARE:
+        if self.version and self.rng.random() < REUSED_VERSION_SHARE:
             return self.version
         self.version += 1
         return self.version
 
     async def put(self):
-        """A valid change is never refused; under a number that is held
-        already it is acknowledged and changes nothing.
+        """Send a change and check that it isn't refused.
+
+        A change with a version that is committed already is acknowledged and
+        has no effect.
         """
         n = self.pick_version()
         self.labels += 1
@@ -122,6 +124,7 @@
         return status
 
     async def get(self):
+        """Read the routing and check it against what was acknowledged."""
         acked = self.acked
         status, body = await self.operate("GET", "/sapphireshift/Config.Get")
         if status != 200:
@@ -137,86 +140,86 @@
                 label, n, self.content[n]))
         return n
 
-    # What entries follow.
+    # Probes of the version that entries apply.
 
     async def probe(self, entry, path):
-        """The status of one request, 0 where none came."""
+        """The status of one request, or 0 without an answer."""
         self.probes += 1
         rid = "p%d" % self.probes
         self.world.sent_to[rid] = entry
         try:
             status, _, _ = await asyncio.wait_for(
                 http(self.f.entries[entry], "POST", path, b"",
-                     {"X-Request-Id": rid}), ASK_S + 1)
+                     {"X-Request-Id": rid}), CALL_TIMEOUT_S + 1)
         except (OSError, asyncio.TimeoutError, EOFError):
             return 0
         return status
 
-    def calm(self, entry, sent):
-        """No fault touched this entry or a control VM for long enough."""
+    def undisturbed(self, entry, sent):
+        """Whether this entry and the control VMs had no fault for CALM_S."""
         names = [entry] + [p.name for p in self.f.of_role("control")]
         return not any(self.f.journal.touched(
-            n, sent - CONTACT_S, time.monotonic()) for n in names)
+            n, sent - CALM_S, time.monotonic()) for n in names)
 
     def due(self):
-        """The newest version that must be in force everywhere by now."""
+        """The newest version that must be in force everywhere now."""
         before = time.monotonic() - APPLY_S
         return max([v for v, at in self.acked_at.items() if at < before],
                    default=0)
 
-    async def probe_mark(self, entry, version):
-        """Whether this entry follows a version or a newer one."""
+    async def probe_version(self, entry, version):
+        """Whether this entry applies this version or a newer one."""
         start, sent = self.f.procs[entry].starts, time.monotonic()
-        late = version <= self.due()
+        overdue = version <= self.due()
         status = await self.probe(entry, "/v/%d/x" % version)
         if self.f.procs[entry].starts != start:
             return False
         if status == 200:
             self.seen[(entry, start)] = max(
                 version, self.seen.get((entry, start), 0))
-        elif status == 404 and late and self.calm(entry, sent):
+        elif status == 404 and overdue and self.undisturbed(entry, sent):
             self.fail("%s doesn't follow %d, acknowledged %.1f s before" % (
                 entry, version, sent - self.acked_at[version]))
         return status == 200
 
-    async def probe_seen(self, entry):
-        """A started entry never goes back behind what it has served."""
+    async def probe_rollback(self, entry):
+        """An entry never reverts to an older version while it runs."""
         start = self.f.procs[entry].starts
         version = self.seen.get((entry, start), 0)
-        if not version or version < self.version - MARKS // 2:
+        if not version or version < self.version - KEPT_VERSIONS // 2:
             return
         status = await self.probe(entry, "/v/%d/x" % version)
         if status == 404 and self.f.procs[entry].starts == start:
             self.fail("%s went back before %d" % (entry, version))
 
-    async def probe_other(self, entry):
-        """What lost a race for its number is in force nowhere."""
-        raced = [n for n in self.content if len(self.asked[n]) > 1]
-        if not raced:
+    async def probe_race_loser(self, entry):
+        """Content that lost the race for its version is in force nowhere."""
+        contested = [n for n in self.content if len(self.asked[n]) > 1]
+        if not contested:
             return
-        n = max(raced)
+        n = max(contested)
         label = self.rng.choice(sorted(self.asked[n] - {self.content[n]}))
         if await self.probe(entry, "/w/%s/x" % label) == 200:
             self.fail("%s follows what lost a race for its number" % entry)
 
-    # Their rounds.
+    # Loops of operators and probes.
 
-    async def change(self, callers):
+    async def change_routing(self, callers):
         while callers.on:
             await self.put()
             await self.get()
             await asyncio.sleep(self.rng.uniform(0.1, 0.6))
 
-    async def watch(self, callers):
+    async def probe_entries(self, callers):
         while callers.on:
             entry = self.rng.choice(sorted(self.f.entries))
-            await self.probe_mark(entry, self.acked)
+            await self.probe_version(entry, self.acked)
             if self.due():
-                await self.probe_mark(entry, self.due())
-            await self.probe_seen(entry)
-            await self.probe_other(entry)
+                await self.probe_version(entry, self.due())
+            await self.probe_rollback(entry)
+            await self.probe_race_loser(entry)
             await asyncio.sleep(0.05)
 
     def loops(self, callers):
-        return [self.change(callers), self.change(callers),
-                self.watch(callers), self.watch(callers)]
+        return [self.change_routing(callers), self.change_routing(callers),
+                self.probe_entries(callers), self.probe_entries(callers)]
--- a/test/fleet/soak_outage.py
+++ b/test/fleet/soak_outage.py
@@ -1,16 +1,18 @@
-"""A service whose endpoints all lose their answers, while entries restart."""
+"""Fault: all endpoints of a service lose their answers; entries restart."""
 import asyncio
 import contextlib
 import random
 import time
 
 ALL_ANSWERS = 10 ** 9
-LONGEST_S = 8.0
+MAX_OUTAGE_S = 8.0
 
 
 async def outage(faults, seconds):
-    """In half of the runs, for some seconds; all entries are killed in it, a
-    few times. Drawn apart, so that schedules of old seeds stay.
+    """In half of the runs, an outage of a service for some seconds, in which
+    all entries are killed one to three times.
+
+    A separate generator keeps the schedules of older seeds unchanged.
     """
     rng = random.Random("outage %d" % faults.seed)
     if not faults.f.n_relays or rng.random() < 0.5:
@@ -20,14 +22,15 @@
     servers = [s for s in faults.f.servers if s.service == service]
     faults.log.append("%s outage of %s" % (
         faults.journal.at(time.monotonic()), service))
-    end = time.monotonic() + min(LONGEST_S, seconds)
+    end = time.monotonic() + min(MAX_OUTAGE_S, seconds)
     with contextlib.ExitStack() as spans:
         for s in servers:
             spans.enter_context(faults.journal.span(s.name, "outage"))
             s.lose = ALL_ANSWERS
         for _ in range(rng.randrange(1, 4)):
             await asyncio.sleep(rng.uniform(0.5, 1.5))
-            await faults.all(faults.kill, faults.f.of_role("entry"), rng)
+            await faults.run_for_each(
+                faults.kill, faults.f.of_role("entry"), rng)
         await asyncio.sleep(max(end - time.monotonic(), 0))
         for s in servers:
             s.lose = 0
