--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -1,15 +1,18 @@
-/* The agent: the only door to the endpoint beside it. */
+/* The agent role: passes calls and orders to the endpoint on its VM, which
+ * nothing else talks to. */
 #include "../core/calls.h"
 #include "../engine/endpoint.h"
 #include "daemon.h"
 
-/* Leases and deadlines are exact to this, in ms. */
+/* Timer interval in ms: the precision of leases and deadlines. */
 #define TICK_MS 50
-/* How often the endpoint is asked what it holds. */
+/* Interval in ms of reading which models the endpoint holds: while an order is
+ * carried out, and otherwise. */
 #define READ_BUSY_MS 50
-#define READ_CALM_MS 1000
+#define READ_IDLE_MS 1000
+/* Interval of reports to the leader in ms: after a change, and otherwise. */
 #define REPORT_MS 1000
-#define REPORT_CALM_MS 5000
+#define REPORT_IDLE_MS 5000
 
 struct agent_role {
 	struct daemon *d;
@@ -23,21 +26,21 @@
 	GHashTable *conns; /* open connections of entries */
 	char *addr;
 	uint64_t bytes;
-	GArray *cached; /* struct cached, model owned */
+	GArray *cached; /* struct cached; owns the model names */
 	bool started;	/* the endpoint has been read once */
 	bool reading;
 	uint64_t read;
 	int64_t read_ms, report_ms;
 	bool report_due;
 	bool cached_due;
-	int64_t stop_ms; /* of a planned stop; 0: none */
-	int64_t done_ms; /* when something was last left to do */
+	int64_t stop_ms;    /* start of a planned stop; 0: none */
+	int64_t pending_ms; /* when work was last pending during the stop */
 	uint64_t *n_calls, *n_refused, *n_cancelled, *n_fenced, *n_loads,
 		*n_unloads, *n_running, *n_bytes, *n_unreachable;
 	struct hist *load_hist;
 };
 
-/* A call in the endpoint. */
+/* A call that runs in the endpoint. */
 struct job {
 	struct agent_role *a;
 	struct call *call;
@@ -52,7 +55,7 @@
 	return ss_clock_now(&a->d->clock);
 }
 
-/* Replies of calls to entries. */
+/* Calls: their replies to entries. */
 
 static void reply(void *arg, void *peer, const struct msg_reply *r)
 {
@@ -72,7 +75,7 @@
 	a->report_due = true;
 }
 
-static void on_piece(void *arg, struct msg_reply *m)
+static void on_reply_part(void *arg, struct msg_reply *m)
 {
 	struct job *j = arg;
 	struct agent_role *a = j->a;
@@ -80,7 +83,7 @@
 
 	m->active = j->replica->active;
 	if (m->code == SS_ERROR_UNKNOWN_MODEL)
-		a->read_ms = 0; /* see at once what it holds */
+		a->read_ms = 0; /* read the endpoint's models at once */
 	if (!m->end) {
 		calls_piece(a->calls, j->call, m, now);
 		return;
@@ -111,7 +114,7 @@
 	struct agent_role *a = arg;
 	struct job *j = call_data(c);
 	struct endpoint_call_options o = { .m = m,
-					   .piece = on_piece,
+					   .piece = on_reply_part,
 					   .arg = j };
 
 	(*a->n_calls)++;
@@ -141,13 +144,13 @@
 
 static const struct calls_ops calls_table = { start_call, cancel_call, reply };
 
-static void take_call(struct agent_role *a, struct conn *c,
-		      const struct msg_call *m)
+static void submit_call(struct agent_role *a, struct conn *c,
+			const struct msg_call *m)
 {
 	GError *refusal = NULL;
 	struct job *j = NULL;
 
-	/* A known id is answered from the table and takes no slot. */
+	/* A call with a known id is answered from the table, without a slot. */
 	if (!calls_known(a->calls, m->entry, m->seq) &&
 	    m->incarnation == a->d->hello.incarnation) {
 		struct ledger_replica *r =
@@ -178,7 +181,7 @@
 
 	switch (f->kind) {
 	case MSG_CALL:
-		take_call(a, c, &f->u.call);
+		submit_call(a, c, &f->u.call);
 		break;
 	case MSG_ATTACH:
 		calls_attach(a->calls, c, &f->u.attach, now_ms(a));
@@ -203,16 +206,16 @@
 static const struct conn_ops conn_table = { conn_open, conn_message,
 					    conn_closed };
 
-/* Orders to the endpoint. */
+/* Orders to the endpoint: load and unload. */
 
-struct ordered {
+struct order_ctx {
 	struct agent_role *a;
 	char *model;
 };
 
-static void on_ordered(void *arg, bool ok)
+static void on_order_done(void *arg, bool ok)
 {
-	struct ordered *o = arg;
+	struct order_ctx *o = arg;
 
 	if (!ok)
 		log_warn("order_unanswered", "model=%s", o->model);
@@ -222,9 +225,9 @@
 	g_free(o);
 }
 
-static struct ordered *ordered_new(struct agent_role *a, const char *model)
+static struct order_ctx *order_ctx_new(struct agent_role *a, const char *model)
 {
-	struct ordered *o = g_new0(struct ordered, 1);
+	struct order_ctx *o = g_new0(struct order_ctx, 1);
 
 	o->a = a;
 	o->model = g_strdup(model);
@@ -238,8 +241,8 @@
 	(*a->n_loads)++;
 	log_info("load", "model=%s replica=%" PRIu64 " fence=%" PRIu64,
 		 r->model, r->id, fence);
-	a->ops->load(a->endpoint, r, fence, on_ordered,
-		     ordered_new(a, r->model));
+	a->ops->load(a->endpoint, r, fence, on_order_done,
+		     order_ctx_new(a, r->model));
 }
 
 static void unload(void *arg, const struct ledger_replica *r, uint64_t fence)
@@ -249,8 +252,8 @@
 	(*a->n_unloads)++;
 	log_info("unload", "model=%s replica=%" PRIu64 " fence=%" PRIu64,
 		 r->model, r->id, fence);
-	a->ops->unload(a->endpoint, r, fence, on_ordered,
-		       ordered_new(a, r->model));
+	a->ops->unload(a->endpoint, r, fence, on_order_done,
+		       order_ctx_new(a, r->model));
 }
 
 static void ledger_changed(void *arg)
@@ -263,7 +266,7 @@
 
 static const struct ledger_ops ledger_table = { load, unload, ledger_changed };
 
-/* Talking to the leader. */
+/* Messages to and from the leader. */
 
 static void send_register(struct agent_role *a)
 {
@@ -323,11 +326,11 @@
 	(void)arg;
 }
 
-static void take_config(struct agent_role *a, const struct msg_config *m)
+static void acknowledge_config(struct agent_role *a, const struct msg_config *m)
 {
 	struct msg_config ack = { .version = m->version };
 
-	/* An agent decides nothing by the preset; it only says it has it. */
+	/* An agent doesn't use the preset; it only acknowledges the version. */
 	a->d->hello.config = MAX(a->d->hello.config, m->version);
 	ack.version = a->d->hello.config;
 	link_send(a->link, MSG_ACK, &ack);
@@ -350,7 +353,7 @@
 		g_clear_error(&error);
 		break;
 	case MSG_CONFIG:
-		take_config(a, &f->u.config);
+		acknowledge_config(a, &f->u.config);
 		break;
 	default:
 		break;
@@ -359,7 +362,7 @@
 
 static const struct link_ops link_table = { link_up, link_message, link_down };
 
-/* Reading the endpoint. */
+/* State of the endpoint. */
 
 static void cached_clear(GArray *cached)
 {
@@ -368,7 +371,7 @@
 	g_array_set_size(cached, 0);
 }
 
-static bool cached_same(const GArray *have, const struct endpoint_state *s)
+static bool cached_equal(const GArray *have, const struct endpoint_state *s)
 {
 	if (have->len != s->n_cached)
 		return false;
@@ -382,9 +385,9 @@
 	return true;
 }
 
-static void take_cached(struct agent_role *a, const struct endpoint_state *s)
+static void update_cached(struct agent_role *a, const struct endpoint_state *s)
 {
-	if (cached_same(a->cached, s))
+	if (cached_equal(a->cached, s))
 		return;
 	cached_clear(a->cached);
 	for (size_t i = 0; i < s->n_cached; i++) {
@@ -397,7 +400,8 @@
 	a->report_due = true;
 }
 
-/* The first answer tells the memory; only then is there a ledger. */
+/* The first answer states the memory size, which the ledger needs before the
+ * agent registers. */
 static void first_read(struct agent_role *a, const struct endpoint_state *s)
 {
 	a->bytes = s->bytes;
@@ -420,7 +424,7 @@
 	}
 	if (first)
 		first_read(a, s);
-	take_cached(a, s);
+	update_cached(a, s);
 	ledger_read_done(a->ledger, a->read, s->held, s->n_held, now_ms(a));
 	if (first)
 		send_register(a);
@@ -428,7 +432,7 @@
 
 static void read_endpoint(struct agent_role *a, int64_t now)
 {
-	int64_t every = ledger_busy(a->ledger) ? READ_BUSY_MS : READ_CALM_MS;
+	int64_t every = ledger_busy(a->ledger) ? READ_BUSY_MS : READ_IDLE_MS;
 
 	if (a->reading || now - a->read_ms < every)
 		return;
@@ -437,8 +441,8 @@
 	a->ops->read(a->endpoint, on_read, a);
 }
 
-/* Whether all answers have gone out to their entries. */
-static bool all_written(const struct agent_role *a)
+/* Whether all replies have been written to their entries. */
+static bool all_replies_written(const struct agent_role *a)
 {
 	GHashTableIter it;
 	void *c;
@@ -454,9 +458,9 @@
 {
 	if (!a->stop_ms)
 		return;
-	if (calls_running(a->calls) || !all_written(a))
-		a->done_ms = now;
-	if (now - a->done_ms >= DAEMON_LINGER_MS ||
+	if (calls_running(a->calls) || !all_replies_written(a))
+		a->pending_ms = now;
+	if (now - a->pending_ms >= DAEMON_LINGER_MS ||
 	    now - a->stop_ms > a->d->config.agent.drain_max_ms)
 		daemon_exit(a->d, 0);
 }
@@ -465,7 +469,7 @@
 {
 	struct agent_role *a = arg;
 	int64_t now = now_ms(a);
-	int64_t every = a->report_due ? REPORT_MS : REPORT_CALM_MS;
+	int64_t every = a->report_due ? REPORT_MS : REPORT_IDLE_MS;
 
 	(void)fd;
 	(void)what;
@@ -479,7 +483,7 @@
 	check_stop(a, now);
 }
 
-static void name_counters(struct agent_role *a)
+static void register_metrics(struct agent_role *a)
 {
 	struct metrics *m = a->d->metrics;
 
@@ -544,13 +548,13 @@
 	a->cached = g_array_new(FALSE, FALSE, sizeof(struct cached));
 	a->read_ms = INT64_MIN / 2;
 	a->ops = d->config.agent.kind ? &service_http_ops : &engine_http_ops;
-	name_counters(a);
+	register_metrics(a);
 	a->ledger = ledger_new(&lo);
 	a->calls = calls_new(&co);
 	/*
-	 * The port also keeps a second agent away: one that was frozen
-	 * still holds it, so no other can be started beside it and give
-	 * the endpoint orders at the same time.
+	 * The port also serves as a lock: a frozen agent still holds it, so
+	 * that no second agent can start on this VM and send orders to the
+	 * endpoint at the same time.
 	 */
 	a->listener = conn_listen(&conn, d->config.listen, error);
 	if (!a->listener) {
@@ -569,7 +573,7 @@
 	struct agent_role *a = role;
 
 	ledger_drain(a->ledger);
-	a->stop_ms = a->done_ms = now_ms(a);
+	a->stop_ms = a->pending_ms = now_ms(a);
 	send_report(a, a->stop_ms);
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-/* What the three roles share: the loop, the clock, counters, stopping. */
+/* What all roles of the daemon share: event loop, clock, metrics, shutdown. */
 #ifndef SS_DAEMON_H
 #define SS_DAEMON_H
 
@@ -16,42 +16,44 @@
 	struct msg_hello hello;
 	uint64_t seed;
 	int exit_code;
-	uint64_t *bytes_out, *bytes_in; /* of own connections */
+	/* Bytes on connections between processes of the system. */
+	uint64_t *bytes_out, *bytes_in;
 };
 
-/* One role: the loop calls it through this table. */
+/* The functions of a role, called by main.c. */
 struct role_ops {
 	const char *name;
 	void *(*start)(struct daemon *d, GError **error);
-	/* A planned stop begins; the role ends the loop when it is done. */
+	/* Start a planned stop; the role calls daemon_exit() at its end. */
 	void (*stop)(void *role);
 	bool (*ready)(void *role);
 	void (*free)(void *role);
 };
 
+/* Roles of a system whose endpoints are called through agents. */
 extern const struct role_ops entry_role, agent_role, control_role;
-/* The same of a fleet whose endpoints are called directly. */
+/* Roles of a fleet whose entries call endpoints directly. */
 extern const struct role_ops fleet_entry_role, fleet_agent_role, relay_role;
 
 /*
- * A process that ends at once with unread bytes on a connection resets it,
- * and what the peer hasn't read yet is lost. So the end comes this long
- * after everything was written.
+ * Delay in ms between the last write and the exit. A process that exits with
+ * unread bytes on a connection resets it, and what the peer hasn't read yet is
+ * lost.
  */
 #define DAEMON_LINGER_MS 200
 
-/* End the loop now. */
+/* Stop the event loop; the process exits with this code. */
 void daemon_exit(struct daemon *d, int code);
 
-/* The options of a connection between own processes. */
+/* Options of a connection between processes of the system. */
 struct conn_options daemon_conn_options(struct daemon *d,
 					const struct conn_ops *ops, void *arg);
 
-/* A timer that repeats. */
+/* A new repeating timer, which is running. */
 struct event *daemon_every(struct daemon *d, int64_t ms, event_callback_fn fn,
 			   void *arg);
 
-/* The address that others use for this process. */
+/* The address under which others reach this process; the caller frees it. */
 char *daemon_advertised(const struct daemon *d, const struct listener *l);
 
 /* Answer /healthz, /readyz and /metrics; false for any other path. */
@@ -59,7 +61,7 @@
 			   bool ready);
 void daemon_metrics_text(struct daemon *d, GString *out);
 
-/* CPU time and memory of this process, as gauges. */
+/* Update the metrics of this process's CPU time and memory. */
 void daemon_sample_self(struct daemon *d);
 
 #endif
