--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -1,15 +1,17 @@
-/* The entry: takes callers' requests and carries the answers back. */
+/* The entry role: routes callers' requests to agents and returns answers. */
 #include "entry_int.h"
 
 #include <json-c/json.h>
 
-/* Deadlines are exact to this, in ms; it isn't seen beside a cold start. */
+/* Timer interval in ms: the precision of deadlines; small compared to a cold
+ * start. */
 #define TICK_MS 20
-/* A connection to an agent that nobody used for so long is closed. */
+/* Time in ms after which an unused connection to an agent is closed. */
 #define AGENT_IDLE_MS 60000
+/* Minimum time in ms between two tries to connect to an agent. */
 #define AGENT_RETRY_MS 200
-/* A list of models is waited for from the leader for so long, in ms: an
- * election and its answer. */
+/* Time in ms that a request for the list of models waits for the leader: enough
+ * for an election and the answer. */
 #define MODELS_WAIT_MS 3000
 
 int64_t entry_now(const struct entry_role *e)
@@ -35,8 +37,8 @@
 	g_free(labels);
 }
 
-/* A label's value must not break the text format. */
-static char *label(const char *s)
+/* A value that is safe as a label in the metrics' text format. */
+static char *label_value(const char *s)
 {
 	char *out = g_strndup(s, 64);
 
@@ -53,8 +55,8 @@
 	struct hist *h = g_hash_table_lookup(e->hists, key);
 
 	if (!h) {
-		char *customer = label(q->customer);
-		char *class_name = label(q->class_name);
+		char *customer = label_value(q->customer);
+		char *class_name = label_value(q->class_name);
 		char *labels = g_strdup_printf("customer=\"%s\",class=\"%s\"",
 					       customer, class_name);
 
@@ -86,7 +88,7 @@
 	size_t n = 2;
 
 	if (retry_after_ms > 0) {
-		/* In whole seconds, rounded up: never too early. */
+		/* Whole seconds, rounded up so that no caller retries early. */
 		g_snprintf(seconds, sizeof(seconds), "%" PRId64,
 			   (retry_after_ms + 999) / 1000);
 		h[n].name = SS_LIT("Retry-After");
@@ -104,8 +106,9 @@
 	entry_request_free(q);
 }
 
-/* An answer that had begun can't be completed: say so, and cut it. */
-static void cut(struct request *q, const struct router_result *end)
+/* Abort an answer that has started and can't be completed. A stream of events
+ * gets an error event first. */
+static void abort_answer(struct request *q, const struct router_result *end)
 {
 	(*q->e->n_cut)++;
 	log_warn("answer_cut", "request=%s type=%s why=\"%s\"", q->id,
@@ -125,7 +128,7 @@
 	entry_request_free(q);
 }
 
-/* Effects of the router. */
+/* Callbacks of the router. */
 
 static void agent_connect(struct entry_role *e, struct agent_conn *a);
 
@@ -243,7 +246,7 @@
 			caller_end(q->req, true);
 		entry_request_free(q);
 	} else if (caller_started(q->req)) {
-		cut(q, end);
+		abort_answer(q, end);
 	} else {
 		entry_refuse(q, (enum ss_error)end->code, end->text,
 			     end->outcome, end->retry_after_ms);
@@ -256,7 +259,7 @@
 
 /* Connections to agents. */
 
-static struct agent_conn *agent_of(struct entry_role *e, struct conn *c)
+static struct agent_conn *agent_by_conn(struct entry_role *e, struct conn *c)
 {
 	GHashTableIter it;
 	void *a;
@@ -273,11 +276,11 @@
 static void agent_open(void *arg, struct conn *c)
 {
 	struct entry_role *e = arg;
-	struct agent_conn *a = agent_of(e, c);
+	struct agent_conn *a = agent_by_conn(e, c);
 	const struct msg_hello *h = conn_peer(c);
 
 	if (!ss_str_eq(h->name, ss_str(a->node))) {
-		/* A new VM under an old address: not the one that is meant. */
+		/* Another VM has the address now, not the wanted one. */
 		log_warn("wrong_agent", "wanted=%s found=%.*s", a->node,
 			 SS_FMT(h->name));
 		a->conn = NULL;
@@ -291,7 +294,7 @@
 static void agent_message(void *arg, struct conn *c, struct frame *f)
 {
 	struct entry_role *e = arg;
-	struct agent_conn *a = agent_of(e, c);
+	struct agent_conn *a = agent_by_conn(e, c);
 
 	if (a && f->kind == MSG_REPLY)
 		router_reply(e->router, a->node, &f->u.reply, entry_now(e));
@@ -300,7 +303,7 @@
 static void agent_closed(void *arg, struct conn *c, const GError *why)
 {
 	struct entry_role *e = arg;
-	struct agent_conn *a = agent_of(e, c);
+	struct agent_conn *a = agent_by_conn(e, c);
 
 	if (!a)
 		return;
@@ -336,9 +339,9 @@
 	g_free(a);
 }
 
-/* Talking to the leader. */
+/* Messages to and from the leader. */
 
-static void take_config(struct entry_role *e, const struct msg_config *m)
+static void apply_config(struct entry_role *e, const struct msg_config *m)
 {
 	struct msg_config ack = { 0 };
 	struct preset p;
@@ -362,7 +365,8 @@
 			g_clear_error(&error);
 		}
 	}
-	/* What is in force here, also where the message was older. */
+	/* Acknowledge the version in force, also if the message had an older
+	 * one. */
 	ack.version = e->config;
 	link_send(e->link, MSG_ACK, &ack);
 }
@@ -379,7 +383,7 @@
 	return o;
 }
 
-static void take_models(struct entry_role *e, const struct msg_model_list *m)
+static void answer_listing(struct entry_role *e, const struct msg_model_list *m)
 {
 	const struct model_name *n = m->models.items;
 	struct header h = { SS_LIT("Content-Type"),
@@ -427,7 +431,7 @@
 
 	switch (f->kind) {
 	case MSG_CONFIG:
-		take_config(e, &f->u.config);
+		apply_config(e, &f->u.config);
 		break;
 	case MSG_ROUTE:
 		router_update_route(e->router, &f->u.route, entry_now(e));
@@ -436,7 +440,7 @@
 		router_claimed(e->router, &f->u.claimed, entry_now(e));
 		break;
 	case MSG_MODEL_LIST:
-		take_models(e, &f->u.model_list);
+		answer_listing(e, &f->u.model_list);
 		break;
 	default:
 		break;
@@ -445,7 +449,7 @@
 
 static const struct link_ops link_table = { link_up, link_message, link_down };
 
-/* Time. */
+/* Timer. */
 
 static void expire_listings(struct entry_role *e, int64_t now)
 {
@@ -476,14 +480,15 @@
 
 	if (!e->stop_ms)
 		return;
-	/* First not ready, so that the balancer looks elsewhere. */
+	/* At first only /readyz fails, so that the load balancer stops sending
+	 * requests here before connections are refused. */
 	if (now - e->stop_ms < c->drain_ms)
 		return;
 	caller_stop_accepting(e->caller);
-	/* The last call's end is no end before its caller has been sent it. */
+	/* Work is pending until the last answer is written to its caller. */
 	if (router_calls(e->router) || !caller_all_written(e->caller))
-		e->done_ms = now;
-	if (now - e->done_ms >= DAEMON_LINGER_MS ||
+		e->pending_ms = now;
+	if (now - e->pending_ms >= DAEMON_LINGER_MS ||
 	    now - e->stop_ms > c->drain_ms + c->drain_max_ms)
 		daemon_exit(e->d, 0);
 }
@@ -512,7 +517,7 @@
 	check_stop(e, now);
 }
 
-static void name_counters(struct entry_role *e)
+static void register_metrics(struct entry_role *e)
 {
 	struct metrics *m = e->d->metrics;
 
@@ -572,7 +577,7 @@
 					  agent_conn_free);
 	e->hists = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	e->config_name = g_strdup("built-in");
-	name_counters(e);
+	register_metrics(e);
 	preset_parse(&e->preset, "built-in", ss_str(preset_built_in), NULL);
 	e->router = router_new(&ro);
 	router_set_preset(e->router, &e->preset);
@@ -591,7 +596,7 @@
 	struct entry_role *e = role;
 
 	e->draining = true;
-	e->stop_ms = e->done_ms = entry_now(e);
+	e->stop_ms = e->pending_ms = entry_now(e);
 }
 
 const struct role_ops entry_role = { "entry", entry_start, entry_stop,
--- a/src/daemon/entry_int.h
+++ b/src/daemon/entry_int.h
@@ -1,4 +1,4 @@
-/* The entry's own tables; only for the files of that role. */
+/* Private declarations of the entry role. */
 #ifndef SS_ENTRY_INT_H
 #define SS_ENTRY_INT_H
 
@@ -25,10 +25,10 @@
 	uint64_t config; /* version of the preset in force; 0: built in */
 	char *config_name;
 	uint64_t requests;
-	GQueue listings; /* struct request that asks for the models */
+	GQueue listings; /* struct request for the models, not answered yet */
 	bool draining;
-	int64_t stop_ms; /* of a planned stop; 0: none */
-	int64_t done_ms; /* when something was last left to do */
+	int64_t stop_ms;    /* start of a planned stop; 0: none */
+	int64_t pending_ms; /* when work was last pending during the stop */
 	uint64_t *n_requests, *n_ok, *n_gone, *n_bad, *n_waiting, *n_calls,
 		*n_conns, *n_cut, *n_config;
 };
@@ -39,14 +39,14 @@
 	struct caller_req *req;
 	struct rcall *call;
 	char *id, *customer, *class_name, *model;
-	bool sse;	  /* the answer is a stream of events */
-	uint64_t listing; /* of the models, if it is that */
+	bool sse;	  /* the answer is a stream of server-sent events */
+	uint64_t listing; /* number of a request for the list of models */
 	int64_t start_ms;
 };
 
 int64_t entry_now(const struct entry_role *e);
 
-/* Answer with a typed error; the request is freed. */
+/* Answer with a typed error and free the request. */
 void entry_refuse(struct request *q, enum ss_error code, const char *text,
 		  enum outcome outcome, int64_t retry_after_ms);
 void entry_request_free(struct request *q);
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -1,18 +1,21 @@
-/* Reading callers' requests, up to where the router takes them. */
+/* Parses callers' requests and submits them to the router. */
 #include "entry_int.h"
 
 #include <json-c/json.h>
 #define XXH_STATIC_LINKING_ONLY /* for states on the stack */
 #include <xxhash.h>
 
-/* A longer deadline than a day is a mistake; night work has less. */
+/* Upper bound of deadlines in ms: one day. Batch work overnight needs less, so
+ * that a longer deadline is a mistake. */
 #define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
-/* Model, customer, key: longer ones would fill logs and metrics. */
+/* Maximum length of names (model, customer, request id): longer ones would
+ * fill logs and metrics. */
 #define NAME_MAX_BYTES 200
-/* The prompt's start that decides which replica may have it cached. */
+/* Length of the body's prefix that is hashed to find the replica which may have
+ * the prompt cached. */
 #define PREFIX_BYTES 256
 
-static bool name_is_sane(const char *s)
+static bool name_is_valid(const char *s)
 {
 	size_t n = strlen(s);
 
@@ -35,7 +38,7 @@
 	return true;
 }
 
-/* The first rule that fits decides; without one nothing is repeatable. */
+/* The first matching rule decides; without one a request isn't repeatable. */
 static bool is_repeatable(const struct entry_role *e,
 			  const struct caller_head *h)
 {
@@ -63,7 +66,8 @@
 	return XXH3_64bits_digest(&s);
 }
 
-/* Model names come as "model" in the body; an adapter as "model:adapter". */
+/* Reads the model's name from "model" in the body; an adapter is named as
+ * "model:adapter". */
 static bool read_model(struct request *q, const struct caller_head *h)
 {
 	json_tokener *tok = json_tokener_new_ex(32);
@@ -77,7 +81,7 @@
 		why = "the body is no JSON object";
 	else if (!json_object_object_get_ex(o, "model", &model) ||
 		 !json_object_is_type(model, json_type_string) ||
-		 !name_is_sane(json_object_get_string(model)))
+		 !name_is_valid(json_object_get_string(model)))
 		why = "\"model\" must be a model's name";
 	else
 		q->model = g_strdup(json_object_get_string(model));
@@ -88,9 +92,9 @@
 	return why == NULL;
 }
 
-static char *or_default(const char *s, const char *otherwise)
+static char *dup_or_default(const char *s, const char *fallback)
 {
-	return g_strdup(s && *s ? s : otherwise);
+	return g_strdup(s && *s ? s : fallback);
 }
 
 static bool is_true(const char *s)
@@ -130,10 +134,11 @@
 	return XXH3_64bits_digest(&s);
 }
 
-/* Headers that go on to the endpoint: all but those between two ends. */
-static GArray *forwarded(const struct request *q, const struct caller_head *h)
+/* Headers that are forwarded to the endpoint: all but hop-by-hop ones. */
+static GArray *forwarded_headers(const struct request *q,
+				 const struct caller_head *h)
 {
-	static const char *const own[] = {
+	static const char *const hop_by_hop[] = {
 		"Connection",	     "Host",   "Content-Length",
 		"Transfer-Encoding", "Expect", "X-Request-Id"
 	};
@@ -143,10 +148,11 @@
 	for (size_t i = 0; i < h->n_headers; i++) {
 		bool skip = false;
 
-		for (size_t k = 0; k < G_N_ELEMENTS(own); k++)
-			skip |= h->headers[i].name.n == strlen(own[k]) &&
+		for (size_t k = 0; k < G_N_ELEMENTS(hop_by_hop); k++)
+			skip |= h->headers[i].name.n == strlen(hop_by_hop[k]) &&
 				!g_ascii_strncasecmp(h->headers[i].name.p,
-						     own[k], strlen(own[k]));
+						     hop_by_hop[k],
+						     strlen(hop_by_hop[k]));
 		if (!skip)
 			g_array_append_val(out, h->headers[i]);
 	}
@@ -192,7 +198,7 @@
 		c.key = (struct ss_str){ key.bytes, sizeof(key.bytes) };
 	if (q->model[0] != '/')
 		c.prefix = prefix_of(c.model, h->body);
-	headers = forwarded(q, h);
+	headers = forwarded_headers(q, h);
 	c.headers = (struct header *)headers->data;
 	c.n_headers = headers->len;
 	call = router_submit(e->router, &c, q->start_ms);
@@ -215,7 +221,7 @@
 	return mark ? (struct ss_str){ path.p, (size_t)(mark - path.p) } : path;
 }
 
-/* "/svc/<pool>/rest" goes to the pool's service as "/rest". */
+/* Sends "/svc/<pool>/rest" to the pool's service as "/rest". */
 static void service_request(struct request *q, const struct caller_head *h)
 {
 	struct ss_str rest = { h->path.p + 5, h->path.n - 5 };
@@ -227,7 +233,7 @@
 	rest.p += pool.n;
 	rest.n -= pool.n;
 	q->model = g_strdup_printf("/svc/%.*s", SS_FMT(pool));
-	if (!name_is_sane(q->model) || pool.n == 0) {
+	if (!name_is_valid(q->model) || pool.n == 0) {
 		entry_refuse(q, SS_ERROR_UNKNOWN_POOL, "no such pool",
 			     OUTCOME_NOT_RUN, 0);
 		return;
@@ -321,19 +327,20 @@
 	q->e = e;
 	q->req = r;
 	q->start_ms = entry_now(e);
-	q->id = id && name_is_sane(id) ?
+	q->id = id && name_is_valid(id) ?
 			g_strdup(id) :
 			g_strdup_printf("%s-%08x-%" PRIu64, e->d->config.name,
 					(uint32_t)e->d->hello.incarnation,
 					++e->requests);
-	q->customer = or_default(caller_header(h, names->customer), "default");
-	q->class_name = or_default(caller_header(h, names->class_name),
-				   e->preset.default_class);
+	q->customer =
+		dup_or_default(caller_header(h, names->customer), "default");
+	q->class_name = dup_or_default(caller_header(h, names->class_name),
+				       e->preset.default_class);
 	caller_set_data(r, q);
 	if (status_request(q, without_query(h->path)))
 		return;
 	(*e->n_requests)++;
-	if (!name_is_sane(q->customer))
+	if (!name_is_valid(q->customer))
 		entry_refuse(q, SS_ERROR_BAD_REQUEST,
 			     "the customer's name is unusable", OUTCOME_NOT_RUN,
 			     0);
@@ -341,8 +348,8 @@
 		route_request(q, h);
 }
 
-/* The caller went away: his work is cancelled. */
-static void on_gone(void *arg, struct caller_req *r)
+/* Cancels the request of a caller that has disconnected. */
+static void on_disconnected(void *arg, struct caller_req *r)
 {
 	struct entry_role *e = arg;
 	struct request *q = caller_data(r);
@@ -364,4 +371,5 @@
 	(*e->n_bad)++;
 }
 
-const struct caller_ops entry_caller_ops = { on_request, on_gone, on_refused };
+const struct caller_ops entry_caller_ops = { on_request, on_disconnected,
+					     on_refused };
