--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,5 @@
-/* sapphireshiftd: one process of the system, by the role in its settings. */
+/* sapphireshiftd: runs one process of the system in the role that its settings
+ * name. */
 #include "daemon.h"
 
 #include "../base/timeval.h"
@@ -14,17 +15,19 @@
 
 #include "bootstrap.h"
 
-/* Settings may change without a signal; a look at the file is cheap. */
-#define SETTINGS_LOOK_MS 1000
+/* Interval in ms of checking the settings file, which may change without a
+ * signal; a check is cheap. */
+#define SETTINGS_CHECK_MS 1000
 
 enum exit_code { EXIT_SETTINGS = 2, EXIT_START = 3 };
 
+/* Roles of a system whose endpoints are called through agents. */
 static const struct role_ops *const roles[] = {
 	[CONFIG_ENTRY] = &entry_role,
 	[CONFIG_AGENT] = &agent_role,
 	[CONFIG_CONTROL] = &control_role,
 };
-/* Of a fleet whose endpoints are called directly. */
+/* Roles of a fleet whose entries call endpoints directly. */
 static const struct role_ops *const fleet_roles[] = {
 	[CONFIG_ENTRY] = &fleet_entry_role,
 	[CONFIG_AGENT] = &fleet_agent_role,
@@ -40,13 +43,13 @@
 	return fleet_roles[c->role];
 }
 
-struct running {
+struct process {
 	struct daemon d;
 	const struct role_ops *ops;
 	void *role;
 	struct http_server *status;
-	const char *file; /* of the settings */
-	struct stat seen; /* as the file was when it was read */
+	const char *file;      /* settings file */
+	struct stat file_stat; /* of the settings file when it was last read */
 	bool stopping;
 };
 
@@ -147,7 +150,7 @@
 
 static void on_status(void *arg, struct evhttp_request *req)
 {
-	struct running *r = arg;
+	struct process *r = arg;
 	bool ready = !r->stopping && r->ops->ready(r->role);
 
 	if (daemon_status_request(&r->d, req, ready))
@@ -157,13 +160,13 @@
 
 static void on_signal(evutil_socket_t sig, short what, void *arg)
 {
-	struct running *r = arg;
+	struct process *r = arg;
 
 	(void)what;
 	/*
-	 * Whoever sits before it can end it by a second interrupt. A second
-	 * SIGTERM comes from supervisors that ask twice; it must not cut the
-	 * answers which the first one lets finish.
+	 * A second SIGINT, from a user at the terminal, exits at once. A second
+	 * SIGTERM may come from a supervisor that repeats it, and must not cut
+	 * the answers that the planned stop lets finish.
 	 */
 	if (r->stopping) {
 		log_info("stop", "asked again, signal=%d", (int)sig);
@@ -177,26 +180,26 @@
 }
 
 /*
- * Read the settings again. Only the control VMs' addresses change in a
- * running process, since those are replaced over time; the rest needs a
- * restart. A file that can't be used changes nothing.
+ * Reads the settings again. Only the addresses of the control VMs, which are
+ * replaced over time, change in a running process; all else needs a restart. A
+ * file that can't be used changes nothing.
  */
-static void reload(struct running *r)
+static void reload(struct process *r)
 {
 	struct config new;
-	GPtrArray *own = r->d.config.control;
+	GPtrArray *addrs = r->d.config.control;
 	GError *error = NULL;
 
-	stat(r->file, &r->seen);
+	stat(r->file, &r->file_stat);
 	if (!config_load(&new, r->file, &error)) {
 		log_error("reload_failed", "why=\"%s\"", error->message);
 		g_error_free(error);
 		return;
 	}
-	g_ptr_array_set_size(own, 0);
+	g_ptr_array_set_size(addrs, 0);
 	for (guint i = 0; i < new.control->len; i++)
-		g_ptr_array_add(own, g_strdup(new.control->pdata[i]));
-	log_info("reload", "control=%u", own->len);
+		g_ptr_array_add(addrs, g_strdup(new.control->pdata[i]));
+	log_info("reload", "control=%u", addrs->len);
 	config_clear(&new);
 }
 
@@ -207,22 +210,22 @@
 	reload(arg);
 }
 
-static void on_look(evutil_socket_t fd, short what, void *arg)
+static void on_settings_timer(evutil_socket_t fd, short what, void *arg)
 {
-	struct running *r = arg;
+	struct process *r = arg;
 	struct stat now;
 
 	(void)fd;
 	(void)what;
 	if (stat(r->file, &now))
 		return;
-	if (now.st_mtim.tv_sec != r->seen.st_mtim.tv_sec ||
-	    now.st_mtim.tv_nsec != r->seen.st_mtim.tv_nsec ||
-	    now.st_size != r->seen.st_size)
+	if (now.st_mtim.tv_sec != r->file_stat.st_mtim.tv_sec ||
+	    now.st_mtim.tv_nsec != r->file_stat.st_mtim.tv_nsec ||
+	    now.st_size != r->file_stat.st_size)
 		reload(r);
 }
 
-static bool start(struct running *r, GError **error)
+static bool start(struct process *r, GError **error)
 {
 	struct daemon *d = &r->d;
 	struct http_server_options status = { .base = d->base,
@@ -251,10 +254,10 @@
 	return r->status != NULL;
 }
 
-static int run(struct running *r)
+static int run(struct process *r)
 {
 	struct daemon *d = &r->d;
-	struct event *term, *intr, *hup, *look;
+	struct event *term, *intr, *hup, *settings_timer;
 	GError *error = NULL;
 
 	signal(SIGPIPE, SIG_IGN);
@@ -265,7 +268,8 @@
 	term = evsignal_new(d->base, SIGTERM, on_signal, r);
 	intr = evsignal_new(d->base, SIGINT, on_signal, r);
 	hup = evsignal_new(d->base, SIGHUP, on_hangup, r);
-	look = daemon_every(d, SETTINGS_LOOK_MS, on_look, r);
+	settings_timer =
+		daemon_every(d, SETTINGS_CHECK_MS, on_settings_timer, r);
 	event_add(term, NULL);
 	event_add(intr, NULL);
 	event_add(hup, NULL);
@@ -288,7 +292,7 @@
 	event_free(term);
 	event_free(intr);
 	event_free(hup);
-	event_free(look);
+	event_free(settings_timer);
 	event_base_free(d->base);
 	metrics_free(d->metrics);
 	log_close();
@@ -310,7 +314,7 @@
 	};
 	poptContext ctx =
 		poptGetContext("sapphireshiftd", argc, argv, options, 0);
-	struct running r = { 0 };
+	struct process r = { 0 };
 	GError *error = NULL;
 	const char *file;
 	int rc;
@@ -333,9 +337,9 @@
 		g_error_free(error);
 		return EXIT_SETTINGS;
 	}
-	/* The words of the command line live as long as the context. */
+	/* The arguments are valid as long as the popt context. */
 	r.file = file;
-	stat(file, &r.seen);
+	stat(file, &r.file_stat);
 	if (check)
 		printf("%s: ok\n", r.d.config.name);
 	else if (bootstrap)
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -1,30 +1,30 @@
 /*
- * A control VM without a disk: it can't vote, since it would forget what it
- * promised, and keeps no state. It tells callers where the leader is, so
- * that every address which is known for control leads there. Itself it learns
- * that from the addresses of its settings and from members, which announce
- * themselves to it.
+ * The relay role: a control VM without a disk. It can't vote, since it would
+ * forget its votes, and keeps no state. It redirects processes and operators to
+ * the leader, so that every known control address leads there. It finds the
+ * leader through the addresses in its settings and through members, which
+ * announce themselves to it.
  *
- * Every front VM runs one, so that a VM that stands still costs an operator one
- * try in many. Hundreds of connections with their heartbeats would cost the
- * leader more than all operators' calls, so a relay that nobody asks keeps
- * none.
+ * Every front VM runs a relay, so that a frozen VM costs an operator one try in
+ * many. Hundreds of connections with their heartbeats would cost the leader
+ * more than all calls of operators, so an unused relay keeps no connection to
+ * it.
  */
 #include "../../platform/platform.h"
 #include "../operator/routing_http.h"
 #include "daemon.h"
 
 /*
- * The connection to the leader is given up when nobody has asked for so long,
- * in ms: an operator who changes something comes back within seconds.
+ * Time in ms after which an unused connection to the leader is closed: an
+ * operator who changes something sends the next call within seconds.
  */
-#define REST_AFTER_MS 10000
-/* Looked at this often, in ms; also bounds how long a call is held over
- * HOLD_MS. */
-#define LOOK_MS 100
+#define SUSPEND_AFTER_MS 10000
+/* Timer interval in ms; also bounds how much longer than HOLD_MS a call is
+ * held. */
+#define TICK_MS 100
 /*
- * An operator's call waits for the leader to be found, in ms. Finding it takes
- * two round trips, or an election; operators move on to another VM after a
+ * Time in ms that an operator's call waits until the leader is found. Finding
+ * it takes two round trips, or an election; operators try another VM after a
  * second.
  */
 #define HOLD_MS 700
@@ -34,33 +34,34 @@
 	struct link *link;
 	struct listener *listener;
 	struct routing_http *http;
-	struct event *look;
-	GHashTable *conns; /* open ones that others made */
-	int64_t asked_ms;  /* when somebody last needed the leader */
+	struct event *tick;
+	GHashTable *conns; /* open incoming connections */
+	int64_t needed_ms; /* when the leader was last needed */
 	bool stopping;
 };
 
-/* Somebody needs to know who leads. */
+/* Resumes the connection to the leader and keeps it from being closed as
+ * unused. */
 static void need_leader(struct relay_role *r)
 {
-	r->asked_ms = ss_clock_now(&r->d->clock);
+	r->needed_ms = ss_clock_now(&r->d->clock);
 	link_resume(r->link);
 }
 
-static void tell(struct relay_role *r, struct conn *c)
+static void send_leader(struct relay_role *r, struct conn *c)
 {
 	const char *addr = link_leader(r->link);
-	GArray *known = link_control_addrs(r->link);
+	GArray *addrs = link_control_addrs(r->link);
 	struct msg_leader m = { .group = r->d->hello.group,
 				.addr = ss_str(addr ? addr : ""),
-				.members = { known->data, known->len } };
+				.members = { addrs->data, addrs->len } };
 
 	conn_send(c, MSG_LEADER, &m);
-	g_array_unref(known);
+	g_array_unref(addrs);
 }
 
-/* Those that asked before the leader was known wait for this word. */
-static void tell_all(struct relay_role *r)
+/* Sends the leader's address to all who connected before it was known. */
+static void send_leader_to_all(struct relay_role *r)
 {
 	GHashTableIter it;
 	void *c;
@@ -68,11 +69,11 @@
 	g_hash_table_iter_init(&it, r->conns);
 	while (g_hash_table_iter_next(&it, &c, NULL))
 		if (conn_peer(c)->role != ROLE_CONTROL)
-			tell(r, c);
+			send_leader(r, c);
 }
 
-/* A control VM whose disk was lost looks for its group here as well. */
-static void take_join(struct relay_role *r, struct conn *c)
+/* A control VM whose disk was lost may look for its group at a relay, too. */
+static void handle_join(struct relay_role *r, struct conn *c)
 {
 	const char *addr = link_leader(r->link);
 	struct msg_leader m = { .addr = ss_str(addr ? addr : "") };
@@ -90,22 +91,22 @@
 	if (conn_peer(c)->role == ROLE_CONTROL)
 		return;
 	need_leader(r);
-	tell(r, c);
+	send_leader(r, c);
 }
 
 static void conn_message(void *arg, struct conn *c, struct frame *f)
 {
 	struct relay_role *r = arg;
-	bool knew = link_is_up(r->link);
+	bool was_up = link_is_up(r->link);
 
 	if (f->kind == MSG_JOIN)
-		take_join(r, c);
+		handle_join(r, c);
 	if (f->kind != MSG_LEADER || conn_peer(c)->role != ROLE_CONTROL)
 		return;
 	link_leader_announced(r->link, &f->u.leader);
-	/* The leader may be out of this VM's reach, and not of theirs. */
-	if (!knew)
-		tell_all(r);
+	/* The leader may be reachable for the peers and not from this VM. */
+	if (!was_up)
+		send_leader_to_all(r);
 }
 
 static void conn_closed(void *arg, struct conn *c, const GError *why)
@@ -126,7 +127,7 @@
 	if (!r->d->hello.group)
 		r->d->hello.group = group;
 	log_info("leader_found", "addr=%s", link_leader(r->link));
-	tell_all(r);
+	send_leader_to_all(r);
 	routing_http_check_held(r->http);
 }
 
@@ -165,7 +166,7 @@
 	return !r->stopping;
 }
 
-static bool plain(void *arg, struct evhttp_request *req)
+static bool serve_status(void *arg, struct evhttp_request *req)
 {
 	struct relay_role *r = arg;
 
@@ -175,17 +176,17 @@
 static const struct routing_http_ops routing_table = {
 	.leads = leads,
 	.leader = leader,
-	.serve_public = plain,
+	.serve_public = serve_status,
 };
 
-static void on_look(evutil_socket_t fd, short what, void *arg)
+static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
 	struct relay_role *r = arg;
 
 	(void)fd;
 	(void)what;
 	routing_http_check_held(r->http);
-	if (ss_clock_now(&r->d->clock) - r->asked_ms > REST_AFTER_MS)
+	if (ss_clock_now(&r->d->clock) - r->needed_ms > SUSPEND_AFTER_MS)
 		link_suspend(r->link);
 }
 
@@ -195,8 +196,8 @@
 	GHashTableIter it;
 	void *c;
 
-	if (r->look)
-		event_free(r->look);
+	if (r->tick)
+		event_free(r->tick);
 	routing_http_free(r->http);
 	link_free(r->link);
 	conn_listener_free(r->listener);
@@ -226,8 +227,8 @@
 				   .arg = r,
 				   .seed = d->seed };
 
-	/* Members are told nothing by a connection that looks like another
-	 * member's: they learn who leads from the log. */
+	/* The hello names no member's role: members send the leader's address
+	 * to a relay, but not to one another, as they have it from the log. */
 	d->hello.role = ROLE_RELAY;
 	r->d = d;
 	r->conns = g_hash_table_new(NULL, NULL);
@@ -239,7 +240,7 @@
 	}
 	r->link = link_new(&lo);
 	link_suspend(r->link);
-	r->look = daemon_every(d, LOOK_MS, on_look, r);
+	r->tick = daemon_every(d, TICK_MS, on_tick, r);
 	return r;
 }
 
--- a/src/daemon/routing_fetch.h
+++ b/src/daemon/routing_fetch.h
@@ -1,6 +1,7 @@
 /*
- * The routing in force as an entry or agent gets it: fetched from a control VM
- * on a connection of its own, so that no word of the leader stands behind it.
+ * Fetches the routing in force for an entry or agent. It comes from a control
+ * VM on a separate connection, so that no message of the leader is delayed by
+ * it.
  */
 #ifndef SS_ROUTING_FETCH_H
 #define SS_ROUTING_FETCH_H
@@ -12,8 +13,9 @@
 
 struct routing_fetch_options {
 	struct daemon *daemon;
-	bool services; /* no routes: those who use none are spared them */
-	/* The table has a newer version; always the same table. */
+	bool services; /* fetch no routes: the process uses none */
+	/* A newer version is in force in the table, which is always the same
+	 * one. */
 	void (*take)(void *arg, struct routing *r);
 	void *arg;
 };
@@ -21,10 +23,10 @@
 struct routing_fetch *routing_fetch_new(const struct routing_fetch_options *o);
 void routing_fetch_free(struct routing_fetch *r);
 
-/* The leader's word, and the link that it came on. */
+/* The leader has reported this version on this link. */
 void routing_fetch_want(struct routing_fetch *r, struct link *link,
 			uint64_t version);
-/* Called at each tick of the process. */
+/* To be called at each tick of the process. */
 void routing_fetch_tick(struct routing_fetch *r);
 
 #endif
--- a/src/daemon/routing_follow.c
+++ b/src/daemon/routing_follow.c
@@ -1,4 +1,4 @@
-/* The routing as a process follows it. */
+/* Applies changes to the routing in small steps. */
 #include "routing_follow.h"
 
 #include "../../platform/platform.h"
@@ -6,8 +6,9 @@
 struct routing_follow {
 	struct routing_follow_options o;
 	struct routing_follower *follower;
-	struct event *turn;
-	int64_t came_ms; /* the oldest change that isn't in force */
+	struct event *step_event;
+	/* When the oldest change that isn't in force was received. */
+	int64_t received_ms;
 };
 
 static int64_t now_ms(const struct routing_follow *f)
@@ -15,14 +16,14 @@
 	return ss_clock_now(&f->o.daemon->clock);
 }
 
-static void next_turn(struct routing_follow *f)
+static void schedule_step(struct routing_follow *f)
 {
 	static const struct timeval at_once = { 0, 0 };
 
-	event_add(f->turn, &at_once);
+	event_add(f->step_event, &at_once);
 }
 
-static void on_turn(evutil_socket_t fd, short what, void *arg)
+static void on_step(evutil_socket_t fd, short what, void *arg)
 {
 	struct routing_follow *f = arg;
 	struct routing *r = routing_follower_table(f->follower);
@@ -35,18 +36,20 @@
 			 "version=%" PRIu64
 			 " routes=%u services=%u ms=%" PRId64,
 			 r->version, r->route_count, r->services->len,
-			 now_ms(f) - f->came_ms);
-		f->came_ms = now_ms(f);
-		f->o.taken(f->o.arg, r);
+			 now_ms(f) - f->received_ms);
+		f->received_ms = now_ms(f);
+		f->o.applied(f->o.arg, r);
 	}
 	if (error) {
-		/* It was checked before it was accepted. */
+		/* An error here is a fault: the change was checked before it
+		 * was accepted. */
 		log_error("routing_unreadable", "why=\"%s\"", error->message);
 		g_error_free(error);
-		f->o.useless(f->o.arg, routing_follower_version(f->follower));
+		f->o.unreadable(f->o.arg,
+				routing_follower_version(f->follower));
 	}
 	if (routing_follower_busy(f->follower))
-		next_turn(f);
+		schedule_step(f);
 }
 
 struct routing_follow *
@@ -56,7 +59,7 @@
 
 	f->o = *o;
 	f->follower = routing_follower_new(users_platform.routing);
-	f->turn = evtimer_new(o->daemon->base, on_turn, f);
+	f->step_event = evtimer_new(o->daemon->base, on_step, f);
 	return f;
 }
 
@@ -64,7 +67,7 @@
 {
 	if (!f)
 		return;
-	event_free(f->turn);
+	event_free(f->step_event);
 	routing_follower_free(f->follower);
 	g_free(f);
 }
@@ -87,8 +90,8 @@
 		return false;
 	}
 	if (idle) {
-		f->came_ms = now_ms(f);
-		next_turn(f);
+		f->received_ms = now_ms(f);
+		schedule_step(f);
 	}
 	return true;
 }
