--- a/src/engine/endpoint.h
+++ b/src/engine/endpoint.h
@@ -1,7 +1,7 @@
 /*
- * What an agent stands before: a model engine or a plain service. Each
- * kind is a table of functions; no page names their wire form, so each
- * keeps its own in one file.
+ * The endpoint of an agent: a model engine or a plain service. Each kind is a
+ * table of functions and keeps its wire format, which is specified nowhere
+ * else, in one file.
  */
 #ifndef SS_ENDPOINT_H
 #define SS_ENDPOINT_H
@@ -16,7 +16,7 @@
 struct endpoint_options {
 	struct event_base *base;
 	const char *addr;   /* "ip:port" */
-	int64_t timeout_ms; /* of orders and reads; 0: 3000 */
+	int64_t timeout_ms; /* of orders and reads; 0: the default, 3000 */
 };
 
 struct endpoint_state {
@@ -30,8 +30,8 @@
 struct endpoint_call_options {
 	const struct msg_call *m;
 	/*
-	 * The next piece of the answer; the last has end set. Where the
-	 * endpoint could not be reached at all the outcome is not run.
+	 * The next part of the answer; the last one has end set. Its outcome
+	 * is OUTCOME_NOT_RUN if the endpoint could not be reached at all.
 	 */
 	void (*piece)(void *arg, struct msg_reply *m);
 	void *arg;
@@ -40,20 +40,20 @@
 struct endpoint_ops {
 	struct endpoint *(*open)(const struct endpoint_options *o);
 	void (*close)(struct endpoint *e);
-	/* ok false: refused, or no answer. */
+	/* Orders; done gets ok false after a refusal or without an answer. */
 	void (*load)(struct endpoint *e, const struct ledger_replica *r,
 		     uint64_t fence, void (*done)(void *arg, bool ok),
 		     void *arg);
 	void (*unload)(struct endpoint *e, const struct ledger_replica *r,
 		       uint64_t fence, void (*done)(void *arg, bool ok),
 		       void *arg);
-	/* NULL state: no answer. */
+	/* Read the state; done gets NULL if there is no answer. */
 	void (*read)(struct endpoint *e,
 		     void (*done)(void *arg, const struct endpoint_state *s),
 		     void *arg);
 	struct endpoint_call *(*call)(struct endpoint *e,
 				      const struct endpoint_call_options *o);
-	/* Stop a call; no piece follows. */
+	/* Cancel a call; piece isn't called any more. */
 	void (*cancel)(struct endpoint_call *c);
 };
 
--- a/src/engine/endpoint_http.c
+++ b/src/engine/endpoint_http.c
@@ -1,7 +1,7 @@
-/* Opening and closing an endpoint that is reached over HTTP. */
+/* Opens and closes endpoints that are reached over HTTP. */
 #include "endpoint_http.h"
 
-/* An answer to an order or a read; both are answered at once. In ms: longer
+/* Timeout in ms of orders and reads, which an endpoint answers at once: longer
  * than a busy engine takes for one step of its batch. */
 #define TIMEOUT_MS 3000
 
--- a/src/engine/endpoint_http.h
+++ b/src/engine/endpoint_http.h
@@ -1,4 +1,4 @@
-/* What every endpoint that is reached over HTTP has in common. */
+/* What all endpoints that are reached over HTTP have in common. */
 #ifndef SS_ENDPOINT_HTTP_H
 #define SS_ENDPOINT_HTTP_H
 
@@ -11,7 +11,7 @@
 	struct relay *relay;
 };
 
-/* Who waits for what is read of an endpoint. */
+/* The callback of a pending read. */
 struct read_done {
 	void (*done)(void *arg, const struct endpoint_state *s);
 	void *arg;
--- a/src/engine/http.c
+++ b/src/engine/http.c
@@ -1,12 +1,14 @@
 /*
- * Model engines over HTTP.
+ * Endpoint functions of model engines over HTTP, which have this interface:
  *
  *   GET  /admin/state    {"bytes":N,"models":[{"model","state","bytes"}],
  *                         "cached":[{"model","tier"}]}
- *   POST /admin/load     {"model","base","bytes","fence"}; 202 taken,
- *   POST /admin/unload   {"model","fence"}         409 an old fence
+ *   POST /admin/load     {"model","base","bytes","fence"}
+ *   POST /admin/unload   {"model","fence"}
+ *                        Answers to both: 202: accepted; 409: the fence is
+ *                        out of date
  *   POST /v1/...         calls, as callers send them; 404: the model
- *                        isn't loaded here, nothing was run
+ *                        isn't loaded here and nothing was run
  */
 #include "endpoint_http.h"
 
@@ -20,8 +22,8 @@
 	void *arg;
 };
 
-static void on_ordered(void *arg, int status, struct ss_str body,
-		       const GError *error)
+static void on_order_done(void *arg, int status, struct ss_str body,
+			  const GError *error)
 {
 	struct order_done *d = arg;
 	bool ok = status >= 200 && status < 300;
@@ -34,9 +36,9 @@
 	g_free(d);
 }
 
-static void order(struct endpoint *e, const char *path,
-		  const struct ledger_replica *r, uint64_t fence,
-		  void (*done)(void *arg, bool ok), void *arg)
+static void send_order(struct endpoint *e, const char *path,
+		       const struct ledger_replica *r, uint64_t fence,
+		       void (*done)(void *arg, bool ok), void *arg)
 {
 	json_object *o = json_object_new_object();
 	struct order_done *d = g_new0(struct order_done, 1);
@@ -45,7 +47,7 @@
 					    .method = "POST",
 					    .path = path,
 					    .timeout_ms = e->o.timeout_ms,
-					    .done = on_ordered,
+					    .done = on_order_done,
 					    .arg = d };
 
 	d->done = done;
@@ -65,17 +67,17 @@
 			uint64_t fence, void (*done)(void *arg, bool ok),
 			void *arg)
 {
-	order(e, "/admin/load", r, fence, done, arg);
+	send_order(e, "/admin/load", r, fence, done, arg);
 }
 
 static void engine_unload(struct endpoint *e, const struct ledger_replica *r,
 			  uint64_t fence, void (*done)(void *arg, bool ok),
 			  void *arg)
 {
-	order(e, "/admin/unload", r, fence, done, arg);
+	send_order(e, "/admin/unload", r, fence, done, arg);
 }
 
-static struct ss_str text_of(json_object *o, const char *key)
+static struct ss_str json_text(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -84,7 +86,7 @@
 	return ss_str(json_object_get_string(v));
 }
 
-static int64_t number_of(json_object *o, const char *key)
+static int64_t json_number(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -93,7 +95,7 @@
 		       0;
 }
 
-static json_object *list_of(json_object *o, const char *key)
+static json_object *json_list(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -114,23 +116,24 @@
 
 static void parse_state(json_object *o, GArray *held, GArray *cached)
 {
-	json_object *models = list_of(o, "models");
-	json_object *near = list_of(o, "cached");
+	json_object *models = json_list(o, "models");
+	json_object *cached_models = json_list(o, "cached");
 	size_t n = models ? json_object_array_length(models) : 0;
 
 	for (size_t i = 0; i < n; i++) {
 		json_object *m = json_object_array_get_idx(models, i);
-		struct held h = { .model = text_of(m, "model"),
-				  .bytes = (uint64_t)number_of(m, "bytes"),
-				  .state = held_state_of(text_of(m, "state")) };
+		struct held h = { .model = json_text(m, "model"),
+				  .bytes = (uint64_t)json_number(m, "bytes"),
+				  .state = held_state_of(
+					  json_text(m, "state")) };
 
 		g_array_append_val(held, h);
 	}
-	n = near ? json_object_array_length(near) : 0;
+	n = cached_models ? json_object_array_length(cached_models) : 0;
 	for (size_t i = 0; i < n; i++) {
-		json_object *m = json_object_array_get_idx(near, i);
-		struct cached c = { .model = text_of(m, "model"),
-				    .tier = number_of(m, "tier") };
+		json_object *m = json_object_array_get_idx(cached_models, i);
+		struct cached c = { .model = json_text(m, "model"),
+				    .tier = json_number(m, "tier") };
 
 		g_array_append_val(cached, c);
 	}
@@ -151,7 +154,7 @@
 		struct endpoint_state s = { 0 };
 
 		parse_state(o, held, cached);
-		s.bytes = (uint64_t)number_of(o, "bytes");
+		s.bytes = (uint64_t)json_number(o, "bytes");
 		s.held = (struct held *)held->data;
 		s.n_held = held->len;
 		s.cached = (struct cached *)cached->data;
@@ -189,29 +192,30 @@
 	struct relay_call *relay;
 	void (*piece)(void *arg, struct msg_reply *m);
 	void *arg;
-	bool missing; /* the engine says that it doesn't hold the model */
+	bool not_loaded; /* the engine doesn't hold the model */
 };
 
 /*
- * An engine that was restarted is empty, and its agent finds out only at
- * the next read. Its 404 is no answer for a caller: the call did not run
- * and may go elsewhere.
+ * An engine that was restarted is empty, and its agent notices only at the next
+ * read. Its 404 isn't passed on to the caller: the call did not run and may be
+ * sent to another replica.
  */
-static void on_piece(void *arg, struct msg_reply *m)
+static void on_reply_part(void *arg, struct msg_reply *m)
 {
 	struct endpoint_call *c = arg;
-	struct msg_reply missing = { .end = true,
-				     .code = SS_ERROR_UNKNOWN_MODEL,
-				     .outcome = OUTCOME_NOT_RUN,
-				     .text = SS_LIT("the engine doesn't hold "
-						    "the model") };
+	struct msg_reply not_loaded = { .end = true,
+					.code = SS_ERROR_UNKNOWN_MODEL,
+					.outcome = OUTCOME_NOT_RUN,
+					.text = SS_LIT(
+						"the engine doesn't hold "
+						"the model") };
 	bool end = m->end;
 
-	c->missing |= m->status == 404;
-	if (!c->missing)
+	c->not_loaded |= m->status == 404;
+	if (!c->not_loaded)
 		c->piece(c->arg, m);
 	else if (end)
-		c->piece(c->arg, &missing);
+		c->piece(c->arg, &not_loaded);
 	if (end)
 		g_free(c);
 }
@@ -223,7 +227,7 @@
 
 	c->piece = o->piece;
 	c->arg = o->arg;
-	c->relay = relay_start(e->relay, o->m, on_piece, c);
+	c->relay = relay_start(e->relay, o->m, on_reply_part, c);
 	return c;
 }
 
--- a/src/service/http.c
+++ b/src/service/http.c
@@ -1,14 +1,15 @@
 /*
- * Plain services over HTTP: calls go through as they are. GET /healthz
- * tells whether the service is there; it holds no models.
+ * Endpoint functions of plain services over HTTP. Calls are passed on
+ * unchanged. Any answer to GET /healthz shows that the service is reachable; it
+ * holds no models.
  */
 #include "../engine/endpoint_http.h"
 
 #include "../net/http.h"
 
-static void service_order(struct endpoint *e, const struct ledger_replica *r,
-			  uint64_t fence, void (*done)(void *arg, bool ok),
-			  void *arg)
+static void refuse_order(struct endpoint *e, const struct ledger_replica *r,
+			 uint64_t fence, void (*done)(void *arg, bool ok),
+			 void *arg)
 {
 	(void)e;
 	(void)r;
@@ -19,12 +20,12 @@
 static void on_health(void *arg, int status, struct ss_str body,
 		      const GError *error)
 {
-	static const struct endpoint_state there;
+	static const struct endpoint_state reachable;
 	struct read_done *d = arg;
 
 	(void)body;
 	(void)error;
-	d->done(d->arg, status ? &there : NULL);
+	d->done(d->arg, status ? &reachable : NULL);
 	g_free(d);
 }
 
@@ -61,8 +62,8 @@
 const struct endpoint_ops service_http_ops = {
 	.open = endpoint_http_open,
 	.close = endpoint_http_close,
-	.load = service_order,
-	.unload = service_order,
+	.load = refuse_order,
+	.unload = refuse_order,
 	.read = service_read,
 	.call = service_call,
 	.cancel = service_cancel,
