--- a/src/daemon/routing_fetch.c
+++ b/src/daemon/routing_fetch.c
@@ -19,8 +19,8 @@
 	struct msg_fetch request; /* to be sent on open, if pending */
 	bool pending;
 	int64_t used_ms;
-	/* For the log: when the version was reported, first requested, and last
-	 * answered by a place in the queue of the control VM. */
+	/* For the log: when the version was reported, first requested, and when
+	 * a control VM last replied that the changes follow. */
 	int64_t reported_ms, requested_ms, queued_ms;
 	unsigned int requests, sources;
 };
