--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -1,6 +1,6 @@
 /*
- * An agent of a model engine: it reports the engine to the leader, and is the
- * only one that gives it orders. Calls don't pass it.
+ * The agent of a model engine: reports the engine's state to the leader and is
+ * the only sender of its orders. Callers' requests don't pass through it.
  */
 #include "engine_agent.h"
 
@@ -10,24 +10,27 @@
 #include "../core/fleet_wire.h"
 #include "../net/http_client.h"
 
-/* Reports are free on the engine's own VM, but cost processor time. */
+/* Poll intervals on the engine's own VM, where a report costs only processor
+ * time. */
 #define READ_BUSY_MS 20
-#define READ_CALM_MS 100
-/* From afar each takes a round trip and the engine's link too. */
+#define READ_IDLE_MS 100
+/* Poll intervals from a control VM, where a report also costs a round trip and
+ * load on the engine's link. */
 #define REMOTE_BUSY_MS 60
-#define REMOTE_CALM_MS 250
-/* The engine is on this VM, or a few ms away: without an answer for so long, it
- * is down. */
+#define REMOTE_IDLE_MS 250
+/* The engine is on this VM or a few ms away, so a read that takes longer counts
+ * as failed. */
 #define READ_TIMEOUT_MS 400
-/* Orders are answered at once, also while one is being carried out. */
+/* The engine answers orders immediately, even while it executes one. */
 #define ORDER_TIMEOUT_MS 1500
-/* Load is told to the leader this often, and anything at least so often. */
-#define LOAD_MS 200
+/* Minimum interval between reports of changed load, and the maximum interval
+ * between any two reports. */
+#define LOAD_REPORT_MS 200
 #define REPORT_MS 1000
-/* Headers of an answer that are looked at. */
-#define HEADERS_MOST 32
-/* Reads in a row without an answer after which the engine is down. */
-#define LOST_AFTER 2
+/* Headers of an answer that are inspected. */
+#define MAX_HEADERS 32
+/* Consecutive failed reads after which the engine counts as down. */
+#define MAX_FAILED_READS 2
 
 struct engine_agent {
 	struct engine_agent_options o;
@@ -37,25 +40,25 @@
 	struct http_client *endpoint;
 	struct link *link;
 	struct routing_service *service; /* whose models it can hold */
-	struct fleet_report *report;	 /* the newest; NULL: none */
-	/* Of the engine; its id is NULL while it has to be asked for. */
+	struct fleet_report *report;	 /* the latest; NULL: none */
+	/* The engine's; the id is NULL until the engine is queried for it. */
 	struct fleet_incarnation self;
-	struct endpoint_limit limit; /* by its answers here */
-	bool says_leaving;	     /* the same */
-	int64_t rest_until_ms; /* it wants nothing before; 0: it didn't ask */
+	struct endpoint_limit limit; /* stated in its answers */
+	bool draining;		     /* stated in its answers */
+	int64_t backoff_until_ms;    /* end of a requested backoff; 0: none */
 	bool reachable, reading;
 	unsigned int unanswered;
-	int64_t read_ms, told_ms;
-	bool news, load_news;
+	int64_t read_ms, reported_ms;
+	bool report_due, load_changed;
 	uint64_t ticket;
 	GHashTable *tickets; /* &ticket -> struct ticket */
 	uint64_t *n_reads, *n_lost, *n_orders, *n_adapters;
 };
 
-/* An entry that waits for an adapter. */
+/* An entry's pending adapter request. */
 struct ticket {
 	uint64_t id;
-	struct conn *conn; /* NULL: it has gone */
+	struct conn *conn; /* NULL: closed */
 	uint64_t sub;
 };
 
@@ -65,50 +68,53 @@
 }
 
 /*
- * Which incarnation stands there isn't known any more. Nothing may be ordered
- * until it is: an order has to name it.
+ * The engine's incarnation is no longer known. Orders have to name it, so none
+ * is sent until it has been queried again.
  */
-static void forget_instance(struct engine_agent *a)
+static void clear_instance(struct engine_agent *a)
 {
 	g_clear_pointer(&a->self.id, g_free);
 	engine_unavailable(a->engine, now_ms(a));
 }
 
-/* What an answer says of the engine itself, as those to callers do. */
-static void hear(struct engine_agent *a, const struct http_client_response *r)
+/* Applies the signals (rate limit, draining, backoff) in an engine's answer.
+ * Answers to callers carry the same ones. */
+static void apply_signals(struct engine_agent *a,
+			  const struct http_client_response *r)
 {
-	struct http1_field fields[HEADERS_MOST];
+	struct http1_field fields[MAX_HEADERS];
 	struct http1_head h = { .status = r->status, .fields = fields };
-	struct platform_answer says;
+	struct platform_answer signals;
 	const struct evkeyval *x;
 
 	if (!r->headers)
 		return;
-	for (x = r->headers->tqh_first; x && h.n_fields < HEADERS_MOST;
+	for (x = r->headers->tqh_first; x && h.n_fields < MAX_HEADERS;
 	     x = x->next.tqe_next)
 		fields[h.n_fields++] = (struct http1_field){ ss_str(x->key),
 							     ss_str(x->value) };
-	users_platform.read_answer(&h, &says);
-	if (endpoint_limit_update(&a->limit, says.limit_per_s, now_ms(a)))
+	users_platform.read_answer(&h, &signals);
+	if (endpoint_limit_update(&a->limit, signals.limit_per_s, now_ms(a)))
 		log_info("endpoint_limit", "endpoint=%s per_s=%.3f", a->addr,
 			 a->limit.per_s);
-	if (says.draining && !a->says_leaving)
+	if (signals.draining && !a->draining)
 		log_info("endpoint_leaving", "endpoint=%s", a->addr);
-	/* Unlike an entry, which hears what is sent to one incarnation, an
-	 * agent doesn't know which one has answered. */
-	a->says_leaving = says.draining;
-	if (!says.backoff_ms)
+	/* An entry knows which incarnation an answer came from; an agent
+	 * doesn't, so the latest answer decides. */
+	a->draining = signals.draining;
+	if (!signals.backoff_ms)
 		return;
 	log_info("endpoint_asks_rest", "endpoint=%s ms=%" PRId64, a->addr,
-		 says.backoff_ms);
-	a->rest_until_ms = now_ms(a) + says.backoff_ms;
-	/* Nothing is ordered until it has told its id again, after that. */
-	forget_instance(a);
+		 signals.backoff_ms);
+	a->backoff_until_ms = now_ms(a) + signals.backoff_ms;
+	/* Orders stop until the engine has stated its id again after the
+	 * backoff. */
+	clear_instance(a);
 }
 
-/* Telling the leader. */
+/* Reports to the leader. */
 
-static void tell_leader(struct engine_agent *a)
+static void report_to_leader(struct engine_agent *a)
 {
 	static const struct fleet_report none;
 	const struct fleet_report *r = a->report ? a->report : &none;
@@ -119,7 +125,7 @@
 	GArray *disk = fleet_wire_names(r->on_disk);
 	struct msg_endpoint m = {
 		.addr = ss_str(a->addr),
-		.agent = ss_str(a->o.asked_at),
+		.agent = ss_str(a->o.adapter_addr),
 		.remote = a->o.remote,
 		.reachable = a->reachable,
 		.busy = r->busy,
@@ -142,8 +148,8 @@
 						   struct fleet_held_model, i));
 	m.held = (struct wire_list){ held->data, held->len };
 	if (link_send(a->link, MSG_ENDPOINT, &m)) {
-		a->told_ms = now_ms(a);
-		a->news = a->load_news = false;
+		a->reported_ms = now_ms(a);
+		a->report_due = a->load_changed = false;
 	}
 	g_array_unref(held);
 	g_ptr_array_unref(lists);
@@ -151,15 +157,16 @@
 	g_array_unref(disk);
 }
 
-static void maybe_tell(struct engine_agent *a)
+static void report_if_due(struct engine_agent *a)
 {
-	int64_t age = now_ms(a) - a->told_ms;
+	int64_t age = now_ms(a) - a->reported_ms;
 
-	if (a->news || (a->load_news && age >= LOAD_MS) || age >= REPORT_MS)
-		tell_leader(a);
+	if (a->report_due || (a->load_changed && age >= LOAD_REPORT_MS) ||
+	    age >= REPORT_MS)
+		report_to_leader(a);
 }
 
-/* Reading the engine. */
+/* Polling the engine. */
 
 static bool same_holdings(const struct fleet_report *x,
 			  const struct fleet_report *y)
@@ -184,56 +191,57 @@
 
 	a->report = g_memdup2(new, sizeof(*new));
 	a->report->self.id = g_strdup(a->self.id);
-	a->report->draining |= a->says_leaving;
-	a->news |= !a->reachable || !old || !same_holdings(old, a->report);
-	a->load_news |= old && (old->running != new->running ||
-				old->waiting != new->waiting);
+	a->report->draining |= a->draining;
+	a->report_due |= !a->reachable || !old ||
+			 !same_holdings(old, a->report);
+	a->load_changed |= old && (old->running != new->running ||
+				   old->waiting != new->waiting);
 	if (!a->reachable)
 		log_info("endpoint_found",
 			 "endpoint=%s models=%u orders=%" PRIu64, a->addr,
 			 new->held->len, new->orders);
 	a->reachable = true;
 	a->unanswered = 0;
-	/* Without the incarnation nothing may be ordered. */
+	/* Without a known incarnation no order may be sent. */
 	if (a->self.id)
 		engine_report_received(a->engine, a->report, now_ms(a));
 	else
 		engine_unavailable(a->engine, now_ms(a));
 	report_free(old);
-	maybe_tell(a);
+	report_if_due(a);
 }
 
 static void read_failed(struct engine_agent *a, const char *why)
 {
 	(*a->n_lost)++;
-	/* It may have restarted meanwhile. */
-	forget_instance(a);
-	if (++a->unanswered < LOST_AFTER || !a->reachable)
+	/* The engine may have restarted. */
+	clear_instance(a);
+	if (++a->unanswered < MAX_FAILED_READS || !a->reachable)
 		return;
 	log_warn("endpoint_lost", "endpoint=%s why=\"%s\"", a->addr, why);
 	a->reachable = false;
 	g_clear_pointer(&a->report, report_free);
-	a->news = true;
-	maybe_tell(a);
+	a->report_due = true;
+	report_if_due(a);
 }
 
 /*
  * A restarted engine counts its orders from zero again, so the count alone
- * doesn't keep out an order of before the restart that is carried out late.
- * Orders name the id; it is asked for after each start. Where the id is the
- * same, the engine's memory is kept free for such an order (delayed_orders.h).
+ * doesn't reject a delayed order from before the restart. Orders therefore name
+ * the instance id, which is queried after each start. If the id is unchanged,
+ * memory is reserved for such an order (delayed_orders.h).
  */
 static void on_instance(void *arg, const struct http_client_response *r)
 {
 	struct engine_agent *a = arg;
 
-	hear(a, r);
+	apply_signals(a, r);
 	a->reading = false;
 	if (!r->header || !*r->header) {
 		log_info("instance_unknown", "endpoint=%s status=%d", a->addr,
 			 r->status);
-		/* An engine that is full still reports; one that doesn't
-		 * answer at all is as lost as one whose report fails. */
+		/* An overloaded engine may refuse this query but still reports.
+		 * No answer at all counts as a failed read. */
 		if (!r->status)
 			read_failed(a, "no answer");
 		return;
@@ -242,11 +250,11 @@
 	a->self.id = g_strdup(r->header);
 	log_info("instance", "id=%s started=%" PRId64, a->self.id,
 		 a->self.started_ms);
-	a->news = true;
-	maybe_tell(a);
+	a->report_due = true;
+	report_if_due(a);
 }
 
-static void ask_instance(struct engine_agent *a)
+static void query_instance(struct engine_agent *a)
 {
 	const char *path = a->service ? a->service->health_path : NULL;
 	struct http_client_call c = {
@@ -264,16 +272,17 @@
 }
 
 /*
- * False for a report of an earlier start, or an older one of this: engines
- * report as of some 100 ms ago. After a restart the incarnation is asked for
- * anew, as the id may be another.
+ * Returns false for a report of an earlier start, or an older one of this
+ * start: engine reports lag by about 100 ms. After a restart the instance id is
+ * queried again, as it may have changed.
  */
 static bool is_current(struct engine_agent *a, const struct fleet_report *r)
 {
 	uint64_t orders = a->report ? a->report->orders : 0;
-	enum fleet_relation told = fleet_report_compare(&a->self, orders, r);
+	enum fleet_relation relation =
+		fleet_report_compare(&a->self, orders, r);
 
-	if (told == FLEET_STALE) {
+	if (relation == FLEET_STALE) {
 		log_info("report_late",
 			 "started=%" PRId64 " known=%" PRId64 " orders=%" PRIu64
 			 " known_orders=%" PRIu64,
@@ -281,14 +290,14 @@
 			 orders);
 		return false;
 	}
-	if (told == FLEET_RESTARTED) {
+	if (relation == FLEET_RESTARTED) {
 		log_info("endpoint_restarted",
 			 "started=%" PRId64 " before=%" PRId64
 			 " orders=%" PRIu64,
 			 r->self.started_ms, a->self.started_ms, r->orders);
-		/* What is ordered of it ends once its report is taken, so
-		 * that the leader hears of the restart before. */
-		a->news = true;
+		/* A pending order fails when this report is applied, so that
+		 * the leader receives the restart first. */
+		a->report_due = true;
 		g_clear_pointer(&a->self.id, g_free);
 	}
 	fleet_incarnation_update(&a->self, &r->self);
@@ -301,7 +310,7 @@
 	struct fleet_report report;
 	GError *error = NULL;
 
-	hear(a, r);
+	apply_signals(a, r);
 	a->reading = false;
 	(*a->n_reads)++;
 	if (r->status != 200) {
@@ -314,7 +323,7 @@
 		g_error_free(error);
 		return;
 	}
-	/* An order went out meanwhile: this says nothing of it. */
+	/* The report may predate an order sent in the meantime. */
 	if (engine_order_pending(a->engine) || !is_current(a, &report)) {
 		fleet_report_clear(&report);
 		return;
@@ -330,10 +339,10 @@
 				      .done = on_read,
 				      .arg = a };
 
-	if (now_ms(a) < a->rest_until_ms)
+	if (now_ms(a) < a->backoff_until_ms)
 		return;
 	if (a->reachable && !a->self.id && !engine_order_pending(a->engine)) {
-		ask_instance(a);
+		query_instance(a);
 		return;
 	}
 	a->reading = true;
@@ -343,19 +352,20 @@
 
 /* Orders. */
 
-static void on_ordered(void *arg, const struct http_client_response *r)
+static void on_order_answer(void *arg, const struct http_client_response *r)
 {
 	struct engine_agent *a = arg;
 	enum fleet_order_answer answer = users_platform.order_answer(r->status);
 
-	hear(a, r);
+	apply_signals(a, r);
 	if (answer != FLEET_ORDER_ACCEPTED && answer != FLEET_ORDER_UNCHANGED)
 		log_info("order_answer", "endpoint=%s status=%d", a->addr,
 			 r->status);
 	engine_order_answered(a->engine, answer, now_ms(a));
 	if (answer == FLEET_ORDER_MISDIRECTED)
-		forget_instance(a);
-	/* What it did shows at once, and the next order waits for that. */
+		clear_instance(a);
+	/* The next order waits for a report, and the order's effect shows in it
+	 * at once. */
 	if (!a->reading)
 		read_engine(a);
 }
@@ -370,7 +380,7 @@
 				      .header = users_platform.header_expect,
 				      .value = a->self.id,
 				      .timeout_ms = ORDER_TIMEOUT_MS,
-				      .done = on_ordered,
+				      .done = on_order_answer,
 				      .arg = a };
 
 	(*a->n_orders)++;
@@ -397,8 +407,8 @@
 		 "endpoint=%s step=%" PRIu64 " error=%s ms=%" PRId64, a->addr,
 		 step, code ? ss_error_name((enum ss_error)code) : "none",
 		 took_ms);
-	/* The holdings go first, so that the leader plans on them. */
-	tell_leader(a);
+	/* Report the holdings first, so that the leader plans with them. */
+	report_to_leader(a);
 	link_send(a->link, MSG_LOADED, &m);
 }
 
@@ -421,8 +431,8 @@
 
 /* Entries. */
 
-void engine_agent_adapter(struct engine_agent *a, struct conn *c,
-			  const struct msg_adapter *m)
+void engine_agent_request_adapter(struct engine_agent *a, struct conn *c,
+				  const struct msg_adapter *m)
 {
 	struct ticket *t = g_new0(struct ticket, 1);
 	int64_t now = now_ms(a);
@@ -436,7 +446,7 @@
 			       now + m->wait_ms, now);
 }
 
-void engine_agent_left(struct engine_agent *a, const struct conn *c)
+void engine_agent_conn_closed(struct engine_agent *a, const struct conn *c)
 {
 	GHashTableIter it;
 	void *p;
@@ -455,10 +465,10 @@
 
 	if (!a->hello.group)
 		a->hello.group = group;
-	/* Connections of the process say it too. */
+	/* The process's other connections send the group id too. */
 	if (!a->o.daemon->hello.group)
 		a->o.daemon->hello.group = group;
-	tell_leader(a);
+	report_to_leader(a);
 }
 
 static void link_down(void *arg)
@@ -483,7 +493,7 @@
 	g_array_unref(names);
 }
 
-/* The service whose models this endpoint can hold. */
+/* Returns the service whose models this engine can hold. */
 static struct routing_service *find_service(const struct routing *r)
 {
 	for (guint i = 0; i < r->services->len; i++) {
@@ -509,8 +519,8 @@
 	log_info("term", "endpoint=%s fence=%" PRIu64 " routing=%" PRIu64,
 		 a->addr, m->fence, m->routing);
 	engine_set_term(a->engine, m->fence, now_ms(a));
-	if (a->o.routing_told)
-		a->o.routing_told(a->o.arg, a->link, m->routing);
+	if (a->o.routing_reported)
+		a->o.routing_reported(a->o.arg, a->link, m->routing);
 }
 
 static void link_message(void *arg, struct frame *f)
@@ -537,17 +547,18 @@
 {
 	int64_t now = now_ms(a);
 	bool busy = engine_busy(a->engine);
-	int64_t calm = a->o.remote ? REMOTE_CALM_MS : READ_CALM_MS;
-	int64_t pause = a->o.remote ? REMOTE_BUSY_MS : READ_BUSY_MS;
+	int64_t idle_ms = a->o.remote ? REMOTE_IDLE_MS : READ_IDLE_MS;
+	int64_t interval_ms = a->o.remote ? REMOTE_BUSY_MS : READ_BUSY_MS;
 
-	/* Whoever waits for an order to end waits for this. */
+	/* Polls of a busy engine aren't slowed down: callers wait for its order
+	 * to end. */
 	if (!busy)
-		pause = endpoint_limit_poll_ms(&a->limit, calm);
-	if (!a->reading && now - a->read_ms >= pause)
+		interval_ms = endpoint_limit_poll_ms(&a->limit, idle_ms);
+	if (!a->reading && now - a->read_ms >= interval_ms)
 		read_engine(a);
 	if (busy)
 		engine_tick(a->engine, now);
-	maybe_tell(a);
+	report_if_due(a);
 }
 
 bool engine_agent_reachable(const struct engine_agent *a)
@@ -586,7 +597,7 @@
 	a->o = *o;
 	a->addr = g_strdup(o->endpoint);
 	a->limit.per_s = ENDPOINT_LIMIT_NONE;
-	/* Also where a control VM runs it, it is led like any agent. */
+	/* The leader treats an agent in a control VM like any other. */
 	a->hello = d->hello;
 	a->hello.role = ROLE_AGENT;
 	lo.conn.self = &a->hello;
--- a/src/daemon/fleet_agent.c
+++ b/src/daemon/fleet_agent.c
@@ -1,8 +1,8 @@
-/* The process beside a model engine of a fleet: its agent. */
+/* The agent role: the process on a model engine's VM that runs its agent. */
 #include "engine_agent.h"
 #include "routing_fetch.h"
 
-/* The engine is read and steps go on this often, in ms. */
+/* Interval at which the engine is polled and steps advance. */
 #define TICK_MS 20
 
 struct fleet_agent {
@@ -11,7 +11,7 @@
 	struct routing_fetch *fetch;
 	struct listener *listener;
 	struct event *tick;
-	char *addr; /* of the listener, as others reach it */
+	char *addr; /* advertised address of the listener */
 };
 
 /* Entries. */
@@ -27,7 +27,7 @@
 	struct fleet_agent *a = arg;
 
 	if (f->kind == MSG_ADAPTER)
-		engine_agent_adapter(a->agent, c, &f->u.adapter);
+		engine_agent_request_adapter(a->agent, c, &f->u.adapter);
 }
 
 static void conn_closed(void *arg, struct conn *c, const GError *why)
@@ -35,7 +35,7 @@
 	struct fleet_agent *a = arg;
 
 	(void)why;
-	engine_agent_left(a->agent, c);
+	engine_agent_conn_closed(a->agent, c);
 }
 
 static const struct conn_ops conn_table = { conn_open, conn_message,
@@ -43,7 +43,7 @@
 
 /* The routing. */
 
-static void routing_told(void *arg, struct link *link, uint64_t version)
+static void routing_reported(void *arg, struct link *link, uint64_t version)
 {
 	struct fleet_agent *a = arg;
 
@@ -76,7 +76,8 @@
 {
 	struct fleet_agent *a = role;
 
-	/* Calls don't pass here; a step that was ordered ends without us. */
+	/* No drain is needed: callers' requests don't pass through the agent,
+	 * and the engine finishes an ordered step without it. */
 	daemon_exit(a->d, 0);
 }
 
@@ -86,7 +87,7 @@
 
 	if (a->tick)
 		event_free(a->tick);
-	/* Its connections end before the link that it looks at. */
+	/* The fetch uses the agent's link, so it is freed first. */
 	routing_fetch_free(a->fetch);
 	engine_agent_free(a->agent);
 	conn_listener_free(a->listener);
@@ -104,7 +105,7 @@
 	struct engine_agent_options ao = { .daemon = d,
 					   .endpoint = d->config.fleet.endpoint,
 					   .holder = d->config.fleet.holder,
-					   .routing_told = routing_told,
+					   .routing_reported = routing_reported,
 					   .arg = a };
 
 	a->d = d;
@@ -114,7 +115,7 @@
 		return NULL;
 	}
 	a->addr = daemon_advertised(d, a->listener);
-	ao.asked_at = a->addr;
+	ao.adapter_addr = a->addr;
 	a->fetch = routing_fetch_new(&fo);
 	a->agent = engine_agent_new(&ao);
 	a->tick = daemon_every(d, TICK_MS, on_tick, a);
--- a/src/daemon/remote_agents.c
+++ b/src/daemon/remote_agents.c
@@ -1,20 +1,20 @@
-/* Agents that a control VM runs for engines without one. */
+/* Agents that a control VM runs for engines without an agent of their own. */
 #include "remote_agents.h"
 
 /*
- * Without a word of a leader for so long, in ms, they end: another may have
- * been named meanwhile. Four of the leader's words, and less than the time
- * after which another is named.
+ * Agents stop if no assignment has arrived for this long, as another VM may
+ * have been assigned meanwhile. This is four of the leader's intervals, and
+ * shorter than the time after which the leader assigns another VM.
  */
-#define FORGET_MS 2000
+#define ASSIGNMENT_TIMEOUT_MS 2000
 
 struct remote_agents {
 	struct daemon *d;
-	char *asked_at;
+	char *adapter_addr;
 	GHashTable *agents; /* address of the engine -> struct engine_agent */
 	const struct routing *routing;
-	uint64_t fence; /* of the newest leader that was heard */
-	int64_t told_ms;
+	uint64_t fence; /* of the latest leader that sent an assignment */
+	int64_t assigned_ms;
 };
 
 static void agent_free(void *p)
@@ -28,7 +28,7 @@
 
 	r->d = o->daemon;
 	r->routing = o->routing;
-	r->asked_at = g_strdup(o->asked_at);
+	r->adapter_addr = g_strdup(o->asked_at);
 	r->agents = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					  agent_free);
 	return r;
@@ -39,16 +39,16 @@
 	if (!r)
 		return;
 	g_hash_table_unref(r->agents);
-	g_free(r->asked_at);
+	g_free(r->adapter_addr);
 	g_free(r);
 }
 
-static void begin(struct remote_agents *r, const char *addr)
+static void start_agent(struct remote_agents *r, const char *addr)
 {
 	struct engine_agent_options o = { .daemon = r->d,
 					  .endpoint = addr,
 					  .holder = r->d->config.name,
-					  .asked_at = r->asked_at,
+					  .adapter_addr = r->adapter_addr,
 					  .remote = true };
 	struct engine_agent *a = engine_agent_new(&o);
 
@@ -57,7 +57,7 @@
 	g_hash_table_insert(r->agents, g_strdup(addr), a);
 }
 
-static bool is_named(const struct msg_remote *m, const char *addr)
+static bool is_assigned(const struct msg_remote *m, const char *addr)
 {
 	const struct name_item *n = m->engines.items;
 
@@ -73,14 +73,14 @@
 	GHashTableIter it;
 	void *addr;
 
-	/* A leader that was replaced may still have words on their way. */
+	/* Ignore delayed messages of a replaced leader. */
 	if (m->fence < r->fence)
 		return;
 	r->fence = m->fence;
-	r->told_ms = ss_clock_now(&r->d->clock);
+	r->assigned_ms = ss_clock_now(&r->d->clock);
 	g_hash_table_iter_init(&it, r->agents);
 	while (g_hash_table_iter_next(&it, &addr, NULL)) {
-		if (is_named(m, addr))
+		if (is_assigned(m, addr))
 			continue;
 		log_info("remote_agent", "ends endpoint=%s", (char *)addr);
 		g_hash_table_iter_remove(&it);
@@ -89,7 +89,7 @@
 		char *copy = ss_str_dup(n[i].name);
 
 		if (!g_hash_table_contains(r->agents, copy))
-			begin(r, copy);
+			start_agent(r, copy);
 		g_free(copy);
 	}
 }
@@ -97,18 +97,18 @@
 void remote_agents_adapter(struct remote_agents *r, struct conn *c,
 			   const struct msg_adapter *m)
 {
-	struct msg_adapter_done gone = { .sub = m->sub,
-					 .code = SS_ERROR_UNAVAILABLE,
-					 .text = SS_LIT(
-						 "its agent has moved") };
+	struct msg_adapter_done refusal = { .sub = m->sub,
+					    .code = SS_ERROR_UNAVAILABLE,
+					    .text = SS_LIT(
+						    "its agent has moved") };
 	char *addr = ss_str_dup(m->endpoint);
 	struct engine_agent *a = g_hash_table_lookup(r->agents, addr);
 
 	g_free(addr);
 	if (a)
-		engine_agent_adapter(a, c, m);
+		engine_agent_request_adapter(a, c, m);
 	else
-		conn_send(c, MSG_ADAPTER_DONE, &gone);
+		conn_send(c, MSG_ADAPTER_DONE, &refusal);
 }
 
 void remote_agents_left(struct remote_agents *r, const struct conn *c)
@@ -118,7 +118,7 @@
 
 	g_hash_table_iter_init(&it, r->agents);
 	while (g_hash_table_iter_next(&it, NULL, &a))
-		engine_agent_left(a, c);
+		engine_agent_conn_closed(a, c);
 }
 
 void remote_agents_routing(struct remote_agents *r)
@@ -138,7 +138,8 @@
 
 	if (g_hash_table_size(r->agents) == 0)
 		return;
-	if (ss_clock_now(&r->d->clock) - r->told_ms > FORGET_MS) {
+	if (ss_clock_now(&r->d->clock) - r->assigned_ms >
+	    ASSIGNMENT_TIMEOUT_MS) {
 		log_info("remote_agent", "all end: no leader names them");
 		g_hash_table_remove_all(r->agents);
 		return;
