--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -1,69 +1,76 @@
-/* The entry of a fleet: the gate, and its words with the leader and agents. */
+/* The entry role of a fleet: runs the gate and exchanges messages with the
+ * leader and the engines' agents. */
 #include "../../platform/platform.h"
 #include "../net/http.h"
 #include "../proxy/gate.h"
 #include "../vmlist/instances.h"
 #include "routing_fetch.h"
 
-/* Deadlines and waits are looked at this often: a sixth of the time that the
- * shortest answer needs. */
+/* Interval at which deadlines and waits are checked: a sixth of the shortest
+ * answer time. */
 #define TICK_MS 10
-/* Demand is told this often where it changes, and at once where a model
- * leaves or is waited for. */
+/* Interval of reports of changed demand. A model that is being unloaded or
+ * waited for is reported at once. */
 #define DEMAND_MS 100
-/* And where it doesn't: hundreds of entries are mostly at rest. */
-#define DEMAND_SAME_MS 1000
-/* Without the leader's word for so long the list is read directly: a
- * leaving endpoint must be left within 3 s of showing there. */
+/* Interval of reports of unchanged demand: longer, as most of hundreds of
+ * entries are idle. */
+#define DEMAND_UNCHANGED_MS 1000
+/* Time without the leader after which the VM list is read directly: a draining
+ * endpoint must get no more calls 3 s after the list shows it. */
 #define LEADERLESS_MS 1200
-/* One that has just started gets no callers yet, and waits longer: hundreds
- * that start together would use up what the list takes, and keep the new
- * leader from reading it. */
-#define STARTING_MS 4000
-/* With the time before, a leaving endpoint is left within 2.2 s. */
-#define LIST_EVERY_MS 1000
-/* Pause between two tries to reach an agent; half of the longest wait for an
- * adapter, so that one lost try leaves another. */
+/* The same for an entry that has just started. It has no callers yet and waits
+ * longer: hundreds of entries that start together would use up the list's
+ * request rate and keep the new leader from reading it. */
+#define STARTUP_MS 4000
+/* Poll interval of the VM list. Together with LEADERLESS_MS a draining endpoint
+ * gets no more calls after 2.2 s. */
+#define LIST_POLL_MS 1000
+/* Pause between two attempts to connect to an agent: half of the longest wait
+ * for an adapter, so that a failed attempt leaves time for another. */
 #define AGENT_RETRY_MS 200
-/* A connection to an agent that nobody used for so long is closed. */
+/* Idle time after which a connection to an agent is closed. */
 #define AGENT_IDLE_MS 60000
-/* Looked for this often: exact to a sixth of that. */
+/* Interval of checks for idle connections: a sixth of that time is exact
+ * enough. */
 #define AGENT_CHECK_MS 10000
-/* Kept free of the time until SIGKILL, to write what is left: some 10 ms
- * of work. Streams of five seconds that came late in the stop end only just
- * before; each 100 ms more would cut some of them. */
+/* Part of the time until SIGKILL that is kept for writing the last output,
+ * which takes about 10 ms. Streams of 5 s that begin late in the drain end just
+ * before this margin; each further 100 ms would cut off some of them. */
 #define GRACE_MARGIN_MS 100
 
-/* Of this process's memory; the rest is for what it knows and for what comes
- * in before it is read. */
-#define CALLERS_SHARE 0.5
+/* Share of the process's memory for callers' requests. The rest is for state
+ * and for input that hasn't been read yet. */
+#define CALLER_MEMORY_SHARE 0.5
 
-struct agent_line {
+struct agent_conn {
 	char *addr;
 	struct conn *conn;
 	bool open;
-	int64_t tried_ms, used_ms;
-	GPtrArray *waits; /* struct msg_adapter copies, until it opens */
+	int64_t attempt_ms, used_ms;
+	GPtrArray *pending; /* struct msg_adapter copies to send once the
+			       connection is open */
 };
 
 struct fleet_entry {
 	struct daemon *d;
-	/* How it introduces itself to agents: where a control VM runs one, it
-	 * mustn't take the connection for one that looks for the leader. */
-	struct msg_hello asker;
+	/* Hello message to agents. It has another role, as a control VM that
+	 * runs an agent must not take the connection for an entry that looks
+	 * for the leader. */
+	struct msg_hello agent_hello;
 	struct gate *gate;
 	struct link *link;
 	struct routing_fetch *routing;
 	struct instances *list;
 	struct http_server *ready;
 	struct event *tick;
-	GHashTable *agents;	    /* addr -> struct agent_line */
-	int64_t leader_ms;	    /* when it was last up */
-	int64_t demand_ms, told_ms; /* when it was looked at, and said, last */
-	int64_t idle_ms;	    /* when idle agents were last looked for */
+	GHashTable *agents;    /* addr -> struct agent_conn */
+	int64_t leader_ms;     /* when the link was last up */
+	int64_t demand_ms;     /* last check of the demand */
+	int64_t reported_ms;   /* last report of the demand */
+	int64_t idle_check_ms; /* last check for idle agents */
 	bool demand_due;
 	bool link_up;
-	int64_t stop_ms; /* of a planned stop; 0: none */
+	int64_t stop_ms; /* start of a planned stop; 0: none */
 	bool closed;
 };
 
@@ -91,24 +98,24 @@
 
 static void agent_free(void *p)
 {
-	struct agent_line *a = p;
+	struct agent_conn *a = p;
 
 	if (a->conn)
 		conn_close(a->conn);
-	g_ptr_array_unref(a->waits);
+	g_ptr_array_unref(a->pending);
 	g_free(a->addr);
 	g_free(a);
 }
 
 static void agent_open(void *arg, struct conn *c)
 {
-	struct agent_line *a = conn_data(c);
+	struct agent_conn *a = conn_data(c);
 
 	(void)arg;
 	a->open = true;
-	for (guint i = 0; i < a->waits->len; i++)
-		conn_send(c, MSG_ADAPTER, a->waits->pdata[i]);
-	g_ptr_array_set_size(a->waits, 0);
+	for (guint i = 0; i < a->pending->len; i++)
+		conn_send(c, MSG_ADAPTER, a->pending->pdata[i]);
+	g_ptr_array_set_size(a->pending, 0);
 }
 
 static void agent_message(void *arg, struct conn *c, struct frame *f)
@@ -123,7 +130,7 @@
 static void agent_closed(void *arg, struct conn *c, const GError *why)
 {
 	struct fleet_entry *e = arg;
-	struct agent_line *a = conn_data(c);
+	struct agent_conn *a = conn_data(c);
 
 	if (!a)
 		return;
@@ -131,46 +138,46 @@
 		 why ? why->message : "closed");
 	a->conn = NULL;
 	a->open = false;
-	g_ptr_array_set_size(a->waits, 0);
+	g_ptr_array_set_size(a->pending, 0);
 	gate_agent_lost(e->gate, a->addr);
 }
 
 static const struct conn_ops agent_table = { agent_open, agent_message,
 					     agent_closed };
 
-static struct agent_line *agent_for(struct fleet_entry *e, const char *addr)
+static struct agent_conn *find_agent(struct fleet_entry *e, const char *addr)
 {
-	struct agent_line *a = g_hash_table_lookup(e->agents, addr);
+	struct agent_conn *a = g_hash_table_lookup(e->agents, addr);
 	struct conn_options co = daemon_conn_options(e->d, &agent_table, e);
 
 	if (!a) {
-		a = g_new0(struct agent_line, 1);
+		a = g_new0(struct agent_conn, 1);
 		a->addr = g_strdup(addr);
-		a->tried_ms = INT64_MIN / 2;
-		a->waits = g_ptr_array_new_with_free_func(wait_free);
+		a->attempt_ms = INT64_MIN / 2;
+		a->pending = g_ptr_array_new_with_free_func(wait_free);
 		g_hash_table_insert(e->agents, a->addr, a);
 	}
-	e->asker = e->d->hello;
-	e->asker.role = ROLE_READER;
-	co.self = &e->asker;
-	if (!a->conn && now_ms(e) - a->tried_ms >= AGENT_RETRY_MS) {
-		a->tried_ms = now_ms(e);
+	e->agent_hello = e->d->hello;
+	e->agent_hello.role = ROLE_READER;
+	co.self = &e->agent_hello;
+	if (!a->conn && now_ms(e) - a->attempt_ms >= AGENT_RETRY_MS) {
+		a->attempt_ms = now_ms(e);
 		a->conn = conn_connect(&co, addr);
 		conn_set_data(a->conn, a);
 	}
 	return a;
 }
 
-static bool need_adapter(void *arg, const char *addr,
-			 const struct msg_adapter *m)
+static bool request_adapter(void *arg, const char *addr,
+			    const struct msg_adapter *m)
 {
 	struct fleet_entry *e = arg;
-	struct agent_line *a;
+	struct agent_conn *a;
 	struct msg_adapter *copy;
 
 	if (!*addr)
 		return false;
-	a = agent_for(e, addr);
+	a = find_agent(e, addr);
 	a->used_ms = now_ms(e);
 	if (a->open)
 		return conn_send(a->conn, MSG_ADAPTER, m);
@@ -180,43 +187,43 @@
 	copy->model.p = ss_str_dup(m->model);
 	copy->adapter.p = ss_str_dup(m->adapter);
 	copy->endpoint.p = ss_str_dup(m->endpoint);
-	g_ptr_array_add(a->waits, copy);
+	g_ptr_array_add(a->pending, copy);
 	return true;
 }
 
-static void demand(void *arg)
+static void demand_changed(void *arg)
 {
 	((struct fleet_entry *)arg)->demand_due = true;
 }
 
-static bool ask_trial(void *arg, const struct msg_trial *m)
+static bool request_trial(void *arg, const struct msg_trial *m)
 {
 	struct fleet_entry *e = arg;
 
 	return e->link_up && link_send(e->link, MSG_TRIAL, m);
 }
 
-static bool ask_stream(void *arg, const struct msg_stream_request *m)
+static bool request_stream(void *arg, const struct msg_stream_request *m)
 {
 	struct fleet_entry *e = arg;
 
 	return e->link_up && link_send(e->link, MSG_STREAM_REQUEST, m);
 }
 
-static const struct gate_ops gate_table = { need_adapter, demand, ask_trial,
-					    ask_stream };
+static const struct gate_ops gate_table = { request_adapter, demand_changed,
+					    request_trial, request_stream };
 
 static void close_idle_agents(struct fleet_entry *e, int64_t now)
 {
 	GHashTableIter it;
 	void *p;
 
-	if (now - e->idle_ms < AGENT_CHECK_MS)
+	if (now - e->idle_check_ms < AGENT_CHECK_MS)
 		return;
-	e->idle_ms = now;
+	e->idle_check_ms = now;
 	g_hash_table_iter_init(&it, e->agents);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		if (now - ((struct agent_line *)p)->used_ms > AGENT_IDLE_MS)
+		if (now - ((struct agent_conn *)p)->used_ms > AGENT_IDLE_MS)
 			g_hash_table_iter_remove(&it);
 }
 
@@ -259,8 +266,9 @@
 		return;
 	e->demand_ms = now;
 	gate_report(e->gate, &r);
-	if (r.news || e->demand_due || now - e->told_ms >= DEMAND_SAME_MS) {
-		e->told_ms = now;
+	if (r.news || e->demand_due ||
+	    now - e->reported_ms >= DEMAND_UNCHANGED_MS) {
+		e->reported_ms = now;
 		link_send(e->link, MSG_DEMAND, &r.m);
 	}
 	e->demand_due = false;
@@ -279,8 +287,8 @@
 	case MSG_FLEET:
 		e->leader_ms = now_ms(e);
 		gate_take_fleet(e->gate, &f->u.fleet);
-		/* The leader waits for it: before models leave, and to send
-		 * others what they lack. */
+		/* The leader waits for this confirmation before it unloads
+		 * models and sends others what they lack. */
 		if (e->demand_due)
 			send_demand(e, now_ms(e));
 		break;
@@ -306,25 +314,25 @@
 
 static const struct link_ops link_table = { on_up, on_message, on_down };
 
-/* What limits need here. */
-static void send_asks(struct fleet_entry *e, enum msg_kind kind,
-		      void (*add)(struct gate *g, GArray *out))
+/* Sends the requests that the gate's quota clients have for the leader. */
+static void send_quota_requests(struct fleet_entry *e, enum msg_kind kind,
+				void (*add)(struct gate *g, GArray *out))
 {
-	GArray *asks;
+	GArray *requests;
 	struct msg_quota_request m;
 
 	if (!e->link_up)
 		return;
-	asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
-	add(e->gate, asks);
-	m.requests = (struct wire_list){ asks->data, asks->len };
-	if (asks->len)
+	requests = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+	add(e->gate, requests);
+	m.requests = (struct wire_list){ requests->data, requests->len };
+	if (requests->len)
 		link_send(e->link, kind, &m);
-	g_array_unref(asks);
+	g_array_unref(requests);
 }
 
-/* At once: the next endpoint may end meanwhile. */
-static void send_ends(struct fleet_entry *e)
+/* Sent at once: the same request may crash another endpoint in the meantime. */
+static void send_crashes(struct fleet_entry *e)
 {
 	struct gate_crash_report r;
 
@@ -334,7 +342,8 @@
 						 &r.m));
 }
 
-/* At once: this process may end before their callers do. */
+/* Sent at once: callers may outlive this process and resume their streams
+ * elsewhere. */
 static void send_streams(struct fleet_entry *e)
 {
 	struct stream_wire w;
@@ -351,7 +360,7 @@
 	gate_take_list(e->gate, all);
 }
 
-/* Ready, stopping. */
+/* Readiness and shutdown. */
 
 static bool entry_ready(void *role)
 {
@@ -386,26 +395,26 @@
 	gate_drain(e->gate, e->stop_ms + grace_ms(e) - GRACE_MARGIN_MS);
 }
 
-/* A planned stop: not ready first, then no new callers, then the end. The end
- * comes in time also where it is nearer than the close to new callers. */
+/* Advances a planned stop: report not ready, refuse new callers, exit. The exit
+ * is in time even if it is due before the time to refuse new callers. */
 static void advance_stop(struct fleet_entry *e, int64_t now)
 {
 	const struct config_fleet *c = &e->d->config.fleet;
 	int64_t age = now - e->stop_ms;
-	bool over = age > grace_ms(e) - GRACE_MARGIN_MS;
-	bool nobody_comes;
+	bool expired = age > grace_ms(e) - GRACE_MARGIN_MS;
+	bool no_new_callers;
 
-	if (age < c->accept_ms && !over)
+	if (age < c->accept_ms && !expired)
 		return;
-	nobody_comes = gate_close(e->gate);
+	no_new_callers = gate_close(e->gate);
 	if (!e->closed) {
 		e->closed = true;
 		log_info("stop", "no new callers; busy=%zu",
 			 gate_busy(e->gate));
 	}
-	if (over)
+	if (expired)
 		gate_abort(e->gate);
-	if ((nobody_comes || over) && gate_busy(e->gate) == 0)
+	if ((no_new_callers || expired) && gate_busy(e->gate) == 0)
 		daemon_exit(e->d, 0);
 }
 
@@ -418,17 +427,18 @@
 	(void)what;
 	gate_tick(e->gate);
 	routing_fetch_tick(e->routing);
-	send_ends(e);
+	send_crashes(e);
 	send_streams(e);
-	send_asks(e, MSG_QUOTA_REQUEST, gate_quota_requests);
+	send_quota_requests(e, MSG_QUOTA_REQUEST, gate_quota_requests);
 	send_demand(e, now);
-	/* The leader hears of a limit first. */
-	send_asks(e, MSG_LIMIT_REQUEST, gate_limit_requests);
+	/* After the demand report, so that the leader receives a limit before a
+	 * request for it. */
+	send_quota_requests(e, MSG_LIMIT_REQUEST, gate_limit_requests);
 	instances_set_polling(
 		e->list,
 		!e->link_up && now - e->leader_ms > (gate_knows_fleet(e->gate) ?
 							     LEADERLESS_MS :
-							     STARTING_MS));
+							     STARTUP_MS));
 	if (e->stop_ms)
 		advance_stop(e, now);
 	else
@@ -469,7 +479,8 @@
 		.patience = { c->patience_ms, c->patience_objectives,
 			      c->patience_pauses },
 		.keys_trust_ms = (int64_t)c->keys_trust_ms,
-		.memory = (size_t)(c->memory_mb * CALLERS_SHARE * (1 << 20)),
+		.memory = (size_t)(c->memory_mb * CALLER_MEMORY_SHARE *
+				   (1 << 20)),
 		.seed = d->seed,
 		.ops = &gate_table,
 		.arg = e
@@ -482,7 +493,7 @@
 	struct instances_options io = { .base = d->base,
 					.platform = &users_platform,
 					.addr = c->vm_list,
-					.poll_interval_ms = LIST_EVERY_MS,
+					.poll_interval_ms = LIST_POLL_MS,
 					.metrics = d->metrics,
 					.list = on_list,
 					.arg = e };
