--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -1,43 +1,46 @@
-/* Deciding steps of loads and unloads, and carrying them out. */
+/* Plans steps, which load and unload models, and runs them. */
 #include "fleet_lead_int.h"
 
-/* A new leader plans nothing until all agents have found it, or for so long:
- * what isn't reported yet would pass for lost. The orders to an engine come
- * from the agent beside it whoever leads, so no lease has to run out. */
-#define FIND_MS 500
-/* So long a new leader brings no model ahead of demand: entries tell within
- * that of the calls that run, and agents of the copies they have; a load from
- * the store that was no need takes an engine up for many seconds. One agent
- * that never comes holds it up for no longer than the second. */
-#define AHEAD_AFTER_MS 1000
-#define AHEAD_AT_LAST_MS 3000
-/* Entries confirm within a round trip; one that doesn't has lost its link
- * and its calls are refused by the engine, which says so. */
+/* Longest time for which a new leader waits for all agents to connect before it
+ * plans: models that aren't reported yet would count as lost. No lease has to
+ * expire first, as an engine's orders come from its own agent under any leader.
+ */
+#define AGENT_WAIT_MS 500
+/* Time for which a new leader preloads no models. Within the first, entries
+ * report their running calls and agents the replicas that they hold; a needless
+ * load from the store occupies an engine for many seconds. The second bounds
+ * the wait for an agent that never connects. */
+#define PRELOAD_DELAY_MS 1000
+#define PRELOAD_MAX_DELAY_MS 3000
+/* Longest wait for the entries' confirmation, which takes a round trip. An
+ * entry that doesn't confirm has lost its link; the engine then refuses its
+ * calls with an error that says so. */
 #define CONFIRM_MS 300
-/* An unload waits for runs; longer than this and the engine is let do it. */
-#define QUIET_MS 3000
-/* An agent that carries out a step is heard all the while; this long after
- * the expected end the step is given up. */
+/* Longest time for which an unload waits for running calls. After that it is
+ * sent, and the engine waits for them itself. */
+#define UNLOAD_WAIT_MS 3000
+/* Time after a step's latest expected end at which it is abandoned. Its agent
+ * keeps reporting while it runs the step. */
 #define STEP_SLACK_MS 6000
-/* A load that failed on an engine isn't tried there again for so long. */
-#define REFUSED_MS 2000
-/* Share of the store's rate that is used: the rest is for loads that begin
+/* Time after a failed load before it is retried on the same engine. */
+#define LOAD_RETRY_MS 2000
+/* Share of the store's load rate that is used. The rest covers loads that begin
  * later than they were ordered. */
 #define STORE_SHARE 0.8
-/* Memory kept free for adapters, as a multiple of the largest one. */
-#define ADAPTERS_KEPT 4
-/* A wake time that moves by less than this isn't news. */
+/* Memory reserved for adapters, as a multiple of the largest one. */
+#define RESERVED_ADAPTERS 4
+/* Smallest change of a wake time that is reported to entries. */
 #define ETA_STEP_MS 100
-/* A model that can't be loaded is logged this often. */
+/* Minimum interval between log lines about one blocked model. */
 #define BLOCKED_LOG_MS 1000
 
-struct view {
+struct service_view {
 	struct fleet_lead *l;
 	const struct routing_service *service;
 	struct fleet_view v;
 	GArray *models;	   /* struct fleet_model */
 	GArray *pins;	   /* struct fleet_pin */
-	GPtrArray *pinned; /* struct fleet_want of each */
+	GPtrArray *pinned; /* struct fleet_want of each pin */
 	GArray *nodes;	   /* struct fleet_node */
 	GPtrArray *eps;	   /* struct fleet_ep of each node */
 	GPtrArray *tiers;
@@ -61,7 +64,7 @@
 						g_str_equal, NULL);
 }
 
-static int model_index(const struct view *w, const char *name)
+static int model_index(const struct service_view *w, const char *name)
 {
 	const struct routing_model *m = routing_model(w->service, name);
 
@@ -69,9 +72,10 @@
 		   -1;
 }
 
-/* Callers of all entries, and the time until the first of them is late. */
-static uint32_t add_up_waits(const struct fleet_want *want, int64_t now,
-			     int64_t *slack_ms)
+/* Returns the number of waiting callers at all entries; sets *slack_ms to the
+ * time until the earliest deadline. */
+static uint32_t sum_waits(const struct fleet_want *want, int64_t now,
+			  int64_t *slack_ms)
 {
 	uint32_t waiting = 0;
 	GHashTableIter it;
@@ -88,7 +92,7 @@
 	return waiting;
 }
 
-static void add_pins(struct view *w)
+static void add_pins(struct service_view *w)
 {
 	GHashTableIter it;
 	void *p;
@@ -106,13 +110,13 @@
 		if (m < 0)
 			continue;
 		pin.model = (uint32_t)m;
-		pin.waiting = add_up_waits(want, w->now, &pin.slack_ms);
+		pin.waiting = sum_waits(want, w->now, &pin.slack_ms);
 		g_array_append_val(w->pins, pin);
 		g_ptr_array_add(w->pinned, want);
 	}
 }
 
-static void add_models(struct view *w)
+static void add_models(struct service_view *w)
 {
 	for (guint i = 0; i < w->service->models->len; i++) {
 		struct fleet_model m = {
@@ -123,24 +127,24 @@
 		struct fleet_want *want = fleet_want_for(w->l, w->service->name,
 							 m.spec->name, "");
 		m.rate = fleet_rate_at(&want->rate, w->now);
-		m.waiting = add_up_waits(want, w->now, &m.slack_ms);
+		m.waiting = sum_waits(want, w->now, &m.slack_ms);
 		g_array_append_val(w->models, m);
 	}
 }
 
 static double adapters_mb(const struct routing_service *s)
 {
-	double most = 0;
+	double max_mb = 0;
 
 	for (guint i = 0; i < s->models->len; i++)
-		most = MAX(most,
-			   g_array_index(s->models, struct routing_model, i)
-				   .adapter_mb);
-	return most * (double)MIN(s->adapter_slots, ADAPTERS_KEPT);
+		max_mb = MAX(max_mb,
+			     g_array_index(s->models, struct routing_model, i)
+				     .adapter_mb);
+	return max_mb * (double)MIN(s->adapter_slots, RESERVED_ADAPTERS);
 }
 
-static void add_places(struct view *w, const struct fleet_ep *ep,
-		       struct fleet_node *n)
+static void add_replicas(struct service_view *w, const struct fleet_ep *ep,
+			 struct fleet_node *n)
 {
 	const GArray *held = ep->report.held;
 
@@ -164,7 +168,7 @@
 	}
 }
 
-static void mark_tier(const struct view *w, uint8_t *tiers,
+static void mark_tier(const struct service_view *w, uint8_t *tiers,
 		      const GPtrArray *names, enum ss_tier tier)
 {
 	for (guint i = 0; names && i < names->len; i++) {
@@ -175,7 +179,7 @@
 	}
 }
 
-static int64_t step_left(const struct fleet_ep *ep, int64_t now)
+static int64_t step_remaining_ms(const struct fleet_ep *ep, int64_t now)
 {
 	const struct step_run *s = &ep->step;
 	int64_t end = (s->sent ? s->sent_ms : now) + s->plan.expected_ms;
@@ -183,7 +187,8 @@
 	return MAX(end - now, 0);
 }
 
-/* An engine that its agent reports, and whose memory is known thereby. */
+/* True if the engine's agent reports it, so that its memory use is known, and
+ * nothing else occupies it. */
 static bool can_take_step(const struct fleet_lead *l, const struct fleet_ep *ep,
 			  int64_t now)
 {
@@ -192,13 +197,14 @@
 	       fleet_ep_usable(l, ep) && !fleet_ep_strained(l, ep);
 }
 
-/* An order that this leader didn't give is being carried out. */
-static bool is_engaged(const struct fleet_lead *l, const struct fleet_ep *ep)
+/* True if the engine executes an order that this leader didn't send. */
+static bool has_foreign_order(const struct fleet_lead *l,
+			      const struct fleet_ep *ep)
 {
 	return !ep->step.on && fleet_ep_reported(l, ep) && ep->report.busy;
 }
 
-static void add_node(struct view *w, struct fleet_ep *ep)
+static void add_node(struct service_view *w, struct fleet_ep *ep)
 {
 	bool usable = fleet_ep_usable(w->l, ep);
 	bool strained = fleet_ep_strained(w->l, ep);
@@ -214,45 +220,45 @@
 	uint8_t *tiers = g_new0(uint8_t, w->models->len + 1);
 
 	n.replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
-	n.foreign_order = is_engaged(w->l, ep);
+	n.foreign_order = has_foreign_order(w->l, ep);
 	n.accepts_step = can_take_step(w->l, ep, w->now);
 	n.tier = tiers;
 	if (ep->reported)
-		add_places(w, ep, &n);
+		add_replicas(w, ep, &n);
 	mark_tier(w, tiers, ep->report.on_disk, TIER_DISK);
 	mark_tier(w, tiers, ep->report.in_memory, TIER_MEMORY);
 	if (ep->step.on && ep->step.load) {
 		n.loading = model_index(w, ep->step.load);
 		n.loading_tier = ep->step.plan.tier;
-		n.loading_left_ms = step_left(ep, w->now);
+		n.loading_left_ms = step_remaining_ms(ep, w->now);
 	}
 	g_array_append_val(w->nodes, n);
 	g_ptr_array_add(w->eps, ep);
 	g_ptr_array_add(w->tiers, tiers);
 }
 
-static const char *name_of(const struct view *w, uint32_t model)
+static const char *model_name(const struct service_view *w, uint32_t model)
 {
 	return g_array_index(w->models, struct fleet_model, model).spec->name;
 }
 
-static bool was_refused(const struct fleet_ep *ep, const char *model,
-			int64_t now)
+static bool load_failed_recently(const struct fleet_ep *ep, const char *model,
+				 int64_t now)
 {
 	const int64_t *at = g_hash_table_lookup(ep->refused, model);
 
-	return at && now - *at < REFUSED_MS;
+	return at && now - *at < LOAD_RETRY_MS;
 }
 
 static void begin_step(void *arg, const struct fleet_step *s)
 {
 	static const char *const tiers[] = { "store", "disk", "memory" };
-	struct view *w = arg;
+	struct service_view *w = arg;
 	struct fleet_ep *ep = w->eps->pdata[s->node];
-	const char *model = name_of(w, (uint32_t)s->load);
+	const char *model = model_name(w, (uint32_t)s->load);
 	struct step_run *r = &ep->step;
 
-	if (was_refused(ep, model, w->now))
+	if (load_failed_recently(ep, model, w->now))
 		return;
 	fleet_step_clear(ep);
 	r->on = true;
@@ -260,7 +266,8 @@
 	r->plan = *s;
 	r->unload = g_ptr_array_new_with_free_func(g_free);
 	for (size_t i = 0; i < s->n_victims; i++)
-		g_ptr_array_add(r->unload, g_strdup(name_of(w, s->victims[i])));
+		g_ptr_array_add(r->unload,
+				g_strdup(model_name(w, s->victims[i])));
 	r->load = g_strdup(model);
 	r->since_ms = w->now;
 	if (s->n_victims) {
@@ -278,12 +285,12 @@
 		 s->expected_ms, s->why);
 }
 
-/* Once a second for each model: callers wait all the while. */
+/* Logs a blocked model at most once a second, as long as callers wait. */
 static void on_blocked(void *arg, uint32_t model, const struct fleet_blocked *b)
 {
-	struct view *w = arg;
+	struct service_view *w = arg;
 	struct fleet_want *want = fleet_want_for(w->l, w->service->name,
-						 name_of(w, model),
+						 model_name(w, model),
 						 b->version ? b->version : "");
 
 	if (w->now - want->blocked_ms < BLOCKED_LOG_MS)
@@ -299,7 +306,8 @@
 
 static const struct fleet_plan_ops plan_table = { begin_step, on_blocked };
 
-static void note_eta(struct view *w, struct fleet_want *want, int64_t eta_ms)
+static void update_eta(struct service_view *w, struct fleet_want *want,
+		       int64_t eta_ms)
 {
 	int64_t eta = eta_ms < 0 ? -1 : w->now + eta_ms;
 
@@ -311,20 +319,20 @@
 	want->eta_ms = eta;
 }
 
-static void note_etas(struct view *w)
+static void update_etas(struct service_view *w)
 {
 	for (guint i = 0; i < w->models->len; i++) {
 		const struct fleet_model *m =
 			&g_array_index(w->models, struct fleet_model, i);
 
-		note_eta(w,
-			 fleet_want_for(w->l, w->service->name, m->spec->name,
-					""),
-			 m->eta_ms);
+		update_eta(w,
+			   fleet_want_for(w->l, w->service->name, m->spec->name,
+					  ""),
+			   m->eta_ms);
 	}
 	for (guint i = 0; i < w->pins->len; i++)
-		note_eta(w, w->pinned->pdata[i],
-			 g_array_index(w->pins, struct fleet_pin, i).eta_ms);
+		update_eta(w, w->pinned->pdata[i],
+			   g_array_index(w->pins, struct fleet_pin, i).eta_ms);
 }
 
 static void node_clear(void *p)
@@ -332,7 +340,7 @@
 	g_array_unref(((struct fleet_node *)p)->replicas);
 }
 
-/* Every engine that the list shows has been heard of. */
+/* True if every engine in the VM list has a connected agent. */
 static bool all_reported(const struct fleet_lead *l)
 {
 	GHashTableIter it;
@@ -350,18 +358,18 @@
 	return true;
 }
 
-static bool may_go_ahead(const struct fleet_lead *l, int64_t now)
+static bool may_preload(const struct fleet_lead *l, int64_t now)
 {
 	int64_t age = now - l->since_ms;
 
-	return l->preset.wake_ahead && age >= AHEAD_AFTER_MS &&
-	       (age >= AHEAD_AT_LAST_MS || all_reported(l));
+	return l->preset.wake_ahead && age >= PRELOAD_DELAY_MS &&
+	       (age >= PRELOAD_MAX_DELAY_MS || all_reported(l));
 }
 
 static void plan_service(struct fleet_lead *l,
 			 const struct routing_service *service, int64_t now)
 {
-	struct view w = { .l = l, .service = service, .now = now };
+	struct service_view w = { .l = l, .service = service, .now = now };
 	GHashTableIter it;
 	void *p;
 
@@ -393,11 +401,11 @@
 			&l->store, (size_t)l->preset.store_parallel),
 		.store_tokens = l->store_tokens,
 		.all_reported = all_reported(l),
-		.preload = may_go_ahead(l, now),
+		.preload = may_preload(l, now),
 	};
 	fleet_plan(&w.v, &plan_table, &w);
 	l->store_tokens = w.v.store_tokens;
-	note_etas(&w);
+	update_etas(&w);
 	g_array_unref(w.models);
 	g_array_unref(w.pins);
 	g_ptr_array_unref(w.pinned);
@@ -407,9 +415,10 @@
 }
 
 /*
- * Loads from the store over all engines are bounded in a sliding window. A
- * new leader knows of none that its predecessor began, so it starts with
- * nothing saved up; the bucket holds no more than one second's loads.
+ * Refills the token bucket that limits loads from the store over all engines,
+ * which the store bounds in a sliding window. A new leader doesn't know the
+ * loads that its predecessor began, so it starts with an empty bucket; the
+ * bucket holds at most one second's loads.
  */
 static void refill_store(struct fleet_lead *l, const struct routing_service *s,
 			 int64_t now)
@@ -426,7 +435,8 @@
 
 void fleet_steps_plan(struct fleet_lead *l, int64_t now)
 {
-	if (!l->list_seen || (now - l->since_ms < FIND_MS && !all_reported(l)))
+	if (!l->list_seen ||
+	    (now - l->since_ms < AGENT_WAIT_MS && !all_reported(l)))
 		return;
 	for (guint i = 0; i < l->routing->services->len; i++) {
 		const struct routing_service *s =
@@ -439,7 +449,7 @@
 	}
 }
 
-/* Carrying steps out. */
+/* Running steps. */
 
 static bool confirmed_by_all(const struct fleet_lead *l, uint64_t round)
 {
@@ -456,7 +466,7 @@
 	return true;
 }
 
-/* Its agent has been told the term that a step carries. */
+/* True if the engine's agent has received the term that a step carries. */
 static bool agent_knows_term(const struct fleet_lead *l,
 			     const struct fleet_ep *ep)
 {
@@ -475,9 +485,9 @@
 }
 
 /*
- * A model leaves once every entry has confirmed that it sends it no new
- * calls, and those under way have ended: else they would be refused, or
- * hold up the engine's next order.
+ * A model is unloaded once every entry has confirmed that it sends no new calls
+ * to it, and its running calls have ended. Otherwise these calls would be
+ * refused or delay the engine's next order.
  */
 static bool may_send(const struct fleet_lead *l, const struct fleet_ep *ep,
 		     int64_t now)
@@ -486,15 +496,17 @@
 
 	if (!agent_knows_term(l, ep))
 		return false;
-	if (ep->step.unload->len == 0 || age > QUIET_MS)
+	if (ep->step.unload->len == 0 || age > UNLOAD_WAIT_MS)
 		return true;
 	if (!confirmed_by_all(l, ep->step.round) && age < CONFIRM_MS)
 		return false;
 	return victim_calls(ep) == 0;
 }
 
-/* Its model may have left the routing since it was planned. */
-static bool is_known(const struct fleet_lead *l, const struct fleet_ep *ep)
+/* False if the step's model has been removed from the routing since it was
+ * planned. */
+static bool model_is_routed(const struct fleet_lead *l,
+			    const struct fleet_ep *ep)
 {
 	const struct routing_service *s =
 		routing_service(l->routing, ep->service);
@@ -502,8 +514,8 @@
 	return s && routing_model(s, ep->step.load);
 }
 
-/* Loads from the store that run now. */
-static size_t from_store(const struct fleet_lead *l)
+/* Returns the number of loads from the store that are running. */
+static size_t count_store_loads(const struct fleet_lead *l)
 {
 	GHashTableIter it;
 	size_t n = 0;
@@ -513,30 +525,32 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct fleet_ep *ep = p;
 
-		n += is_engaged(l, ep) || (ep->step.on && ep->step.sent &&
-					   ep->step.plan.tier == TIER_REMOTE);
+		n += has_foreign_order(l, ep) ||
+		     (ep->step.on && ep->step.sent &&
+		      ep->step.plan.tier == TIER_REMOTE);
 	}
 	return n;
 }
 
-/* What a load shows of the store, when it lasts too long and when it ends. */
-static void watch_store(struct fleet_lead *l, struct step_run *s,
-			int64_t took_ms, bool done)
+/* Updates the estimate of the store's speed from a load: once if it takes too
+ * long, and when it ends. */
+static void observe_store(struct fleet_lead *l, struct step_run *s,
+			  int64_t took_ms, bool done)
 {
-	int64_t alone = s->plan.expected_ms;
+	int64_t expected_ms = s->plan.expected_ms;
 	size_t before = l->store.max_loads;
 
 	if (!s->sent || s->plan.tier != TIER_REMOTE || s->slow ||
-	    (!done && took_ms <= fleet_store_slow_ms(alone)))
+	    (!done && took_ms <= fleet_store_slow_ms(expected_ms)))
 		return;
 	s->slow = !done;
-	fleet_store_observe(&l->store, s->beside, took_ms, alone, done);
+	fleet_store_observe(&l->store, s->beside, took_ms, expected_ms, done);
 	if (l->store.max_loads != before)
 		log_info("store_speed",
 			 "at_once=%zu step=%" PRIu64 " beside=%zu ms=%" PRId64
 			 " alone_ms=%" PRId64 " done=%d",
 			 l->store.max_loads, s->number, s->beside, took_ms,
-			 alone, done);
+			 expected_ms, done);
 }
 
 static void send_step(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
@@ -549,10 +563,10 @@
 			      .started_ms = ep->self.started_ms };
 
 	m.unload = (struct wire_list){ names->data, names->len };
-	if (is_known(l, ep) && conn_send(ep->conn, MSG_LOAD, &m)) {
+	if (model_is_routed(l, ep) && conn_send(ep->conn, MSG_LOAD, &m)) {
 		s->sent = true;
 		s->sent_ms = now;
-		s->beside = from_store(l);
+		s->beside = count_store_loads(l);
 		ep->changed = l->dirty = true;
 	}
 	g_array_unref(names);
@@ -577,10 +591,10 @@
 static void run_step(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
 {
 	struct step_run *s = &ep->step;
-	int64_t patience = s->plan.expected_ms * 3 + STEP_SLACK_MS;
+	int64_t timeout_ms = s->plan.expected_ms * 3 + STEP_SLACK_MS;
 
-	if (!ep->conn || now - s->since_ms > patience + QUIET_MS) {
-		/* What it did of the step shows in the next report. */
+	if (!ep->conn || now - s->since_ms > timeout_ms + UNLOAD_WAIT_MS) {
+		/* The next report shows how much of the step was done. */
 		log_warn("step_lost", "step=%" PRIu64 " endpoint=%s agent=%d",
 			 s->number, ep->addr, ep->conn != NULL);
 		(*l->n_failed)++;
@@ -589,7 +603,7 @@
 	}
 	if (!s->sent && may_send(l, ep, now))
 		send_step(l, ep, now);
-	watch_store(l, s, now - s->sent_ms, false);
+	observe_store(l, s, now - s->sent_ms, false);
 }
 
 void fleet_steps_run(struct fleet_lead *l, int64_t now)
@@ -622,7 +636,7 @@
 		g_hash_table_replace(ep->refused, g_strdup(s->load),
 				     g_memdup2(&now, sizeof(now)));
 	} else {
-		watch_store(l, s, m->took_ms, true);
+		observe_store(l, s, m->took_ms, true);
 		hist_add(l->load_hist, (uint64_t)MAX(m->took_ms, 0));
 	}
 	end_step(l, ep);
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -1,8 +1,9 @@
-/* The fleet leader's tables: endpoints by address, demand by model, and what
- * each peer has a part in. */
+/* The fleet leader's tables: endpoints by address, demand by model, and for
+ * each peer the rows that refer to it. */
 #include "fleet_lead_int.h"
 
-/* Owners of one engine under one leader: one each 3.5 s for two days. */
+/* Bits for the owner's generation in a fence. They allow one owner change
+ * each 3.5 s for two days under one leader. */
 #define OWNER_BITS 16
 #define OWNER_MASK ((1u << OWNER_BITS) - 1)
 
@@ -112,7 +113,7 @@
 	g_free(p);
 }
 
-static struct fleet_peer *peer_at(struct fleet_lead *l, const struct conn *c)
+static struct fleet_peer *find_peer(struct fleet_lead *l, const struct conn *c)
 {
 	return c ? g_hash_table_lookup(l->peers, c) : NULL;
 }
@@ -120,7 +121,8 @@
 void fleet_ep_owned_by(struct fleet_lead *l, struct fleet_ep *ep,
 		       struct conn *c)
 {
-	struct fleet_peer *before = peer_at(l, ep->conn), *p = peer_at(l, c);
+	struct fleet_peer *before = find_peer(l, ep->conn),
+			  *p = find_peer(l, c);
 
 	if (before)
 		g_ptr_array_remove_fast(before->owned, ep);
@@ -155,7 +157,7 @@
 		struct fleet_ep *ep =
 			g_hash_table_lookup(l->eps, p->called->pdata[i]);
 
-		/* One that is gone took its calls with it. */
+		/* The calls of a removed endpoint were freed with it. */
 		if (ep)
 			g_hash_table_remove(ep->calls, p->conn);
 	}
@@ -223,20 +225,20 @@
 	       (fleet_ep_reported(l, ep) && ep->report.draining);
 }
 
-/* Nothing but its entry may say that it gets no new work. */
-static bool is_sound(const struct fleet_lead *l, const struct fleet_ep *ep)
+/* True if nothing, other than perhaps its list entry, rules out new work. */
+static bool is_healthy(const struct fleet_lead *l, const struct fleet_ep *ep)
 {
 	return ep->listed && !ep->down && !fleet_ep_ends(l, ep);
 }
 
 bool fleet_ep_usable(const struct fleet_lead *l, const struct fleet_ep *ep)
 {
-	return is_sound(l, ep) && !ep->unread_ms;
+	return is_healthy(l, ep) && !ep->unread_ms;
 }
 
 bool fleet_ep_suspended(const struct fleet_lead *l, const struct fleet_ep *ep)
 {
-	return is_sound(l, ep) && ep->unread_ms && fleet_ep_reported(l, ep);
+	return is_healthy(l, ep) && ep->unread_ms && fleet_ep_reported(l, ep);
 }
 
 bool fleet_ep_strained(const struct fleet_lead *l, const struct fleet_ep *ep)
--- a/src/daemon/fleet_unread.c
+++ b/src/daemon/fleet_unread.c
@@ -1,13 +1,14 @@
-/* Endpoints whose entry in the list can't be read. */
+/* Endpoints whose entry in the VM list can't be parsed. */
 #include "fleet_lead_int.h"
 
-/* Each of them is logged this often. */
+/* Minimum interval between two log lines for one endpoint. */
 #define UNREAD_LOG_MS 10000
 
 /*
- * It gets no new work, and keeps what it has: calls under way, the step that
- * it carries out, and the memory that counts as taken. Another writer's fault
- * would else cost loads from the store for an engine that is sound.
+ * An endpoint with an unreadable entry gets no new work but keeps what it has:
+ * its running calls, its step, and the memory that counts as in use. Otherwise
+ * a fault of the list's writer would cost loads from the store though the
+ * engine is healthy.
  */
 void fleet_ep_unreadable(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
 {
@@ -35,9 +36,9 @@
 }
 
 /*
- * What the list no longer shows has ended: it lags on with those that crash,
- * never with those that still serve. But an entry that can't be read may be
- * its own.
+ * An endpoint that the list no longer shows is gone: the list may still show a
+ * crashed endpoint for a while, but never omits one that serves. An unreadable
+ * entry, however, may belong to this endpoint.
  */
 void fleet_ep_unlisted(struct fleet_lead *l, struct fleet_ep *ep,
 		       const struct fleet_list *all, int64_t now)
--- a/src/daemon/fleet_work.c
+++ b/src/daemon/fleet_work.c
@@ -1,7 +1,8 @@
-/* What the leader did, counted: for metrics, a line a second, and tests. */
+/* Counters of the leader's work, for metrics, a log line each second, and
+ * tests. */
 #include "fleet_lead_int.h"
 
-/* The line is written this often. */
+/* Interval of the log line. */
 #define WORK_LOG_MS 1000
 
 static const char *const names[FLEET_WORKS] = {
