--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -1,4 +1,4 @@
-/* A fleet's leader between entries and engines that are played. */
+/* A fleet's real leader with simulated entries and engines. */
 #include "fleet_world.h"
 
 #include <math.h>
@@ -19,18 +19,18 @@
 #define AGENT_MS 1000
 #define LIST_MS 900
 #define LOAD_MS 400
-/* An entry's turn for permits, and the pause between two requests of one for an
- * engine that names a limit. */
-#define TURN_MS 10
-#define LIMIT_GAP_MS 200
+/* Interval at which an entry handles limits, and the interval of its requests
+ * for an engine that states a limit. */
+#define LIMIT_TICK_MS 10
+#define LIMIT_REQUEST_MS 200
 #define LIMIT_PER_S 1.0
-/* A message's way, each. */
-#define WAY_MS 2
-#define ENGINE_HOLDS 3
+/* One-way delay of a message. */
+#define MESSAGE_DELAY_MS 2
+#define MODELS_PER_ENGINE 3
 #define ADDRESS_MAX 32
 
 struct call {
-	int model, engine; /* -1: it waits */
+	int model, engine; /* -1: waiting */
 	int64_t end_ms;
 };
 
@@ -38,22 +38,25 @@
 	struct fleet_world *w;
 	struct msg_hello peer;
 	char name[ADDRESS_MAX];
-	int entry, engine; /* -1: not one */
+	int entry, engine; /* -1: none */
 	bool gone, stopped;
-	size_t backlog; /* bytes that it hasn't read */
-	/* Of an entry. */
+	size_t backlog; /* bytes that the peer hasn't read */
+	/* Members of an entry's connection. */
 	GArray *calls;	/* struct call */
 	GArray *counts; /* uint64_t: arrivals by model since the last report */
-	uint64_t round; /* in force */
-	bool whole, soon, news;
+	uint64_t round; /* the latest received */
+	bool whole, report_now, report_due;
 	int wholes;
 	uint64_t unread_round;
 	bool unread_whole;
-	char *word;   /* the last endpoint that it was told of so */
-	int permits;  /* that the leader has granted, in thousandths */
-	void *purses; /* of permits, as a real entry's; NULL: it wants none */
-	bool *seats;  /* of each limited engine: a request waits for a permit */
-	int64_t report_ms, told_ms;
+	char *reported_addr; /* address of the last endpoint reported to it as
+				limited or draining */
+	int grants;	     /* granted by the leader, in thousandths */
+	void *quota_clients; /* quota clients for endpoint limits, as in a real
+				entry; NULL: unused */
+	bool *waiting_for_grant; /* for each limited engine: a request waits for
+				    a grant */
+	int64_t report_ms, reported_ms;
 };
 
 struct engine {
@@ -63,10 +66,10 @@
 	GArray *on_disk; /* int */
 	int adapters;	 /* of its first model */
 	int running, orders;
-	int64_t slow; /* as entries were told last; 0: not */
+	int64_t slow; /* ratio last sent to entries; 0: none */
 	int64_t report_ms;
-	bool news;
-	/* What it was told to do; done_ms 0: nothing. */
+	bool report_due;
+	/* The order that it executes; done_ms is 0 if there is none. */
 	int64_t done_ms;
 	uint64_t step, fence;
 	int load;
@@ -89,32 +92,32 @@
 	struct engine *engines;
 	GArray **holders; /* int, engines by model */
 	GHashTable *model_index;
-	double *popularity; /* summed up */
+	double *popularity; /* cumulative */
 	double arrivals;
 	struct stream_log *streams, *follower;
 	struct fleet_world_streams stream_cost;
-	int64_t stream_reply; /* the last that the leader gave */
+	int64_t stream_reply; /* the leader's last */
 	char *stream_version;
-	void *lead;
+	void *leader;
 	uint64_t seed;
 	struct fleet_world_cost cost;
-	GHashTable *work_told;
+	GHashTable *work_seen;
 	int steps;
-	int asked, admitted; /* permits */
-	GHashTable *
-		remote; /* set of addresses: engines that a member is to read */
-	/* The frame that was read last. */
+	int grant_requests, admitted; /* grant requests; admitted requests */
+	GHashTable *remote; /* set of addresses: engines whose agents are
+			       assigned to a member */
+	/* The frame that was decoded last. */
 	const char *frame;
 	size_t frame_len;
 	int64_t frame_ms;
 	uint64_t frame_round;
 	bool frame_whole;
-	char *frame_word; /* the first endpoint in it with a limit, or that
-			     leaves */
+	char *frame_addr; /* the first endpoint in it with a limit, or draining
+			   */
 };
 
-/* The world that is played now: what stands for the network finds it here. */
-static struct fleet_world *world;
+/* The running simulation, for the stubs that get no pointer to it. */
+static struct fleet_world *current_world;
 
 static double cpu_ms(void)
 {
@@ -124,12 +127,12 @@
 	return (double)t.tv_sec * 1000 + (double)t.tv_nsec / 1e6;
 }
 
-static double draw(struct fleet_world *w)
+static double random_double(struct fleet_world *w)
 {
 	return (double)(ss_random(&w->seed) >> 11) / (double)(1ULL << 53);
 }
 
-/* What stands for connections. */
+/* Stubs of connections. */
 
 const struct msg_hello *conn_peer(const struct conn *c)
 {
@@ -169,19 +172,19 @@
 	e->orders++;
 }
 
-static void take_permits(struct conn *c, const struct msg_quota_reply *m)
+static void take_grants(struct conn *c, const struct msg_quota_reply *m)
 {
 	const struct quota_reply *x = m->replies.items;
 
 	for (size_t i = 0; i < m->replies.n; i++)
-		c->permits += (int)x[i].grant;
-	for (size_t i = 0; c->purses && i < m->replies.n; i++)
-		quota_lease.clients_reply(c->purses, &x[i],
+		c->grants += (int)x[i].grant;
+	for (size_t i = 0; c->quota_clients && i < m->replies.n; i++)
+		quota_lease.clients_reply(c->quota_clients, &x[i],
 					  c->w->d.clock.fake_ms);
 }
 
-static void take_stream_word(struct fleet_world *w,
-			     const struct msg_stream_reply *m)
+static void take_stream_reply(struct fleet_world *w,
+			      const struct msg_stream_reply *m)
 {
 	w->stream_reply = m->result;
 	g_free(w->stream_version);
@@ -193,13 +196,13 @@
 	if (kind == MSG_LOAD && c->engine >= 0)
 		take_order(c->w, &c->w->engines[c->engine], msg);
 	if (kind == MSG_LIMIT_REPLY)
-		take_permits(c, msg);
+		take_grants(c, msg);
 	if (kind == MSG_STREAM_REPLY)
-		take_stream_word(c->w, msg);
+		take_stream_reply(c->w, msg);
 	return !c->gone;
 }
 
-static char *first_word(const struct msg_fleet *m)
+static char *first_reported(const struct msg_fleet *m)
 {
 	const struct fleet_endpoint *e = m->endpoints.items;
 
@@ -209,22 +212,23 @@
 	return NULL;
 }
 
-static void take_slow(struct fleet_world *w, struct ss_str addr, int64_t slow)
+static void take_slowness(struct fleet_world *w, struct ss_str addr,
+			  int64_t slow)
 {
 	for (int i = 0; slow && i < w->o.engines; i++)
 		if (ss_str_eq(addr, ss_str(w->engines[i].addr)))
 			w->engines[i].slow = slow;
 }
 
-static void read_slow(struct fleet_world *w, const struct msg_fleet *m)
+static void read_slowness(struct fleet_world *w, const struct msg_fleet *m)
 {
 	const struct fleet_endpoint *e = m->endpoints.items;
 	const struct fleet_load *x = m->loads.items;
 
 	for (size_t i = 0; i < m->endpoints.n; i++)
-		take_slow(w, e[i].addr, e[i].slowness);
+		take_slowness(w, e[i].addr, e[i].slowness);
 	for (size_t i = 0; i < m->loads.n; i++)
-		take_slow(w, x[i].addr, x[i].slowness);
+		take_slowness(w, x[i].addr, x[i].slowness);
 }
 
 static void read_frame(struct fleet_world *w, const GString *frame)
@@ -239,19 +243,19 @@
 	w->frame_ms = w->d.clock.fake_ms;
 	w->frame_round = 0;
 	w->frame_whole = false;
-	g_clear_pointer(&w->frame_word, g_free);
+	g_clear_pointer(&w->frame_addr, g_free);
 	if (!frame_decode((const uint8_t *)frame->str, frame->len, &f, NULL))
 		return;
 	if (f.kind == MSG_FLEET) {
 		w->frame_round = f.u.fleet.round;
 		w->frame_whole = f.u.fleet.full;
-		w->frame_word = first_word(&f.u.fleet);
-		read_slow(w, &f.u.fleet);
+		w->frame_addr = first_reported(&f.u.fleet);
+		read_slowness(w, &f.u.fleet);
 	}
 	frame_done(&f);
 }
 
-/* It tells at once that a round is in force. */
+/* A new round is confirmed at once. */
 static void take_frame(struct conn *c, uint64_t round, bool whole)
 {
 	c->whole |= whole;
@@ -259,7 +263,7 @@
 	if (round <= c->round)
 		return;
 	c->round = round;
-	c->soon = true;
+	c->report_now = true;
 }
 
 bool conn_send_frame(struct conn *c, const GString *frame)
@@ -273,20 +277,20 @@
 		c->unread_whole |= w->frame_whole;
 	} else {
 		take_frame(c, w->frame_round, w->frame_whole);
-		if (w->frame_word) {
-			g_free(c->word);
-			c->word = g_strdup(w->frame_word);
+		if (w->frame_addr) {
+			g_free(c->reported_addr);
+			c->reported_addr = g_strdup(w->frame_addr);
 		}
 	}
 	return !c->gone;
 }
 
-/* What stands for the control group. */
+/* Stubs of the control group. */
 
 const struct ss_state *group_state(const struct group *g)
 {
 	(void)g;
-	return world->state;
+	return current_world->state;
 }
 
 const struct ss_raft *group_raft(const struct group *g)
@@ -312,7 +316,8 @@
 	return n;
 }
 
-static void take_spread(struct fleet_world *w, const struct msg_streams *m)
+static void take_replicated_streams(struct fleet_world *w,
+				    const struct msg_streams *m)
 {
 	stream_wire_apply(w->follower, m, w->d.clock.fake_ms);
 	w->stream_cost.spread++;
@@ -328,13 +333,13 @@
 	(void)g;
 	(void)id;
 	if (kind == MSG_STREAMS)
-		take_spread(world, msg);
+		take_replicated_streams(current_world, msg);
 	if (kind != MSG_REMOTE)
 		return true;
 	n = m->engines.items;
-	g_hash_table_remove_all(world->remote);
+	g_hash_table_remove_all(current_world->remote);
 	for (size_t i = 0; i < m->engines.n; i++)
-		g_hash_table_add(world->remote, ss_str_dup(n[i].name));
+		g_hash_table_add(current_world->remote, ss_str_dup(n[i].name));
 	return true;
 }
 
@@ -366,12 +371,12 @@
 	return &all;
 }
 
-/* What stands for the platform's list. */
+/* Stubs of the platform's VM list. */
 
 struct instances *instances_new(const struct instances_options *o)
 {
-	world->list.o = *o;
-	return &world->list;
+	current_world->list.o = *o;
+	return &current_world->list;
 }
 
 void instances_free(struct instances *v)
@@ -398,7 +403,7 @@
 	return out;
 }
 
-static void tell_list(struct fleet_world *w)
+static void send_list(struct fleet_world *w)
 {
 	struct fleet_list all;
 
@@ -422,7 +427,7 @@
 	fleet_list_clear(&all);
 }
 
-/* Messages to the leader, as bytes. */
+/* Messages to the leader, encoded and decoded as on the wire. */
 
 static void deliver(struct conn *c, enum msg_kind kind, const void *msg,
 		    double *cost)
@@ -434,7 +439,7 @@
 	frame_add(bytes, kind, msg);
 	from = cpu_ms();
 	if (frame_decode((const uint8_t *)bytes->str, bytes->len, &f, NULL)) {
-		fleet_lead_ops.message(c->w->lead, c, &f);
+		fleet_lead_ops.message(c->w->leader, c, &f);
 		frame_done(&f);
 	}
 	*cost += cpu_ms() - from;
@@ -468,10 +473,10 @@
 
 	g_array_unref(c->calls);
 	g_array_unref(c->counts);
-	g_free(c->word);
-	g_free(c->seats);
-	if (c->purses)
-		quota_lease.clients_free(c->purses);
+	g_free(c->reported_addr);
+	g_free(c->waiting_for_grant);
+	if (c->quota_clients)
+		quota_lease.clients_free(c->quota_clients);
 	g_free(c);
 }
 
@@ -479,7 +484,7 @@
 
 static int pick_model(struct fleet_world *w)
 {
-	double x = draw(w) * w->popularity[w->o.models - 1];
+	double x = random_double(w) * w->popularity[w->o.models - 1];
 	int low = 0, high = w->o.models - 1;
 
 	while (low < high) {
@@ -501,7 +506,7 @@
 			-1;
 }
 
-static void begin(struct fleet_world *w, struct call *k)
+static void start_call(struct fleet_world *w, struct call *k)
 {
 	k->engine = pick_engine(w, k->model);
 	if (k->engine < 0)
@@ -516,9 +521,9 @@
 	struct call k = { .model = model };
 
 	g_array_index(c->counts, uint64_t, model)++;
-	begin(w, &k);
-	c->soon |= k.engine < 0;
-	c->news = true;
+	start_call(w, &k);
+	c->report_now |= k.engine < 0;
+	c->report_due = true;
 	g_array_append_val(c->calls, k);
 }
 
@@ -528,12 +533,12 @@
 		struct call *k = &g_array_index(c->calls, struct call, i);
 
 		if (k->engine < 0) {
-			begin(w, k);
-			c->news = true;
+			start_call(w, k);
+			c->report_due = true;
 		} else if (w->d.clock.fake_ms >= k->end_ms) {
 			w->engines[k->engine].running--;
 			g_array_remove_index_fast(c->calls, i);
-			c->news = true;
+			c->report_due = true;
 		}
 	}
 }
@@ -565,7 +570,7 @@
 static void add_calls(struct fleet_world *w, struct conn *c, GArray *out,
 		      GArray *held, GPtrArray *names)
 {
-	/* One row a call: the leader adds them up. */
+	/* One row for each call: the leader sums them. */
 	for (guint i = 0; i < c->calls->len; i++) {
 		const struct call *k = &g_array_index(c->calls, struct call, i);
 		struct held_model h = { .calls = 1 };
@@ -597,11 +602,11 @@
 	struct msg_demand m = { .round = c->round, .routing = 1 };
 
 	c->report_ms = w->d.clock.fake_ms + REPORT_MS;
-	if (!c->soon && !c->news &&
-	    w->d.clock.fake_ms - c->told_ms < REPORT_SAME_MS)
+	if (!c->report_now && !c->report_due &&
+	    w->d.clock.fake_ms - c->reported_ms < REPORT_SAME_MS)
 		return;
-	c->told_ms = w->d.clock.fake_ms;
-	c->soon = c->news = false;
+	c->reported_ms = w->d.clock.fake_ms;
+	c->report_now = c->report_due = false;
 	models = g_array_new(FALSE, FALSE, sizeof(struct model_demand));
 	calls = g_array_new(FALSE, FALSE, sizeof(struct endpoint_calls));
 	held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
@@ -617,8 +622,8 @@
 	g_ptr_array_unref(names);
 }
 
-static void say(struct fleet_world *w, int entry, int engine,
-		struct endpoint_signals x)
+static void report_signals(struct fleet_world *w, int entry, int engine,
+			   struct endpoint_signals x)
 {
 	struct conn *c = w->entries->pdata[entry];
 	struct msg_demand m = { .round = c->round,
@@ -662,12 +667,13 @@
 	struct endpoint_signals x = { .limit = endpoint_limit_wire(&l),
 				      .limit_age = 1 };
 
-	say(w, entry, engine, x);
+	report_signals(w, entry, engine, x);
 }
 
 void fleet_world_rest(struct fleet_world *w, int entry, int engine, int64_t ms)
 {
-	say(w, entry, engine, (struct endpoint_signals){ .backoff_ms = ms });
+	report_signals(w, entry, engine,
+		       (struct endpoint_signals){ .backoff_ms = ms });
 }
 
 bool fleet_world_is_remote(const struct fleet_world *w, int engine)
@@ -677,7 +683,8 @@
 
 void fleet_world_leave(struct fleet_world *w, int entry, int engine)
 {
-	say(w, entry, engine, (struct endpoint_signals){ .draining = true });
+	report_signals(w, entry, engine,
+		       (struct endpoint_signals){ .draining = true });
 }
 
 int fleet_world_told(const struct fleet_world *w, int engine)
@@ -687,7 +694,8 @@
 	for (guint i = 0; i < w->entries->len; i++) {
 		const struct conn *c = w->entries->pdata[i];
 
-		n += c->word && !strcmp(c->word, w->engines[engine].addr);
+		n += c->reported_addr &&
+		     !strcmp(c->reported_addr, w->engines[engine].addr);
 	}
 	return n;
 }
@@ -703,9 +711,9 @@
 	struct msg_quota_request m = { .requests = { &a, 1 } };
 	struct conn *c = w->entries->pdata[entry];
 
-	c->permits = 0;
+	c->grants = 0;
 	deliver(c, MSG_LIMIT_REQUEST, &m, &w->cost.reports);
-	return c->permits;
+	return c->grants;
 }
 
 void fleet_world_restart_engine(struct fleet_world *w, int engine)
@@ -714,7 +722,7 @@
 
 	g_snprintf(e->id, sizeof(e->id), "i-%08x",
 		   (unsigned int)ss_random(&w->seed));
-	e->news = true;
+	e->report_due = true;
 }
 
 int fleet_world_orders(const struct fleet_world *w, int engine)
@@ -794,7 +802,7 @@
 				  .id = ss_str(e->id) };
 
 	e->report_ms = w->d.clock.fake_ms + AGENT_MS;
-	e->news = false;
+	e->report_due = false;
 	m.held = (struct wire_list){ held->data, held->len };
 	m.on_disk = (struct wire_list){ copies->data, copies->len };
 	deliver(c, MSG_ENDPOINT, &m, &w->cost.agents);
@@ -830,7 +838,7 @@
 		return;
 	if (e->done_ms && now >= e->done_ms)
 		end_load(w, i);
-	else if (e->news || now >= e->report_ms)
+	else if (e->report_due || now >= e->report_ms)
 		report_engine(w, i);
 }
 
@@ -848,19 +856,19 @@
 	e->on_disk = g_array_new(FALSE, FALSE, sizeof(int));
 	e->unload = g_array_new(FALSE, FALSE, sizeof(int));
 	e->report_ms = (int64_t)(ss_random(&w->seed) % AGENT_MS);
-	for (int k = 0; k < ENGINE_HOLDS; k++) {
+	for (int k = 0; k < MODELS_PER_ENGINE; k++) {
 		int model = k ? pick_model(w) : i % w->o.models;
 
 		hold(w, i, model, true);
 	}
-	for (int k = 0; k < 4 * ENGINE_HOLDS; k++) {
+	for (int k = 0; k < 4 * MODELS_PER_ENGINE; k++) {
 		int model = (int)(ss_random(&w->seed) % (uint64_t)w->o.models);
 
 		g_array_append_val(e->on_disk, model);
 	}
 }
 
-/* The whole. */
+/* The simulation. */
 
 static struct routing *make_routing(int models)
 {
@@ -889,7 +897,7 @@
 	struct conn *c = peer_new(w, ROLE_ENTRY, i, -1);
 
 	w->entries->pdata[i] = c;
-	fleet_lead_ops.open(w->lead, c);
+	fleet_lead_ops.open(w->leader, c);
 }
 
 static void add_agent(struct fleet_world *w, int i)
@@ -900,8 +908,8 @@
 	c->gone = i >= w->o.engines - w->o.agents_missing;
 	if (c->gone)
 		return;
-	fleet_lead_ops.open(w->lead, c);
-	w->engines[i].news = true;
+	fleet_lead_ops.open(w->leader, c);
+	w->engines[i].report_due = true;
 }
 
 static void make_models(struct fleet_world *w)
@@ -925,7 +933,7 @@
 {
 	struct fleet_world *w = g_new0(struct fleet_world, 1);
 
-	world = w;
+	current_world = w;
 	w->o = *o;
 	w->seed = o->seed;
 	w->d.clock.fake_ms = 1000;
@@ -935,7 +943,7 @@
 	w->remote =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	w->routing = make_routing(o->models);
-	w->work_told =
+	w->work_seen =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	make_models(w);
 	w->engines = g_new0(struct engine, o->engines);
@@ -943,7 +951,7 @@
 		engine_init(w, i);
 	w->streams = stream_log_new(STREAM_LOG_CAPACITY);
 	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
-	w->lead = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
+	w->leader = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
 	w->entries = g_ptr_array_new_with_free_func(peer_free);
 	w->agents = g_ptr_array_new_with_free_func(peer_free);
 	g_ptr_array_set_size(w->entries, o->entries);
@@ -952,14 +960,14 @@
 		add_entry(w, i);
 	for (int i = 0; i < o->engines; i++)
 		add_agent(w, i);
-	tell_list(w);
+	send_list(w);
 	w->list_ms = w->d.clock.fake_ms;
 	return w;
 }
 
 void fleet_world_free(struct fleet_world *w)
 {
-	fleet_lead_ops.end(w->lead);
+	fleet_lead_ops.end(w->leader);
 	stream_log_free(w->streams);
 	stream_log_free(w->follower);
 	g_free(w->stream_version);
@@ -971,12 +979,12 @@
 	for (int i = 0; i < w->o.models; i++)
 		g_array_unref(w->holders[i]);
 	g_hash_table_unref(w->remote);
-	g_free(w->frame_word);
+	g_free(w->frame_addr);
 	g_free(w->engines);
 	g_free(w->holders);
 	g_free(w->popularity);
 	g_hash_table_unref(w->model_index);
-	g_hash_table_unref(w->work_told);
+	g_hash_table_unref(w->work_seen);
 	g_ptr_array_unref(w->entries);
 	g_ptr_array_unref(w->agents);
 	routing_unref(w->routing);
@@ -995,36 +1003,40 @@
 			pick_model(w));
 }
 
-/* A request there; one that waits tries again at each turn. */
-static void want_permit(struct conn *c, int engine)
+/* Tries to admit a request for a limited engine. A waiting request is retried
+ * at each interval. */
+static void request_grant(struct conn *c, int engine)
 {
 	struct endpoint_limit l = { LIMIT_PER_S, 1 };
 	struct customer who =
 		endpoint_limit_as_customer(&l, c->w->engines[engine].addr);
-	struct quota_need need = { 1, c->seats[engine], 2000 };
+	struct quota_need need = { 1, c->waiting_for_grant[engine], 2000 };
 	int64_t back;
-	enum quota_decision a = quota_lease.take(c->purses, &who, &need,
+	enum quota_decision a = quota_lease.take(c->quota_clients, &who, &need,
 						 c->w->d.clock.fake_ms, &back);
 
-	c->seats[engine] = a == QUOTA_WAIT;
+	c->waiting_for_grant[engine] = a == QUOTA_WAIT;
 	c->w->admitted += a == QUOTA_ADMIT;
 }
 
 static void run_limits(struct fleet_world *w, struct conn *c)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+	GArray *requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 	struct msg_quota_request m;
 
 	for (int k = 0; k < w->o.limited; k++)
-		if (c->seats[k] ||
-		    (w->d.clock.fake_ms + c->entry) % LIMIT_GAP_MS < TURN_MS)
-			want_permit(c, k);
-	quota_lease.clients_requests(c->purses, w->d.clock.fake_ms, asks);
-	m.requests = (struct wire_list){ asks->data, asks->len };
-	w->asked += asks->len;
-	if (asks->len)
+		if (c->waiting_for_grant[k] ||
+		    (w->d.clock.fake_ms + c->entry) % LIMIT_REQUEST_MS <
+			    LIMIT_TICK_MS)
+			request_grant(c, k);
+	quota_lease.clients_requests(c->quota_clients, w->d.clock.fake_ms,
+				     requests);
+	m.requests = (struct wire_list){ requests->data, requests->len };
+	w->grant_requests += requests->len;
+	if (requests->len)
 		deliver(c, MSG_LIMIT_REQUEST, &m, &w->cost.limits);
-	g_array_unref(asks);
+	g_array_unref(requests);
 }
 
 void fleet_world_name_limits(struct fleet_world *w)
@@ -1034,10 +1046,10 @@
 	for (int i = 0; i < w->o.entries; i++) {
 		struct conn *c = w->entries->pdata[i];
 
-		c->purses = quota_lease.clients_new(&endpoint_limit_quota,
-						    w->d.clock.fake_ms);
-		c->seats = g_new0(bool, w->o.limited);
-		quota_lease.clients_link(c->purses, NULL, true,
+		c->quota_clients = quota_lease.clients_new(
+			&endpoint_limit_quota, w->d.clock.fake_ms);
+		c->waiting_for_grant = g_new0(bool, w->o.limited);
+		quota_lease.clients_link(c->quota_clients, NULL, true,
 					 w->d.clock.fake_ms);
 	}
 }
@@ -1049,7 +1061,7 @@
 
 int fleet_world_asked(const struct fleet_world *w)
 {
-	return w->asked;
+	return w->grant_requests;
 }
 
 static void run_entries(struct fleet_world *w)
@@ -1058,10 +1070,10 @@
 		struct conn *c = w->entries->pdata[i];
 
 		end_calls(w, c);
-		if (c->purses && w->d.clock.fake_ms % TURN_MS == 0)
+		if (c->quota_clients && w->d.clock.fake_ms % LIMIT_TICK_MS == 0)
 			run_limits(w, c);
 		if (!c->stopped &&
-		    (c->soon || w->d.clock.fake_ms >= c->report_ms))
+		    (c->report_now || w->d.clock.fake_ms >= c->report_ms))
 			report(w, c);
 	}
 }
@@ -1072,9 +1084,9 @@
 	double from;
 
 	arrive(w);
-	/* A message takes its way; what is done each ms is done each second
-	 * one here. */
-	if (now % WAY_MS == 0) {
+	/* Peers run every MESSAGE_DELAY_MS instead of every ms, which models
+	 * the delay of a message. */
+	if (now % MESSAGE_DELAY_MS == 0) {
 		run_entries(w);
 		for (int i = 0; i < w->o.engines; i++)
 			run_engine(w, i);
@@ -1082,20 +1094,20 @@
 	if (now - w->list_ms >= LIST_MS) {
 		w->list_ms = now;
 		from = cpu_ms();
-		tell_list(w);
+		send_list(w);
 		w->cost.ticks += cpu_ms() - from;
 	}
 	if (now - w->tick_ms >= TICK_MS) {
 		w->tick_ms = now;
 		from = cpu_ms();
-		fleet_lead_ops.tick(w->lead);
+		fleet_lead_ops.tick(w->leader);
 		w->cost.ticks += cpu_ms() - from;
 	}
 }
 
 void fleet_world_run(struct fleet_world *w, int64_t ms)
 {
-	world = w;
+	current_world = w;
 	while (ms--)
 		step(w);
 }
@@ -1105,11 +1117,11 @@
 	char *label = g_strdup_printf("what=\"%s\"", what);
 	uint64_t now =
 		*metrics_value(w->d.metrics, "ss_fleet_work_total", label);
-	uint64_t *told = g_hash_table_lookup(w->work_told, what);
-	uint64_t before = told ? *told : 0;
+	uint64_t *seen = g_hash_table_lookup(w->work_seen, what);
+	uint64_t before = seen ? *seen : 0;
 
 	g_free(label);
-	g_hash_table_replace(w->work_told, g_strdup(what),
+	g_hash_table_replace(w->work_seen, g_strdup(what),
 			     g_memdup2(&now, sizeof(now)));
 	return now - before;
 }
@@ -1136,7 +1148,7 @@
 	double from = cpu_ms();
 
 	c->gone = true;
-	fleet_lead_ops.closed(w->lead, c);
+	fleet_lead_ops.closed(w->leader, c);
 	*cost += cpu_ms() - from;
 }
 
@@ -1144,7 +1156,7 @@
 {
 	struct conn *c = w->entries->pdata[entry];
 
-	world = w;
+	current_world = w;
 	close_peer(w, c, &w->cost.reports);
 	for (guint i = 0; i < c->calls->len; i++) {
 		int e = g_array_index(c->calls, struct call, i).engine;
@@ -1160,7 +1172,7 @@
 {
 	struct conn *c = w->agents->pdata[engine];
 
-	world = w;
+	current_world = w;
 	close_peer(w, c, &w->cost.agents);
 	peer_free(c);
 	add_agent(w, engine);
@@ -1169,7 +1181,7 @@
 void fleet_world_adapter(struct fleet_world *w, int engine)
 {
 	w->engines[engine].adapters++;
-	w->engines[engine].news = true;
+	w->engines[engine].report_due = true;
 }
 
 void fleet_world_stop_entry(struct fleet_world *w, int entry)
@@ -1229,7 +1241,7 @@
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
 	struct stream_wire wire;
 
-	world = w;
+	current_world = w;
 	for (uint64_t i = 0; i < n; i++) {
 		struct stream_item x = { key + i, "lm", version, 20000 };
 
@@ -1251,7 +1263,7 @@
 					.key = key,
 					.service = SS_LIT("lm") };
 
-	world = w;
+	current_world = w;
 	w->stream_reply = 0;
 	deliver(w->entries->pdata[entry], MSG_STREAM_REQUEST, &m,
 		&w->cost.reports);
@@ -1261,17 +1273,17 @@
 
 void fleet_world_lose_leader(struct fleet_world *w)
 {
-	world = w;
-	fleet_lead_ops.end(w->lead);
+	current_world = w;
+	fleet_lead_ops.end(w->leader);
 	stream_log_free(w->streams);
 	w->streams = w->follower;
 	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
-	w->lead = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
+	w->leader = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
 	for (int i = 0; i < w->o.entries; i++)
-		fleet_lead_ops.open(w->lead, w->entries->pdata[i]);
+		fleet_lead_ops.open(w->leader, w->entries->pdata[i]);
 	for (int i = 0; i < w->o.engines; i++) {
-		fleet_lead_ops.open(w->lead, w->agents->pdata[i]);
-		w->engines[i].news = true;
+		fleet_lead_ops.open(w->leader, w->agents->pdata[i]);
+		w->engines[i].report_due = true;
 	}
 }
 
@@ -1298,7 +1310,7 @@
 				.routing = 1,
 				.models = { &d, 1 } };
 
-	world = w;
+	current_world = w;
 	deliver(c, MSG_DEMAND, &m, &w->cost.reports);
 	g_free(name);
 }
