--- a/src/daemon/remote_agents.c
+++ b/src/daemon/remote_agents.c
@@ -3,8 +3,9 @@
 
 /*
  * Agents stop if no assignment has arrived for this long, as another VM may
- * have been assigned meanwhile. This is four of the leader's intervals, and
- * shorter than the time after which the leader assigns another VM.
+ * have been assigned meanwhile. This is four of the leader's assignment
+ * intervals, and shorter than the time after which the leader assigns another
+ * VM.
  */
 #define ASSIGNMENT_TIMEOUT_MS 2000
 
