--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_lead.c
@@ -1,35 +1,36 @@
-/* What a leader knows of a fleet. */
+/* The fleet leader: its message dispatch, its periodic work and its status. */
 #include "fleet_lead_int.h"
 
 #include <json-c/json.h>
 
 #include "../../platform/platform.h"
 
-/* How often the list is read: a third of the time in which a leaving
- * endpoint must be left, so that one lost answer does no harm. */
-#define LIST_EVERY_MS 900
-/* Changes are gathered for so long; a call waits for no more than that. */
-#define PUSH_EVERY_MS 20
-/* Load alone is told this often: entries add what they send themselves. */
-#define LOAD_EVERY_MS 200
-/* Telling takes no more than a tenth of the leader's time; a change waits no
- * longer than PUSH_MOST_MS all the same. */
-#define PUSH_PART 10
-#define PUSH_MOST_MS 100
-/* Passes of placing where nobody waits: so often, a seventh of a load from
- * disk, the step that is over first. A pass over a large fleet takes longer,
- * and what it finds changes no faster, so that it gets a fiftieth of the
+/* Poll interval of the VM list: a third of the time within which calls must
+ * stop going to a draining endpoint, so that one lost answer does no harm. */
+#define LIST_POLL_MS 900
+/* Changes are batched for this long, which bounds the delay of a call. */
+#define PUSH_INTERVAL_MS 20
+/* Interval of changes of load alone: entries add the calls that they send
+ * themselves. */
+#define LOAD_PUSH_INTERVAL_MS 200
+/* Updates to entries take at most 1/PUSH_TIME_SHARE of the leader's time, but
+ * delay a change by PUSH_PAUSE_MAX_MS at most. */
+#define PUSH_TIME_SHARE 10
+#define PUSH_PAUSE_MAX_MS 100
+/* Placement passes while no caller waits. The interval is a seventh of a load
+ * from disk, the shortest step. A pass over a large fleet takes longer and its
+ * result changes no faster, so passes take at most 1/PLAN_TIME_SHARE of the
  * leader's time. */
-#define PLAN_EVERY_MS 50
-#define PLAN_PART 50
-#define PLAN_MOST_MS 500
-/* Where callers wait: at the next tick, and up to a tenth of its time. */
-#define PLAN_URGENT_PART 10
-#define PLAN_URGENT_MOST_MS 100
+#define PLAN_INTERVAL_MS 50
+#define PLAN_TIME_SHARE 50
+#define PLAN_PAUSE_MAX_MS 500
+/* While callers wait: at the next tick, and up to a tenth of its time. */
+#define URGENT_TIME_SHARE 10
+#define URGENT_PAUSE_MAX_MS 100
 
 /* The configuration. */
 
-static void read_state(struct fleet_lead *l)
+static void update_preset(struct fleet_lead *l)
 {
 	const struct ss_state *s = group_state(l->g);
 	const struct preset_rec *p = ss_state_in_force(s);
@@ -39,7 +40,7 @@
 	if (l->preset_version == ss_state_config_version(s) &&
 	    l->preset.classes)
 		return;
-	/* It was checked before it was accepted. */
+	/* The preset was validated before it was accepted. */
 	if (preset_parse(&preset, "preset",
 			 p ? p->body : ss_str(preset_built_in), &error)) {
 		preset_clear(&l->preset);
@@ -108,24 +109,24 @@
 	fleet_take_list(arg, all);
 }
 
-/* Time. */
+/* Periodic work. */
 
 static void on_applied(void *arg)
 {
 	struct fleet_lead *l = arg;
 
-	read_state(l);
+	update_preset(l);
 	fleet_tell_routing(l);
 	l->dirty = true;
 }
 
 static bool plan_is_due(const struct fleet_lead *l, int64_t now)
 {
-	int64_t pause = l->urgent ? fleet_pause_ms(l->plan_took_ms,
-						   PLAN_URGENT_PART, 0,
-						   PLAN_URGENT_MOST_MS) :
-				    fleet_pause_ms(l->plan_took_ms, PLAN_PART,
-						   PLAN_EVERY_MS, PLAN_MOST_MS);
+	int64_t pause =
+		l->urgent ? fleet_pause_ms(l->plan_took_ms, URGENT_TIME_SHARE,
+					   0, URGENT_PAUSE_MAX_MS) :
+			    fleet_pause_ms(l->plan_took_ms, PLAN_TIME_SHARE,
+					   PLAN_INTERVAL_MS, PLAN_PAUSE_MAX_MS);
 
 	return now - l->plan_ms >= pause;
 }
@@ -142,17 +143,17 @@
 
 static void push(struct fleet_lead *l, int64_t now)
 {
-	bool loads = now - l->load_push_ms >= LOAD_EVERY_MS;
-	int64_t pause = fleet_pause_ms(l->push_took_ms, PUSH_PART,
-				       PUSH_EVERY_MS, PUSH_MOST_MS);
+	bool load_due = now - l->load_push_ms >= LOAD_PUSH_INTERVAL_MS;
+	int64_t pause = fleet_pause_ms(l->push_took_ms, PUSH_TIME_SHARE,
+				       PUSH_INTERVAL_MS, PUSH_PAUSE_MAX_MS);
 
-	l->dirty |= loads && l->loads_left;
-	if (!l->dirty || (!loads && now - l->push_ms < pause))
+	l->dirty |= load_due && l->loads_left;
+	if (!l->dirty || (!load_due && now - l->push_ms < pause))
 		return;
 	l->dirty = false;
-	if (loads)
+	if (load_due)
 		l->load_push_ms = now;
-	fleet_push_changes(l, loads);
+	fleet_push_changes(l, load_due);
 	fleet_push_whole(l);
 	l->push_ms = fleet_lead_now(l);
 	l->push_took_ms = l->push_ms - now;
@@ -183,7 +184,7 @@
 	struct instances_options o = { .base = d->base,
 				       .platform = &users_platform,
 				       .addr = d->config.fleet.vm_list,
-				       .poll_interval_ms = LIST_EVERY_MS,
+				       .poll_interval_ms = LIST_POLL_MS,
 				       .metrics = m,
 				       .list = on_list,
 				       .arg = l };
@@ -211,7 +212,7 @@
 	fleet_suspects_begin(l);
 	fleet_quota_begin(l);
 	fleet_streams_begin(l, streams);
-	read_state(l);
+	update_preset(l);
 	fleet_tell_routing(l);
 	l->list = instances_new(&o);
 	instances_set_polling(l->list, true);
--- a/src/daemon/fleet_lead.h
+++ b/src/daemon/fleet_lead.h
@@ -1,8 +1,8 @@
 /*
- * What a leader knows of a fleet, and does by it: it reads the list of
- * endpoints, hears agents and entries, has models loaded and unloaded, and
- * tells entries what stands where. It starts empty with each leadership
- * and fills within a second or two; agents' reports are the truth.
+ * The fleet leader. It polls the list of endpoints, receives the reports of
+ * agents and entries, orders models to be loaded and unloaded, and sends
+ * entries the placement. Its tables start empty with each leadership and fill
+ * within a second or two; agents' reports are authoritative.
  */
 #ifndef SS_FLEET_LEAD_H
 #define SS_FLEET_LEAD_H
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -1,4 +1,4 @@
-/* The fleet leader's own tables; only for the files of that part. */
+/* The fleet leader's tables; private to the src/daemon/fleet_* files. */
 #ifndef SS_FLEET_LEAD_INT_H
 #define SS_FLEET_LEAD_INT_H
 
@@ -18,11 +18,12 @@
 #include "../vmlist/instances.h"
 #include "fleet_lead.h"
 
-/* A report older than this no longer tells what an engine holds: five of
- * its agent's longest pauses between two. */
+/* Age in ms at which an engine's report is stale: five times the longest pause
+ * between two reports of its agent. */
 #define FLEET_REPORT_MS 2500
 
-/* A model on its way out of, or into, an engine. */
+/* A placement step in progress: models that an engine unloads, and the one
+ * that it loads. */
 struct step_run {
 	bool on;
 	uint64_t number;
@@ -32,11 +33,11 @@
 	bool sent;	/* to the agent */
 	uint64_t round; /* entries that confirmed it send no new calls */
 	int64_t since_ms, sent_ms;
-	size_t beside; /* loads from the store when it was sent, with it */
-	bool slow;     /* and it was seen to take longer by that */
+	size_t beside; /* concurrent store loads when it was sent, itself too */
+	bool slow;     /* it was seen to take longer because of them */
 };
 
-/* Calls on one model of an endpoint. */
+/* Running calls on one model of an endpoint. */
 struct model_calls {
 	char *model;
 	int64_t calls;
@@ -44,12 +45,14 @@
 
 struct fleet_ep {
 	char *addr, *service, *domain, *agent;
-	/* The id by the list, which lags; the start by who told it first. */
+	/* The id is the list's, which lags; the start time is the first that
+	 * the list or the agent reported. */
 	struct fleet_incarnation self;
 	int64_t slots;
 	bool listed, leaving_listed;
 	int64_t listed_ms; /* when the list last had it */
-	int64_t unread_ms; /* since when its entry can't be read; 0: it can */
+	int64_t unread_ms; /* since when its list item can't be parsed; 0: it
+			    * can */
 	int64_t unread_told_ms; /* when that was last logged */
 	GPtrArray *on_list;	/* char *, models by the list */
 	struct owner owner;
@@ -60,39 +63,41 @@
 	int64_t report_ms;
 	struct fleet_report report;
 	GHashTable *calls; /* conn of an entry -> GArray of model_calls */
-	struct failure_rate failing;	  /* by what all entries see */
-	struct failure_rate failing_told; /* as they were told last */
-	struct fleet_slowness slow;	  /* by what all entries see */
+	struct failure_rate failing;	  /* over the reports of all entries */
+	struct failure_rate failing_told; /* as last sent to entries */
+	struct fleet_slowness slow;	  /* over the reports of all entries */
 	struct endpoint_limit limit;
-	int64_t rest_until_ms; /* that it has asked some entry for */
-	bool says_leaving;     /* in its answers to some entry */
+	int64_t rest_until_ms; /* end of the backoff it asked some entry for */
+	bool says_leaving;     /* it signalled draining to some entry */
 	struct step_run step;
-	bool changed;	       /* what entries are told of it */
+	bool changed;	       /* entries are to be sent all of it */
 	bool load_changed;     /* only its load */
-	bool adapters_changed; /* not its models: entries that wait know it */
+	bool adapters_changed; /* not its models; the entry whose request loaded
+				* an adapter knows of it already */
 	GHashTable *refused;   /* model -> when a load of it failed, ms */
 };
 
-/* What one entry waits for. */
+/* Requests of one entry that wait for one model. */
 struct wait_at {
-	uint64_t waiting;
-	int64_t due_ms; /* when the first of them is late */
-	int64_t at_ms;
+	uint64_t waiting; /* number of requests */
+	int64_t due_ms;	  /* earliest deadline among them */
+	int64_t at_ms;	  /* when the entry reported them */
 };
 
-/* One model's demand; with a version, of those whose stream that began. */
+/* Demand for one model. With a version: only of streams that it began. */
 struct fleet_want {
 	char *service, *model, *version;
 	struct fleet_rate rate;
 	GHashTable *waits; /* conn of an entry -> struct wait_at */
-	int64_t eta_ms;	   /* on the clock; -1: unknown */
+	int64_t eta_ms;	   /* clock time; -1: unknown */
 	bool eta_changed;
 	int64_t blocked_ms; /* when that was last logged */
 };
 
 /*
- * What a peer has a part in is kept with it, so that its messages and its end
- * cost what they are about, and not all endpoints and models that there are.
+ * A connected agent or entry. It keeps references to the endpoints and models
+ * that it is involved in, so that a message or a disconnect costs time in
+ * proportion to these, not to the whole fleet.
  */
 struct fleet_peer {
 	struct conn *conn;
@@ -100,33 +105,33 @@
 	GPtrArray *owned;      /* struct fleet_ep whose conn it is */
 	GPtrArray *called;     /* char *, addresses where its calls are */
 	GHashTable *wants;     /* set of struct fleet_want that it waits for */
-	bool confirmed;	       /* a majority has answered since it came */
-	bool whole;	       /* has been sent the whole fleet */
-	size_t whole_bytes;    /* of the last that it was sent */
-	size_t whole_sent;     /* bytes of it that it hasn't confirmed */
-	uint64_t whole_round;  /* that confirms them */
+	bool confirmed;	       /* a majority has answered since it connected */
+	bool whole;	       /* it has a snapshot and all changes since */
+	size_t whole_bytes;    /* size of the last snapshot sent */
+	size_t whole_sent;     /* bytes of it that aren't acknowledged */
+	uint64_t whole_round;  /* round that acknowledges them */
 	int64_t whole_ms;      /* when it was sent */
-	uint64_t routing_told; /* version that it was told of */
-	uint64_t routing;      /* version that it follows, by its own word */
-	uint64_t round;	       /* confirmed */
-	uint64_t suspects;     /* mark of those that it was told of */
+	uint64_t routing_told; /* version that was sent to it */
+	uint64_t routing;      /* version that it reports to follow */
+	uint64_t round;	       /* last one acknowledged */
+	uint64_t suspects;     /* mark of the suspects that were sent to it */
 };
 
-/* What a leader does, by count. */
+/* Counters of the leader's work. */
 enum fleet_work {
-	WORK_REPORTS,	/* of entries */
+	WORK_REPORTS,	/* reports of entries */
 	WORK_AGENTS,	/* reports of agents */
-	WORK_FRAMES,	/* to entries, each made once */
-	WORK_SENDS,	/* of these, to one receiver each */
-	WORK_BYTES,	/* of these sends */
-	WORK_ENDPOINTS, /* told in frames */
-	WORK_LOADS,	/* told without more of their endpoints */
-	WORK_ETAS,	/* wake times told */
-	WORK_WHOLES,	/* whole fleets sent */
-	WORK_PLANS,	/* passes of placing */
-	WORK_STREAMS,	/* streams that entries told of */
-	WORK_SPREADS,	/* messages on them to followers */
-	WORK_VISITS,	/* rows looked at to take a message, or a loss */
+	WORK_FRAMES,	/* frames for entries, each encoded once */
+	WORK_SENDS,	/* sends of changes, one per receiver */
+	WORK_BYTES,	/* bytes of these sends */
+	WORK_ENDPOINTS, /* endpoints in frames */
+	WORK_LOADS,	/* loads in frames without the rest of the endpoint */
+	WORK_ETAS,	/* wake times in frames */
+	WORK_WHOLES,	/* snapshots sent */
+	WORK_PLANS,	/* placement passes */
+	WORK_STREAMS,	/* streams that entries reported */
+	WORK_SPREADS,	/* messages that replicate them to followers */
+	WORK_VISITS,	/* rows visited for a message or a lost connection */
 	FLEET_WORKS
 };
 
@@ -138,43 +143,43 @@
 	struct preset preset;
 	uint64_t preset_version;
 	GHashTable *peers; /* conn -> struct fleet_peer */
-	uint64_t entries;  /* of them */
+	uint64_t entries;  /* number of peers that are entries */
 	uint64_t behind;   /* entries that don't follow routing_told yet */
 	GHashTable *eps;   /* addr -> struct fleet_ep */
 	GHashTable *wants; /* "service\nmodel\nversion" -> struct fleet_want */
-	uint64_t fence;	   /* of this leadership */
-	uint64_t round;	   /* the newest; a whole fleet has one of its own */
-	uint64_t step_round; /* that all entries are to confirm */
+	uint64_t fence;	   /* term of this leadership */
+	uint64_t round;	   /* the newest; each set of snapshots has its own */
+	uint64_t step_round; /* that all entries are to acknowledge */
 	uint64_t steps;
 	int64_t since_ms, plan_ms, push_ms, load_push_ms;
 	int64_t plan_took_ms, push_took_ms;
 	bool list_seen;
 	bool dirty, urgent;
-	bool loads_left;       /* changes that go out with the next loads */
+	bool loads_left;       /* changes wait for the next push of loads */
 	int64_t routing_ms;    /* when the version in force was read */
 	uint64_t routing_told; /* that version */
 	uint64_t routing_everywhere; /* version that all entries follow */
-	struct send_window window;   /* of whole fleets on their way */
+	struct send_window window;   /* of snapshots in flight */
 	struct fleet_store store;
 	double store_tokens;
 	int64_t store_ms;
-	int64_t remote_ms; /* when members were last told whose agents they run
-			    */
-	int64_t remote_looked_ms; /* when engines were last looked through */
+	int64_t remote_ms; /* when members were last sent the engines whose
+			    * agents they run */
+	int64_t remote_looked_ms; /* when engines were last assigned */
 	struct suspects *suspects;
-	uint64_t *n_suspects, *n_quarantined; /* now */
+	uint64_t *n_suspects, *n_quarantined; /* gauges */
 	uint64_t *n_steps, *n_store, *n_disk, *n_memory, *n_failed;
 	struct hist *load_hist;
-	struct stream_log *streams; /* it outlives the leadership */
-	GHashTable *streams_told;   /* member -> mark of what it was told */
+	struct stream_log *streams; /* not owned; outlives the leadership */
+	GHashTable *streams_told;   /* member -> mark of what was sent to it */
 	int64_t streams_ms, streams_tidied_ms;
 	uint64_t *n_streams, *n_stream_asks;
-	void *quota;	  /* place of customers' allotments */
-	void *limits;	  /* and of what endpoints' own limits allow */
-	int64_t quota_ms; /* when it was last tidied */
+	void *quota;	  /* allocator of customers' limits */
+	void *limits;	  /* allocator of endpoints' own limits */
+	int64_t quota_ms; /* when both were last pruned */
 	uint64_t *n_quota_asks, *n_limit_asks;
 	uint64_t *n_work[FLEET_WORKS];
-	uint64_t work_told[FLEET_WORKS]; /* in the last line */
+	uint64_t work_told[FLEET_WORKS]; /* counts at the last log line */
 	int64_t work_ms;
 };
 
@@ -194,56 +199,60 @@
 void fleet_work_tick(struct fleet_lead *l, int64_t now);
 
 /* fleet_table.c */
-/* The endpoint at an address, made where there is none. */
+/* Returns the endpoint at an address; adds it where there is none. */
 struct fleet_ep *fleet_ep_for(struct fleet_lead *l, const char *addr);
 void fleet_ep_free(void *ep);
-/* Its agent speaks by this connection from now on; NULL: by none. */
+/* Sets the connection of the endpoint's agent; NULL: none. */
 void fleet_ep_owned_by(struct fleet_lead *l, struct fleet_ep *ep,
 		       struct conn *c);
-/* The calls of an entry there, of which none were known. */
+/* Adds an entry's running calls at the endpoint, which has none of that entry
+ * yet. */
 void fleet_ep_add_calls(struct fleet_ep *ep, struct fleet_peer *p,
 			const struct wire_list *models);
-/* All calls of an entry, at any endpoint, are over. */
+/* Removes an entry's calls at all endpoints. */
 void fleet_drop_calls(struct fleet_lead *l, struct fleet_peer *p);
 uint32_t fleet_ep_calls(const struct fleet_ep *ep, const char *model);
 
-/* An entry waits for a model; it waits no more. */
+/* Adds or removes an entry that waits for a model. */
 void fleet_want_add(struct fleet_want *w, struct fleet_peer *p,
 		    const struct wait_at *at);
 void fleet_want_drop(struct fleet_lead *l, struct fleet_want *w,
 		     struct fleet_peer *p);
-/* It waits for nothing more. */
+/* Removes an entry from all models that it waits for. */
 void fleet_drop_wants(struct fleet_lead *l, struct fleet_peer *p);
 
 struct fleet_peer *fleet_peer_new(struct conn *c);
 void fleet_peer_free(void *peer);
 
-/* A model's demand, made where there is none; version: empty for all. */
+/* Returns a model's demand; adds it where there is none. An empty version
+ * stands for all versions. */
 struct fleet_want *fleet_want_for(struct fleet_lead *l, const char *service,
 				  const char *model, const char *version);
 bool fleet_ep_usable(const struct fleet_lead *l, const struct fleet_ep *ep);
-/* It is about to leave for good. */
+/* True while the endpoint is draining for good. */
 bool fleet_ep_ends(const struct fleet_lead *l, const struct fleet_ep *ep);
-/* Alive by its agent's word while its entry in the list can't be read. */
+/* True while the endpoint's list item can't be parsed, but its agent reports
+ * it alive. */
 bool fleet_ep_suspended(const struct fleet_lead *l, const struct fleet_ep *ep);
-/* By its own word it takes so little, or rests, that models are to stand
- * elsewhere. */
+/* True while the endpoint's own signals, a low limit or a backoff, make it
+ * unfit to hold more models. */
 bool fleet_ep_strained(const struct fleet_lead *l, const struct fleet_ep *ep);
-/* Its agent's last report is fresh enough to be believed. */
+/* True while the last report of the endpoint's agent is fresh. */
 bool fleet_ep_reported(const struct fleet_lead *l, const struct fleet_ep *ep);
 void fleet_want_free(void *want);
-/* What the owner of an engine orders with: higher for each owner, and for each
- * leader. */
+/* Returns the fence that the owner of an engine puts on its orders. It
+ * increases with each owner and with each leader. */
 uint64_t fleet_ep_fence(const struct fleet_lead *l, const struct fleet_ep *ep);
 
 /* fleet_peers.c */
 void fleet_peer_open(struct fleet_lead *l, struct conn *c);
 void fleet_peer_closed(struct fleet_lead *l, struct conn *c);
-/* The engine that it speaks for; NULL: none. */
+/* Returns the engine that the peer is the agent of; NULL: none. */
 struct fleet_ep *fleet_peer_engine(const struct fleet_peer *p);
 void fleet_tell_term(struct fleet_lead *l, struct fleet_peer *p);
-/* To all that don't know the version in force. */
+/* Sends the routing version in force to all peers that don't have it. */
 void fleet_tell_routing(struct fleet_lead *l);
+/* Records the routing version that an entry reports to follow. */
 void fleet_peer_follows(struct fleet_lead *l, struct fleet_peer *p,
 			uint64_t version);
 
@@ -252,18 +261,19 @@
 			 const struct msg_endpoint *m);
 void fleet_take_demand(struct fleet_lead *l, struct conn *c,
 		       const struct msg_demand *m);
-/* What entries waited for too long ago to be true. */
+/* Drops what entries reported to wait for and haven't repeated. */
 void fleet_forget_wants(struct fleet_lead *l, int64_t now);
 
 /* fleet_listed.c */
 void fleet_take_list(struct fleet_lead *l, struct fleet_list *all);
-/* An endpoint's start was told of: what of a former one no longer holds is
- * forgotten. */
+/* Applies a reported incarnation to an endpoint, and drops the state of an
+ * earlier one that no longer holds. */
 enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
 				   const struct fleet_incarnation *told);
 
 /* fleet_unread.c */
-/* Its entry can't be read; is read; none of the entries names it. */
+/* An endpoint's list item can't be parsed; can be parsed; is missing from the
+ * list. */
 void fleet_ep_unreadable(struct fleet_lead *l, struct fleet_ep *ep,
 			 int64_t now);
 void fleet_ep_readable(struct fleet_lead *l, struct fleet_ep *ep, int64_t now);
@@ -272,63 +282,64 @@
 
 /* fleet_steps.c */
 void fleet_steps_plan(struct fleet_lead *l, int64_t now);
-/* Send the steps that every entry has confirmed, give up lost ones. */
+/* Sends the steps that every entry has acknowledged, and abandons lost ones. */
 void fleet_steps_run(struct fleet_lead *l, int64_t now);
 void fleet_steps_done(struct fleet_lead *l, struct fleet_ep *ep,
 		      const struct msg_loaded *m);
-/* True where a model is about to leave, and gets no new calls. */
+/* True while a step is to unload the model, which gets no new calls. */
 bool fleet_step_closes(const struct fleet_ep *ep, const char *model);
 void fleet_step_clear(struct fleet_ep *ep);
-/* Its engine has restarted: a step that was planned for it is given up. */
+/* Abandons the step that was planned for an engine's earlier incarnation. */
 void fleet_step_restarted(struct fleet_lead *l, struct fleet_ep *ep);
 
 /* fleet_remote.c */
 void fleet_remote_tick(struct fleet_lead *l, int64_t now);
 
-/* fleet_suspects.c: requests under which endpoints end */
+/* fleet_suspects.c: requests under which endpoints crash */
 void fleet_suspects_begin(struct fleet_lead *l);
-/* What an entry has seen; what it asks. */
+/* Handle an entry's outcomes of runs, and its request for a trial run. */
 void fleet_suspects_take(struct fleet_lead *l,
 			 const struct msg_run_outcomes *m);
 void fleet_suspects_ask(struct fleet_lead *l, struct conn *c,
 			const struct msg_trial *m);
-/* Tell entries what they don't know yet. */
+/* Sends entries the suspects that they don't have yet. */
 void fleet_suspects_tick(struct fleet_lead *l, int64_t now);
 void fleet_suspects_status(const struct fleet_lead *l, json_object *o);
 
 /* fleet_quota.c */
 void fleet_quota_begin(struct fleet_lead *l);
 void fleet_quota_end(struct fleet_lead *l);
-/* What an entry needs of customers' limits; it is answered. */
+/* Handles an entry's requests for grants of customers' limits; replies. */
 void fleet_quota_ask(struct fleet_lead *l, struct conn *c,
 		     const struct msg_quota_request *m);
-/* The same of endpoints' own limits. */
+/* Does the same for endpoints' own limits. */
 void fleet_limit_ask(struct fleet_lead *l, struct conn *c,
 		     const struct msg_quota_request *m);
-/* The connection is gone, but still in the table of peers. */
+/* Handles a closed connection, which is still in the table of peers. */
 void fleet_quota_gone(struct fleet_lead *l, const struct conn *c);
 void fleet_quota_tick(struct fleet_lead *l, int64_t now);
 void fleet_quota_status(struct fleet_lead *l, json_object *o);
 
-/* fleet_streams.c: which versions began streams */
+/* fleet_streams.c: the versions that began streams */
 void fleet_streams_begin(struct fleet_lead *l, struct stream_log *log);
 void fleet_streams_end(struct fleet_lead *l);
-/* An endpoint of its version serves. */
+/* Records that an endpoint serves its version. */
 void fleet_streams_seen(struct fleet_lead *l, const struct fleet_ep *ep);
-/* What an entry has begun; what it asks. */
+/* Handle the streams that an entry reports, and its requests for a stream's
+ * version. */
 void fleet_streams_take(struct fleet_lead *l, const struct msg_streams *m);
 void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
 		       const struct msg_stream_request *m);
 void fleet_streams_tick(struct fleet_lead *l, int64_t now);
 
 /* fleet_push.c */
-/* Entries that know nothing yet get all of it. */
+/* Sends a snapshot of the fleet to the entries that have none. */
 void fleet_push_whole(struct fleet_lead *l);
-/* An entry has told its round; its connection is gone. */
+/* An entry has acknowledged a round; a snapshot in flight is lost. */
 void fleet_push_confirmed(struct fleet_lead *l, struct fleet_peer *p);
 void fleet_push_lost(struct fleet_lead *l, struct fleet_peer *p);
 void fleet_push_tick(struct fleet_lead *l, int64_t now);
-/* The others get what has changed; loads: also where only that changed. */
+/* Sends the changes to all other entries; loads: also changes of load alone. */
 void fleet_push_changes(struct fleet_lead *l, bool loads);
 
 #endif
