--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_lead.c
@@ -147,7 +147,7 @@
 	int64_t pause = fleet_pause_ms(l->push_took_ms, PUSH_TIME_SHARE,
 				       PUSH_INTERVAL_MS, PUSH_PAUSE_MAX_MS);
 
-	l->dirty |= load_due && l->loads_left;
+	l->dirty |= load_due && l->loads_pending;
 	if (!l->dirty || (!load_due && now - l->push_ms < pause))
 		return;
 	l->dirty = false;
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_lead_int.h
@@ -56,16 +56,16 @@
 	int64_t unread_told_ms; /* when that was last logged */
 	GPtrArray *on_list;	/* char *, models by the list */
 	struct owner owner;
-	uint64_t remote_at; /* member that is to run its agent; 0: none */
-	struct conn *conn;  /* of its owner; NULL: none */
-	bool down;	    /* its agent can't reach it */
+	uint64_t remote_member; /* member that is to run its agent; 0: none */
+	struct conn *conn;	/* of its owner; NULL: none */
+	bool down;		/* its agent can't reach it */
 	bool reported;
 	int64_t report_ms;
 	struct fleet_report report;
 	GHashTable *calls; /* conn of an entry -> GArray of model_calls */
-	struct failure_rate failing;	  /* over the reports of all entries */
-	struct failure_rate failing_told; /* as last sent to entries */
-	struct fleet_slowness slow;	  /* over the reports of all entries */
+	struct failure_rate failures;	   /* over the reports of all entries */
+	struct failure_rate failures_sent; /* as last sent to entries */
+	struct fleet_slowness slow;	   /* over the reports of all entries */
 	struct endpoint_limit limit;
 	int64_t rest_until_ms; /* end of the backoff it asked some entry for */
 	bool says_leaving;     /* it signalled draining to some entry */
@@ -107,14 +107,14 @@
 	GHashTable *wants;     /* set of struct fleet_want that it waits for */
 	bool confirmed;	       /* a majority has answered since it connected */
 	bool whole;	       /* it has a snapshot and all changes since */
-	size_t whole_bytes;    /* size of the last snapshot sent */
-	size_t whole_sent;     /* bytes of it that aren't acknowledged */
-	uint64_t whole_round;  /* round that acknowledges them */
-	int64_t whole_ms;      /* when it was sent */
-	uint64_t routing_told; /* version that was sent to it */
-	uint64_t routing;      /* version that it reports to follow */
-	uint64_t round;	       /* last one acknowledged */
-	uint64_t suspects;     /* mark of the suspects that were sent to it */
+	size_t snapshot_bytes; /* size of the last snapshot sent */
+	size_t snapshot_in_flight; /* bytes of it that aren't acknowledged */
+	uint64_t snapshot_round;   /* round that acknowledges them */
+	int64_t snapshot_ms;	   /* when it was sent */
+	uint64_t routing_sent;	   /* version that was sent to it */
+	uint64_t routing;	   /* version that it reports to follow */
+	uint64_t round;		   /* last one acknowledged */
+	uint64_t suspects; /* mark of the suspects that were sent to it */
 };
 
 /* Counters of the leader's work. */
@@ -142,10 +142,10 @@
 	struct routing *routing;
 	struct preset preset;
 	uint64_t preset_version;
-	GHashTable *peers; /* conn -> struct fleet_peer */
-	uint64_t entries;  /* number of peers that are entries */
-	uint64_t behind;   /* entries that don't follow routing_told yet */
-	GHashTable *eps;   /* addr -> struct fleet_ep */
+	GHashTable *peers;	 /* conn -> struct fleet_peer */
+	uint64_t entries;	 /* number of peers that are entries */
+	uint64_t entries_behind; /* don't follow routing_sent yet */
+	GHashTable *eps;	 /* addr -> struct fleet_ep */
 	GHashTable *wants; /* "service\nmodel\nversion" -> struct fleet_want */
 	uint64_t fence;	   /* term of this leadership */
 	uint64_t round;	   /* the newest; each set of snapshots has its own */
@@ -155,29 +155,29 @@
 	int64_t plan_took_ms, push_took_ms;
 	bool list_seen;
 	bool dirty, urgent;
-	bool loads_left;       /* changes wait for the next push of loads */
-	int64_t routing_ms;    /* when the version in force was read */
-	uint64_t routing_told; /* that version */
+	bool loads_pending;	 /* changes wait for the next push of loads */
+	int64_t routing_read_ms; /* when the version in force was read */
+	uint64_t routing_sent;	 /* that version */
 	uint64_t routing_everywhere; /* version that all entries follow */
 	struct send_window window;   /* of snapshots in flight */
 	struct fleet_store store;
 	double store_tokens;
 	int64_t store_ms;
-	int64_t remote_ms; /* when members were last sent the engines whose
-			    * agents they run */
-	int64_t remote_looked_ms; /* when engines were last assigned */
+	int64_t remote_sent_ms; /* when members were last sent the engines whose
+				 * agents they run */
+	int64_t remote_assigned_ms; /* when engines were last assigned */
 	struct suspects *suspects;
 	uint64_t *n_suspects, *n_quarantined; /* gauges */
 	uint64_t *n_steps, *n_store, *n_disk, *n_memory, *n_failed;
 	struct hist *load_hist;
 	struct stream_log *streams; /* not owned; outlives the leadership */
-	GHashTable *streams_told;   /* member -> mark of what was sent to it */
-	int64_t streams_ms, streams_tidied_ms;
-	uint64_t *n_streams, *n_stream_asks;
-	void *quota;	  /* allocator of customers' limits */
-	void *limits;	  /* allocator of endpoints' own limits */
-	int64_t quota_ms; /* when both were last pruned */
-	uint64_t *n_quota_asks, *n_limit_asks;
+	GHashTable *streams_sent;   /* member -> mark of what was sent to it */
+	int64_t streams_sent_ms, streams_expired_ms;
+	uint64_t *n_streams, *n_stream_requests;
+	void *quota_allocator;	 /* allocator of customers' limits */
+	void *limit_allocator;	 /* allocator of endpoints' own limits */
+	int64_t quota_pruned_ms; /* when both were last pruned */
+	uint64_t *n_quota_requests, *n_limit_requests;
 	uint64_t *n_work[FLEET_WORKS];
 	uint64_t work_told[FLEET_WORKS]; /* counts at the last log line */
 	int64_t work_ms;
@@ -269,7 +269,7 @@
 /* Applies a reported incarnation to an endpoint, and drops the state of an
  * earlier one that no longer holds. */
 enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-				   const struct fleet_incarnation *told);
+				   const struct fleet_incarnation *reported);
 
 /* fleet_unread.c */
 /* An endpoint's list item can't be parsed; can be parsed; is missing from the
--- a/src/daemon/fleet_listed.c
+++ b/src/daemon/fleet_listed.c
@@ -1,33 +1,35 @@
-/* The platform's list, and which start of an endpoint is believed. */
+/* Applies the VM list to the fleet leader's endpoints, and decides which
+ * incarnation of an endpoint is the current one. */
 #include "fleet_lead_int.h"
 
-/* An endpoint that the list and its agent have both forgotten is dropped. */
-#define LIST_GONE_MS 2500
-/* A new leader begins with a list that isn't whole after so long: three
- * readings, and it waits no longer for its agents either. */
-#define LIST_PARTS_MS 3000
+/* An endpoint that has no agent is dropped once it is missing from the list for
+ * this long. */
+#define UNLISTED_DROP_MS 2500
+/* A new leader accepts an incomplete list after this long: three polls of the
+ * list, and as long as it waits for its agents. */
+#define PARTIAL_LIST_WAIT_MS 3000
 
 /* Incarnations. */
 
-/* What it said of itself. */
-static void forget_words(struct fleet_ep *ep)
+/* Clears what the endpoint stated in its answers. */
+static void clear_signals(struct fleet_ep *ep)
 {
 	ep->limit = (struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
 	ep->rest_until_ms = 0;
 	ep->says_leaving = false;
 }
 
-/* Nothing that is known or was ordered of the former one holds. */
-static void forget_former(struct fleet_lead *l, struct fleet_ep *ep,
-			  int64_t started_ms)
+/* Drops the state and the planned step of an earlier incarnation. */
+static void reset_incarnation(struct fleet_lead *l, struct fleet_ep *ep,
+			      int64_t started_ms)
 {
 	log_info("endpoint_restarted",
 		 "addr=%s id=%s started=%" PRId64 " before=%" PRId64, ep->addr,
 		 ep->self.id, started_ms, ep->self.started_ms);
 	fleet_step_restarted(l, ep);
 	g_hash_table_remove_all(ep->calls);
-	memset(&ep->failing, 0, sizeof(ep->failing));
-	memset(&ep->failing_told, 0, sizeof(ep->failing_told));
+	memset(&ep->failures, 0, sizeof(ep->failures));
+	memset(&ep->failures_sent, 0, sizeof(ep->failures_sent));
 	g_hash_table_remove_all(ep->refused);
 	fleet_report_clear(&ep->report);
 	ep->reported = ep->leaving_listed = false;
@@ -37,31 +39,32 @@
 }
 
 /*
- * Whose word it is. The list tells a new id long after the agent told the new
- * start: what has come since of that start holds, only the id is news.
+ * The list reports a new id long after the agent reported the new start time.
+ * State that was received since for that start time holds; only the id is new.
  */
 enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-				   const struct fleet_incarnation *told)
+				   const struct fleet_incarnation *reported)
 {
-	enum fleet_relation how = fleet_incarnation_compare(&ep->self, told);
+	enum fleet_relation relation =
+		fleet_incarnation_compare(&ep->self, reported);
 
-	if (how == FLEET_RESTARTED) {
-		forget_words(ep);
+	if (relation == FLEET_RESTARTED) {
+		clear_signals(ep);
 		ep->slow = (struct fleet_slowness){ 0 };
 	}
-	if (how == FLEET_RESTARTED && ep->self.started_ms && told->started_ms &&
-	    ep->self.started_ms != told->started_ms)
-		forget_former(l, ep, told->started_ms);
-	fleet_incarnation_update(&ep->self, told);
-	return how;
+	if (relation == FLEET_RESTARTED && ep->self.started_ms &&
+	    reported->started_ms && ep->self.started_ms != reported->started_ms)
+		reset_incarnation(l, ep, reported->started_ms);
+	fleet_incarnation_update(&ep->self, reported);
+	return relation;
 }
 
 /* The list. */
 
 /*
- * The list tells of a restart a second late and more, while the engine's agent
- * asks the engine itself. Requests name the id: by the list's the engine would
- * refuse all of them until then.
+ * The list reports a restart a second or more late, while the engine's agent
+ * asks the engine itself. Requests carry the id; with the list's outdated one
+ * the engine would refuse all of them until the list catches up.
  */
 static bool is_outdated(const struct fleet_lead *l, const struct fleet_ep *ep,
 			const struct fleet_incarnation *listed)
@@ -71,58 +74,59 @@
 }
 
 /*
- * An entry of a former incarnation still tells whose the address is, and that
- * it is listed; what it held and that it was leaving is over.
+ * A list item of an earlier incarnation still gives the address's service and
+ * the fact that it is listed, but its models and its draining no longer hold.
  */
-static void take_instance(struct fleet_lead *l, const struct fleet_instance *i,
-			  int64_t now)
+static void apply_instance(struct fleet_lead *l, const struct fleet_instance *i,
+			   int64_t now)
 {
 	static const GPtrArray none;
 	struct fleet_ep *ep = fleet_ep_for(l, i->addr);
-	struct fleet_incarnation told = fleet_instance_incarnation(i);
+	struct fleet_incarnation listed = fleet_instance_incarnation(i);
 	bool first = !*ep->self.id;
-	bool late, leaving, news;
-	enum fleet_relation how;
+	bool stale, draining, changed;
+	enum fleet_relation relation;
 	const GPtrArray *models;
 	char *version = g_strdup(ep->self.version);
 
 	if (ep->listed &&
-	    fleet_incarnation_compare(&ep->self, &told) == FLEET_SAME &&
+	    fleet_incarnation_compare(&ep->self, &listed) == FLEET_SAME &&
 	    fleet_service_corrupt(l->routing, ep->service, i->service)) {
 		fleet_ep_unreadable(l, ep, now);
 		g_free(version);
 		return;
 	}
 	fleet_ep_readable(l, ep, now);
-	how = is_outdated(l, ep, &told) ? FLEET_STALE :
-					  fleet_ep_learn(l, ep, &told);
-	late = how == FLEET_STALE;
-	leaving = i->draining && !late;
-	models = late ? &none : i->models;
-	news = first || how == FLEET_RESTARTED ||
-	       strcmp(ep->service, i->service) || !ep->listed ||
-	       ep->leaving_listed != leaving ||
-	       g_strcmp0(version, ep->self.version);
+	relation = is_outdated(l, ep, &listed) ? FLEET_STALE :
+						 fleet_ep_learn(l, ep, &listed);
+	stale = relation == FLEET_STALE;
+	draining = i->draining && !stale;
+	models = stale ? &none : i->models;
+	changed = first || relation == FLEET_RESTARTED ||
+		  strcmp(ep->service, i->service) || !ep->listed ||
+		  ep->leaving_listed != draining ||
+		  g_strcmp0(version, ep->self.version);
 	g_free(version);
-	if (news || (!ep->reported && !fleet_same_names(ep->on_list, models)))
+	if (changed ||
+	    (!ep->reported && !fleet_same_names(ep->on_list, models)))
 		ep->changed = l->dirty = true;
-	if (news)
+	if (changed)
 		log_info("endpoint",
 			 "addr=%s id=%s started=%" PRId64
 			 " version=%s service=%s leaving=%d models=%u late=%d",
 			 i->addr, i->id, i->started_ms, i->version, i->service,
-			 leaving, models->len, late);
+			 draining, models->len, stale);
 	ss_str_set(&ep->service, ss_str(i->service));
 	ss_str_set(&ep->domain, ss_str(i->domain ? i->domain : ""));
 	ep->slots = i->slots;
-	if (!late)
+	if (!stale)
 		fleet_streams_seen(l, ep);
 	ep->listed = true;
-	ep->leaving_listed = leaving;
+	ep->leaving_listed = draining;
 	ep->listed_ms = now;
 	g_ptr_array_unref(ep->on_list);
-	ep->on_list = late ? g_ptr_array_new_with_free_func(g_free) :
-			     g_ptr_array_ref(i->models);
+	ep->on_list = stale ? g_ptr_array_new_with_free_func(g_free) :
+			      g_ptr_array_ref(i->models);
 }
 
 void fleet_take_list(struct fleet_lead *l, struct fleet_list *all)
@@ -136,20 +140,21 @@
 	by_addr = fleet_instances_by_addr(all->instances);
 	g_hash_table_iter_init(&it, by_addr);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		take_instance(l, p, now);
+		apply_instance(l, p, now);
 	g_hash_table_unref(by_addr);
 	g_hash_table_iter_init(&it, l->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct fleet_ep *ep = p;
 
-		/* The whole list gets one time, so that none of it looks
-		 * older than the rest. */
+		/* All items of a list carry the same time, so an endpoint with
+		 * another time is missing from it. */
 		if (ep->listed && ep->listed_ms != now)
 			fleet_ep_unlisted(l, ep, all, now);
 		if (!ep->listed && !ep->conn && !ep->step.on && !ep->changed &&
-		    now - ep->listed_ms > LIST_GONE_MS)
+		    now - ep->listed_ms > UNLISTED_DROP_MS)
 			g_hash_table_iter_remove(&it);
 	}
-	/* What is missing from a list in parts would pass for gone. */
-	l->list_seen |= all->complete || now - l->since_ms > LIST_PARTS_MS;
+	/* With an incomplete list, endpoints that exist would be missing. */
+	l->list_seen |= all->complete ||
+			now - l->since_ms > PARTIAL_LIST_WAIT_MS;
 }
--- a/src/daemon/fleet_peers.c
+++ b/src/daemon/fleet_peers.c
@@ -1,5 +1,5 @@
-/* The leader's peers: who comes and goes, and what they are told of the term
- * and the routing in force. */
+/* The fleet leader's peers: their connections, and the term and routing version
+ * that they are sent. */
 #include "fleet_lead_int.h"
 
 struct fleet_ep *fleet_peer_engine(const struct fleet_peer *p)
@@ -7,9 +7,9 @@
 	return p && p->owned->len ? p->owned->pdata[0] : NULL;
 }
 
-/* An agent needs the services only, and is told when these change. */
-static uint64_t routing_for(const struct fleet_lead *l,
-			    const struct fleet_peer *p)
+/* An agent needs only the services, and is notified when these change. */
+static uint64_t routing_version_for(const struct fleet_lead *l,
+				    const struct fleet_peer *p)
 {
 	const struct document *d = ss_state_routing(group_state(l->g));
 
@@ -17,25 +17,25 @@
 }
 
 /*
- * The version in force, of which all fetch the routing from the control VMs;
- * and to the owner of an engine its fence. An agent that owns none hears
- * nothing: it may order nothing.
+ * Sends a peer the routing version in force, which it then fetches from the
+ * control VMs, and the owner of an engine its fence. An agent that owns no
+ * engine gets no message, since it may give no orders.
  */
 void fleet_tell_term(struct fleet_lead *l, struct fleet_peer *p)
 {
 	const struct fleet_ep *ep = p->entry ? NULL : fleet_peer_engine(p);
-	struct msg_term m = { .routing = routing_for(l, p) };
+	struct msg_term m = { .routing = routing_version_for(l, p) };
 
 	if (!p->entry && !ep)
 		return;
 	m.fence = ep ? fleet_ep_fence(l, ep) : l->fence;
 	if (conn_send(p->conn, MSG_TERM, &m))
-		p->routing_told = m.routing;
+		p->routing_sent = m.routing;
 }
 
 static bool is_behind(const struct fleet_lead *l, const struct fleet_peer *p)
 {
-	return p->entry && p->routing < l->routing_told;
+	return p->entry && p->routing < l->routing_sent;
 }
 
 static void count_behind(struct fleet_lead *l)
@@ -43,10 +43,10 @@
 	GHashTableIter it;
 	void *p;
 
-	l->behind = 0;
+	l->entries_behind = 0;
 	g_hash_table_iter_init(&it, l->peers);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		l->behind += is_behind(l, p);
+		l->entries_behind += is_behind(l, p);
 }
 
 void fleet_tell_routing(struct fleet_lead *l)
@@ -56,40 +56,39 @@
 	GHashTableIter it;
 	void *v;
 
-	if (version != l->routing_told) {
-		l->routing_told = version;
-		l->routing_ms = fleet_lead_now(l);
+	if (version != l->routing_sent) {
+		l->routing_sent = version;
+		l->routing_read_ms = fleet_lead_now(l);
 		count_behind(l);
 	}
 	g_hash_table_iter_init(&it, l->peers);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct fleet_peer *p = v;
 
-		if (p->confirmed && p->routing_told < routing_for(l, p))
+		if (p->confirmed && p->routing_sent < routing_version_for(l, p))
 			fleet_tell_term(l, p);
 	}
 }
 
-/* Log once when all entries that are heard follow the version in force. */
-static void note_routing(struct fleet_lead *l)
+/* Logs once when all connected entries follow the version in force. */
+static void log_routing_everywhere(struct fleet_lead *l)
 {
-	uint64_t version = l->routing_told;
+	uint64_t version = l->routing_sent;
 
-	if (l->behind || l->routing_everywhere == version)
+	if (l->entries_behind || l->routing_everywhere == version)
 		return;
 	l->routing_everywhere = version;
 	log_info("routing_everywhere", "version=%" PRIu64 " ms=%" PRId64,
-		 version, fleet_lead_now(l) - l->routing_ms);
+		 version, fleet_lead_now(l) - l->routing_read_ms);
 }
 
-/* An entry has told what it follows. */
 void fleet_peer_follows(struct fleet_lead *l, struct fleet_peer *p,
 			uint64_t version)
 {
-	l->behind -= is_behind(l, p);
+	l->entries_behind -= is_behind(l, p);
 	p->routing = version;
-	l->behind += is_behind(l, p);
-	note_routing(l);
+	l->entries_behind += is_behind(l, p);
+	log_routing_everywhere(l);
 }
 
 /* Connections. */
@@ -104,7 +103,7 @@
 	struct confirm *k = arg;
 	struct fleet_peer *p;
 
-	/* Not ok: the leadership has ended, and l with it. */
+	/* Not ok: the leadership has ended and l is freed. */
 	if (ok) {
 		p = g_hash_table_lookup(k->l->peers, k->conn);
 		if (p) {
@@ -117,9 +116,9 @@
 }
 
 /*
- * A process that has just started would believe a leader that doesn't know
- * of its end. So it is told nothing before a majority has answered this
- * leader since it came.
+ * A process that has just started would trust a leader that was deposed and
+ * doesn't know it yet. So a peer is sent nothing before a majority has answered
+ * this leader since the peer connected.
  */
 void fleet_peer_open(struct fleet_lead *l, struct conn *c)
 {
@@ -129,13 +128,13 @@
 	p->entry = conn_peer(c)->role == ROLE_ENTRY;
 	g_hash_table_insert(l->peers, c, p);
 	l->entries += p->entry;
-	l->behind += is_behind(l, p);
+	l->entries_behind += is_behind(l, p);
 	k->l = l;
 	k->conn = c;
 	group_confirm(l->g, (struct read_done){ on_confirmed, k });
 }
 
-static void lose_agent(struct fleet_lead *l, struct fleet_ep *ep)
+static void remove_agent(struct fleet_lead *l, struct fleet_ep *ep)
 {
 	log_info("agent_lost", "endpoint=%s", ep->addr);
 	fleet_ep_owned_by(l, ep, NULL);
@@ -153,12 +152,12 @@
 	if (gone->entry)
 		fleet_quota_gone(l, c);
 	l->entries -= gone->entry;
-	l->behind -= is_behind(l, gone);
+	l->entries_behind -= is_behind(l, gone);
 	fleet_drop_calls(l, gone);
 	fleet_drop_wants(l, gone);
 	while (gone->owned->len)
-		lose_agent(l, gone->owned->pdata[0]);
+		remove_agent(l, gone->owned->pdata[0]);
 	g_hash_table_remove(l->peers, c);
-	note_routing(l);
+	log_routing_everywhere(l);
 	l->dirty = true;
 }
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -1,26 +1,27 @@
-/* Telling entries what stands where in a fleet. */
+/* Sends entries the state of the fleet: a snapshot first, then the changes. */
 #include "fleet_lead_int.h"
 
-/* Bytes that wait for a peer, beside the whole fleet that it was sent last,
- * before its changes are dropped: 50 ms of a link of 10 Mbit/s, and 20 MB over
- * 340 peers. */
+/* Unsent bytes for a peer, beyond the size of its last snapshot, above which
+ * its changes are dropped: 50 ms of a 10 Mbit/s link, and 20 MB for 340 peers.
+ */
 #define PEER_BACKLOG_MAX (64u * 1024)
 
 /*
- * One that takes nothing, or too slowly, gets no more changes: they would pile
- * up here for hundreds of such peers. It gets all of it once it has taken what
- * it was sent, since the oldest state is of no use to it by then. The whole
- * fleet may be larger than what else may wait; counted, each one that is still
- * on its way would be followed by another.
+ * A peer that reads nothing, or too slowly, gets no more changes, which would
+ * pile up here for hundreds of such peers. It gets a new snapshot once it has
+ * read what it was sent, since the old state is useless to it by then. A
+ * snapshot may exceed PEER_BACKLOG_MAX; if it counted, each one in flight would
+ * be followed by another.
  */
-static bool takes_more(const struct fleet_peer *p)
+static bool has_backlog_room(const struct fleet_peer *p)
 {
-	return conn_backlog(p->conn) <= PEER_BACKLOG_MAX + p->whole_bytes;
+	return conn_backlog(p->conn) <= PEER_BACKLOG_MAX + p->snapshot_bytes;
 }
 
-/* What is open for new calls there. */
-static void add_open(const struct fleet_lead *l, const struct fleet_ep *ep,
-		     GArray *held, GPtrArray *lists)
+/* Adds the models of the endpoint that take new calls. */
+static void add_open_models(const struct fleet_lead *l,
+			    const struct fleet_ep *ep, GArray *held,
+			    GPtrArray *lists)
 {
 	if (!fleet_ep_reported(l, ep)) {
 		for (guint i = 0; i < ep->on_list->len; i++) {
@@ -44,20 +45,20 @@
 
 struct push {
 	GArray *eps;	  /* struct fleet_endpoint */
-	GPtrArray *lists; /* GArray of what they point to */
+	GPtrArray *lists; /* GArray of held models and adapters */
 	GArray *loads;	  /* struct fleet_load */
 	GArray *etas;
 };
 
-/* Its load and failures alone: a tenth of what there is to tell of an
- * endpoint, and what changes most. Plain services report no load. */
+/* Adds only the load and the failures of an endpoint: a tenth of its full
+ * state, and the part that changes most. Plain services report no load. */
 static void push_load(struct fleet_lead *l, struct push *p,
 		      const struct fleet_ep *ep)
 {
 	int64_t now = fleet_lead_now(l);
 	struct fleet_load x = {
 		.addr = ss_str(ep->addr),
-		.failure_rate = failure_rate_permille(&ep->failing, now),
+		.failure_rate = failure_rate_permille(&ep->failures, now),
 		.slowness = fleet_slowness_ratio(&ep->slow, now)
 	};
 
@@ -87,7 +88,7 @@
 		.gone = !ep->listed,
 		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
 		.failure_rate =
-			failure_rate_permille(&ep->failing, fleet_lead_now(l)),
+			failure_rate_permille(&ep->failures, fleet_lead_now(l)),
 		.slowness = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
 		.limit_age =
@@ -104,7 +105,7 @@
 		e.age_ms = fleet_lead_now(l) - ep->report_ms;
 	}
 	g_ptr_array_add(p->lists, held);
-	add_open(l, ep, held, p->lists);
+	add_open_models(l, ep, held, p->lists);
 	e.held = (struct wire_list){ held->data, held->len };
 	g_array_append_val(p->eps, e);
 }
@@ -146,14 +147,14 @@
 	}
 }
 
-/* One frame for all of them: hundreds of entries get the same bytes. */
-static GString *push_frame(struct fleet_lead *l, const struct push *p,
-			   bool whole)
+/* Encodes one frame for all receivers, which may be hundreds of entries. */
+static GString *encode_frame(struct fleet_lead *l, const struct push *p,
+			     bool snapshot)
 {
 	struct msg_fleet m = { .fence = l->fence,
 			       .entries = l->entries,
-			       .round = whole ? l->round : l->step_round,
-			       .full = whole,
+			       .round = snapshot ? l->round : l->step_round,
+			       .full = snapshot,
 			       .endpoints = { p->eps->data, p->eps->len },
 			       .etas = { p->etas->data, p->etas->len },
 			       .loads = { p->loads->data, p->loads->len } };
@@ -167,24 +168,25 @@
 	return frame;
 }
 
-static bool wants_whole(const struct fleet_peer *p)
+static bool needs_snapshot(const struct fleet_peer *p)
 {
-	return p->entry && p->confirmed && !p->whole && !p->whole_sent;
+	return p->entry && p->confirmed && !p->whole && !p->snapshot_in_flight;
 }
 
-/* As much as the link carries; the rest at the next ticks. */
-static void send_whole(struct fleet_lead *l, struct fleet_peer *peer,
-		       const GString *frame)
+/* Sends a snapshot if the send window has room; otherwise a later tick does. */
+static void send_snapshot(struct fleet_lead *l, struct fleet_peer *peer,
+			  const GString *frame)
 {
-	if (!takes_more(peer) || !send_window_allows(&l->window, frame->len))
+	if (!has_backlog_room(peer) ||
+	    !send_window_allows(&l->window, frame->len))
 		return;
 	peer->whole = conn_send_frame(peer->conn, frame);
 	if (!peer->whole)
 		return;
 	fleet_work(l, WORK_WHOLES, 1);
-	peer->whole_sent = peer->whole_bytes = frame->len;
-	peer->whole_round = l->round;
-	peer->whole_ms = fleet_lead_now(l);
+	peer->snapshot_in_flight = peer->snapshot_bytes = frame->len;
+	peer->snapshot_round = l->round;
+	peer->snapshot_ms = fleet_lead_now(l);
 	send_window_sent(&l->window, frame->len);
 }
 
@@ -198,8 +200,8 @@
 
 	g_hash_table_iter_init(&it, l->peers);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		any |= wants_whole(v);
-	/* Before the first list, "nothing exists" would be a lie. */
+		any |= needs_snapshot(v);
+	/* Before the first list, a snapshot would be wrongly empty. */
 	if (!any || !l->list_seen)
 		return;
 	push_begin(&p);
@@ -207,31 +209,32 @@
 	while (g_hash_table_iter_next(&at, NULL, &e))
 		push_add(l, &p, e);
 	add_etas(l, &p, true);
-	/* What confirms it can't have been sent before it arrived. */
+	/* With a round of its own, a report that acknowledges the snapshot
+	 * can't have been sent before the snapshot arrived. */
 	l->round++;
-	frame = push_frame(l, &p, true);
+	frame = encode_frame(l, &p, true);
 	g_hash_table_iter_init(&it, l->peers);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		if (wants_whole(v))
-			send_whole(l, v, frame);
+		if (needs_snapshot(v))
+			send_snapshot(l, v, frame);
 	g_string_free(frame, TRUE);
 	push_end(&p);
 }
 
 void fleet_push_confirmed(struct fleet_lead *l, struct fleet_peer *p)
 {
-	if (!p->whole_sent || p->round < p->whole_round)
+	if (!p->snapshot_in_flight || p->round < p->snapshot_round)
 		return;
-	send_window_acked(&l->window, p->whole_sent, p->whole_ms);
-	p->whole_sent = 0;
-	/* Others may wait for room. */
+	send_window_acked(&l->window, p->snapshot_in_flight, p->snapshot_ms);
+	p->snapshot_in_flight = 0;
+	/* Others may wait for room in the window. */
 	l->dirty = true;
 }
 
 void fleet_push_lost(struct fleet_lead *l, struct fleet_peer *p)
 {
-	send_window_lost(&l->window, p->whole_sent);
-	p->whole_sent = 0;
+	send_window_lost(&l->window, p->snapshot_in_flight);
+	p->snapshot_in_flight = 0;
 	l->dirty = true;
 }
 
@@ -245,16 +248,17 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct fleet_peer *p = v;
 
-		if (p->whole_sent && now - p->whole_ms > SEND_WINDOW_TIMEOUT_MS)
+		if (p->snapshot_in_flight &&
+		    now - p->snapshot_ms > SEND_WINDOW_TIMEOUT_MS)
 			fleet_push_lost(l, p);
-		if (wants_whole(p))
+		if (needs_snapshot(p))
 			l->dirty = true;
 	}
 }
 
 static void send_changes(struct fleet_lead *l, const struct push *p)
 {
-	GString *frame = push_frame(l, p, false);
+	GString *frame = encode_frame(l, p, false);
 	GHashTableIter it;
 	void *v;
 
@@ -262,10 +266,10 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct fleet_peer *peer = v;
 
-		/* One that missed a change gets all of it next time. */
+		/* An entry that misses a change gets a snapshot next time. */
 		if (!peer->entry || !peer->whole)
 			continue;
-		peer->whole = takes_more(peer) &&
+		peer->whole = has_backlog_room(peer) &&
 			      conn_send_frame(peer->conn, frame);
 		fleet_work(l, WORK_SENDS, 1);
 		fleet_work(l, WORK_BYTES, frame->len);
@@ -295,7 +299,7 @@
 		}
 		ep->changed = ep->load_changed = false;
 		ep->adapters_changed = false;
-		ep->failing_told = ep->failing;
+		ep->failures_sent = ep->failures;
 		fleet_slowness_sent(&ep->slow, fleet_lead_now(l));
 	}
 	add_etas(l, &p, false);
@@ -304,6 +308,6 @@
 		((struct fleet_want *)v)->eta_changed = false;
 	if (p.eps->len || p.loads->len || p.etas->len)
 		send_changes(l, &p);
-	l->loads_left = left;
+	l->loads_pending = left;
 	push_end(&p);
 }
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -1,15 +1,15 @@
-/* The fleet leader as the place that hands out allotments: of customers'
- * limits, and of endpoints' own. */
+/* The fleet leader as the allocator of grants: of customers' limits, and of
+ * endpoints' own limits. */
 #include "fleet_lead_int.h"
 
 #include <json-c/json.h>
 
-/* What an entry is told of a customer that isn't in the routing here, in ms: it
- * may be newer there. */
-#define UNKNOWN_WAIT_MS 200
-#define TIDY_MS 1000
-/* Customers in a status: some 100 KB. */
-#define STATUS_MOST 1000
+/* When an entry asks again about a customer that the routing here lacks, in ms:
+ * the entry's routing may be newer. */
+#define UNKNOWN_RETRY_MS 200
+#define PRUNE_INTERVAL_MS 1000
+/* Maximum number of customers in a status, about 100 KB. */
+#define STATUS_CUSTOMERS_MAX 1000
 
 void fleet_quota_begin(struct fleet_lead *l)
 {
@@ -17,26 +17,27 @@
 	struct quota_options o = { { c->quota_window_s, c->quota_overage,
 				     c->quota_extra } };
 
-	l->quota = quota_lease.allocator_new(&o, l->since_ms);
-	l->n_quota_asks =
+	l->quota_allocator = quota_lease.allocator_new(&o, l->since_ms);
+	l->n_quota_requests =
 		metrics_value(l->d->metrics, "ss_fleet_quota_asks_total", "");
-	l->limits =
+	l->limit_allocator =
 		quota_lease.allocator_new(&endpoint_limit_quota, l->since_ms);
-	l->n_limit_asks =
+	l->n_limit_requests =
 		metrics_value(l->d->metrics, "ss_fleet_limit_asks_total", "");
 }
 
 void fleet_quota_end(struct fleet_lead *l)
 {
-	quota_lease.allocator_free(l->quota);
-	quota_lease.allocator_free(l->limits);
+	quota_lease.allocator_free(l->quota_allocator);
+	quota_lease.allocator_free(l->limit_allocator);
 }
 
-/* A place of allotments, and whose limits it keeps. */
+/* An allocator, and how the owners of its limits are found. */
 struct quota_kind {
 	enum msg_kind answer;
-	void *place;
-	/* Fill in by the name in an ask; false where it isn't known here. */
+	void *allocator;
+	/* Fills in the limit for the name in a request; false if the name is
+	 * unknown here. */
 	bool (*find)(struct fleet_lead *l, const char *name,
 		     struct customer *out);
 };
@@ -63,53 +64,57 @@
 	return true;
 }
 
-static void answer_asks(struct fleet_lead *l, struct conn *conn,
-			const struct quota_kind *k,
-			const struct msg_quota_request *m)
+static void reply_requests(struct fleet_lead *l, struct conn *conn,
+			   const struct quota_kind *k,
+			   const struct msg_quota_request *m)
 {
-	const struct quota_request *a = m->requests.items;
-	GArray *words = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
+	const struct quota_request *requests = m->requests.items;
+	GArray *replies = g_array_new(FALSE, FALSE, sizeof(struct quota_reply));
 	uint64_t holder = conn_peer(conn)->incarnation;
 	struct msg_quota_reply out = { { 0 } };
 
 	for (size_t i = 0; i < m->requests.n; i++) {
-		struct quota_reply w = { .customer = a[i].customer,
-					 .number = a[i].number,
-					 .retry_after_ms = UNKNOWN_WAIT_MS };
-		char *name = ss_str_dup(a[i].customer);
+		struct quota_reply reply = { .customer = requests[i].customer,
+					     .number = requests[i].number,
+					     .retry_after_ms =
+						     UNKNOWN_RETRY_MS };
+		char *name = ss_str_dup(requests[i].customer);
 		struct customer c;
 
 		if (!k->find(l, name, &c) ||
-		    quota_lease.allocator_request(k->place, holder, &c, &a[i],
-						  fleet_lead_now(l), &w))
-			g_array_append_val(words, w);
+		    quota_lease.allocator_request(k->allocator, holder, &c,
+						  &requests[i],
+						  fleet_lead_now(l), &reply))
+			g_array_append_val(replies, reply);
 		g_free(name);
 	}
-	out.replies = (struct wire_list){ words->data, words->len };
-	if (words->len)
+	out.replies = (struct wire_list){ replies->data, replies->len };
+	if (replies->len)
 		conn_send(conn, k->answer, &out);
-	g_array_unref(words);
+	g_array_unref(replies);
 }
 
 void fleet_quota_ask(struct fleet_lead *l, struct conn *conn,
 		     const struct msg_quota_request *m)
 {
-	struct quota_kind k = { MSG_QUOTA_REPLY, l->quota, find_customer };
+	struct quota_kind k = { MSG_QUOTA_REPLY, l->quota_allocator,
+				find_customer };
 
-	*l->n_quota_asks += m->requests.n;
-	answer_asks(l, conn, &k, m);
+	*l->n_quota_requests += m->requests.n;
+	reply_requests(l, conn, &k, m);
 }
 
 void fleet_limit_ask(struct fleet_lead *l, struct conn *conn,
 		     const struct msg_quota_request *m)
 {
-	struct quota_kind k = { MSG_LIMIT_REPLY, l->limits, find_endpoint };
+	struct quota_kind k = { MSG_LIMIT_REPLY, l->limit_allocator,
+				find_endpoint };
 
-	*l->n_limit_asks += m->requests.n;
-	answer_asks(l, conn, &k, m);
+	*l->n_limit_requests += m->requests.n;
+	reply_requests(l, conn, &k, m);
 }
 
-/* Unless it is there by a newer connection already. */
+/* Does nothing if the entry has a newer connection already. */
 void fleet_quota_gone(struct fleet_lead *l, const struct conn *conn)
 {
 	uint64_t holder = conn_peer(conn)->incarnation;
@@ -120,26 +125,29 @@
 	while (g_hash_table_iter_next(&it, &other, NULL))
 		if (other != conn && conn_peer(other)->incarnation == holder)
 			return;
-	quota_lease.allocator_client_lost(l->quota, holder, fleet_lead_now(l));
-	quota_lease.allocator_client_lost(l->limits, holder, fleet_lead_now(l));
+	quota_lease.allocator_client_lost(l->quota_allocator, holder,
+					  fleet_lead_now(l));
+	quota_lease.allocator_client_lost(l->limit_allocator, holder,
+					  fleet_lead_now(l));
 }
 
 void fleet_quota_tick(struct fleet_lead *l, int64_t now)
 {
-	if (now - l->quota_ms < TIDY_MS)
+	if (now - l->quota_pruned_ms < PRUNE_INTERVAL_MS)
 		return;
-	l->quota_ms = now;
-	quota_lease.allocator_prune(l->quota, now);
-	quota_lease.allocator_prune(l->limits, now);
+	l->quota_pruned_ms = now;
+	quota_lease.allocator_prune(l->quota_allocator, now);
+	quota_lease.allocator_prune(l->limit_allocator, now);
 }
 
-/* Keys are told by their number only. */
+/* Returns a customer's status; of its keys only the number is shown. */
 static json_object *status_of(struct fleet_lead *l, const struct customer *c)
 {
 	json_object *o = json_object_new_object();
 	struct quota_account_view s = { 0 };
 
-	quota_lease.allocator_view(l->quota, c->name, fleet_lead_now(l), &s);
+	quota_lease.allocator_view(l->quota_allocator, c->name,
+				   fleet_lead_now(l), &s);
 	json_object_object_add(o, "name", json_object_new_string(c->name));
 	json_object_object_add(o, "keys", json_object_new_int64(c->keys->len));
 	json_object_object_add(o, "unit",
@@ -167,7 +175,7 @@
 	void *c;
 
 	g_hash_table_iter_init(&it, l->routing->customers.by_name);
-	while (json_object_array_length(list) < STATUS_MOST &&
+	while (json_object_array_length(list) < STATUS_CUSTOMERS_MAX &&
 	       g_hash_table_iter_next(&it, NULL, &c))
 		json_object_array_add(list, status_of(l, c));
 	json_object_object_add(o, "customers", list);
--- a/src/daemon/fleet_remote.c
+++ b/src/daemon/fleet_remote.c
@@ -1,18 +1,18 @@
-/* Engines without an agent beside them: which control VM runs one. */
+/* Assigns engines that have no agent on their own VM to control VMs, which run
+ * agents for them. */
 #include "fleet_lead_int.h"
 
-/* Members are told this often whose agents they run, in ms: a quarter of the
- * time after which they end them unheard. */
-#define TELL_MS 500
-/* Engines are looked through this often, in ms: exact to a small part of a
- * lease. */
-#define LOOK_MS 100
-/* A member that hasn't answered for so long runs none, in ms: as long as a
- * connection between own processes stays silent until it is given up. */
+/* How often members are sent the engines whose agents they run, in ms: a
+ * quarter of the time after which they stop these agents without a message. */
+#define SEND_INTERVAL_MS 500
+/* How often engines are assigned, in ms: a small part of a lease. */
+#define ASSIGN_INTERVAL_MS 100
+/* A member that hasn't answered for this long gets no agents, in ms: the
+ * silence after which a connection between the daemon's processes is closed. */
 #define MEMBER_QUIET_MS CONN_FAST_SILENT_MS
 
-/* Members that can run agents: the leader only where nobody else is left. */
-static GArray *able_members(const struct fleet_lead *l)
+/* Returns the members that can run agents; the leader only if it is alone. */
+static GArray *available_members(const struct fleet_lead *l)
 {
 	const struct ss_raft *r = group_raft(l->g);
 	const struct ss_raft_members *all = ss_raft_members(r);
@@ -36,9 +36,10 @@
 	return false;
 }
 
-/* The member that runs an engine's agent; 0: the engine needs none. */
-static uint64_t member_for(struct fleet_lead *l, struct fleet_ep *ep,
-			   const GArray *ids, int64_t now)
+/* Returns the member that runs an engine's agent; 0: none, as the engine needs
+ * none or can't be given to one yet. */
+static uint64_t choose_member(struct fleet_lead *l, struct fleet_ep *ep,
+			      const GArray *ids, int64_t now)
 {
 	const struct routing_service *s =
 		routing_service(l->routing, ep->service);
@@ -46,22 +47,23 @@
 
 	if (!s || !s->engine || !owner_is_missing(&ep->owner, now))
 		return 0;
-	/* It stays where it is for as long as that VM can be heard, also while
-	 * its engine starts again and isn't listed for a moment. */
-	if (ep->remote_at && has_id(ids, ep->remote_at))
-		return ep->remote_at;
+	/* The agent stays where it is while that member answers, also while the
+	 * engine restarts and is missing from the list for a moment. */
+	if (ep->remote_member && has_id(ids, ep->remote_member))
+		return ep->remote_member;
 	if (!ep->listed)
 		return 0;
-	/* Its orders may still be on their way. */
+	/* Orders of the former remote owner may still be in flight. */
 	if (ep->owner.remote && owner_is_leased(&ep->owner, now))
 		return 0;
 	at = owner_choose(ep->addr, (const uint64_t *)ids->data, ids->len);
 	return at < 0 ? 0 : g_array_index(ids, uint64_t, at);
 }
 
-/* One that has asked an entry for rest is read by no control VM meanwhile: the
- * entry may be beside it on its VM, and it is the VM that was asked. */
-static void tell_member(struct fleet_lead *l, uint64_t id, int64_t now)
+/* No control VM polls an engine during a backoff that the engine has asked an
+ * entry for: a backoff applies to a VM, and the entry may run on the same VM as
+ * the agent. */
+static void send_assignment(struct fleet_lead *l, uint64_t id, int64_t now)
 {
 	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct name_item));
 	struct msg_remote m = { .fence = l->fence };
@@ -73,7 +75,7 @@
 		const struct fleet_ep *ep = p;
 		struct name_item n = { ss_str(ep->addr) };
 
-		if (ep->remote_at == id && now >= ep->rest_until_ms)
+		if (ep->remote_member == id && now >= ep->rest_until_ms)
 			g_array_append_val(names, n);
 	}
 	m.engines = (struct wire_list){ names->data, names->len };
@@ -89,27 +91,27 @@
 	GArray *ids;
 	void *p;
 
-	if (!l->list_seen || now - l->remote_looked_ms < LOOK_MS)
+	if (!l->list_seen || now - l->remote_assigned_ms < ASSIGN_INTERVAL_MS)
 		return;
-	l->remote_looked_ms = now;
-	ids = able_members(l);
+	l->remote_assigned_ms = now;
+	ids = available_members(l);
 	g_hash_table_iter_init(&it, l->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct fleet_ep *ep = p;
-		uint64_t id = member_for(l, ep, ids, now);
+		uint64_t id = choose_member(l, ep, ids, now);
 
-		if (id != ep->remote_at && id)
+		if (id != ep->remote_member && id)
 			log_info("agent_missing", "endpoint=%s run_by=%" PRIx64,
 				 ep->addr, id);
-		changed |= id != ep->remote_at;
-		ep->remote_at = id;
+		changed |= id != ep->remote_member;
+		ep->remote_member = id;
 		any |= id != 0;
 	}
 	g_array_unref(ids);
-	if (!changed && (!any || now - l->remote_ms < TELL_MS))
+	if (!changed && (!any || now - l->remote_sent_ms < SEND_INTERVAL_MS))
 		return;
-	l->remote_ms = now;
+	l->remote_sent_ms = now;
 	all = ss_raft_members(group_raft(l->g));
 	for (size_t i = 0; i < all->n; i++)
-		tell_member(l, all->m[i].id, now);
+		send_assignment(l, all->m[i].id, now);
 }
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -1,18 +1,20 @@
-/* What agents tell of their engines, and entries of their callers. */
+/* Applies the reports of agents on their engines, and of entries on their
+ * callers and on the endpoints' answers. */
 #include "fleet_lead_int.h"
 
 #include <math.h>
 
-/* A share of failures that differs by more is told: as one call more there. */
-#define FAILING_NEWS 0.05
-/* What an entry said of its queue holds for so long. */
-#define WANT_MS 3000
+/* Change of an endpoint's failure rate above which entries are sent the new
+ * one; it weighs as much as one more call at the endpoint. */
+#define FAILURE_RATE_STEP 0.05
+/* How long an entry's report of its queue is valid. */
+#define WAIT_REPORT_TTL_MS 3000
 
 /* Agents. */
 
-/* Whether it may speak for the engine; a new owner is told its fence. */
-static bool owns(struct fleet_lead *l, struct fleet_ep *ep, struct conn *c,
-		 bool remote)
+/* Returns whether the agent owns the engine; sends a new owner its fence. */
+static bool acquire_engine(struct fleet_lead *l, struct fleet_ep *ep,
+			   struct conn *c, bool remote)
 {
 	char *name = ss_str_dup(conn_peer(c)->name);
 	enum owner_claim claim =
@@ -40,10 +42,10 @@
 	char *addr = ss_str_dup(m->addr);
 	struct fleet_ep *ep = fleet_ep_for(l, addr);
 	struct fleet_report r;
-	enum fleet_relation how;
+	enum fleet_relation relation;
 
 	g_free(addr);
-	if (!owns(l, ep, c, m->remote))
+	if (!acquire_engine(l, ep, c, m->remote))
 		return;
 	fleet_work(l, WORK_AGENTS, 1);
 	ss_str_set(&ep->agent, m->agent);
@@ -56,12 +58,12 @@
 	}
 	ep->down = false;
 	fleet_report_read(&r, m);
-	how = fleet_ep_learn(l, ep, &r.self);
-	if (how == FLEET_STALE) {
+	relation = fleet_ep_learn(l, ep, &r.self);
+	if (relation == FLEET_STALE) {
 		fleet_report_clear(&r);
 		return;
 	}
-	if (how == FLEET_RESTARTED || !ep->reported ||
+	if (relation == FLEET_RESTARTED || !ep->reported ||
 	    ep->report.draining != r.draining || ep->report.busy != r.busy ||
 	    !fleet_same_models(ep->report.held, r.held))
 		ep->changed = l->urgent = true;
@@ -77,8 +79,8 @@
 
 /* Entries. */
 
-static void take_wait(struct fleet_lead *l, struct fleet_peer *p,
-		      const struct model_demand *m)
+static void apply_demand(struct fleet_lead *l, struct fleet_peer *p,
+			 const struct model_demand *m)
 {
 	char *service = ss_str_dup(m->service), *model = ss_str_dup(m->model);
 	char *version = ss_str_dup(m->version);
@@ -96,23 +98,24 @@
 	fleet_want_drop(l, w, p);
 	if (m->waiting) {
 		fleet_want_add(w, p, &at);
-		/* An entry that waits wants to hear at once when. */
+		/* An entry that waits is to be sent the wake time at once. */
 		w->eta_changed = true;
 		l->urgent = true;
 	}
 	l->dirty = true;
 }
 
-/* Calls of a former incarnation have ended with it. */
-static bool is_former(const struct fleet_ep *ep, int64_t started_ms)
+/* Calls of an earlier incarnation ended with it. */
+static bool is_earlier_incarnation(const struct fleet_ep *ep,
+				   int64_t started_ms)
 {
-	struct fleet_incarnation told = { .started_ms = started_ms };
+	struct fleet_incarnation reported = { .started_ms = started_ms };
 
-	return fleet_incarnation_compare(&ep->self, &told) == FLEET_STALE;
+	return fleet_incarnation_compare(&ep->self, &reported) == FLEET_STALE;
 }
 
-static void take_calls(struct fleet_lead *l, struct fleet_peer *p,
-		       const struct wire_list *list)
+static void apply_calls(struct fleet_lead *l, struct fleet_peer *p,
+			const struct wire_list *list)
 {
 	const struct endpoint_calls *e = list->items;
 
@@ -123,16 +126,17 @@
 		struct fleet_ep *ep = g_hash_table_lookup(l->eps, addr);
 
 		g_free(addr);
-		if (ep && !is_former(ep, e[i].started_ms))
+		if (ep && !is_earlier_incarnation(ep, e[i].started_ms))
 			fleet_ep_add_calls(ep, p, &e[i].models);
 	}
 }
 
 /*
- * One entry of a hundred calls an endpoint so seldom that it learns nothing of
- * it by itself; so what each has seen is added up, and told to all.
+ * One entry among a hundred calls an endpoint too seldom to learn its failure
+ * rate or slowness. So the results of all entries are summed up here and sent
+ * to all of them.
  */
-static void take_ends(struct fleet_lead *l, const struct wire_list *list)
+static void apply_results(struct fleet_lead *l, const struct wire_list *list)
 {
 	const struct endpoint_results *e = list->items;
 	int64_t now = fleet_lead_now(l);
@@ -142,13 +146,13 @@
 		struct fleet_ep *ep = g_hash_table_lookup(l->eps, addr);
 
 		g_free(addr);
-		if (!ep || is_former(ep, e[i].started_ms))
+		if (!ep || is_earlier_incarnation(ep, e[i].started_ms))
 			continue;
-		failure_rate_record(&ep->failing, e[i].failed, e[i].answered,
+		failure_rate_record(&ep->failures, e[i].failed, e[i].answered,
 				    now);
-		if (fabs(failure_rate_at(&ep->failing, now) -
-			 failure_rate_at(&ep->failing_told, now)) >
-		    FAILING_NEWS)
+		if (fabs(failure_rate_at(&ep->failures, now) -
+			 failure_rate_at(&ep->failures_sent, now)) >
+		    FAILURE_RATE_STEP)
 			ep->load_changed = true;
 		fleet_slowness_add(&ep->slow, e[i].slowness_ln,
 				   e[i].slowness_count, now);
@@ -158,12 +162,12 @@
 }
 
 /*
- * An entry that an endpoint hasn't answered yet doesn't know what it says, and
- * neither does one that has just started: all are told of a limit. A rest is
- * asked of one VM; others may be served there.
+ * An entry that has had no answer from an endpoint yet, or has just started,
+ * doesn't know the endpoint's signals, so limits and draining are sent to all
+ * entries. A backoff applies to one VM; entries on others may still be served.
  */
-static void take_word(struct fleet_lead *l, struct fleet_ep *ep,
-		      const struct endpoint_signals *w)
+static void apply_signals(struct fleet_lead *l, struct fleet_ep *ep,
+			  const struct endpoint_signals *w)
 {
 	int64_t now = fleet_lead_now(l);
 
@@ -180,26 +184,27 @@
 	}
 	if (now + w->backoff_ms > ep->rest_until_ms && w->backoff_ms) {
 		l->urgent |= now >= ep->rest_until_ms;
-		/* Members are told at once. */
-		l->remote_ms = 0;
+		/* Members are sent their assignments at once. */
+		l->remote_sent_ms = 0;
 		ep->rest_until_ms = now + w->backoff_ms;
 	}
 }
 
-static void take_words(struct fleet_lead *l, const struct wire_list *list)
+static void apply_signal_list(struct fleet_lead *l,
+			      const struct wire_list *list)
 {
 	const struct endpoint_signals *w = list->items;
 
 	for (size_t i = 0; i < list->n; i++) {
 		char *addr = ss_str_dup(w[i].addr), *id = ss_str_dup(w[i].id);
 		struct fleet_ep *ep = g_hash_table_lookup(l->eps, addr);
-		struct fleet_incarnation told = {
+		struct fleet_incarnation reported = {
 			.id = id, .started_ms = w[i].started_ms
 		};
 
-		if (ep &&
-		    fleet_incarnation_compare(&ep->self, &told) == FLEET_SAME)
-			take_word(l, ep, &w[i]);
+		if (ep && fleet_incarnation_compare(&ep->self, &reported) ==
+				  FLEET_SAME)
+			apply_signals(l, ep, &w[i]);
 		g_free(addr);
 		g_free(id);
 	}
@@ -218,15 +223,15 @@
 	fleet_peer_follows(l, p, m->routing);
 	fleet_push_confirmed(l, p);
 	for (size_t i = 0; i < m->models.n; i++)
-		take_wait(l, p, &d[i]);
-	take_calls(l, p, &m->calls);
-	take_ends(l, &m->results);
-	take_words(l, &m->signals);
+		apply_demand(l, p, &d[i]);
+	apply_calls(l, p, &m->calls);
+	apply_results(l, &m->results);
+	apply_signal_list(l, &m->signals);
 	l->dirty = true;
 }
 
-/* What was told so long ago. */
-static void forget_waits(struct fleet_lead *l, struct fleet_want *w,
+/* Drops the reports that are no longer valid. */
+static void expire_waits(struct fleet_lead *l, struct fleet_want *w,
 			 int64_t now)
 {
 	GHashTableIter it;
@@ -236,7 +241,7 @@
 	while (g_hash_table_iter_next(&it, &c, &v)) {
 		struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 
-		if (now - ((struct wait_at *)v)->at_ms <= WANT_MS)
+		if (now - ((struct wait_at *)v)->at_ms <= WAIT_REPORT_TTL_MS)
 			continue;
 		g_hash_table_iter_remove(&it);
 		if (p)
@@ -254,8 +259,9 @@
 		const struct fleet_want *want = w;
 
 		if (g_hash_table_size(want->waits))
-			forget_waits(l, w, now);
-		/* Models stay, versions come and go. */
+			expire_waits(l, w, now);
+		/* The demand of a model is kept, that of a version is dropped
+		 * with its last waiting entry. */
 		if (*want->version && !g_hash_table_size(want->waits))
 			g_hash_table_iter_remove(&it);
 	}
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -1,31 +1,32 @@
-/* The fleet leader as the one that knows which versions began streams, and its
- * followers as those who will when it is lost. */
+/* The fleet leader's record of which version began each stream, and its
+ * replication to the followers, so that it survives the loss of the leader. */
 #include "fleet_lead_int.h"
 
 #include "../core/stream_wire.h"
 
-/* Followers are told this often, in ms: what one lost VM takes along of both
- * the leader's and an entry's is no older. */
-#define SPREAD_MS 50
-#define SPREAD_MOST 1024
-#define TIDY_MS 1000
-/* Entries have found a new leader and told it what they know after so long, in
- * ms. */
-#define YOUNG_MS 1000
+/* Replication interval, in ms. It bounds the age of the streams that are lost
+ * if the leader and an entry fail together on one VM. */
+#define REPLICATE_INTERVAL_MS 50
+/* Maximum number of streams in one message to a follower. */
+#define REPLICATE_MAX 1024
+#define EXPIRE_INTERVAL_MS 1000
+/* Time in ms within which entries find a new leader and report their streams to
+ * it. */
+#define LEADER_STARTUP_MS 1000
 
 void fleet_streams_begin(struct fleet_lead *l, struct stream_log *log)
 {
 	l->streams = log;
-	l->streams_told = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+	l->streams_sent = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						g_free, g_free);
 	l->n_streams = metrics_value(l->d->metrics, "ss_fleet_streams", "");
-	l->n_stream_asks =
+	l->n_stream_requests =
 		metrics_value(l->d->metrics, "ss_fleet_stream_asks_total", "");
 }
 
 void fleet_streams_end(struct fleet_lead *l)
 {
-	g_hash_table_unref(l->streams_told);
+	g_hash_table_unref(l->streams_sent);
 }
 
 void fleet_streams_seen(struct fleet_lead *l, const struct fleet_ep *ep)
@@ -43,10 +44,10 @@
 		   stream_wire_apply(l->streams, m, fleet_lead_now(l)));
 }
 
-static void answer(struct fleet_lead *l, struct conn *c, uint64_t sub,
-		   enum stream_reply word, const struct stream_item *x)
+static void send_reply(struct fleet_lead *l, struct conn *c, uint64_t sub,
+		       enum stream_reply result, const struct stream_item *x)
 {
-	struct msg_stream_reply m = { .sub = sub, .result = word };
+	struct msg_stream_reply m = { .sub = sub, .result = result };
 
 	if (x) {
 		m.service = ss_str(x->service);
@@ -56,43 +57,44 @@
 		conn_send(c, MSG_STREAM_REPLY, &m);
 }
 
-static bool answer_known(struct fleet_lead *l, struct conn *c, uint64_t sub,
-			 uint64_t key)
+static bool reply_if_known(struct fleet_lead *l, struct conn *c, uint64_t sub,
+			   uint64_t key)
 {
 	struct stream_item x;
 
 	if (!key || !stream_log_find(l->streams, key, fleet_lead_now(l), &x))
 		return false;
-	answer(l, c, sub, STREAM_KNOWN, &x);
+	send_reply(l, c, sub, STREAM_KNOWN, &x);
 	return true;
 }
 
-struct stream_ask {
+struct version_request {
 	struct fleet_lead *l;
 	struct conn *conn;
 	uint64_t sub, key;
 	char *service;
 };
 
-/* A leader that was replaced doesn't hear what is begun now: that it knows of
- * no stream, and of one version, says something only while it leads. */
+/* A deposed leader doesn't receive the streams that begin now. So the replies
+ * "no such stream" and "the service has one version" are sent only after a
+ * majority has confirmed the leadership. */
 static void on_confirmed(void *arg, bool ok)
 {
-	struct stream_ask *k = arg;
+	struct version_request *k = arg;
 	struct fleet_lead *l = k->l;
 	struct stream_item x = { .service = k->service };
 
-	if (ok && !answer_known(l, k->conn, k->sub, k->key)) {
+	if (ok && !reply_if_known(l, k->conn, k->sub, k->key)) {
 		int64_t now = fleet_lead_now(l);
 
 		x.version =
 			stream_log_sole_version(l->streams, k->service, now);
-		if (now - l->since_ms < YOUNG_MS || !l->list_seen)
-			answer(l, k->conn, k->sub, STREAM_PENDING, NULL);
+		if (now - l->since_ms < LEADER_STARTUP_MS || !l->list_seen)
+			send_reply(l, k->conn, k->sub, STREAM_PENDING, NULL);
 		else if (x.version)
-			answer(l, k->conn, k->sub, STREAM_SOLE_VERSION, &x);
+			send_reply(l, k->conn, k->sub, STREAM_SOLE_VERSION, &x);
 		else
-			answer(l, k->conn, k->sub, STREAM_UNKNOWN, NULL);
+			send_reply(l, k->conn, k->sub, STREAM_UNKNOWN, NULL);
 	}
 	g_free(k->service);
 	g_free(k);
@@ -101,12 +103,12 @@
 void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
 		       const struct msg_stream_request *m)
 {
-	struct stream_ask *k;
+	struct version_request *k;
 
-	(*l->n_stream_asks)++;
-	if (answer_known(l, c, m->sub, m->key))
+	(*l->n_stream_requests)++;
+	if (reply_if_known(l, c, m->sub, m->key))
 		return;
-	k = g_new0(struct stream_ask, 1);
+	k = g_new0(struct version_request, 1);
 	k->l = l;
 	k->conn = c;
 	k->sub = m->sub;
@@ -115,25 +117,27 @@
 	group_confirm(l->g, (struct read_done){ on_confirmed, k });
 }
 
-/* What a follower wasn't told; all of it again once it wasn't reached. */
-static void spread_to(struct fleet_lead *l, uint64_t id, int64_t now)
+/* Sends a follower the changes that it hasn't been sent, or all streams again
+ * after a message that couldn't be sent. */
+static void replicate_to(struct fleet_lead *l, uint64_t id, int64_t now)
 {
-	uint64_t *told = g_hash_table_lookup(l->streams_told, &id);
+	uint64_t *sent_mark = g_hash_table_lookup(l->streams_sent, &id);
 	struct stream_wire w;
 	GArray *items;
 	uint64_t mark;
 
-	if (!told) {
-		told = g_new0(uint64_t, 1);
-		g_hash_table_insert(l->streams_told, g_memdup2(&id, sizeof(id)),
-				    told);
+	if (!sent_mark) {
+		sent_mark = g_new0(uint64_t, 1);
+		g_hash_table_insert(l->streams_sent, g_memdup2(&id, sizeof(id)),
+				    sent_mark);
 	}
-	if (stream_log_is_reported(l->streams, *told))
+	if (stream_log_is_reported(l->streams, *sent_mark))
 		return;
 	items = g_array_new(FALSE, FALSE, sizeof(struct stream_item));
-	mark = stream_log_changes(l->streams, *told, SPREAD_MOST, now, items);
+	mark = stream_log_changes(l->streams, *sent_mark, REPLICATE_MAX, now,
+				  items);
 	stream_wire_pack(&w, items);
-	*told = group_tell(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
+	*sent_mark = group_tell(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
 	fleet_work(l, WORK_SPREADS, 1);
 	stream_wire_clear(&w);
 	g_array_unref(items);
@@ -144,15 +148,15 @@
 	const struct ss_raft *r = group_raft(l->g);
 	const struct ss_raft_members *all = ss_raft_members(r);
 
-	if (now - l->streams_tidied_ms >= TIDY_MS) {
-		l->streams_tidied_ms = now;
+	if (now - l->streams_expired_ms >= EXPIRE_INTERVAL_MS) {
+		l->streams_expired_ms = now;
 		stream_log_expire(l->streams, now);
 		*l->n_streams = stream_log_length(l->streams);
 	}
-	if (now - l->streams_ms < SPREAD_MS)
+	if (now - l->streams_sent_ms < REPLICATE_INTERVAL_MS)
 		return;
-	l->streams_ms = now;
+	l->streams_sent_ms = now;
 	for (size_t i = 0; i < all->n; i++)
 		if (all->m[i].id != ss_raft_leader(r))
-			spread_to(l, all->m[i].id, now);
+			replicate_to(l, all->m[i].id, now);
 }
