--- a/test/test_fleet_lead.c
+++ b/test/test_fleet_lead.c
@@ -1,5 +1,6 @@
-/* What a fleet's leader does at a size, by its own counters: the real one
- * between played entries and engines. */
+/* Tests of the fleet leader's work and messages at two fleet sizes. The leader
+ * is the real one, the entries and engines are simulated; the work is measured
+ * by the leader's own counters. */
 #include "unit.h"
 
 #include "../src/core/msg.h"
@@ -8,13 +9,13 @@
 #include "fleet_world.h"
 
 #define SECOND_MS 1000
-/* Loads are told this often. */
-#define LOADS_MS 200
-/* What may wait for one entry, in bytes. */
-#define BACKLOG_MOST (64u << 10)
-/* Rows that one message may cost: those it names, and those of the one before
- * it from the same peer. */
-#define VISITS_A_MESSAGE 8
+/* Interval at which the leader sends loads. */
+#define LOAD_PUSH_MS 200
+/* Maximum of unsent bytes for one entry. */
+#define BACKLOG_MAX (64u << 10)
+/* Maximum of table rows visited per message: those that it names, and those of
+ * the message before it from the same peer. */
+#define VISITS_PER_MESSAGE 8
 
 static const struct size {
 	int entries, engines;
@@ -32,8 +33,8 @@
 	return fleet_world_new(&o);
 }
 
-/* A leader whose work grows with entries times endpoints. */
-static void a_message_costs_what_it_is_about(void **state)
+/* Guards against a leader whose work grows with entries times endpoints. */
+static void message_cost_is_independent_of_fleet_size(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -47,7 +48,7 @@
 		visits = fleet_world_work(w, "visits");
 		messages = fleet_world_work(w, "reports");
 		assert_true(messages >= (uint64_t)sizes[i].entries * 2);
-		if (visits > messages * VISITS_A_MESSAGE)
+		if (visits > messages * VISITS_PER_MESSAGE)
 			fail_msg("%d entries: %" PRIu64 " rows for %" PRIu64
 				 " messages",
 				 sizes[i].entries, visits, messages);
@@ -55,9 +56,9 @@
 	}
 }
 
-/* A loss of power ends all connections at once, and each end walked through
- * all endpoints and models. */
-static void an_end_costs_what_it_had(void **state)
+/* Guards against a leader that visits all endpoints and models for each closed
+ * connection: a loss of power closes all connections at once. */
+static void disconnect_cost_is_independent_of_fleet_size(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -71,18 +72,18 @@
 			fleet_world_restart_agent(w, k);
 		}
 		visits = fleet_world_work(w, "visits");
-		if (visits > 20 * VISITS_A_MESSAGE)
+		if (visits > 20 * VISITS_PER_MESSAGE)
 			fail_msg("%d entries: %" PRIu64 " rows for 20 ends",
 				 sizes[i].entries, visits);
 		fleet_world_free(w);
 	}
 }
 
-/* Each adapter that some engine loads is told to all entries by itself, though
- * the one that asked knows it. */
-static void adapters_go_out_with_the_loads(void **state)
+/* Guards against one message to all entries for each adapter that an engine
+ * loads, although the entry that asked for the adapter knows of it. */
+static void adapters_are_sent_with_the_loads(void **state)
 {
-	const int news = 50, every_ms = 20;
+	const int adapters = 50, every_ms = 20;
 	struct fleet_world *w = world_of(&sizes[1]);
 	uint64_t sends;
 
@@ -90,22 +91,22 @@
 	fleet_world_run(w, 2 * SECOND_MS);
 	fleet_world_work(w, "sends");
 	fleet_world_work(w, "endpoints");
-	for (int i = 0; i < news; i++) {
+	for (int i = 0; i < adapters; i++) {
 		fleet_world_adapter(w, i);
 		fleet_world_run(w, every_ms);
 	}
-	fleet_world_run(w, LOADS_MS);
-	/* All are told, and no more often than loads are. */
-	assert_true(fleet_world_work(w, "endpoints") >= (uint64_t)news);
+	fleet_world_run(w, LOAD_PUSH_MS);
+	/* All adapters are sent, and no more often than loads. */
+	assert_true(fleet_world_work(w, "endpoints") >= (uint64_t)adapters);
 	sends = fleet_world_work(w, "sends");
 	assert_true(sends <= (uint64_t)sizes[1].entries *
-				     (2 + news * every_ms / LOADS_MS));
+				     (2 + adapters * every_ms / LOAD_PUSH_MS));
 	fleet_world_free(w);
 }
 
-/* Changes pile up for an entry that reads nothing, for hundreds of them; and
- * one that missed some goes on by what it knew. */
-static void who_reads_nothing_is_told_all_later(void **state)
+/* Guards against changes that pile up for entries that read nothing, and
+ * against an entry that missed changes and keeps its outdated state. */
+static void entry_that_reads_nothing_gets_snapshot_later(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[1]);
 	size_t before, after;
@@ -115,12 +116,12 @@
 	fleet_world_run(w, SECOND_MS);
 	wholes = fleet_world_wholes(w, 0);
 	fleet_world_stop_entry(w, 0);
-	for (int i = 0; i < 40 * SECOND_MS / LOADS_MS; i++) {
+	for (int i = 0; i < 40 * SECOND_MS / LOAD_PUSH_MS; i++) {
 		fleet_world_adapter(w, i);
-		fleet_world_run(w, LOADS_MS);
+		fleet_world_run(w, LOAD_PUSH_MS);
 	}
 	before = fleet_world_backlog(w, 0);
-	assert_in_range(before, BACKLOG_MOST / 2, 2 * BACKLOG_MOST);
+	assert_in_range(before, BACKLOG_MAX / 2, 2 * BACKLOG_MAX);
 	fleet_world_run(w, 2 * SECOND_MS);
 	after = fleet_world_backlog(w, 0);
 	assert_int_equal(before, after);
@@ -130,8 +131,8 @@
 	fleet_world_free(w);
 }
 
-/* A peer that comes back is left without what it needs. */
-static void who_comes_back_is_told_all(void **state)
+/* Guards against a reconnected peer that isn't sent the state it needs. */
+static void reconnected_peers_get_the_whole_state(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
 	int waiting;
@@ -146,7 +147,7 @@
 	assert_int_equal(fleet_world_informed(w), 0);
 	fleet_world_run(w, SECOND_MS);
 	assert_int_equal(fleet_world_informed(w), sizes[0].entries);
-	/* Models that are called for are loaded, by the new connections. */
+	/* Requested models are loaded over the new connections. */
 	for (int m = 0; m < 60; m++)
 		fleet_world_call(w, m % sizes[0].entries, m);
 	waiting = fleet_world_waiting(w);
@@ -155,9 +156,9 @@
 	fleet_world_free(w);
 }
 
-/* What an endpoint tells one entry's callers stays with that entry, and the
- * others send on; one that starts anew knows nothing either. */
-static void limit_is_told_to_all(void **state)
+/* Guards against an endpoint's limit that only the entry with the answer knows,
+ * while the other entries, or one that has just started, go on sending. */
+static void limit_is_sent_to_all_entries(void **state)
 {
 	const int engine = 3;
 
@@ -169,23 +170,24 @@
 		fleet_world_run(w, 2 * SECOND_MS);
 		fleet_world_work(w, "endpoints");
 		fleet_world_limit(w, 0, engine, 2);
-		fleet_world_run(w, LOADS_MS);
+		fleet_world_run(w, LOAD_PUSH_MS);
 		assert_int_equal(fleet_world_told(w, engine), sizes[i].entries);
 		fleet_world_restart_entry(w, 1);
 		fleet_world_run(w, SECOND_MS);
 		assert_int_equal(fleet_world_told(w, engine), sizes[i].entries);
 		for (int k = 0; k < sizes[i].entries; k++)
 			granted += fleet_world_permits(w, k, engine);
-		/* Of one bucket: what its slack lets entries hold. */
+		/* All grants come from one bucket, within its overage. */
 		assert_in_range(granted, 1, 5 * QUOTA_MILLI);
-		/* Of an endpoint that names none there is nothing to grant. */
+		/* Of an endpoint that states no limit, nothing is granted. */
 		assert_int_equal(fleet_world_permits(w, 0, engine + 1), 0);
 		fleet_world_free(w);
 	}
 }
 
-/* Only the entry that an endpoint has answered so knows that it leaves. */
-static void leaving_is_told_to_all(void **state)
+/* Guards against an endpoint's draining signal that only the entry with the
+ * answer knows. */
+static void draining_is_sent_to_all_entries(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -193,17 +195,17 @@
 
 		fleet_world_run(w, 2 * SECOND_MS);
 		fleet_world_leave(w, 0, 5);
-		fleet_world_run(w, LOADS_MS);
+		fleet_world_run(w, LOAD_PUSH_MS);
 		assert_int_equal(fleet_world_told(w, 5), sizes[i].entries);
 		fleet_world_free(w);
 	}
 }
 
-/* A control VM reads an engine that has asked the entry on the same VM for
- * rest, four times a second. */
-static void resting_engine_is_read_by_no_control_vm(void **state)
+/* Guards against a control VM that polls an engine four times a second during a
+ * backoff that the engine asked the entry on the same VM for. */
+static void engine_in_backoff_is_polled_by_no_control_vm(void **state)
 {
-	const int engine = 5, rest_ms = 3 * SECOND_MS;
+	const int engine = 5, backoff_ms = 3 * SECOND_MS;
 	struct fleet_world_options o = { .entries = 10,
 					 .engines = engine + 1,
 					 .models = 10,
@@ -216,9 +218,9 @@
 	(void)state;
 	fleet_world_run(w, 6 * SECOND_MS);
 	assert_true(fleet_world_is_remote(w, engine));
-	fleet_world_rest(w, 3, engine, rest_ms);
+	fleet_world_rest(w, 3, engine, backoff_ms);
 	fleet_world_run(w, SECOND_MS / 4);
-	for (int at = SECOND_MS / 4; at < rest_ms; at += 50) {
+	for (int at = SECOND_MS / 4; at < backoff_ms; at += 50) {
 		assert_false(fleet_world_is_remote(w, engine));
 		fleet_world_run(w, 50);
 	}
@@ -227,7 +229,8 @@
 	fleet_world_free(w);
 }
 
-/* An endpoint that starts anew is kept to the limit of the one before it. */
+/* Guards against a restarted endpoint that is held to the limit of its earlier
+ * incarnation. */
 static void limit_ends_with_its_incarnation(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
@@ -243,8 +246,9 @@
 	fleet_world_free(w);
 }
 
-/* An engine in need is filled with models that it can't serve. */
-static void limited_engine_is_loaded_with_nothing(void **state)
+/* Guards against models being loaded into an engine whose limit is too low to
+ * serve them. */
+static void engine_with_low_limit_gets_no_models(void **state)
 {
 	const struct size one = { 20, 6 };
 	struct fleet_world *w = world_of(&one);
@@ -256,7 +260,7 @@
 	fleet_world_run(w, SECOND_MS);
 	before = fleet_world_orders(w, 3);
 	for (int k = 0; k < 10; k++) {
-		/* Its word is repeated while callers come. */
+		/* The engine repeats its limit in each answer. */
 		fleet_world_limit(w, k, 3, 0.5);
 		for (int m = 0; m < 60; m++)
 			fleet_world_call(w, k, m);
@@ -269,9 +273,9 @@
 	fleet_world_free(w);
 }
 
-/* Symptom: who knows a stream's version is lost with the entry that began it,
- * or with the leader, and it can go on nowhere. */
-static void begun_streams_outlive_their_entry_and_the_leader(void **state)
+/* Guards against a stream's version being lost with the entry that began the
+ * stream or with the leader, so that the stream can't be resumed anywhere. */
+static void stream_versions_outlive_their_entry_and_the_leader(void **state)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		struct fleet_world *w = world_of(&sizes[i]);
@@ -285,7 +289,7 @@
 		assert_int_equal(fleet_world_ask_stream(w, 2, 130, &version),
 				 STREAM_KNOWN);
 		assert_string_equal(version, "v1");
-		/* Followers have it a moment later. */
+		/* Time for the replication to followers. */
 		fleet_world_run(w, 100);
 		fleet_world_restart_entry(w, 0);
 		fleet_world_lose_leader(w);
@@ -299,8 +303,8 @@
 	}
 }
 
-/* Symptom: a leader that has just begun, or sees two versions, answers as if it
- * knew. */
+/* Guards against a new leader, or one that sees two versions, that replies with
+ * a guessed version. */
 static void leader_guesses_no_version(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
@@ -317,7 +321,7 @@
 	fleet_world_run(w, 2 * SECOND_MS);
 	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
 			 STREAM_UNKNOWN);
-	/* The last of them has gone, its streams may yet come. */
+	/* The last endpoint of v1 is gone, but its streams may be resumed. */
 	fleet_world_version(w, 0, "v2");
 	fleet_world_run(w, 2 * SECOND_MS);
 	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
@@ -333,9 +337,9 @@
 	fleet_world_free(w);
 }
 
-/* Symptom: callers wait in vain for engines of their stream's version, and
- * another version is given the model. */
-static void model_comes_to_the_version_that_is_waited_for(void **state)
+/* Guards against the model being loaded into engines of another version while
+ * callers wait for their stream's version. */
+static void model_is_loaded_into_the_version_waited_for(void **state)
 {
 	const struct size few = { 4, 8 };
 	struct fleet_world *w = world_of(&few);
@@ -355,30 +359,30 @@
 	fleet_world_free(w);
 }
 
-/* One answer from each entry, in a second. */
+/* Reports one slow answer from each entry within a second. */
 static void report_slow(struct fleet_world *w, int engine, double ratio)
 {
 	for (int k = 0; k < sizes[0].entries; k++) {
 		fleet_world_slow(w, k, engine, ratio);
 		fleet_world_run(w, SECOND_MS / sizes[0].entries);
 	}
-	fleet_world_run(w, LOADS_MS);
+	fleet_world_run(w, LOAD_PUSH_MS);
 }
 
-/* One more answer is not enough for the leader to tell of it. */
+/* Returns true if one more slow answer doesn't make the leader send a ratio. */
 static bool is_forgotten(struct fleet_world *w, int engine)
 {
 	fleet_world_told_slow(w, engine);
 	fleet_world_run(w, SECOND_MS);
 	fleet_world_slow(w, 0, engine, 6);
-	fleet_world_run(w, LOADS_MS);
+	fleet_world_run(w, LOAD_PUSH_MS);
 	return !fleet_world_told_slow(w, engine);
 }
 
-/* Guards against a slow engine that each entry finds out by itself, with a call
- * that is late; and against a ratio that outlives the engine's incarnation or
- * that a new leader makes up. */
-static void slowness_of_all_entries_is_told_to_all(void **state)
+/* Guards against a slow engine that each entry detects only by a late call of
+ * its own, and against a ratio that outlives the engine's incarnation or that a
+ * new leader sends without reports. */
+static void slowness_is_combined_and_sent_to_all_entries(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
 
@@ -388,7 +392,7 @@
 	assert_int_equal(fleet_world_told_slow(w, 1), 0);
 	report_slow(w, 3, 6);
 	assert_in_range(fleet_world_told_slow(w, 3), 4000, 6000);
-	/* Without reports it isn't told for ever. */
+	/* Without reports, the leader stops sending the ratio. */
 	fleet_world_run(w, 20 * SECOND_MS);
 	fleet_world_told_slow(w, 3);
 	fleet_world_run(w, 2 * SECOND_MS);
@@ -409,20 +413,20 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(
-			begun_streams_outlive_their_entry_and_the_leader),
+			stream_versions_outlive_their_entry_and_the_leader),
 		cmocka_unit_test(leader_guesses_no_version),
-		cmocka_unit_test(model_comes_to_the_version_that_is_waited_for),
-		cmocka_unit_test(limit_is_told_to_all),
-		cmocka_unit_test(slowness_of_all_entries_is_told_to_all),
-		cmocka_unit_test(leaving_is_told_to_all),
-		cmocka_unit_test(resting_engine_is_read_by_no_control_vm),
-		cmocka_unit_test(limited_engine_is_loaded_with_nothing),
+		cmocka_unit_test(model_is_loaded_into_the_version_waited_for),
+		cmocka_unit_test(limit_is_sent_to_all_entries),
+		cmocka_unit_test(slowness_is_combined_and_sent_to_all_entries),
+		cmocka_unit_test(draining_is_sent_to_all_entries),
+		cmocka_unit_test(engine_in_backoff_is_polled_by_no_control_vm),
+		cmocka_unit_test(engine_with_low_limit_gets_no_models),
 		cmocka_unit_test(limit_ends_with_its_incarnation),
-		cmocka_unit_test(a_message_costs_what_it_is_about),
-		cmocka_unit_test(an_end_costs_what_it_had),
-		cmocka_unit_test(adapters_go_out_with_the_loads),
-		cmocka_unit_test(who_reads_nothing_is_told_all_later),
-		cmocka_unit_test(who_comes_back_is_told_all),
+		cmocka_unit_test(message_cost_is_independent_of_fleet_size),
+		cmocka_unit_test(disconnect_cost_is_independent_of_fleet_size),
+		cmocka_unit_test(adapters_are_sent_with_the_loads),
+		cmocka_unit_test(entry_that_reads_nothing_gets_snapshot_later),
+		cmocka_unit_test(reconnected_peers_get_the_whole_state),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
