--- a/src/daemon/bootstrap.c
+++ b/src/daemon/bootstrap.c
@@ -1,4 +1,4 @@
-/* Making a new control group. */
+/* Creation of a new control group: its initial log on disk. */
 #include "bootstrap.h"
 
 #include "../core/preset.h"
@@ -8,11 +8,11 @@
 #include <stdio.h>
 #include <xxhash.h>
 
-struct seed {
+struct initial_log {
 	GArray *entries; /* struct ss_raft_entry with data owned */
 };
 
-static void add_entry(struct seed *s, int64_t kind, GString *data)
+static void add_entry(struct initial_log *s, int64_t kind, GString *data)
 {
 	struct ss_raft_entry e = { .index = s->entries->len + 1,
 				   .term = 1,
@@ -23,14 +23,15 @@
 	g_array_append_val(s->entries, e);
 }
 
-static void add_command(struct seed *s, struct command *c)
+static void add_command(struct initial_log *s, struct command *c)
 {
-	/* No time of day: founders must write the same entries. */
+	/* No timestamp: all founders must write identical entries. */
 	c->author = SS_LIT("bootstrap");
 	add_entry(s, SS_RAFT_DATA, ss_command_encode(c));
 }
 
-static void add_members(struct seed *s, const struct config *c, uint64_t id)
+static void add_members(struct initial_log *s, const struct config *c,
+			uint64_t id)
 {
 	const char *addr = *c->advertise ? c->advertise : c->listen;
 	struct ss_raft_member self = { .id = id,
@@ -53,8 +54,8 @@
 	return false;
 }
 
-static bool add_preset(struct seed *s, const char *name, const char *file,
-		       struct ss_str text, GError **error)
+static bool add_preset(struct initial_log *s, const char *name,
+		       const char *file, struct ss_str text, GError **error)
 {
 	struct preset_rec rec = { .name = ss_str(name) };
 	struct command c = { .kind = COMMAND_PRESET_PUT, .preset = &rec };
@@ -73,12 +74,13 @@
 	return true;
 }
 
-static gint by_name(gconstpointer a, gconstpointer b)
+static gint compare_names(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-static bool add_presets(struct seed *s, const char *folder, GError **error)
+static bool add_presets(struct initial_log *s, const char *folder,
+			GError **error)
 {
 	GDir *dir = g_dir_open(folder, 0, NULL);
 	GPtrArray *names;
@@ -90,11 +92,11 @@
 			    folder);
 		return false;
 	}
-	/* In the order of their names, the same on every VM. */
+	/* Sorted by name, so that the order is the same on every VM. */
 	names = g_ptr_array_new_with_free_func(g_free);
 	while ((entry = g_dir_read_name(dir)))
 		g_ptr_array_add(names, g_strdup(entry));
-	g_ptr_array_sort(names, by_name);
+	g_ptr_array_sort(names, compare_names);
 	for (guint i = 0; ok && i < names->len; i++) {
 		char *file = g_build_filename(folder, names->pdata[i], NULL);
 		char *name = g_strdup(names->pdata[i]);
@@ -120,7 +122,7 @@
 	return ok;
 }
 
-static bool add_models(struct seed *s, const char *file, GError **error)
+static bool add_models(struct initial_log *s, const char *file, GError **error)
 {
 	struct config_models m;
 	struct command c = { .kind = COMMAND_MODELS_PUT };
@@ -144,7 +146,7 @@
 	return true;
 }
 
-static void add_switch(struct seed *s, const char *name)
+static void add_switch(struct initial_log *s, const char *name)
 {
 	struct preset_rec rec = { .name = ss_str(name) };
 	struct command c = { .kind = COMMAND_PRESET_SWITCH, .preset = &rec };
@@ -152,7 +154,8 @@
 	add_command(s, &c);
 }
 
-static bool add_settings(struct seed *s, const struct config *c, GError **error)
+static bool add_settings(struct initial_log *s, const struct config *c,
+			 GError **error)
 {
 	if (*c->ctl.models_file && !add_models(s, c->ctl.models_file, error))
 		return false;
@@ -171,7 +174,7 @@
 bool bootstrap_group(const struct config *c, GError **error)
 {
 	struct disk_options o = { .folder = c->ctl.data };
-	struct seed s;
+	struct initial_log s;
 	struct disk_state st;
 	struct disk *d;
 	bool ok = false;
@@ -209,11 +212,11 @@
 
 static uint64_t founder_id(const char *addr)
 {
-	/* Never 0, which stands for nobody. */
+	/* 0 means no member. */
 	return XXH3_64bits(addr, strlen(addr)) | 1;
 }
 
-static void add_founders(struct seed *s, const GPtrArray *addrs)
+static void add_founders(struct initial_log *s, const GPtrArray *addrs)
 {
 	struct ss_raft_members all = { 0 };
 
@@ -228,7 +231,7 @@
 	g_free(all.m);
 }
 
-static uint64_t group_of(const GPtrArray *addrs)
+static uint64_t founders_group_id(const GPtrArray *addrs)
 {
 	GString *all = g_string_new(NULL);
 	uint64_t id;
@@ -246,16 +249,17 @@
 
 	for (guint i = 0; i < addrs->len; i++)
 		g_ptr_array_add(out, addrs->pdata[i]);
-	g_ptr_array_sort(out, by_name);
+	g_ptr_array_sort(out, compare_names);
 	return out;
 }
 
-bool found_group(const struct config *c, const char *addr, struct disk **disk,
-		 struct disk_state *st, GError **error)
+bool bootstrap_founders(const struct config *c, const char *addr,
+			struct disk **disk, struct disk_state *st,
+			GError **error)
 {
 	struct disk_options o = { .folder = c->ctl.data };
 	GPtrArray *addrs;
-	struct seed s;
+	struct initial_log s;
 	bool ok;
 
 	if (!c->ctl.found_group || st->group ||
@@ -266,13 +270,14 @@
 	s.entries = g_array_new(FALSE, FALSE, sizeof(struct ss_raft_entry));
 	g_array_set_clear_func(s.entries, clear_entry);
 	add_founders(&s, addrs);
-	/* What an earlier start left half made is made anew; the group comes
-	 * last, so that it is there only with the whole log. */
+	/* Overwrites what an interrupted start left. The group id is written
+	 * last, so that it exists only together with the complete log. */
 	ok = add_settings(&s, c, error) && disk_truncate(*disk, 1, error) &&
 	     disk_append(*disk, (struct ss_raft_entry *)s.entries->data,
 			 s.entries->len, error) &&
 	     disk_sync(*disk, error) && disk_save_vote(*disk, 1, 0, error) &&
-	     disk_found_group(*disk, group_of(addrs), founder_id(addr), error);
+	     disk_found_group(*disk, founders_group_id(addrs), founder_id(addr),
+			      error);
 	g_ptr_array_unref(addrs);
 	g_array_unref(s.entries);
 	if (!ok)
--- a/src/daemon/bootstrap.h
+++ b/src/daemon/bootstrap.h
@@ -1,4 +1,4 @@
-/* Making a new control group. */
+/* Creation of a new control group. */
 #ifndef SS_BOOTSTRAP_H
 #define SS_BOOTSTRAP_H
 
@@ -6,20 +6,22 @@
 #include "../disk/disk.h"
 
 /*
- * Make the first member of a new group in an empty data folder, with the
- * settings' models and presets. Only by an operator's order: a VM whose
- * disk was lost would else make a second group by itself. Errors:
- * SS_ERROR_CONFLICT where the folder belongs to a group already.
+ * Creates a group of one member in an empty data folder, with the models and
+ * presets of the settings. Runs only on an operator's command: otherwise a VM
+ * that lost its disk would create a second group. Fails with
+ * SS_ERROR_CONFLICT if the folder already belongs to a group.
  */
 bool bootstrap_group(const struct config *c, GError **error);
 
 /*
- * At the first start of a whole system, where the settings say so: each of
- * the control VMs that they name makes the same group of all of them by
- * itself, so that no one has to come first. Nothing is done on a VM that
- * isn't named, or in a folder that has a group. The state is read anew.
+ * Creates the group at the first start of a system if the settings ask for
+ * it. Each control VM named there writes the same initial log on its own, with
+ * all of them as members, so that they can start in any order. Does nothing on
+ * a VM that isn't named or if the folder already belongs to a group. Reopens
+ * the disk and reloads the state after creating the group.
  */
-bool found_group(const struct config *c, const char *addr, struct disk **disk,
-		 struct disk_state *s, GError **error);
+bool bootstrap_founders(const struct config *c, const char *addr,
+			struct disk **disk, struct disk_state *s,
+			GError **error);
 
 #endif
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -1,4 +1,4 @@
-/* The control VM: a member of the group, and its leader at times. */
+/* The control role: a member of the control group, possibly its leader. */
 #include "../../platform/platform.h"
 #include "../core/mirror.h"
 #include "../core/stream_wire.h"
@@ -13,43 +13,44 @@
 #include <json-c/json.h>
 #include <xxhash.h>
 
-/* Elections and heartbeats are exact to this, in ms: a fifth of a heartbeat. */
+/* Resolution of elections and heartbeats, in ms: a fifth of a heartbeat. */
 #define TICK_MS 20
-/* At a planned stop the leadership is handed over first; the process ends so
- * long after, in ms: three heartbeats. */
-#define LEAVE_MS 300
-/* A follower forgets streams that are over this often, in ms. */
-#define STREAMS_TIDY_MS 1000
-
-/* The leader's part: of replicas behind agents, or of a fleet. */
+/* Time for the transfer of the leadership before a planned stop, in ms: three
+ * heartbeats. */
+#define TRANSFER_MS 300
+/* Interval at which a follower discards finished streams, in ms. */
+#define STREAMS_EXPIRE_MS 1000
+
+/* The control role's state. The leader's state is that of replicas behind
+ * agents, or of a fleet. */
 struct control_role {
 	struct daemon *d;
 	struct group *group;
-	const struct leader_ops *leader;
-	void *lead;	       /* NULL while another leads */
-	struct mirror *mirror; /* of a fleet's routing */
+	const struct leader_ops *ops;
+	void *leader;	       /* NULL unless this process leads */
+	struct mirror *mirror; /* a fleet's routing for other processes */
 	struct routing_follow *follow;
 	struct remote_agents *remote;
-	struct stream_log *streams; /* which versions began them */
-	int64_t streams_ms;	    /* when it was last tidied */
+	struct stream_log *streams; /* routing version that each began under */
+	int64_t streams_ms;	    /* last expiry */
 	struct listener *listener;
 	struct operator_http *operators;
 	struct routing_http *routing;
 	struct vms *vms;
 	struct event *tick;
-	GHashTable *conns; /* open ones that others made */
-	uint64_t told;	   /* the leader that those were told of */
-	uint64_t members;  /* hash of the members that they were told of */
+	GHashTable *conns;    /* open incoming connections */
+	uint64_t sent_leader; /* leader last announced to conns */
+	uint64_t members;     /* hash of the members last announced */
 	int64_t stop_ms;
 	uint64_t *n_denied;
 };
 
-static void tell_leader(struct control_role *k, struct conn *c)
+static void send_leader(struct control_role *k, struct conn *c)
 {
-	const char *addr = group_leader_said(k->group);
+	const char *addr = group_leader_hint(k->group);
 	GArray *members = group_member_addrs(k->group);
 	struct msg_leader m = { .group = group_id(k->group),
-				.from_leader = k->lead != NULL,
+				.from_leader = k->leader != NULL,
 				.members = { members->data, members->len } };
 
 	if (!m.from_leader && addr)
@@ -58,7 +59,7 @@
 	g_array_unref(members);
 }
 
-/* Wants to know who leads. */
+/* Whether a peer is sent the leader's address. */
 static bool is_client(struct conn *c)
 {
 	int64_t role = conn_peer(c)->role;
@@ -66,42 +67,42 @@
 	return role != ROLE_CONTROL && role != ROLE_READER;
 }
 
-/* Is led by the leader, and not only told who that is. */
-static bool is_led(struct conn *c)
+/* Whether a peer is managed by the leader, beyond learning its address. */
+static bool is_managed(struct conn *c)
 {
 	return is_client(c) && conn_peer(c)->role != ROLE_RELAY;
 }
 
-/* Take up or lay down the leader's part. */
+/* Creates or frees the leader's state when the leadership changes. */
 static void check_leadership(struct control_role *k)
 {
 	bool leads = group_leads(k->group);
 	GHashTableIter it;
 	void *c;
 
-	if (leads == (k->lead != NULL))
+	if (leads == (k->leader != NULL))
 		return;
 	if (leads) {
-		k->lead = k->leader->begin(k->d, k->group,
-					   routing_follow_table(k->follow),
-					   k->streams);
+		k->leader = k->ops->begin(k->d, k->group,
+					  routing_follow_table(k->follow),
+					  k->streams);
 		log_info("lead", "begins");
 	} else {
-		k->leader->end(k->lead);
-		k->lead = NULL;
+		k->ops->end(k->leader);
+		k->leader = NULL;
 		log_info("lead", "ends");
 	}
 	g_hash_table_iter_init(&it, k->conns);
 	while (g_hash_table_iter_next(&it, &c, NULL)) {
 		if (!is_client(c))
 			continue;
-		if (leads && is_led(c))
-			k->leader->open(k->lead, c);
-		tell_leader(k, c);
+		if (leads && is_managed(c))
+			k->ops->open(k->leader, c);
+		send_leader(k, c);
 	}
 }
 
-/* The routing that stands in the log, also after a snapshot. */
+/* Publishes the committed routing, from an entry or a snapshot. */
 static void follow_log(struct control_role *k)
 {
 	const struct ss_state *s = k->group ? group_state(k->group) : NULL;
@@ -129,12 +130,12 @@
 
 	(void)r;
 	remote_agents_routing(k->remote);
-	if (k->lead)
-		k->leader->applied(k->lead);
+	if (k->leader)
+		k->ops->applied(k->leader);
 }
 
-/* The next change brings the whole. */
-static void on_useless(void *arg, uint64_t have)
+/* Nothing to request: follow_log() falls back to the full routing. */
+static void on_unusable(void *arg, uint64_t have)
 {
 	(void)arg;
 	(void)have;
@@ -146,7 +147,7 @@
 	return conn_send(peer, MSG_ROUTING, m);
 }
 
-static GString *whole_routing(void *arg, bool routes)
+static GString *full_routing(void *arg, bool routes)
 {
 	struct control_role *k = arg;
 
@@ -154,7 +155,7 @@
 				  routes);
 }
 
-static const struct mirror_ops mirror_table = { send_routing, whole_routing };
+static const struct mirror_ops mirror_table = { send_routing, full_routing };
 
 static void on_applied(void *arg, uint64_t index)
 {
@@ -162,15 +163,15 @@
 
 	(void)index;
 	follow_log(k);
-	if (k->lead)
-		k->leader->applied(k->lead);
+	if (k->leader)
+		k->ops->applied(k->leader);
 }
 
 static void on_changed(void *arg)
 {
 	struct control_role *k = arg;
 
-	/* Only the end is handled at once; the rest waits for the tick. */
+	/* Only a lost leadership is urgent; the tick handles the rest. */
 	if (k->group && !group_leads(k->group))
 		check_leadership(k);
 }
@@ -184,9 +185,9 @@
 	g_hash_table_add(k->conns, c);
 	if (!is_client(c))
 		return;
-	if (k->lead && is_led(c))
-		k->leader->open(k->lead, c);
-	tell_leader(k, c);
+	if (k->leader && is_managed(c))
+		k->ops->open(k->leader, c);
+	send_leader(k, c);
 }
 
 static void conn_message(void *arg, struct conn *c, struct frame *f)
@@ -207,8 +208,8 @@
 				  ss_clock_now(&k->d->clock));
 	else if (f->kind == MSG_ADAPTER)
 		remote_agents_adapter(k->remote, c, &f->u.adapter);
-	else if (k->lead && is_led(c))
-		k->leader->message(k->lead, c, f);
+	else if (k->leader && is_managed(c))
+		k->ops->message(k->leader, c, f);
 }
 
 static void conn_closed(void *arg, struct conn *c, const GError *why)
@@ -220,35 +221,35 @@
 	mirror_peer_closed(k->mirror, c, ss_clock_now(&k->d->clock));
 	remote_agents_left(k->remote, c);
 	group_conn_closed(k->group, c);
-	if (k->lead)
-		k->leader->closed(k->lead, c);
+	if (k->leader)
+		k->ops->closed(k->leader, c);
 }
 
 static const struct conn_ops conn_table = { conn_open, conn_message,
 					    conn_closed };
 
-/* Those that asked while nobody led wait for this word. */
-static void tell_of_leader(struct control_role *k)
+/* Announces a new leader; clients that connected without one wait for it. */
+static void announce_leader(struct control_role *k)
 {
 	const struct ss_raft *r = group_raft(k->group);
 	uint64_t leader = r ? ss_raft_leader(r) : 0;
 	GHashTableIter it;
 	void *c;
 
-	if (leader == k->told)
+	if (leader == k->sent_leader)
 		return;
-	k->told = leader;
-	if (!leader || k->lead)
+	k->sent_leader = leader;
+	if (!leader || k->leader)
 		return;
 	g_hash_table_iter_init(&it, k->conns);
 	while (g_hash_table_iter_next(&it, &c, NULL))
 		if (is_client(c))
-			tell_leader(k, c);
+			send_leader(k, c);
 }
 
-/* Entries and agents fetch from all members, also from those that joined after
- * them: else the first few feed everybody. */
-static void tell_of_members(struct control_role *k)
+/* Announces changed members. Entries and agents must also fetch from members
+ * that joined after them; otherwise the first few would serve all of them. */
+static void announce_members(struct control_role *k)
 {
 	GArray *all = group_member_addrs(k->group);
 	uint64_t hash = 0;
@@ -262,20 +263,20 @@
 		hash = XXH3_64bits_withSeed(a.p, a.n, hash);
 	}
 	g_array_unref(all);
-	if (!k->lead || hash == k->members)
+	if (!k->leader || hash == k->members)
 		return;
 	k->members = hash;
 	g_hash_table_iter_init(&it, k->conns);
 	while (g_hash_table_iter_next(&it, &c, NULL))
 		if (is_client(c))
-			tell_leader(k, c);
+			send_leader(k, c);
 }
 
-static void tidy_streams(struct control_role *k)
+static void expire_streams(struct control_role *k)
 {
 	int64_t now = ss_clock_now(&k->d->clock);
 
-	if (k->lead || now - k->streams_ms < STREAMS_TIDY_MS)
+	if (k->leader || now - k->streams_ms < STREAMS_EXPIRE_MS)
 		return;
 	k->streams_ms = now;
 	stream_log_expire(k->streams, now);
@@ -288,15 +289,15 @@
 	(void)fd;
 	(void)what;
 	check_leadership(k);
-	tell_of_leader(k);
-	tell_of_members(k);
+	announce_leader(k);
+	announce_members(k);
 	follow_log(k);
 	mirror_tick(k->mirror, ss_clock_now(&k->d->clock));
 	remote_agents_tick(k->remote);
-	tidy_streams(k);
-	if (k->lead)
-		k->leader->tick(k->lead);
-	if (k->stop_ms && ss_clock_now(&k->d->clock) - k->stop_ms > LEAVE_MS)
+	expire_streams(k);
+	if (k->leader)
+		k->ops->tick(k->leader);
+	if (k->stop_ms && ss_clock_now(&k->d->clock) - k->stop_ms > TRANSFER_MS)
 		daemon_exit(k->d, 0);
 }
 
@@ -304,11 +305,11 @@
 {
 	struct control_role *k = arg;
 
-	if (k->lead && !k->d->config.fleet.on)
-		lead_vms(k->lead, vms, n);
+	if (k->leader && !k->d->config.fleet.on)
+		leader_set_vms(k->leader, vms, n);
 }
 
-/* What operators' HTTP asks. */
+/* Callbacks of the operator API. */
 
 static void op_change(void *arg, struct command *c,
 		      struct operator_callback done)
@@ -388,16 +389,17 @@
 	if (json_object_object_get_ex(members, "members", &list))
 		json_object_object_add(o, "members", json_object_get(list));
 	json_object_put(members);
-	if (k->lead)
-		k->leader->status(k->lead, o);
+	if (k->leader)
+		k->ops->status(k->leader, o);
 }
 
-static json_object *op_why(void *arg, const char *model)
+static json_object *op_explain(void *arg, const char *model)
 {
 	struct control_role *k = arg;
 
-	return k->lead && !k->d->config.fleet.on ? lead_why(k->lead, model) :
-						   NULL;
+	return k->leader && !k->d->config.fleet.on ?
+		       leader_explain(k->leader, model) :
+		       NULL;
 }
 
 static bool op_remove(void *arg, uint64_t id, GError **error)
@@ -413,7 +415,7 @@
 	return group_leader_addr(k->group) != NULL && !k->stop_ms;
 }
 
-static bool op_plain(void *arg, struct evhttp_request *req)
+static bool op_public(void *arg, struct evhttp_request *req)
 {
 	struct control_role *k = arg;
 
@@ -425,13 +427,13 @@
 	.confirm = op_confirm,
 	.state = op_state,
 	.status = op_status,
-	.explain = op_why,
+	.explain = op_explain,
 	.members = op_members,
 	.remove_member = op_remove,
-	.serve_public = op_plain,
+	.serve_public = op_public,
 };
 
-/* What the platform's operators ask. */
+/* Callbacks of the routing API. */
 
 static bool routing_leads(void *arg)
 {
@@ -452,7 +454,7 @@
 	.change = op_change,
 	.confirm = op_confirm,
 	.state = op_state,
-	.serve_public = op_plain,
+	.serve_public = op_public,
 };
 
 static bool start_routing(struct control_role *k, GError **error)
@@ -489,8 +491,8 @@
 		conn_close(c);
 	g_hash_table_unref(k->conns);
 	group_free(k->group);
-	if (k->lead)
-		k->leader->end(k->lead);
+	if (k->leader)
+		k->ops->end(k->leader);
 	mirror_free(k->mirror);
 	routing_follow_free(k->follow);
 	stream_log_free(k->streams);
@@ -540,14 +542,14 @@
 {
 	struct control_role *k = g_new0(struct control_role, 1);
 	struct mirror_options mo = { .ops = &mirror_table, .arg = k };
-	struct routing_follow_options fo = { d, on_routing, on_useless, k };
+	struct routing_follow_options fo = { d, on_routing, on_unusable, k };
 
 	k->d = d;
 	k->mirror = mirror_new(&mo, ss_clock_now(&d->clock));
 	k->follow = routing_follow_new(&fo);
 	k->streams = stream_log_new(STREAM_LOG_CAPACITY);
 	k->conns = g_hash_table_new(NULL, NULL);
-	k->leader = d->config.fleet.on ? &fleet_lead_ops : &lead_ops;
+	k->ops = d->config.fleet.on ? &fleet_lead_ops : &replica_leader_ops;
 	k->n_denied = metrics_value(d->metrics, "ss_operator_denied_total", "");
 	if (!start_parts(k, error)) {
 		control_free(k);
@@ -562,7 +564,7 @@
 	struct control_role *k = role;
 
 	k->stop_ms = ss_clock_now(&k->d->clock);
-	group_leave(k->group);
+	group_transfer(k->group);
 }
 
 const struct role_ops control_role = { "control", control_start, control_stop,
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -1,25 +1,26 @@
-/* The control group as one member sees it. */
+/* One member of the control group: connects the Raft log with the disk, the
+ * network and the replicated state. */
 #include "bootstrap.h"
 #include "group_int.h"
 
-/* Heartbeats and elections are exact to this, in ms. */
+/* Resolution of heartbeats and election timeouts, in ms. */
 #define TICK_MS 20
-/* A member that can't be reached is tried again so soon, in ms: a heartbeat. */
+/* Delay between connection attempts to a member, in ms: a heartbeat. */
 #define RECONNECT_MS 100
-/* Members are looked after this often, in ms; a change takes two syncs. */
-#define TEND_MS 200
-/* A member that heard no leader for so long asks to be taken in again: it
- * may have been removed while it was away. Three election timeouts. */
+/* Interval of membership repair, in ms; a membership change takes two syncs. */
+#define REPAIR_MS 200
+/* A member without a leader for this long, in ms, asks to join again: it may
+ * have been removed while it was disconnected. Three election timeouts. */
 #define LEADERLESS_MS 2000
 /*
- * A fleet's entries wait for a leader after a loss of power, so elections
- * are quick there: four heartbeats, which a write of 150 ms to a slow disk
- * doesn't use up. After a start the first campaign comes sooner still; the
- * pre-vote keeps it from unseating a leader that works.
+ * Election timeouts of a fleet, in ms. Its entries wait for a leader after a
+ * power loss, so the timeout is short: four heartbeats, which still leaves
+ * room for a 150 ms write to a slow disk. The first campaign after a start
+ * comes even earlier; pre-vote keeps it from disturbing a working leader.
  */
 #define FAST_ELECTION_MS 400
 #define FIRST_CAMPAIGN_MS 120
-/* The log rests for so long before it is marked as durable. */
+/* Time without an append, in ms, after which the log is marked as durable. */
 #define MARK_AFTER_MS 200
 
 void group_flush_soon(struct group *g)
@@ -29,18 +30,19 @@
 
 /* Connections to the other members. */
 
-static const struct conn_ops out_table;
+static const struct conn_ops member_conn_table;
 
-struct out *group_out_for(struct group *g, const char *addr)
+struct member_conn *group_conn_to(struct group *g, const char *addr)
 {
-	struct out *o = g_hash_table_lookup(g->outs, addr);
-	struct conn_options co = daemon_conn_options(g->d, &out_table, g);
+	struct member_conn *o = g_hash_table_lookup(g->member_conns, addr);
+	struct conn_options co =
+		daemon_conn_options(g->d, &member_conn_table, g);
 
 	if (!o) {
-		o = g_new0(struct out, 1);
+		o = g_new0(struct member_conn, 1);
 		o->addr = g_strdup(addr);
 		o->tried_ms = INT64_MIN / 2;
-		g_hash_table_insert(g->outs, o->addr, o);
+		g_hash_table_insert(g->member_conns, o->addr, o);
 	}
 	if (o->conn && !conn_is_connected(o->conn) &&
 	    group_now(g) - o->tried_ms > CONN_CONNECT_MS) {
@@ -56,9 +58,9 @@
 	return o;
 }
 
-static void out_free(void *p)
+static void member_conn_free(void *p)
 {
-	struct out *o = p;
+	struct member_conn *o = p;
 
 	if (o->conn)
 		conn_close(o->conn);
@@ -66,31 +68,33 @@
 	g_free(o);
 }
 
-static void out_open(void *arg, struct conn *c)
+static void member_conn_open(void *arg, struct conn *c)
 {
 	(void)arg;
 	(void)c;
 }
 
-static void out_message(void *arg, struct conn *c, struct frame *f)
+static void member_conn_message(void *arg, struct conn *c, struct frame *f)
 {
 	group_message(arg, c, f);
 }
 
-static void out_closed(void *arg, struct conn *c, const GError *why)
+static void member_conn_closed(void *arg, struct conn *c, const GError *why)
 {
 	struct group *g = arg;
-	struct out *o = conn_data(c);
+	struct member_conn *o = conn_data(c);
 
 	(void)why;
 	if (o) {
 		o->conn = NULL;
-		o->told_ms = 0;
+		o->sent_ms = 0;
 	}
 	group_conn_closed(g, c);
 }
 
-static const struct conn_ops out_table = { out_open, out_message, out_closed };
+static const struct conn_ops member_conn_table = { member_conn_open,
+						   member_conn_message,
+						   member_conn_closed };
 
 static gboolean is_conn(gpointer key, gpointer value, gpointer conn)
 {
@@ -100,23 +104,23 @@
 
 void group_conn_closed(struct group *g, struct conn *c)
 {
-	g_hash_table_foreach_remove(g->heard, is_conn, c);
+	g_hash_table_foreach_remove(g->last_conns, is_conn, c);
 }
 
 /*
- * A message to a member without a connection is lost, and a lost vote costs
- * an election timeout; so connections to all members are kept.
+ * Keeps a connection to every member: a message to a member without one is
+ * lost, and a lost vote costs an election timeout.
  */
-static void tend_conns(struct group *g)
+static void connect_members(struct group *g)
 {
 	const struct ss_raft_members *all = ss_raft_members(g->raft);
 
 	for (size_t i = 0; i < all->n; i++)
 		if (all->m[i].id != g->loaded.id)
-			group_out_for(g, all->m[i].addr.p);
+			group_conn_to(g, all->m[i].addr.p);
 }
 
-/* Effects of the log. */
+/* Raft callbacks. */
 
 static bool op_save_vote(void *arg, uint64_t term, uint64_t vote, GError **e)
 {
@@ -163,7 +167,7 @@
 {
 	struct group *g = arg;
 	const struct ss_raft_member *to = ss_raft_member(g->raft, m->to);
-	struct conn *c = g_hash_table_lookup(g->heard, &m->to);
+	struct conn *c = g_hash_table_lookup(g->last_conns, &m->to);
 	GString *members = NULL;
 	struct msg_raft w = { .kind = m->kind,
 			      .from = m->from,
@@ -181,7 +185,7 @@
 			      .data = m->data };
 
 	if (to) {
-		struct out *o = group_out_for(g, to->addr.p);
+		struct member_conn *o = group_conn_to(g, to->addr.p);
 
 		if (o->conn && conn_is_open(o->conn))
 			c = o->conn;
@@ -227,7 +231,7 @@
 	return ss_state_restore(g->state, data);
 }
 
-/* Proposals whose fate a lost leadership leaves open. */
+/* Fails the pending proposals of a lost leadership: their outcome is open. */
 static void drop_proposals(struct group *g)
 {
 	GQueue old = g->proposals;
@@ -257,7 +261,7 @@
 	*g->n_term = ss_raft_term(g->raft);
 	*g->n_leads = leads;
 	if (leads)
-		g->lead_from = ss_raft_last(g->raft);
+		g->leader_first = ss_raft_last(g->raft);
 	else
 		drop_proposals(g);
 	log_info("role", "role=%s term=%" PRIu64 " leader=%" PRIx64,
@@ -282,8 +286,8 @@
 void group_disk_failed(struct group *g, const GError *error)
 {
 	/*
-	 * After a failed sync nobody knows what the disk holds, and trying
-	 * again may report success for pages that were dropped.
+	 * After a failed sync the content of the disk is unknown, and a retry
+	 * may report success for pages that the kernel has dropped.
 	 */
 	log_error("disk_failed", "type=%s why=\"%s\"",
 		  ss_error_name((enum ss_error)error->code), error->message);
@@ -333,7 +337,8 @@
 
 /* Messages. */
 
-static void take_raft(struct group *g, struct conn *c, const struct msg_raft *w)
+static void handle_raft(struct group *g, struct conn *c,
+			const struct msg_raft *w)
 {
 	uint64_t *id = g_memdup2(&w->from, sizeof(w->from));
 	struct ss_raft_msg m = { .kind = w->kind,
@@ -352,7 +357,7 @@
 				 .n_entries = w->entries.n,
 				 .data = w->data };
 
-	g_hash_table_replace(g->heard, id, c);
+	g_hash_table_replace(g->last_conns, id, c);
 	if (w->members.n)
 		ss_raft_decode_members(w->members, &m.members);
 	ss_raft_step(g->raft, group_now(g), &m);
@@ -365,16 +370,16 @@
 	switch (f->kind) {
 	case MSG_RAFT:
 		if (g->raft)
-			take_raft(g, c, &f->u.raft);
+			handle_raft(g, c, &f->u.raft);
 		return true;
 	case MSG_JOIN:
-		group_take_join(g, c, &f->u.join);
+		group_handle_join(g, c, &f->u.join);
 		return true;
 	case MSG_JOINED:
-		group_take_joined(g, &f->u.leader);
+		group_handle_joined(g, &f->u.leader);
 		return true;
 	case MSG_LEADER:
-		group_take_announced(g, &f->u.leader);
+		group_handle_leader(g, &f->u.leader);
 		return true;
 	default:
 		return false;
@@ -416,7 +421,7 @@
 
 	if (disk_mark(g->disk, &error))
 		return;
-	/* A mark only tells more about what is durable already. */
+	/* Nothing is lost: a mark only records that entries are durable. */
 	log_warn("mark_failed", "why=\"%s\"", error->message);
 	g_error_free(error);
 	g->append_ms = group_now(g);
@@ -430,26 +435,26 @@
 	(void)fd;
 	(void)what;
 	if (!g->raft) {
-		group_ask_to_join(g, now);
+		group_request_join(g, now);
 		return;
 	}
-	tend_conns(g);
+	connect_members(g);
 	group_announce(g, now);
 	ss_raft_tick(g->raft, now);
 	if (ss_raft_leader(g->raft))
 		g->leader_ms = now;
 	else if (now - g->leader_ms > LEADERLESS_MS)
-		group_ask_to_join(g, now);
+		group_request_join(g, now);
 	if (now - g->append_ms > MARK_AFTER_MS && !g->broken)
 		mark_log(g);
-	if (group_leads(g) && now - g->tend_ms >= TEND_MS) {
-		g->tend_ms = now;
-		group_tend(g);
+	if (group_leads(g) && now - g->repair_ms >= REPAIR_MS) {
+		g->repair_ms = now;
+		group_repair(g);
 	}
 	group_flush_soon(g);
 }
 
-/* The public face. */
+/* Public functions. */
 
 void group_change(struct group *g, struct command *c, struct change_done done)
 {
@@ -475,7 +480,7 @@
 		g_queue_push_tail(&g->proposals, p);
 		group_flush_soon(g);
 	} else {
-		/* Another member may have room on its disk. */
+		/* The disk may be full; another member's may have room. */
 		ss_raft_transfer(g->raft, group_now(g));
 		done.fn(done.arg, NULL, error);
 		g_error_free(error);
@@ -513,7 +518,7 @@
 bool group_leads(const struct group *g)
 {
 	return g->raft && ss_raft_role(g->raft) == SS_RAFT_LEADER &&
-	       ss_raft_applied(g->raft) >= g->lead_from;
+	       ss_raft_applied(g->raft) >= g->leader_first;
 }
 
 uint64_t group_id(const struct group *g)
@@ -531,7 +536,7 @@
 	return m ? m->addr.p : NULL;
 }
 
-const char *group_leader_said(const struct group *g)
+const char *group_leader_hint(const struct group *g)
 {
 	return g->raft ? group_leader_addr(g) : g->leader_hint;
 }
@@ -554,7 +559,7 @@
 		const void *msg)
 {
 	const struct ss_raft_member *to = ss_raft_member(g->raft, id);
-	struct out *o = to ? group_out_for(g, to->addr.p) : NULL;
+	struct member_conn *o = to ? group_conn_to(g, to->addr.p) : NULL;
 
 	return o && o->conn && conn_send(o->conn, kind, msg);
 }
@@ -573,7 +578,7 @@
 	return ok;
 }
 
-void group_leave(struct group *g)
+void group_transfer(struct group *g)
 {
 	if (g->raft)
 		ss_raft_transfer(g->raft, group_now(g));
@@ -597,10 +602,10 @@
 	g->state = ss_state_new();
 	g->addr = g_strdup(*d->config.advertise ? d->config.advertise :
 						  d->config.listen);
-	g->outs =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, out_free);
-	g->heard = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					 NULL);
+	g->member_conns = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+						member_conn_free);
+	g->last_conns = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					      g_free, NULL);
 	g->reads = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					 NULL);
 	g_queue_init(&g->proposals);
@@ -613,7 +618,8 @@
 	g->leader_ms = group_now(g);
 	g->disk = disk_open(&o, &g->loaded, error);
 	if (!g->disk ||
-	    !found_group(&d->config, g->addr, &g->disk, &g->loaded, error) ||
+	    !bootstrap_founders(&d->config, g->addr, &g->disk, &g->loaded,
+				error) ||
 	    (g->loaded.group && !group_start_raft(g, error))) {
 		group_free(g);
 		return NULL;
@@ -632,8 +638,8 @@
 	if (g->tick)
 		event_free(g->tick);
 	event_free(g->flush);
-	g_hash_table_unref(g->outs);
-	g_hash_table_unref(g->heard);
+	g_hash_table_unref(g->member_conns);
+	g_hash_table_unref(g->last_conns);
 	g_queue_clear_full(&g->proposals, g_free);
 	ss_raft_free(g->raft);
 	g_hash_table_unref(g->reads);
--- a/src/daemon/group.h
+++ b/src/daemon/group.h
@@ -1,6 +1,6 @@
 /*
- * The control group as one member sees it: the replicated log on its disk,
- * the connections between members, joining, and the state it makes.
+ * One member's side of the control group: the replicated log on its disk, the
+ * connections between members, joining, and the state that the log produces.
  */
 #ifndef SS_GROUP_H
 #define SS_GROUP_H
@@ -14,11 +14,12 @@
 struct group_ops {
 	/* An entry was applied. */
 	void (*applied)(void *arg, uint64_t index);
-	/* Leadership, or who has it, changed. */
+	/* This member's role or the known leader changed. */
 	void (*changed)(void *arg);
 };
 
-/* The answer to a change; error: it may or may not have been accepted. */
+/* Callback for a change. On an error, the change may or may not have been
+ * committed. */
 struct change_done {
 	void (*fn)(void *arg, const struct command_result *r,
 		   const GError *error);
@@ -34,44 +35,48 @@
 			void *arg, GError **error);
 void group_free(struct group *g);
 
-/* The address other members and processes use, once it listens. */
+/* Sets the address that other members and processes use; called once the
+ * listener is open. */
 void group_set_addr(struct group *g, const char *addr);
 
-/* A message of another control VM; true where it was one for the group. */
+/* Handles a message between control VMs; returns false if it is of another
+ * kind. */
 bool group_message(struct group *g, struct conn *c, struct frame *f);
 void group_conn_closed(struct group *g, struct conn *c);
 
 /*
- * Propose a change. Done is called later with its result, or at once with
+ * Proposes a change. Calls done later with the result, or immediately with
  * SS_ERROR_NOT_LEADER or a disk error.
  */
 void group_change(struct group *g, struct command *c, struct change_done done);
 
-/* Ask a majority whether this member still leads. */
+/* Checks with a majority that this member is still the leader. */
 void group_confirm(struct group *g, struct read_done done);
 
 const struct ss_state *group_state(const struct group *g);
 const struct ss_raft *group_raft(const struct group *g);
-/* True from when a leader's own first entry is applied. */
+/* Whether this member leads and has applied the first entry of its own term. */
 bool group_leads(const struct group *g);
 uint64_t group_id(const struct group *g);
-/* Address of the leader; NULL where nobody is known. */
+/* The leader's address; NULL if unknown. */
 const char *group_leader_addr(const struct group *g);
 
-/* The same, or who is said to lead while this VM is in no group: good enough to
- * be asked. */
-const char *group_leader_said(const struct group *g);
+/* The leader's address or, while this VM is in no group, the one that another
+ * process reported, which may be out of date. */
+const char *group_leader_hint(const struct group *g);
 
-/* Addresses of all members, struct control_addr; views until a change. */
+/* Addresses of all members, as struct control_addr; the strings are valid until
+ * the membership changes. */
 GArray *group_member_addrs(const struct group *g);
 
-/* A message to a member, this one too; false where there is no connection. */
+/* Sends a message to a member, which may be this one; returns false if there is
+ * no connection. */
 bool group_tell(struct group *g, uint64_t id, enum msg_kind kind,
 		const void *msg);
 
 bool group_remove_member(struct group *g, uint64_t id, GError **error);
 
-/* Hand over leadership before a planned stop. */
-void group_leave(struct group *g);
+/* Transfers the leadership, if held, before a planned stop. */
+void group_transfer(struct group *g);
 
 #endif
--- a/src/daemon/group_members.c
+++ b/src/daemon/group_members.c
@@ -1,60 +1,63 @@
-/* Joining a control group, and keeping it whole. */
+/* Membership of the control group: joining, announcements and repair. */
 #include "../core/repair.h"
 #include "group_int.h"
 
-/* Pause between two requests to join; an answer takes a round trip and a
- * change of members to be committed. */
-#define JOIN_MS 500
-/* The group is announced this often to addresses of the settings, and at once
- * when another leads; a new connection is looked for as often. */
+/* Interval between join requests, in ms; a reply takes a round trip and the
+ * commit of a membership change. */
+#define JOIN_INTERVAL_MS 500
+/* The group is announced to the control addresses of the settings at the first
+ * interval, in ms, and immediately when the leader changes. New leaders and
+ * connections are checked for at the second. */
 #define ANNOUNCE_MS 1000
-#define ANNOUNCE_LOOK_MS 100
+#define ANNOUNCE_CHECK_MS 100
 
-static void ask_at(struct group *g, const char *addr)
+static void request_join(struct group *g, const char *addr)
 {
 	struct msg_join m = { .id = g->loaded.id,
 			      .name = g->d->hello.name,
 			      .addr = ss_str(g->addr) };
-	struct out *o;
+	struct member_conn *o;
 
 	if (!strcmp(addr, g->addr))
 		return;
-	o = group_out_for(g, addr);
+	o = group_conn_to(g, addr);
 	if (o->conn)
 		conn_send(o->conn, MSG_JOIN, &m);
 }
 
-/* Somebody has named it: ask it now, and again with the others. */
-static void ask_leader(struct group *g, struct ss_str addr)
+/* Asks a reported leader to join now, and again with the other addresses. */
+static void request_join_leader(struct group *g, struct ss_str addr)
 {
 	g_free(g->leader_hint);
 	g->leader_hint = ss_str_dup(addr);
-	ask_at(g, g->leader_hint);
+	request_join(g, g->leader_hint);
 }
 
-void group_ask_to_join(struct group *g, int64_t now)
+void group_request_join(struct group *g, int64_t now)
 {
 	const GPtrArray *control = g->d->config.control;
 	GArray *members;
 
-	if (now - g->join_ms < JOIN_MS)
+	if (now - g->join_ms < JOIN_INTERVAL_MS)
 		return;
 	g->join_ms = now;
 	for (guint i = 0; i < control->len; i++)
-		ask_at(g, control->pdata[i]);
+		request_join(g, control->pdata[i]);
 	if (g->leader_hint)
-		ask_at(g, g->leader_hint);
+		request_join(g, g->leader_hint);
 	if (!g->raft)
 		return;
-	/* All addresses of the settings may be those of VMs long gone. */
+	/* The VMs that the settings name may all have been replaced. */
 	members = group_member_addrs(g);
 	for (guint i = 0; i < members->len; i++)
-		ask_at(g,
-		       g_array_index(members, struct control_addr, i).addr.p);
+		request_join(
+			g,
+			g_array_index(members, struct control_addr, i).addr.p);
 	g_array_unref(members);
 }
 
-void group_take_join(struct group *g, struct conn *c, const struct msg_join *m)
+void group_handle_join(struct group *g, struct conn *c,
+		       const struct msg_join *m)
 {
 	const char *leader = group_leader_addr(g);
 	struct msg_leader reply = { 0 };
@@ -63,8 +66,8 @@
 					 .addr = m->addr };
 	GError *error = NULL;
 
-	/* The one that leads may be unknown to the one that asks: only the
-	 * first control VMs stand in its settings. */
+	/* The joining VM may not know the leader: its settings name only the
+	 * first control VMs. */
 	if (!group_leads(g)) {
 		if (leader) {
 			reply.addr = ss_str(leader);
@@ -86,12 +89,12 @@
 	group_flush_soon(g);
 }
 
-void group_take_joined(struct group *g, const struct msg_leader *m)
+void group_handle_joined(struct group *g, const struct msg_leader *m)
 {
 	GError *error = NULL;
 
 	if (!m->group && m->addr.n)
-		ask_leader(g, m->addr);
+		request_join_leader(g, m->addr);
 	if (g->raft || !m->group)
 		return;
 	if (disk_set_group(g->disk, m->group, &error)) {
@@ -110,25 +113,25 @@
 			const struct msg_leader *m, int64_t now)
 {
 	uint64_t leader = ss_raft_leader(g->raft);
-	struct out *o = group_out_for(g, addr);
+	struct member_conn *o = group_conn_to(g, addr);
 
 	if (!o->conn || !conn_is_open(o->conn) ||
-	    (o->told_ms && o->told_leader == leader &&
-	     now - o->told_ms < ANNOUNCE_MS))
+	    (o->sent_ms && o->sent_leader == leader &&
+	     now - o->sent_ms < ANNOUNCE_MS))
 		return;
 	if (!conn_send(o->conn, MSG_LEADER, m))
 		return;
-	o->told_ms = now;
-	o->told_leader = leader;
+	o->sent_ms = now;
+	o->sent_leader = leader;
 }
 
 /*
- * Processes know the addresses of their settings only, and these are exchanged
- * over time, until all three are VMs that know nothing of the group: after a
- * loss of power nobody would find a group that leads. Members know one another
- * from their log and ask no address of the settings, so they tell these for as
- * long as they run; members' addresses too, where one may stand that has lost
- * its disk and knows of nobody else.
+ * Other processes know only the control addresses of their settings. The VMs
+ * there are replaced over time, until all three may be ones outside of the
+ * group; after a power loss no process would then find the group. Members know
+ * each other from the log and never query the configured addresses, so they
+ * announce the group to these as long as they run. That includes addresses of
+ * members: a VM there may have lost its disk and know no other member.
  */
 void group_announce(struct group *g, int64_t now)
 {
@@ -137,7 +140,7 @@
 	struct msg_leader m = { .group = g->loaded.group };
 	GArray *members;
 
-	if (now - g->announce_ms < ANNOUNCE_LOOK_MS)
+	if (now - g->announce_ms < ANNOUNCE_CHECK_MS)
 		return;
 	g->announce_ms = now;
 	members = group_member_addrs(g);
@@ -150,15 +153,16 @@
 	g_array_unref(members);
 }
 
-void group_take_announced(struct group *g, const struct msg_leader *m)
+void group_handle_leader(struct group *g, const struct msg_leader *m)
 {
 	if (g->raft || !m->addr.n)
 		return;
-	ask_leader(g, m->addr);
+	request_join_leader(g, m->addr);
 }
 
-/* As leader, one step at a time: promote, or drop what is lost. */
-void group_tend(struct group *g)
+/* Takes the next repair step as leader: promotes a member or removes a lost
+ * one. */
+void group_repair(struct group *g)
 {
 	const struct ss_raft_members *all = ss_raft_members(g->raft);
 	struct repair_member *m = g_new0(struct repair_member, all->n + 1);
--- a/src/daemon/lead.c
+++ b/src/daemon/lead.c
@@ -1,12 +1,13 @@
-/* What a leader knows beside the replicated state, and does by it. */
+/* The leader of replicas behind agents: connections, configuration, orders. */
 #include "lead_int.h"
 
-/* A pass at full size takes 1.8 ms; ten a second are 2 % of a core. */
+/* Planning interval in ms. A full-size pass takes 1.8 ms, so ten a second use
+ * 2 % of a core. */
 #define PLAN_EVERY_MS 100
 
 /* The configuration. */
 
-static void read_preset(struct lead *l)
+static void read_preset(struct replica_leader *l)
 {
 	const struct ss_state *s = group_state(l->g);
 	const struct preset_rec *rec = ss_state_in_force(s);
@@ -23,7 +24,7 @@
 	l->preset_version = ss_state_config_version(s);
 }
 
-static void send_config(struct lead *l, struct lead_peer *p)
+static void send_config(struct replica_leader *l, struct leader_peer *p)
 {
 	const struct ss_state *s = group_state(l->g);
 	const struct preset_rec *rec = ss_state_in_force(s);
@@ -37,7 +38,7 @@
 		p->config_sent = m.version;
 }
 
-static void push_configs(struct lead *l)
+static void push_configs(struct replica_leader *l)
 {
 	GHashTableIter it;
 	void *p;
@@ -49,7 +50,7 @@
 
 /* Orders to agents. */
 
-static void send_assign(struct lead *l, struct lead_node *n,
+static void send_assign(struct replica_leader *l, struct leader_node *n,
 			const struct node_rec *rec)
 {
 	GPtrArray *list = ss_state_node_replicas(group_state(l->g), n->name);
@@ -75,14 +76,14 @@
 	g_array_unref(orders);
 }
 
-static void push_assigns(struct lead *l)
+static void push_assigns(struct replica_leader *l)
 {
 	GHashTableIter it;
 	void *p;
 
 	g_hash_table_iter_init(&it, l->nodes);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct lead_node *n = p;
+		struct leader_node *n = p;
 		const struct node_rec *rec =
 			ss_state_node(group_state(l->g), n->name);
 
@@ -97,10 +98,10 @@
 
 static void on_confirmed(void *arg, bool ok)
 {
-	struct lead_asked *k = arg;
-	struct lead_peer *p;
+	struct leader_pending *k = arg;
+	struct leader_peer *p;
 
-	/* Not ok: the leadership has ended, and l with it. */
+	/* If not ok, the leadership has ended and l is freed. */
 	if (ok) {
 		p = g_hash_table_lookup(k->l->peers, k->conn);
 		if (p) {
@@ -112,13 +113,13 @@
 }
 
 /*
- * A process that has just started knows nothing, and would believe an old
- * leader that doesn't know of its end. So nothing is told before a
- * majority has answered this leader since the process asked.
+ * Confirms the leadership with a majority before a new connection gets the
+ * configuration: a process that has just started would otherwise accept that
+ * of a deposed leader that doesn't know about its successor.
  */
-static void confirm_for(struct lead *l, struct conn *c)
+static void confirm_for(struct replica_leader *l, struct conn *c)
 {
-	struct lead_asked *k = g_new0(struct lead_asked, 1);
+	struct leader_pending *k = g_new0(struct leader_pending, 1);
 	struct read_done done = { on_confirmed, k };
 
 	k->l = l;
@@ -128,8 +129,8 @@
 
 static void on_open(void *arg, struct conn *c)
 {
-	struct lead *l = arg;
-	struct lead_peer *p = g_new0(struct lead_peer, 1);
+	struct replica_leader *l = arg;
+	struct leader_peer *p = g_new0(struct leader_peer, 1);
 
 	p->conn = c;
 	p->entry = conn_peer(c)->role == ROLE_ENTRY;
@@ -137,101 +138,104 @@
 	confirm_for(l, c);
 }
 
-static void drop_wants(struct lead *l, struct conn *c)
+static void drop_watches(struct replica_leader *l, struct conn *c)
 {
 	GHashTableIter it;
 	void *p;
 
 	g_hash_table_iter_init(&it, l->models);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		GPtrArray *wants = ((struct lead_model *)p)->wants;
+		GPtrArray *watches = ((struct leader_model *)p)->watches;
 
-		for (guint i = wants->len; i-- > 0;)
-			if (((struct lead_want *)wants->pdata[i])->conn == c)
-				g_ptr_array_remove_index_fast(wants, i);
+		for (guint i = watches->len; i-- > 0;)
+			if (((struct leader_watch *)watches->pdata[i])->conn ==
+			    c)
+				g_ptr_array_remove_index_fast(watches, i);
 	}
 }
 
 static void on_closed(void *arg, struct conn *c)
 {
-	struct lead *l = arg;
+	struct replica_leader *l = arg;
 	GHashTableIter it;
 	void *p;
 
 	if (!g_hash_table_remove(l->peers, c))
 		return;
-	drop_wants(l, c);
+	drop_watches(l, c);
 	g_hash_table_iter_init(&it, l->nodes);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct lead_node *n = p;
+		struct leader_node *n = p;
 
 		if (n->conn != c)
 			continue;
 		n->conn = NULL;
 		n->registered = false;
-		n->down_ms = lead_now(l);
+		n->down_ms = leader_now(l);
 	}
 	l->dirty = true;
 }
 
 /* Entries. */
 
-static struct lead_want *want_for(struct lead_model *m, struct conn *c)
+static struct leader_watch *watch_for(struct leader_model *m, struct conn *c)
 {
-	struct lead_want *w;
+	struct leader_watch *w;
 
-	for (guint i = 0; i < m->wants->len; i++)
-		if (((struct lead_want *)m->wants->pdata[i])->conn == c)
-			return m->wants->pdata[i];
-	w = g_new0(struct lead_want, 1);
+	for (guint i = 0; i < m->watches->len; i++)
+		if (((struct leader_watch *)m->watches->pdata[i])->conn == c)
+			return m->watches->pdata[i];
+	w = g_new0(struct leader_watch, 1);
 	w->conn = c;
 	w->sent = g_string_new(NULL);
-	g_ptr_array_add(m->wants, w);
+	g_ptr_array_add(m->watches, w);
 	return w;
 }
 
-static void count_arrivals(struct lead *l, struct lead_model *m, uint64_t n)
+static void count_arrivals(struct replica_leader *l, struct leader_model *m,
+			   uint64_t n)
 {
-	if (n == 0 || m->name[0] == '/' || !lead_resolve(l, m->name))
+	if (n == 0 || m->name[0] == '/' || !leader_resolve(l, m->name))
 		return;
 	if (!m->arrivals)
 		m->arrivals = g_new0(struct ss_arrivals, 1);
 	ss_arrivals_add(m->arrivals, &l->all, ss_wall_now());
 }
 
-static void take_watch(struct lead *l, struct conn *c,
-		       const struct msg_watch *m)
+static void handle_watch(struct replica_leader *l, struct conn *c,
+			 const struct msg_watch *m)
 {
 	char *name = ss_str_dup(m->model);
-	struct lead_model *model = lead_model_for(l, name);
-	struct lead_want *w = want_for(model, c);
-	int64_t now = lead_now(l);
+	struct leader_model *model = leader_model_for(l, name);
+	struct leader_watch *w = watch_for(model, c);
+	int64_t now = leader_now(l);
 
 	g_free(name);
 	count_arrivals(l, model, m->arrivals);
 	if (m->done) {
-		g_ptr_array_remove_fast(model->wants, w);
+		g_ptr_array_remove_fast(model->watches, w);
 		return;
 	}
 	w->waiting = m->waiting;
 	w->priority = (int)CLAMP(m->priority, 0, 7);
 	w->deadline_ms = now + m->deadline_ms;
 	w->at_ms = now;
-	/* Decide first, so that the answer carries the wake time. */
+	/* Plan first, so that the reply carries the estimated load time. */
 	if (w->waiting)
-		lead_plan(l, now);
-	lead_push_route(l, model, w);
+		leader_plan(l, now);
+	leader_push_route(l, model, w);
 }
 
-static void take_ack(struct lead *l, struct conn *c, const struct msg_config *m)
+static void handle_ack(struct replica_leader *l, struct conn *c,
+		       const struct msg_config *m)
 {
-	struct lead_peer *p = g_hash_table_lookup(l->peers, c);
+	struct leader_peer *p = g_hash_table_lookup(l->peers, c);
 
 	if (p)
 		p->config = m->version;
 }
 
-static void send_models(struct lead *l, struct conn *c, uint64_t sub)
+static void send_models(struct replica_leader *l, struct conn *c, uint64_t sub)
 {
 	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct model_name));
 	struct msg_model_list m = { .sub = sub };
@@ -252,23 +256,23 @@
 
 static void on_message(void *arg, struct conn *c, struct frame *f)
 {
-	struct lead *l = arg;
+	struct replica_leader *l = arg;
 
 	switch (f->kind) {
 	case MSG_REGISTER:
-		lead_take_register(l, c, &f->u.reg);
+		leader_handle_register(l, c, &f->u.reg);
 		break;
 	case MSG_REPORT:
-		lead_take_report(l, c, &f->u.report);
+		leader_handle_report(l, c, &f->u.report);
 		break;
 	case MSG_WATCH:
-		take_watch(l, c, &f->u.watch);
+		handle_watch(l, c, &f->u.watch);
 		break;
 	case MSG_CLAIM:
-		lead_claim(l, c, &f->u.claim);
+		leader_handle_claim(l, c, &f->u.claim);
 		break;
 	case MSG_ACK:
-		take_ack(l, c, &f->u.config);
+		handle_ack(l, c, &f->u.config);
 		break;
 	case MSG_MODELS:
 		send_models(l, c, f->u.models.sub);
@@ -278,46 +282,46 @@
 	}
 }
 
-/* Time. */
+/* Periodic work. */
 
 static void on_applied(void *arg)
 {
-	struct lead *l = arg;
+	struct replica_leader *l = arg;
 
 	l->dirty = true;
 }
 
 static void on_tick(void *arg)
 {
-	struct lead *l = arg;
-	int64_t now = lead_now(l);
+	struct replica_leader *l = arg;
+	int64_t now = leader_now(l);
 
 	read_preset(l);
 	if (l->dirty || now - l->plan_ms >= PLAN_EVERY_MS) {
 		l->plan_ms = now;
-		lead_plan(l, now);
+		leader_plan(l, now);
 	}
 	if (!l->dirty && now % PLAN_EVERY_MS)
 		return;
 	l->dirty = false;
 	push_configs(l);
 	push_assigns(l);
-	lead_push_routes(l);
+	leader_push_routes(l);
 }
 
 static void *begin(struct daemon *d, struct group *g, struct routing *r,
 		   struct stream_log *streams)
 {
 	(void)streams;
-	struct lead *l = g_new0(struct lead, 1);
+	struct replica_leader *l = g_new0(struct replica_leader, 1);
 	struct metrics *m = d->metrics;
 
 	(void)r;
 	l->d = d;
 	l->g = g;
-	l->since_ms = lead_now(l);
+	l->since_ms = leader_now(l);
 	l->peers = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	lead_tables_init(l);
+	leader_tables_init(l);
 	pacer_init(&l->pacer, l->since_ms);
 	l->n_loads = metrics_value(m, "ss_lead_loads_total", "");
 	l->n_unloads = metrics_value(m, "ss_lead_unloads_total", "");
@@ -331,14 +335,15 @@
 
 static void end(void *arg)
 {
-	struct lead *l = arg;
+	struct replica_leader *l = arg;
 
 	g_hash_table_unref(l->peers);
-	lead_tables_clear(l);
+	leader_tables_clear(l);
 	preset_clear(&l->preset);
 	g_free(l);
 }
 
-const struct leader_ops lead_ops = { begin,	end,	    on_open,
-				     on_closed, on_message, on_applied,
-				     on_tick,	lead_status };
+const struct leader_ops replica_leader_ops = { begin,	   end,
+					       on_open,	   on_closed,
+					       on_message, on_applied,
+					       on_tick,	   leader_status };
--- a/src/daemon/lead.h
+++ b/src/daemon/lead.h
@@ -1,22 +1,24 @@
 /*
- * What a leader knows beside the replicated state, and does by it: who is
- * connected, who waits for what, what to load and unload, what to tell
- * whom. It starts empty with each leadership and fills within seconds.
+ * The leader of replicas behind agents. Its state beside the replicated one
+ * holds connected processes and the requests that wait; from these it decides
+ * what to load and unload and sends orders and routes. It starts empty with
+ * each leadership and is rebuilt from reports within seconds.
  */
 #ifndef SS_LEAD_H
 #define SS_LEAD_H
 
 #include "leader.h"
 
-struct lead;
+struct replica_leader;
 struct vm;
 
-extern const struct leader_ops lead_ops;
+extern const struct leader_ops replica_leader_ops;
 
-/* The newest list of VMs. */
-void lead_vms(struct lead *l, const struct vm *vms, size_t n);
+/* Applies the latest list of VMs from the platform. */
+void leader_set_vms(struct replica_leader *l, const struct vm *vms, size_t n);
 
-/* Why a model stands where it stands; free it with json_object_put(). */
-struct json_object *lead_why(struct lead *l, const char *model);
+/* Explains the placement of a model; NULL if unknown. The caller frees it with
+ * json_object_put(). */
+struct json_object *leader_explain(struct replica_leader *l, const char *model);
 
 #endif
--- a/src/daemon/lead_claim.c
+++ b/src/daemon/lead_claim.c
@@ -1,14 +1,14 @@
-/* Claims of calls that may run at most once, over all entries. */
+/* Claims of at-most-once calls, which are unique across all entries. */
 #include "lead_int.h"
 
 struct claim {
-	struct lead *l;
+	struct replica_leader *l;
 	struct conn *conn;
 	uint64_t sub;
-	uint64_t lead_since;
+	uint64_t leader_since;
 };
 
-static void answer(struct claim *k, const struct command_result *r)
+static void send_result(struct claim *k, const struct command_result *r)
 {
 	const struct node_rec *n;
 	struct msg_claimed m = { .sub = k->sub,
@@ -33,15 +33,16 @@
 	struct claim *k = arg;
 
 	/*
-	 * Without a result the entry asks again, the new leader perhaps; a
-	 * claim that was accepted after all is then found to be its own.
+	 * Without a result the entry retries, possibly at a new leader; if the
+	 * claim was committed after all, it is recognized as the entry's own.
 	 */
 	if (!error && g_hash_table_contains(k->l->peers, k->conn))
-		answer(k, r);
+		send_result(k, r);
 	g_free(k);
 }
 
-void lead_claim(struct lead *l, struct conn *c, const struct msg_claim *m)
+void leader_handle_claim(struct replica_leader *l, struct conn *c,
+			 const struct msg_claim *m)
 {
 	struct claim *k = g_new0(struct claim, 1);
 	struct claim_rec rec = { .key = m->key,
--- a/src/daemon/lead_int.h
+++ b/src/daemon/lead_int.h
@@ -1,132 +1,138 @@
-/* The leader's own tables; only for the files of that part. */
+/* Internal state of the leader of replicas; only its own files
+ * include this. */
 #ifndef SS_LEAD_INT_H
 #define SS_LEAD_INT_H
 
 #include "../core/plan.h"
 #include "lead.h"
 
-/* A node that can't be heard for so long gets no new calls. */
-#define LEAD_NODE_LOST_MS 1500
-/* So long a new leader takes the state's word for what nodes hold. */
-#define LEAD_GRACE_MS 4000
-/* What an entry said of its queue holds for so long. */
-#define LEAD_WANT_MS 3000
+/* A node that is disconnected for this long gets no new calls, in ms. */
+#define LEADER_NODE_LOST_MS 1500
+/* Time during which a new leader treats unconnected nodes as usable, in ms. */
+#define LEADER_GRACE_MS 4000
+/* Validity of the queue length that an entry reported, in ms. */
+#define LEADER_WATCH_MS 3000
 
-struct lead_held {
+struct leader_held {
 	uint64_t replica;
 	int64_t state; /* enum held_state */
 	uint64_t active, served;
 	int64_t idle_ms;
 };
 
-struct lead_node {
+struct leader_node {
 	char *name;
 	struct conn *conn;
-	int64_t down_ms; /* since when it isn't connected */
+	int64_t down_ms; /* time of disconnection */
 	bool reported;
 	int64_t report_ms;
 	uint64_t incarnation;
-	GArray *held;	    /* struct lead_held */
+	GArray *held;	    /* struct leader_held */
 	GHashTable *cached; /* model -> tier */
-	bool draining;	    /* says so itself: a planned stop */
+	bool draining;	    /* reported by the agent: a planned stop */
 	uint64_t fence_sent;
-	bool registered;     /* on this connection, and committed */
-	bool listed;	     /* was in the VM list once */
-	int64_t unlisted_ms; /* since when it isn't; SS_NEVER while it is */
+	bool registered;     /* committed, for this connection */
+	bool listed;	     /* has been on the VM list */
+	int64_t unlisted_ms; /* when it left it; SS_NEVER if listed */
 	uint64_t config;
 };
 
 /* One entry's interest in one model. */
-struct lead_want {
+struct leader_watch {
 	struct conn *conn;
 	uint64_t waiting;
 	int64_t deadline_ms; /* on the clock */
 	int priority;
 	int64_t at_ms;
-	GString *sent; /* the route it was sent last */
+	GString *sent; /* signature of the route sent last */
 };
 
-struct lead_model {
-	char *name; /* as entries ask for it */
-	GPtrArray *wants;
+struct leader_model {
+	char *name; /* as requested by entries */
+	GPtrArray *watches;
 	struct ss_arrivals *arrivals;
-	int64_t load_ms; /* measured last */
+	int64_t load_ms; /* last load */
 	int64_t eta_ms;	 /* on the clock; SS_NEVER: unknown */
-	const char *why; /* of the planner's last word */
-	const char *why_gone;
-	int64_t gone_ms;
-	bool ahead; /* history expects it soon */
+	const char *why; /* reason of the planner's last result */
+	const char *unload_why;
+	int64_t unload_ms;
+	bool expected; /* arrival history predicts a request */
 };
 
-struct lead_peer {
+struct leader_peer {
 	struct conn *conn;
 	bool entry;
-	uint64_t config_sent, config; /* sent, and confirmed in force */
-	bool confirmed;		      /* may be told the configuration */
+	uint64_t config_sent, config; /* sent, and acknowledged */
+	bool confirmed;		      /* may get the configuration */
 };
 
-struct lead {
+struct replica_leader {
 	struct daemon *d;
 	struct group *g;
-	GHashTable *peers;  /* conn -> struct lead_peer */
-	GHashTable *nodes;  /* name -> struct lead_node */
-	GHashTable *models; /* name -> struct lead_model */
+	GHashTable *peers;  /* conn -> struct leader_peer */
+	GHashTable *nodes;  /* name -> struct leader_node */
+	GHashTable *models; /* name -> struct leader_model */
 	struct pacer pacer;
 	struct ss_arrivals all;
 	struct preset preset;
 	uint64_t preset_version;
-	int64_t since_ms; /* of the leadership */
-	int64_t plan_ms, ahead_ms;
-	unsigned int open_decisions; /* proposed and not applied yet */
+	int64_t since_ms; /* start of the leadership */
+	int64_t plan_ms, predict_ms;
+	unsigned int open_decisions; /* proposed, not applied */
 	bool dirty;
 	uint64_t *n_loads, *n_unloads, *n_claims, *n_plans, *n_replicas;
 	struct hist *load_hist;
 };
 
-/* Who waits for an answer of the group. */
-struct lead_asked {
-	struct lead *l;
-	struct conn *conn; /* NULL where none waits */
+/* Context of a pending change or read of the group. */
+struct leader_pending {
+	struct replica_leader *l;
+	struct conn *conn; /* NULL: no connection waits */
 };
 
-static inline int64_t lead_now(const struct lead *l)
+static inline int64_t leader_now(const struct replica_leader *l)
 {
 	return ss_clock_now(&l->d->clock);
 }
 
-/* lead_table.c: it calls none of the other files. */
-void lead_tables_init(struct lead *l);
-void lead_tables_clear(struct lead *l);
+/* lead_table.c, which calls none of the other files. */
+void leader_tables_init(struct replica_leader *l);
+void leader_tables_clear(struct replica_leader *l);
 /*
- * Whether the leadership that proposed a change goes on, so that its
- * tables may still be used in the answer.
+ * Whether the leadership that proposed a change continues, given the change's
+ * error. Otherwise its state is freed and the callback must not use it.
  */
-bool lead_still(const GError *error);
+bool leader_still_valid(const GError *error);
 
-struct lead_node *lead_node_for(struct lead *l, const char *name);
-struct lead_model *lead_model_for(struct lead *l, const char *name);
-/* Whether calls may be sent to a node; its state's record given. */
-bool lead_node_usable(const struct lead *l, const struct node_rec *rec);
-/* What a node reported of a replica; NULL where it said nothing. */
-const struct lead_held *lead_held_of(const struct lead *l,
-				     const struct replica_rec *r);
-/* The record that a name means: itself, or "base:adapter". */
-const struct model_rec *lead_resolve(const struct lead *l, const char *name);
+struct leader_node *leader_node_for(struct replica_leader *l, const char *name);
+struct leader_model *leader_model_for(struct replica_leader *l,
+				      const char *name);
+/* Whether calls may be sent to the node of this record. */
+bool leader_node_usable(const struct replica_leader *l,
+			const struct node_rec *rec);
+/* A replica as its node reported it; NULL if it isn't in the report. */
+const struct leader_held *leader_held_of(const struct replica_leader *l,
+					 const struct replica_rec *r);
+/* Finds the model of a name: a model's own, or "base:adapter". */
+const struct model_rec *leader_resolve(const struct replica_leader *l,
+				       const char *name);
 
 /* lead_nodes.c */
-void lead_take_register(struct lead *l, struct conn *c,
-			const struct msg_register *m);
-void lead_take_report(struct lead *l, struct conn *c,
-		      const struct msg_report *m);
+void leader_handle_register(struct replica_leader *l, struct conn *c,
+			    const struct msg_register *m);
+void leader_handle_report(struct replica_leader *l, struct conn *c,
+			  const struct msg_report *m);
 /* lead_plan.c */
-void lead_plan(struct lead *l, int64_t now);
+void leader_plan(struct replica_leader *l, int64_t now);
 /* lead_route.c */
-void lead_push_routes(struct lead *l);
-void lead_push_route(struct lead *l, struct lead_model *m, struct lead_want *w);
+void leader_push_routes(struct replica_leader *l);
+void leader_push_route(struct replica_leader *l, struct leader_model *m,
+		       struct leader_watch *w);
 /* lead_claim.c */
-void lead_claim(struct lead *l, struct conn *c, const struct msg_claim *m);
+void leader_handle_claim(struct replica_leader *l, struct conn *c,
+			 const struct msg_claim *m);
 
-/* lead_status.c; for the table of the leader. */
-void lead_status(void *lead, struct json_object *o);
+/* lead_status.c; the status function of leader_ops. */
+void leader_status(void *leader, struct json_object *o);
 
 #endif
--- a/src/daemon/lead_nodes.c
+++ b/src/daemon/lead_nodes.c
@@ -1,15 +1,15 @@
-/* What agents and the platform's list tell a leader of nodes. */
+/* Updates of nodes from their agents' reports and the platform's VM list. */
 #include "lead_int.h"
 
 #include "../vmlist/vms.h"
 
-/* A VM that the platform no longer lists, and that can't be heard, is
- * given up after so long. Until then its memory stays counted. */
-#define GONE_AFTER_MS 5000
+/* A VM that is neither listed by the platform nor connected is removed after
+ * this time, in ms. Until then its memory stays reserved. */
+#define REMOVE_AFTER_MS 5000
 
 /* Agents. */
 
-static void take_cached(struct lead_node *n, const struct wire_list *list)
+static void set_cached(struct leader_node *n, const struct wire_list *list)
 {
 	const struct cached *c = list->items;
 
@@ -21,37 +21,37 @@
 				    GINT_TO_POINTER((int)c[i].tier));
 }
 
-static void take_held(struct lead *l, struct lead_node *n,
-		      const struct wire_list *list)
+static void set_held(struct replica_leader *l, struct leader_node *n,
+		     const struct wire_list *list)
 {
 	const struct held *h = list->items;
 
 	g_array_set_size(n->held, 0);
 	for (size_t i = 0; i < list->n; i++) {
-		struct lead_held x = { .replica = h[i].replica,
-				       .state = h[i].state,
-				       .active = h[i].active,
-				       .served = h[i].served,
-				       .idle_ms = h[i].idle_ms };
+		struct leader_held x = { .replica = h[i].replica,
+					 .state = h[i].state,
+					 .active = h[i].active,
+					 .served = h[i].served,
+					 .idle_ms = h[i].idle_ms };
 
 		if (x.replica)
 			g_array_append_val(n->held, x);
 	}
 	n->reported = true;
-	n->report_ms = lead_now(l);
+	n->report_ms = leader_now(l);
 }
 
 static void on_registered(void *arg, const struct command_result *r,
 			  const GError *error)
 {
-	struct lead_asked *k = arg;
-	struct lead_node *n;
+	struct leader_pending *k = arg;
+	struct leader_node *n;
 	char *name;
 
 	if (!error && r->code == 0 &&
 	    g_hash_table_contains(k->l->peers, k->conn)) {
 		name = ss_str_dup(conn_peer(k->conn)->name);
-		n = lead_node_for(k->l, name);
+		n = leader_node_for(k->l, name);
 		g_free(name);
 		if (n->conn == k->conn)
 			n->registered = true;
@@ -60,11 +60,11 @@
 	g_free(k);
 }
 
-void lead_take_register(struct lead *l, struct conn *c,
-			const struct msg_register *m)
+void leader_handle_register(struct replica_leader *l, struct conn *c,
+			    const struct msg_register *m)
 {
 	char *name = ss_str_dup(m->name);
-	struct lead_node *n = lead_node_for(l, name);
+	struct leader_node *n = leader_node_for(l, name);
 	const struct node_rec *old = ss_state_node(group_state(l->g), name);
 	struct node_rec rec = { .name = m->name,
 				.pool = m->pool,
@@ -75,7 +75,7 @@
 				.bytes = m->bytes,
 				.slots = m->slots };
 	struct command cmd = { .kind = COMMAND_NODE_PUT, .node = &rec };
-	struct lead_asked *k = g_new0(struct lead_asked, 1);
+	struct leader_pending *k = g_new0(struct leader_pending, 1);
 	struct change_done done = { on_registered, k };
 	bool same = old && old->incarnation == m->incarnation &&
 		    ss_str_eq(old->addr, m->addr) &&
@@ -88,14 +88,15 @@
 	n->registered = false;
 	n->fence_sent = 0;
 	n->draining = false;
-	take_held(l, n, &m->held);
-	/* The held list has no replica ids yet; the first report has. */
+	set_held(l, n, &m->held);
+	/* Replica ids come only with the first report, not in this list. */
 	n->reported = false;
-	take_cached(n, &m->cached);
+	set_cached(n, &m->cached);
 	k->l = l;
 	k->conn = c;
 	if (same) {
-		/* Known already: a majority's word comes from the confirm. */
+		/* Nothing to commit; the read of confirm_for() checks with a
+		 * majority. */
 		struct command_result ok = { 0 };
 
 		on_registered(k, &ok, NULL);
@@ -109,32 +110,32 @@
 static void on_state(void *arg, const struct command_result *r,
 		     const GError *error)
 {
-	struct lead_asked *k = arg;
+	struct leader_pending *k = arg;
 
 	(void)r;
-	if (lead_still(error))
+	if (leader_still_valid(error))
 		k->l->open_decisions--;
 	g_free(k);
 }
 
-static void propose_state(struct lead *l, uint64_t id, int64_t state,
+static void propose_state(struct replica_leader *l, uint64_t id, int64_t state,
 			  int64_t load_ms)
 {
 	struct replica_rec rec = { .id = id,
 				   .state = state,
 				   .load_ms = load_ms };
 	struct command c = { .kind = COMMAND_REPLICA_STATE, .replica = &rec };
-	struct lead_asked *k = g_new0(struct lead_asked, 1);
+	struct leader_pending *k = g_new0(struct leader_pending, 1);
 
 	k->l = l;
 	l->open_decisions++;
 	group_change(l->g, &c, (struct change_done){ on_state, k });
 }
 
-static void note_load(struct lead *l, const struct replica_rec *r,
-		      int64_t load_ms)
+static void record_load(struct replica_leader *l, const struct replica_rec *r,
+			int64_t load_ms)
 {
-	struct lead_model *m = lead_model_for(l, r->model.p);
+	struct leader_model *m = leader_model_for(l, r->model.p);
 
 	if (load_ms <= 0)
 		return;
@@ -143,8 +144,8 @@
 	pacer_loaded(&l->pacer, r->bytes, load_ms);
 }
 
-/* What an agent holds, against what the state says of it. */
-static void compare_held(struct lead *l, const struct held *h)
+/* Proposes a replica's new state if the agent's report is ahead of it. */
+static void compare_held(struct replica_leader *l, const struct held *h)
 {
 	const struct replica_rec *r =
 		ss_state_replica(group_state(l->g), h->replica);
@@ -152,25 +153,25 @@
 	if (!r)
 		return;
 	if (h->state == HELD_READY && r->state == REPLICA_LOADING) {
-		note_load(l, r, h->load_ms);
+		record_load(l, r, h->load_ms);
 		propose_state(l, r->id, REPLICA_READY, h->load_ms);
 	} else if (h->state == HELD_GONE && r->state == REPLICA_UNLOADING) {
 		propose_state(l, r->id, REPLICA_GONE, 0);
 	}
 }
 
-void lead_take_report(struct lead *l, struct conn *c,
-		      const struct msg_report *m)
+void leader_handle_report(struct replica_leader *l, struct conn *c,
+			  const struct msg_report *m)
 {
 	char *name = ss_str_dup(conn_peer(c)->name);
-	struct lead_node *n = lead_node_for(l, name);
+	struct leader_node *n = leader_node_for(l, name);
 	const struct held *h = m->held.items;
 
 	g_free(name);
 	if (n->conn != c || n->incarnation != m->incarnation)
 		return;
-	take_held(l, n, &m->held);
-	take_cached(n, &m->cached);
+	set_held(l, n, &m->held);
+	set_cached(n, &m->cached);
 	n->draining = m->draining;
 	for (size_t i = 0; i < m->held.n; i++)
 		if (h[i].replica)
@@ -178,15 +179,16 @@
 	l->dirty = true;
 }
 
-/* The platform's list. */
+/* The platform's VM list. */
 
-static void set_node(struct lead *l, const struct node_rec *rec, int64_t state)
+static void set_node(struct replica_leader *l, const struct node_rec *rec,
+		     int64_t state)
 {
 	struct node_rec want = { .name = rec->name,
 				 .state = state,
 				 .incarnation = rec->incarnation };
 	struct command c = { .kind = COMMAND_NODE_STATE, .node = &want };
-	struct lead_asked *k = g_new0(struct lead_asked, 1);
+	struct leader_pending *k = g_new0(struct leader_pending, 1);
 
 	log_info("node_state", "node=%s state=%" PRId64, rec->name.p, state);
 	k->l = l;
@@ -203,11 +205,11 @@
 	return NULL;
 }
 
-static void check_vm(struct lead *l, const struct node_rec *rec,
+static void check_vm(struct replica_leader *l, const struct node_rec *rec,
 		     const struct vm *vm)
 {
-	struct lead_node *n = lead_node_for(l, rec->name.p);
-	int64_t now = lead_now(l);
+	struct leader_node *n = leader_node_for(l, rec->name.p);
+	int64_t now = leader_now(l);
 
 	if (vm) {
 		n->listed = true;
@@ -219,16 +221,16 @@
 	if (n->unlisted_ms == SS_NEVER)
 		n->unlisted_ms = now;
 	/*
-	 * The list lags, so a new VM may not be on it yet; and one that is
-	 * heard exists, whatever the list says.
+	 * The list lags, so a new VM may not be on it yet, and a connected VM
+	 * exists even if it isn't listed.
 	 */
-	if (n->conn || now - n->down_ms < GONE_AFTER_MS ||
-	    now - n->unlisted_ms < GONE_AFTER_MS)
+	if (n->conn || now - n->down_ms < REMOVE_AFTER_MS ||
+	    now - n->unlisted_ms < REMOVE_AFTER_MS)
 		return;
 	set_node(l, rec, NODE_GONE);
 }
 
-void lead_vms(struct lead *l, const struct vm *vms, size_t n)
+void leader_set_vms(struct replica_leader *l, const struct vm *vms, size_t n)
 {
 	GList *all = g_hash_table_get_values(ss_state_nodes(group_state(l->g)));
 
--- a/src/daemon/lead_plan.c
+++ b/src/daemon/lead_plan.c
@@ -1,14 +1,14 @@
-/* Building the planner's view, and proposing what it decides. */
+/* Runs the planner: builds its view and proposes its decisions. */
 #include "lead_int.h"
 
-/* Models are looked through for waking ahead this often, in ms: short against
- * the 15 minutes that histories are kept by. */
-#define AHEAD_EVERY_MS 10000
-/* Nobody waits: as much slack as the longest deadline, in ms. */
+/* Interval at which models are checked for preloading, in ms: short against the
+ * 15 minute slots of the arrival histories. */
+#define PRELOAD_EVERY_MS 10000
+/* Slack of a model without waiting requests, in ms: the longest deadline. */
 #define PLAN_SLACK_NONE (24 * 3600 * 1000LL)
 
 struct view {
-	struct lead *l;
+	struct replica_leader *l;
 	struct plan_view v;
 	GArray *nodes, *replicas, *demands;
 	GHashTable *index; /* node name -> index + 1 */
@@ -18,7 +18,7 @@
 static enum ss_tier tier_of(void *arg, const char *model, const char *node)
 {
 	const struct view *w = arg;
-	const struct lead_node *n = g_hash_table_lookup(w->l->nodes, node);
+	const struct leader_node *n = g_hash_table_lookup(w->l->nodes, node);
 
 	if (!n)
 		return TIER_REMOTE;
@@ -29,7 +29,7 @@
 static const struct ss_arrivals *arrivals_of(void *arg, const char *model)
 {
 	const struct view *w = arg;
-	const struct lead_model *m = g_hash_table_lookup(w->l->models, model);
+	const struct leader_model *m = g_hash_table_lookup(w->l->models, model);
 
 	return m ? m->arrivals : NULL;
 }
@@ -54,7 +54,7 @@
 
 		if (rec->kind != NODE_ENGINE)
 			continue;
-		n.usable = lead_node_usable(w->l, rec);
+		n.usable = leader_node_usable(w->l, rec);
 		g_array_append_val(w->nodes, n);
 		g_hash_table_insert(w->index, (char *)rec->name.p,
 				    GINT_TO_POINTER((int)w->nodes->len));
@@ -71,8 +71,8 @@
 	g_hash_table_iter_init(&it, ss_state_replicas(s));
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct replica_rec *rec = p;
-		const struct lead_held *h = lead_held_of(w->l, rec);
-		const struct lead_node *n =
+		const struct leader_held *h = leader_held_of(w->l, rec);
+		const struct leader_node *n =
 			g_hash_table_lookup(w->l->nodes, rec->node.p);
 		struct plan_replica r = { .id = rec->id,
 					  .model = rec->model.p,
@@ -87,7 +87,7 @@
 		if (at == 0)
 			continue;
 		r.node = at - 1;
-		/* Unheard of, it isn't idle: nobody knows. */
+		/* Without a report it doesn't count as idle. */
 		if (h) {
 			r.active = h->active;
 			r.failed = h->state == HELD_FAILED;
@@ -102,14 +102,14 @@
 	}
 }
 
-static void sum_wants(const struct lead_model *m, int64_t now,
-		      struct plan_demand *d)
+static void sum_watches(const struct leader_model *m, int64_t now,
+			struct plan_demand *d)
 {
 	d->slack_ms = PLAN_SLACK_NONE;
-	for (guint i = 0; i < m->wants->len; i++) {
-		const struct lead_want *w = m->wants->pdata[i];
+	for (guint i = 0; i < m->watches->len; i++) {
+		const struct leader_watch *w = m->watches->pdata[i];
 
-		if (w->waiting == 0 || now - w->at_ms > LEAD_WANT_MS)
+		if (w->waiting == 0 || now - w->at_ms > LEADER_WATCH_MS)
 			continue;
 		d->waiting += w->waiting;
 		d->priority = MAX(d->priority, w->priority);
@@ -129,11 +129,11 @@
 	g_array_append_val(w->demands, d);
 }
 
-/* An adapter's demand is one for its base as well. */
-static void add_demand(struct view *w, const struct lead_model *m,
+/* Adds the demand of a model, and for an adapter also that of its base. */
+static void add_demand(struct view *w, const struct leader_model *m,
 		       const struct plan_demand *of)
 {
-	const struct model_rec *rec = lead_resolve(w->l, m->name);
+	const struct model_rec *rec = leader_resolve(w->l, m->name);
 	const struct model_rec *base;
 
 	if (!rec)
@@ -153,12 +153,12 @@
 
 	g_hash_table_iter_init(&it, w->l->models);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct lead_model *m = p;
+		struct leader_model *m = p;
 		struct plan_demand d = { .eta_ms = -1 };
 
-		sum_wants(m, w->now, &d);
+		sum_watches(m, w->now, &d);
 		if (d.waiting == 0) {
-			if (!m->ahead)
+			if (!m->expected)
 				continue;
 			d.preload = true;
 		}
@@ -166,10 +166,10 @@
 	}
 }
 
-/* Effects. */
+/* Decisions. */
 
 struct decision {
-	struct lead *l;
+	struct replica_leader *l;
 	uint64_t id;
 };
 
@@ -178,7 +178,7 @@
 {
 	struct decision *k = arg;
 
-	if (lead_still(error)) {
+	if (leader_still_valid(error)) {
 		k->l->open_decisions--;
 		k->l->dirty = true;
 	}
@@ -187,7 +187,7 @@
 	g_free(k);
 }
 
-static struct change_done decided(struct lead *l)
+static struct change_done new_decision(struct replica_leader *l)
 {
 	struct decision *k = g_new0(struct decision, 1);
 
@@ -212,7 +212,7 @@
 	(*w->l->n_loads)++;
 	log_info("decide_load", "model=%s node=%s waiting=%" PRIu64 " ahead=%d",
 		 d->model, n->name, d->waiting, d->preload);
-	group_change(w->l->g, &c, decided(w->l));
+	group_change(w->l->g, &c, new_decision(w->l));
 }
 
 static void decide_unload(void *arg, const struct plan_replica *r,
@@ -221,19 +221,19 @@
 	struct view *w = arg;
 	struct replica_rec rec = { .id = r->id, .state = REPLICA_UNLOADING };
 	struct command c = { .kind = COMMAND_REPLICA_STATE, .replica = &rec };
-	struct lead_model *m = lead_model_for(w->l, r->model);
+	struct leader_model *m = leader_model_for(w->l, r->model);
 
 	(*w->l->n_unloads)++;
-	m->why_gone = why;
-	m->gone_ms = w->now;
+	m->unload_why = why;
+	m->unload_ms = w->now;
 	log_info("decide_unload", "model=%s replica=%" PRIu64 " why=\"%s\"",
 		 r->model, r->id, why);
-	group_change(w->l->g, &c, decided(w->l));
+	group_change(w->l->g, &c, new_decision(w->l));
 }
 
 static const struct plan_ops plan_table = { decide_load, decide_unload };
 
-static void take_words(struct view *w)
+static void copy_results(struct view *w)
 {
 	for (guint i = 0; i < w->demands->len; i++) {
 		const struct plan_demand *d =
@@ -243,10 +243,11 @@
 
 		g_hash_table_iter_init(&it, w->l->models);
 		while (g_hash_table_iter_next(&it, NULL, &p)) {
-			struct lead_model *m = p;
+			struct leader_model *m = p;
 			const struct model_rec *rec =
-				m->wants->len ? lead_resolve(w->l, m->name) :
-						NULL;
+				m->watches->len ?
+					leader_resolve(w->l, m->name) :
+					NULL;
 
 			if (!rec || strcmp(rec->name.p, d->model))
 				continue;
@@ -257,23 +258,23 @@
 	}
 }
 
-/* Which models history expects soon; a walk now and then is enough. */
-static void look_ahead(struct view *w)
+/* Updates which models the arrival history predicts a request for. */
+static void predict_demand(struct view *w)
 {
-	struct lead *l = w->l;
+	struct replica_leader *l = w->l;
 	GHashTableIter it;
 	void *p;
 
-	if (w->now - l->ahead_ms < AHEAD_EVERY_MS)
+	if (w->now - l->predict_ms < PRELOAD_EVERY_MS)
 		return;
-	l->ahead_ms = w->now;
+	l->predict_ms = w->now;
 	g_hash_table_iter_init(&it, l->models);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct lead_model *m = p;
-		const struct model_rec *rec = lead_resolve(l, m->name);
+		struct leader_model *m = p;
+		const struct model_rec *rec = leader_resolve(l, m->name);
 		struct ss_keep_costs c = { 0 };
 
-		m->ahead = false;
+		m->expected = false;
 		if (!l->preset.wake_ahead || !m->arrivals || !rec ||
 		    w->nodes->len == 0)
 			continue;
@@ -286,17 +287,17 @@
 			(double)MAX(g_array_index(w->nodes, struct plan_node, 0)
 					    .bytes,
 				    1);
-		m->ahead = ss_wake_ahead(m->arrivals, ss_wall_now(), &c);
+		m->expected = ss_wake_ahead(m->arrivals, ss_wall_now(), &c);
 	}
 }
 
-void lead_plan(struct lead *l, int64_t now)
+void leader_plan(struct replica_leader *l, int64_t now)
 {
 	struct view w = { .l = l, .now = now };
 
-	/* One decision at a time is settled before the next is taken, so
-	 * that none is taken twice on the same view. */
-	if (l->open_decisions || now - l->since_ms < LEAD_NODE_LOST_MS)
+	/* Waits until earlier decisions are applied, so that none is made
+	 * twice from the same view. */
+	if (l->open_decisions || now - l->since_ms < LEADER_NODE_LOST_MS)
 		return;
 	(*l->n_plans)++;
 	w.nodes = g_array_new(FALSE, FALSE, sizeof(struct plan_node));
@@ -305,7 +306,7 @@
 	w.index = g_hash_table_new(g_str_hash, g_str_equal);
 	add_nodes(&w);
 	add_replicas(&w);
-	look_ahead(&w);
+	predict_demand(&w);
 	add_demands(&w);
 	w.v = (struct plan_view){
 		.now = now,
@@ -322,7 +323,7 @@
 		.arg = &w,
 	};
 	plan_run(&w.v, &l->pacer, &plan_table, &w);
-	take_words(&w);
+	copy_results(&w);
 	*l->n_replicas = w.replicas->len;
 	g_array_unref(w.nodes);
 	g_array_unref(w.replicas);
--- a/src/daemon/lead_route.c
+++ b/src/daemon/lead_route.c
@@ -1,36 +1,38 @@
-/* Telling entries where models stand. */
+/* Routes: sends entries the replicas of the models that they watch. */
 #include "lead_int.h"
 
 #include "../core/choose.h"
 
 #include <xxhash.h>
 
-/* A wake time that moves by less than this isn't news. */
+/* Resolution of the estimated load time in routes, in ms; smaller changes
+ * aren't sent. */
 #define ETA_STEP_MS 250
 #define SERVICE_PREFIX "/svc/"
 
-static bool is_ready(const struct lead *l, const struct replica_rec *r)
+static bool is_ready(const struct replica_leader *l,
+		     const struct replica_rec *r)
 {
-	const struct lead_node *n;
-	const struct lead_held *h;
+	const struct leader_node *n;
+	const struct leader_held *h;
 
 	if (r->state != REPLICA_READY)
 		return false;
 	n = g_hash_table_lookup(l->nodes, r->node.p);
-	/* A new leader takes the state's word until the agent reports. */
+	/* Until the agent's first report, the replicated state counts. */
 	if (!n || !n->reported)
 		return true;
-	h = lead_held_of(l, r);
+	h = leader_held_of(l, r);
 	return h && h->state == HELD_READY;
 }
 
-static void add_replica(const struct lead *l, GArray *out,
+static void add_replica(const struct replica_leader *l, GArray *out,
 			const struct replica_rec *r)
 {
 	const struct node_rec *n = ss_state_node(group_state(l->g), r->node.p);
 	struct route_replica rr = { .replica = r->id, .slots = r->slots };
 
-	if (!n || !is_ready(l, r) || !lead_node_usable(l, n))
+	if (!n || !is_ready(l, r) || !leader_node_usable(l, n))
 		return;
 	rr.node = n->name;
 	rr.addr = n->addr;
@@ -40,12 +42,13 @@
 	g_array_append_val(out, rr);
 }
 
-static void model_route(const struct lead *l, const struct lead_model *m,
-			struct msg_route *route, GArray *out)
+static void model_route(const struct replica_leader *l,
+			const struct leader_model *m, struct msg_route *route,
+			GArray *out)
 {
-	const struct model_rec *rec = lead_resolve(l, m->name);
+	const struct model_rec *rec = leader_resolve(l, m->name);
 	GPtrArray *list;
-	int64_t now = lead_now(l);
+	int64_t now = leader_now(l);
 
 	if (!rec) {
 		route->code = SS_ERROR_UNKNOWN_MODEL;
@@ -59,8 +62,9 @@
 		route->eta_ms = MAX(m->eta_ms - now, 0);
 }
 
-static void service_route(const struct lead *l, const struct lead_model *m,
-			  struct msg_route *route, GArray *out)
+static void service_route(const struct replica_leader *l,
+			  const struct leader_model *m, struct msg_route *route,
+			  GArray *out)
 {
 	const char *pool = m->name + strlen(SERVICE_PREFIX);
 	GHashTableIter it;
@@ -76,7 +80,7 @@
 		if (n->kind != NODE_SERVICE || strcmp(n->pool.p, pool))
 			continue;
 		route->code = 0;
-		if (!lead_node_usable(l, n))
+		if (!leader_node_usable(l, n))
 			continue;
 		rr.replica = XXH3_64bits(n->name.p, n->name.n) ^ n->incarnation;
 		rr.node = n->name;
@@ -88,14 +92,15 @@
 	}
 }
 
-static gint by_replica(gconstpointer a, gconstpointer b)
+static gint compare_replica_ids(gconstpointer a, gconstpointer b)
 {
 	const struct route_replica *x = a, *y = b;
 
 	return x->replica < y->replica ? -1 : x->replica > y->replica;
 }
 
-/* What makes a route news: not its ages, nor small steps of the time. */
+/* Appends the parts of a route whose change is sent to entries: not the
+ * replicas' ages, nor small changes of the estimated time. */
 static void add_signature(GString *s, const struct msg_route *m)
 {
 	const struct route_replica *rr = m->replicas.items;
@@ -110,8 +115,8 @@
 				       rr[i].slots);
 }
 
-static void push(struct lead *l, struct lead_model *m, struct lead_want *only,
-		 bool always)
+static void push(struct replica_leader *l, struct leader_model *m,
+		 struct leader_watch *only, bool always)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct route_replica));
 	GString *sig = g_string_new(NULL);
@@ -124,11 +129,11 @@
 		service_route(l, m, &route, out);
 	else
 		model_route(l, m, &route, out);
-	g_array_sort(out, by_replica);
+	g_array_sort(out, compare_replica_ids);
 	route.replicas = (struct wire_list){ out->data, out->len };
 	add_signature(sig, &route);
-	for (guint i = 0; i < m->wants->len; i++) {
-		struct lead_want *w = m->wants->pdata[i];
+	for (guint i = 0; i < m->watches->len; i++) {
+		struct leader_watch *w = m->watches->pdata[i];
 
 		if (only && w != only)
 			continue;
@@ -141,18 +146,19 @@
 	g_array_unref(out);
 }
 
-void lead_push_route(struct lead *l, struct lead_model *m, struct lead_want *w)
+void leader_push_route(struct replica_leader *l, struct leader_model *m,
+		       struct leader_watch *w)
 {
 	push(l, m, w, true);
 }
 
-void lead_push_routes(struct lead *l)
+void leader_push_routes(struct replica_leader *l)
 {
 	GHashTableIter it;
 	void *m;
 
 	g_hash_table_iter_init(&it, l->models);
 	while (g_hash_table_iter_next(&it, NULL, &m))
-		if (((struct lead_model *)m)->wants->len)
+		if (((struct leader_model *)m)->watches->len)
 			push(l, m, NULL, false);
 }
--- a/src/daemon/lead_status.c
+++ b/src/daemon/lead_status.c
@@ -1,4 +1,4 @@
-/* What the leader tells operators. */
+/* The leader's status and explanations for operators. */
 #include "lead_int.h"
 
 #include <json-c/json.h>
@@ -14,7 +14,7 @@
 	json_object_object_add(o, key, json_object_new_int64(n));
 }
 
-static json_object *peer_json(const struct lead_peer *p)
+static json_object *peer_json(const struct leader_peer *p)
 {
 	static const char *const roles[] = { "?", "entry", "agent", "control" };
 	const struct msg_hello *h = conn_peer(p->conn);
@@ -31,7 +31,8 @@
 static const char *const replica_states[] = { "?", "loading", "ready",
 					      "unloading", "gone" };
 
-static json_object *node_json(struct lead *l, const struct node_rec *rec)
+static json_object *node_json(struct replica_leader *l,
+			      const struct node_rec *rec)
 {
 	json_object *o = json_object_new_object();
 
@@ -40,17 +41,18 @@
 	add_text(o, "domain", rec->domain);
 	add_text(o, "state", ss_str(node_states[rec->state & 3]));
 	json_object_object_add(
-		o, "usable", json_object_new_boolean(lead_node_usable(l, rec)));
+		o, "usable",
+		json_object_new_boolean(leader_node_usable(l, rec)));
 	add_number(o, "bytes", (int64_t)rec->bytes);
 	add_number(o, "reserved",
 		   (int64_t)ss_state_reserved(group_state(l->g), rec->name.p));
 	return o;
 }
 
-static json_object *replica_json(const struct lead *l,
+static json_object *replica_json(const struct replica_leader *l,
 				 const struct replica_rec *r)
 {
-	const struct lead_held *h = lead_held_of(l, r);
+	const struct leader_held *h = leader_held_of(l, r);
 	json_object *o = json_object_new_object();
 
 	add_number(o, "id", (int64_t)r->id);
@@ -66,23 +68,25 @@
 	return o;
 }
 
-static json_object *queue_json(struct lead *l, const struct lead_model *m)
+static json_object *queue_json(struct replica_leader *l,
+			       const struct leader_model *m)
 {
 	json_object *o = json_object_new_object();
 	uint64_t waiting = 0;
 
 	(void)l;
-	for (guint i = 0; i < m->wants->len; i++)
-		waiting += ((struct lead_want *)m->wants->pdata[i])->waiting;
+	for (guint i = 0; i < m->watches->len; i++)
+		waiting +=
+			((struct leader_watch *)m->watches->pdata[i])->waiting;
 	add_text(o, "model", ss_str(m->name));
 	add_number(o, "waiting", (int64_t)waiting);
-	add_number(o, "entries", m->wants->len);
+	add_number(o, "entries", m->watches->len);
 	return o;
 }
 
-void lead_status(void *lead, json_object *root)
+void leader_status(void *leader, json_object *root)
 {
-	struct lead *l = lead;
+	struct replica_leader *l = leader;
 	const struct ss_state *s = group_state(l->g);
 	json_object *list = json_object_new_array();
 	GHashTableIter it;
@@ -105,35 +109,35 @@
 	list = json_object_new_array();
 	g_hash_table_iter_init(&it, l->models);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		if (((struct lead_model *)p)->wants->len)
+		if (((struct leader_model *)p)->watches->len)
 			json_object_array_add(list, queue_json(l, p));
 	json_object_object_add(root, "queues", list);
 	add_number(root, "claims", (int64_t)ss_state_claims(s));
 }
 
-json_object *lead_why(struct lead *l, const char *name)
+json_object *leader_explain(struct replica_leader *l, const char *name)
 {
-	const struct model_rec *rec = lead_resolve(l, name);
-	struct lead_model *m;
+	const struct model_rec *rec = leader_resolve(l, name);
+	struct leader_model *m;
 	json_object *o, *list;
 	GPtrArray *replicas;
-	int64_t now = lead_now(l);
+	int64_t now = leader_now(l);
 
 	if (!rec)
 		return NULL;
-	m = lead_model_for(l, name);
+	m = leader_model_for(l, name);
 	o = queue_json(l, m);
 	add_text(o, "why", ss_str(m->why));
 	if (m->eta_ms != SS_NEVER)
 		add_number(o, "eta_ms", MAX(m->eta_ms - now, 0));
-	if (m->why_gone) {
-		add_text(o, "last_unload_why", ss_str(m->why_gone));
-		add_number(o, "last_unload_ms_ago", now - m->gone_ms);
+	if (m->unload_why) {
+		add_text(o, "last_unload_why", ss_str(m->unload_why));
+		add_number(o, "last_unload_ms_ago", now - m->unload_ms);
 	}
 	add_number(o, "bytes", (int64_t)rec->bytes);
 	add_number(o, "load_ms", m->load_ms);
 	json_object_object_add(o, "expected_soon",
-			       json_object_new_boolean(m->ahead));
+			       json_object_new_boolean(m->expected));
 	list = json_object_new_array();
 	replicas = ss_state_model_replicas(group_state(l->g), rec->name.p);
 	for (guint i = 0; replicas && i < replicas->len; i++)
--- a/src/daemon/lead_table.c
+++ b/src/daemon/lead_table.c
@@ -1,14 +1,14 @@
-/* A leader's tables of nodes and models, and what they tell. */
+/* The leader's tables of nodes and models, and look-ups in them. */
 #include "lead_int.h"
 
-bool lead_still(const GError *error)
+bool leader_still_valid(const GError *error)
 {
 	return !error || error->code != SS_ERROR_NOT_LEADER;
 }
 
 static void node_free(void *p)
 {
-	struct lead_node *n = p;
+	struct leader_node *n = p;
 
 	g_free(n->name);
 	g_array_unref(n->held);
@@ -16,26 +16,26 @@
 	g_free(n);
 }
 
-struct lead_node *lead_node_for(struct lead *l, const char *name)
+struct leader_node *leader_node_for(struct replica_leader *l, const char *name)
 {
-	struct lead_node *n = g_hash_table_lookup(l->nodes, name);
+	struct leader_node *n = g_hash_table_lookup(l->nodes, name);
 
 	if (n)
 		return n;
-	n = g_new0(struct lead_node, 1);
+	n = g_new0(struct leader_node, 1);
 	n->name = g_strdup(name);
 	n->down_ms = l->since_ms;
 	n->unlisted_ms = SS_NEVER;
-	n->held = g_array_new(FALSE, FALSE, sizeof(struct lead_held));
+	n->held = g_array_new(FALSE, FALSE, sizeof(struct leader_held));
 	n->cached =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_hash_table_insert(l->nodes, n->name, n);
 	return n;
 }
 
-static void want_free(void *p)
+static void watch_free(void *p)
 {
-	struct lead_want *w = p;
+	struct leader_watch *w = p;
 
 	g_string_free(w->sent, TRUE);
 	g_free(w);
@@ -43,30 +43,31 @@
 
 static void model_free(void *p)
 {
-	struct lead_model *m = p;
+	struct leader_model *m = p;
 
 	g_free(m->name);
-	g_ptr_array_unref(m->wants);
+	g_ptr_array_unref(m->watches);
 	g_free(m->arrivals);
 	g_free(m);
 }
 
-struct lead_model *lead_model_for(struct lead *l, const char *name)
+struct leader_model *leader_model_for(struct replica_leader *l,
+				      const char *name)
 {
-	struct lead_model *m = g_hash_table_lookup(l->models, name);
+	struct leader_model *m = g_hash_table_lookup(l->models, name);
 
 	if (m)
 		return m;
-	m = g_new0(struct lead_model, 1);
+	m = g_new0(struct leader_model, 1);
 	m->name = g_strdup(name);
-	m->wants = g_ptr_array_new_with_free_func(want_free);
+	m->watches = g_ptr_array_new_with_free_func(watch_free);
 	m->eta_ms = SS_NEVER;
 	m->why = "nobody has asked for it";
 	g_hash_table_insert(l->models, m->name, m);
 	return m;
 }
 
-void lead_tables_init(struct lead *l)
+void leader_tables_init(struct replica_leader *l)
 {
 	l->nodes =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
@@ -74,13 +75,14 @@
 					  model_free);
 }
 
-void lead_tables_clear(struct lead *l)
+void leader_tables_clear(struct replica_leader *l)
 {
 	g_hash_table_unref(l->models);
 	g_hash_table_unref(l->nodes);
 }
 
-const struct model_rec *lead_resolve(const struct lead *l, const char *name)
+const struct model_rec *leader_resolve(const struct replica_leader *l,
+				       const char *name)
 {
 	const struct ss_state *s = group_state(l->g);
 	const struct model_rec *m = ss_state_model(s, name);
@@ -95,28 +97,30 @@
 	return NULL;
 }
 
-bool lead_node_usable(const struct lead *l, const struct node_rec *rec)
+bool leader_node_usable(const struct replica_leader *l,
+			const struct node_rec *rec)
 {
-	const struct lead_node *n = g_hash_table_lookup(l->nodes, rec->name.p);
-	int64_t now = lead_now(l);
+	const struct leader_node *n =
+		g_hash_table_lookup(l->nodes, rec->name.p);
+	int64_t now = leader_now(l);
 
 	if (rec->state != NODE_LIVE || (n && n->draining))
 		return false;
 	if (n && n->conn)
 		return true;
-	if (now - l->since_ms < LEAD_GRACE_MS)
+	if (now - l->since_ms < LEADER_GRACE_MS)
 		return true;
-	return n && now - n->down_ms < LEAD_NODE_LOST_MS;
+	return n && now - n->down_ms < LEADER_NODE_LOST_MS;
 }
 
-const struct lead_held *lead_held_of(const struct lead *l,
-				     const struct replica_rec *r)
+const struct leader_held *leader_held_of(const struct replica_leader *l,
+					 const struct replica_rec *r)
 {
-	const struct lead_node *n = g_hash_table_lookup(l->nodes, r->node.p);
+	const struct leader_node *n = g_hash_table_lookup(l->nodes, r->node.p);
 
 	for (guint i = 0; n && i < n->held->len; i++) {
-		const struct lead_held *h =
-			&g_array_index(n->held, struct lead_held, i);
+		const struct leader_held *h =
+			&g_array_index(n->held, struct leader_held, i);
 
 		if (h->replica == r->id)
 			return h;
--- a/src/daemon/leader.h
+++ b/src/daemon/leader.h
@@ -1,5 +1,5 @@
-/* What the process that leads does beside keeping the log: one table for
- * each kind of endpoints. */
+/* Interface of the leader's work beside the log: one implementation for
+ * replicas behind agents, one for a fleet. */
 #ifndef SS_LEADER_H
 #define SS_LEADER_H
 
@@ -10,21 +10,21 @@
 struct stream_log;
 
 struct leader_ops {
-	/* What begin() returned goes to the others, until end(); r is the
-	 * table that follows the log. What is known of streams is this
-	 * process's, also while others lead. */
+	/* begin() returns the state that the other functions get, until
+	 * end(). r is the routing that follows the log; streams belongs to the
+	 * process and outlives the leadership. */
 	void *(*begin)(struct daemon *d, struct group *g, struct routing *r,
 		       struct stream_log *streams);
-	void (*end)(void *lead);
-	/* Connections of entries and agents. */
-	void (*open)(void *lead, struct conn *c);
-	void (*closed)(void *lead, struct conn *c);
-	void (*message)(void *lead, struct conn *c, struct frame *f);
-	/* The replicated state has changed. */
-	void (*applied)(void *lead);
-	void (*tick)(void *lead);
-	/* Add what is known to an operator's status. */
-	void (*status)(void *lead, struct json_object *o);
+	void (*end)(void *leader);
+	/* Connections from entries and agents. */
+	void (*open)(void *leader, struct conn *c);
+	void (*closed)(void *leader, struct conn *c);
+	void (*message)(void *leader, struct conn *c, struct frame *f);
+	/* The replicated state changed. */
+	void (*applied)(void *leader);
+	void (*tick)(void *leader);
+	/* Adds the leader's state to the operator's status. */
+	void (*status)(void *leader, struct json_object *o);
 };
 
 #endif
