--- a/src/daemon/group_members.c
+++ b/src/daemon/group_members.c
@@ -5,10 +5,10 @@
 /* Interval between join requests, in ms; a reply takes a round trip and the
  * commit of a membership change. */
 #define JOIN_INTERVAL_MS 500
-/* The group is announced to the control addresses of the settings at the first
- * interval, in ms, and immediately when the leader changes. New leaders and
- * connections are checked for at the second. */
+/* Interval of announcements to the control addresses of the settings, in ms. */
 #define ANNOUNCE_MS 1000
+/* Interval of checks for a new leader or connection, which are announced
+ * without waiting for ANNOUNCE_MS, in ms. */
 #define ANNOUNCE_CHECK_MS 100
 
 static void request_join(struct group *g, const char *addr)
--- a/src/daemon/lead_int.h
+++ b/src/daemon/lead_int.h
@@ -100,7 +100,7 @@
 void leader_tables_clear(struct replica_leader *l);
 /*
  * Whether the leadership that proposed a change continues, given the change's
- * error. Otherwise its state is freed and the callback must not use it.
+ * error. Otherwise its state may be freed and the callback must not use it.
  */
 bool leader_still_valid(const GError *error);
 
@@ -132,7 +132,7 @@
 void leader_handle_claim(struct replica_leader *l, struct conn *c,
 			 const struct msg_claim *m);
 
-/* lead_status.c; the status function of leader_ops. */
+/* lead_status.c: the status function of leader_ops. */
 void leader_status(void *leader, struct json_object *o);
 
 #endif
