--- a/Makefile
+++ b/Makefile
@@ -78,7 +78,7 @@
 	rm -f $@ && ar rcs $@ $^
 $(BUILD)/bench-fleet $(BUILD)/bench-streams: $(BUILD)/bench-%: $(BUILD)/bench/%.o $(FLEET_WORLD) $(NETLIB) $(LIB)
 	$(CC) $(LDFLAGS) $(filter %.o,$^) $(NETLIB) $(LIB) -o $@ $(LDLIBS)
-$(BUILD)/test_fleet_lead: $(BUILD)/test/test_fleet_lead.o $(FLEET_WORLD) \
+$(BUILD)/test_fleet_leader: $(BUILD)/test/test_fleet_leader.o $(FLEET_WORLD) \
 		$(NETLIB) $(LIB)
 	$(CC) $(LDFLAGS) $(filter %.o,$^) $(NETLIB) $(LIB) -o $@ $(LDLIBS) \
 		-lcmocka
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -5,7 +5,7 @@
 #include "../operator/operator.h"
 #include "../operator/routing_http.h"
 #include "../vmlist/vms.h"
-#include "fleet_lead.h"
+#include "fleet_leader.h"
 #include "lead.h"
 #include "remote_agents.h"
 #include "routing_follow.h"
@@ -549,7 +549,7 @@
 	k->follow = routing_follow_new(&fo);
 	k->streams = stream_log_new(STREAM_LOG_CAPACITY);
 	k->conns = g_hash_table_new(NULL, NULL);
-	k->ops = d->config.fleet.on ? &fleet_lead_ops : &replica_leader_ops;
+	k->ops = d->config.fleet.on ? &fleet_leader_ops : &replica_leader_ops;
 	k->n_denied = metrics_value(d->metrics, "ss_operator_denied_total", "");
 	if (!start_parts(k, error)) {
 		control_free(k);
--- a/src/daemon/fleet_lead.c
+++ b/src/daemon/fleet_leader.c
@@ -1,5 +1,5 @@
 /* The fleet leader: its message dispatch, its periodic work and its status. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 #include <json-c/json.h>
 
@@ -30,7 +30,7 @@
 
 /* The configuration. */
 
-static void update_preset(struct fleet_lead *l)
+static void update_preset(struct fleet_leader *l)
 {
 	const struct ss_state *s = group_state(l->g);
 	const struct preset_rec *p = ss_state_in_force(s);
@@ -66,12 +66,12 @@
 
 static void on_message(void *arg, struct conn *c, struct frame *f)
 {
-	struct fleet_lead *l = arg;
+	struct fleet_leader *l = arg;
 	struct fleet_ep *ep;
 
 	switch (f->kind) {
 	case MSG_ENDPOINT:
-		fleet_take_endpoint(l, c, &f->u.endpoint);
+		fleet_apply_agent_report(l, c, &f->u.endpoint);
 		break;
 	case MSG_LOADED:
 		ep = fleet_peer_engine(g_hash_table_lookup(l->peers, c));
@@ -79,25 +79,25 @@
 			fleet_steps_done(l, ep, &f->u.loaded);
 		break;
 	case MSG_DEMAND:
-		fleet_take_demand(l, c, &f->u.demand);
+		fleet_apply_entry_report(l, c, &f->u.demand);
 		break;
 	case MSG_RUN_OUTCOMES:
-		fleet_suspects_take(l, &f->u.ends);
+		fleet_suspects_apply(l, &f->u.ends);
 		break;
 	case MSG_TRIAL:
-		fleet_suspects_ask(l, c, &f->u.trial);
+		fleet_suspects_request(l, c, &f->u.trial);
 		break;
 	case MSG_STREAMS:
-		fleet_streams_take(l, &f->u.streams);
+		fleet_streams_apply(l, &f->u.streams);
 		break;
 	case MSG_STREAM_REQUEST:
-		fleet_streams_ask(l, c, &f->u.stream_ask);
+		fleet_streams_request(l, c, &f->u.stream_ask);
 		break;
 	case MSG_QUOTA_REQUEST:
-		fleet_quota_ask(l, c, &f->u.quota_request);
+		fleet_quota_request(l, c, &f->u.quota_request);
 		break;
 	case MSG_LIMIT_REQUEST:
-		fleet_limit_ask(l, c, &f->u.quota_request);
+		fleet_limit_request(l, c, &f->u.quota_request);
 		break;
 	default:
 		break;
@@ -106,21 +106,21 @@
 
 static void on_list(void *arg, struct fleet_list *all)
 {
-	fleet_take_list(arg, all);
+	fleet_apply_list(arg, all);
 }
 
 /* Periodic work. */
 
 static void on_applied(void *arg)
 {
-	struct fleet_lead *l = arg;
+	struct fleet_leader *l = arg;
 
 	update_preset(l);
-	fleet_tell_routing(l);
+	fleet_send_routing(l);
 	l->dirty = true;
 }
 
-static bool plan_is_due(const struct fleet_lead *l, int64_t now)
+static bool plan_is_due(const struct fleet_leader *l, int64_t now)
 {
 	int64_t pause =
 		l->urgent ? fleet_pause_ms(l->plan_took_ms, URGENT_TIME_SHARE,
@@ -131,17 +131,17 @@
 	return now - l->plan_ms >= pause;
 }
 
-static void plan(struct fleet_lead *l, int64_t now)
+static void plan(struct fleet_leader *l, int64_t now)
 {
 	l->urgent = false;
 	fleet_work(l, WORK_PLANS, 1);
-	fleet_forget_wants(l, now);
+	fleet_expire_demand(l, now);
 	fleet_steps_plan(l, now);
-	l->plan_ms = fleet_lead_now(l);
+	l->plan_ms = fleet_leader_now(l);
 	l->plan_took_ms = l->plan_ms - now;
 }
 
-static void push(struct fleet_lead *l, int64_t now)
+static void push(struct fleet_leader *l, int64_t now)
 {
 	bool load_due = now - l->load_push_ms >= LOAD_PUSH_INTERVAL_MS;
 	int64_t pause = fleet_pause_ms(l->push_took_ms, PUSH_TIME_SHARE,
@@ -154,15 +154,15 @@
 	if (load_due)
 		l->load_push_ms = now;
 	fleet_push_changes(l, load_due);
-	fleet_push_whole(l);
-	l->push_ms = fleet_lead_now(l);
+	fleet_push_snapshots(l);
+	l->push_ms = fleet_leader_now(l);
 	l->push_took_ms = l->push_ms - now;
 }
 
 static void on_tick(void *arg)
 {
-	struct fleet_lead *l = arg;
-	int64_t now = fleet_lead_now(l);
+	struct fleet_leader *l = arg;
+	int64_t now = fleet_leader_now(l);
 
 	if (plan_is_due(l, now))
 		plan(l, now);
@@ -179,7 +179,7 @@
 static void *begin(struct daemon *d, struct group *g, struct routing *r,
 		   struct stream_log *streams)
 {
-	struct fleet_lead *l = g_new0(struct fleet_lead, 1);
+	struct fleet_leader *l = g_new0(struct fleet_leader, 1);
 	struct metrics *m = d->metrics;
 	struct instances_options o = { .base = d->base,
 				       .platform = &users_platform,
@@ -193,14 +193,14 @@
 	l->g = g;
 	l->routing = routing_ref(r);
 	l->fence = ss_raft_term(group_raft(g));
-	l->since_ms = fleet_lead_now(l);
+	l->since_ms = fleet_leader_now(l);
 	send_window_init(&l->window, l->since_ms);
 	l->store_ms = l->since_ms;
 	l->peers = g_hash_table_new_full(NULL, NULL, NULL, fleet_peer_free);
 	l->eps = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 				       fleet_ep_free);
-	l->wants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					 fleet_want_free);
+	l->demands = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					   fleet_demand_free);
 	l->n_steps = metrics_value(m, "ss_fleet_steps_total", "");
 	l->n_store = metrics_value(m, "ss_fleet_loads_total", "from=\"store\"");
 	l->n_disk = metrics_value(m, "ss_fleet_loads_total", "from=\"disk\"");
@@ -213,7 +213,7 @@
 	fleet_quota_begin(l);
 	fleet_streams_begin(l, streams);
 	update_preset(l);
-	fleet_tell_routing(l);
+	fleet_send_routing(l);
 	l->list = instances_new(&o);
 	instances_set_polling(l->list, true);
 	return l;
@@ -221,12 +221,12 @@
 
 static void end(void *arg)
 {
-	struct fleet_lead *l = arg;
+	struct fleet_leader *l = arg;
 
 	instances_free(l->list);
 	g_hash_table_unref(l->peers);
 	g_hash_table_unref(l->eps);
-	g_hash_table_unref(l->wants);
+	g_hash_table_unref(l->demands);
 	suspects_free(l->suspects);
 	fleet_quota_end(l);
 	fleet_streams_end(l);
@@ -237,7 +237,7 @@
 
 static void on_status(void *arg, json_object *o)
 {
-	struct fleet_lead *l = arg;
+	struct fleet_leader *l = arg;
 	json_object *list = json_object_new_array();
 	GHashTableIter it;
 	void *p;
@@ -260,11 +260,11 @@
 			e, "agent", json_object_new_boolean(ep->conn != NULL));
 		json_object_object_add(
 			e, "rests",
-			json_object_new_boolean(fleet_lead_now(l) <
-						ep->rest_until_ms));
+			json_object_new_boolean(fleet_leader_now(l) <
+						ep->backoff_until_ms));
 		json_object_object_add(
 			e, "says_leaving",
-			json_object_new_boolean(ep->says_leaving));
+			json_object_new_boolean(ep->signals_draining));
 		if (ep->limit.per_s >= 0)
 			json_object_object_add(
 				e, "limit_per_s",
@@ -283,6 +283,6 @@
 		json_object_new_int64((int64_t)l->routing->version));
 }
 
-const struct leader_ops fleet_lead_ops = { begin,     end,	  on_open,
-					   on_closed, on_message, on_applied,
-					   on_tick,   on_status };
+const struct leader_ops fleet_leader_ops = { begin,	end,	    on_open,
+					     on_closed, on_message, on_applied,
+					     on_tick,	on_status };
--- a/src/daemon/fleet_lead.h
+++ b/src/daemon/fleet_leader.h
@@ -9,6 +9,6 @@
 
 #include "leader.h"
 
-extern const struct leader_ops fleet_lead_ops;
+extern const struct leader_ops fleet_leader_ops;
 
 #endif
--- a/src/daemon/fleet_lead_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -16,11 +16,11 @@
 #include "../core/stream_log.h"
 #include "../core/suspects.h"
 #include "../vmlist/instances.h"
-#include "fleet_lead.h"
+#include "fleet_leader.h"
 
 /* Age in ms at which an engine's report is stale: five times the longest pause
  * between two reports of its agent. */
-#define FLEET_REPORT_MS 2500
+#define FLEET_REPORT_MAX_AGE_MS 2500
 
 /* A placement step in progress: models that an engine unloads, and the one
  * that it loads. */
@@ -33,8 +33,9 @@
 	bool sent;	/* to the agent */
 	uint64_t round; /* entries that confirmed it send no new calls */
 	int64_t since_ms, sent_ms;
-	size_t beside; /* concurrent store loads when it was sent, itself too */
-	bool slow;     /* it was seen to take longer because of them */
+	size_t concurrent_loads; /* concurrent store loads when it was sent,
+				    itself too */
+	bool slow; /* it was seen to take longer because of them */
 };
 
 /* Running calls on one model of an endpoint. */
@@ -49,46 +50,47 @@
 	 * the list or the agent reported. */
 	struct fleet_incarnation self;
 	int64_t slots;
-	bool listed, leaving_listed;
-	int64_t listed_ms; /* when the list last had it */
-	int64_t unread_ms; /* since when its list item can't be parsed; 0: it
-			    * can */
-	int64_t unread_told_ms; /* when that was last logged */
-	GPtrArray *on_list;	/* char *, models by the list */
+	bool listed, listed_draining;
+	int64_t listed_ms;	      /* when the list last had it */
+	int64_t unreadable_since_ms;  /* since when its list item can't be
+				       * parsed; 0: it  can */
+	int64_t unreadable_logged_ms; /* when that was last logged */
+	GPtrArray *listed_models;     /* char *, models by the list */
 	struct owner owner;
 	uint64_t remote_member; /* member that is to run its agent; 0: none */
 	struct conn *conn;	/* of its owner; NULL: none */
-	bool down;		/* its agent can't reach it */
+	bool unreachable;	/* its agent can't reach it */
 	bool reported;
 	int64_t report_ms;
 	struct fleet_report report;
 	GHashTable *calls; /* conn of an entry -> GArray of model_calls */
 	struct failure_rate failures;	   /* over the reports of all entries */
 	struct failure_rate failures_sent; /* as last sent to entries */
-	struct fleet_slowness slow;	   /* over the reports of all entries */
+	struct fleet_slowness slowness;	   /* over the reports of all entries */
 	struct endpoint_limit limit;
-	int64_t rest_until_ms; /* end of the backoff it asked some entry for */
-	bool says_leaving;     /* it signalled draining to some entry */
+	int64_t backoff_until_ms; /* end of the backoff it asked some entry for
+				   */
+	bool signals_draining;	  /* it signalled draining to some entry */
 	struct step_run step;
 	bool changed;	       /* entries are to be sent all of it */
 	bool load_changed;     /* only its load */
 	bool adapters_changed; /* not its models; the entry whose request loaded
 				* an adapter knows of it already */
-	GHashTable *refused;   /* model -> when a load of it failed, ms */
+	GHashTable *failed_loads; /* model -> when a load of it failed, ms */
 };
 
 /* Requests of one entry that wait for one model. */
-struct wait_at {
+struct entry_wait {
 	uint64_t waiting; /* number of requests */
 	int64_t due_ms;	  /* earliest deadline among them */
 	int64_t at_ms;	  /* when the entry reported them */
 };
 
 /* Demand for one model. With a version: only of streams that it began. */
-struct fleet_want {
+struct fleet_demand {
 	char *service, *model, *version;
 	struct fleet_rate rate;
-	GHashTable *waits; /* conn of an entry -> struct wait_at */
+	GHashTable *waits; /* conn of an entry -> struct entry_wait */
 	int64_t eta_ms;	   /* clock time; -1: unknown */
 	bool eta_changed;
 	int64_t blocked_ms; /* when that was last logged */
@@ -102,12 +104,12 @@
 struct fleet_peer {
 	struct conn *conn;
 	bool entry;
-	GPtrArray *owned;      /* struct fleet_ep whose conn it is */
-	GPtrArray *called;     /* char *, addresses where its calls are */
-	GHashTable *wants;     /* set of struct fleet_want that it waits for */
-	bool confirmed;	       /* a majority has answered since it connected */
-	bool whole;	       /* it has a snapshot and all changes since */
-	size_t snapshot_bytes; /* size of the last snapshot sent */
+	GPtrArray *owned;	 /* struct fleet_ep whose conn it is */
+	GPtrArray *called_addrs; /* char *, addresses where its calls are */
+	GHashTable *demands; /* set of struct fleet_demand that it waits for */
+	bool confirmed;	     /* a majority has answered since it connected */
+	bool has_snapshot;   /* it has a snapshot and all changes since */
+	size_t snapshot_bytes;	   /* size of the last snapshot sent */
 	size_t snapshot_in_flight; /* bytes of it that aren't acknowledged */
 	uint64_t snapshot_round;   /* round that acknowledges them */
 	int64_t snapshot_ms;	   /* when it was sent */
@@ -127,15 +129,15 @@
 	WORK_ENDPOINTS, /* endpoints in frames */
 	WORK_LOADS,	/* loads in frames without the rest of the endpoint */
 	WORK_ETAS,	/* wake times in frames */
-	WORK_WHOLES,	/* snapshots sent */
+	WORK_SNAPSHOTS, /* snapshots sent */
 	WORK_PLANS,	/* placement passes */
 	WORK_STREAMS,	/* streams that entries reported */
-	WORK_SPREADS,	/* messages that replicate them to followers */
-	WORK_VISITS,	/* rows visited for a message or a lost connection */
+	WORK_REPLICATIONS, /* messages that replicate them to followers */
+	WORK_VISITS,	   /* rows visited for a message or a lost connection */
 	FLEET_WORKS
 };
 
-struct fleet_lead {
+struct fleet_leader {
 	struct daemon *d;
 	struct group *g;
 	struct instances *list;
@@ -146,14 +148,15 @@
 	uint64_t entries;	 /* number of peers that are entries */
 	uint64_t entries_behind; /* don't follow routing_sent yet */
 	GHashTable *eps;	 /* addr -> struct fleet_ep */
-	GHashTable *wants; /* "service\nmodel\nversion" -> struct fleet_want */
-	uint64_t fence;	   /* term of this leadership */
-	uint64_t round;	   /* the newest; each set of snapshots has its own */
+	GHashTable
+		*demands; /* "service\nmodel\nversion" -> struct fleet_demand */
+	uint64_t fence;	  /* term of this leadership */
+	uint64_t round;	  /* the newest; each set of snapshots has its own */
 	uint64_t step_round; /* that all entries are to acknowledge */
 	uint64_t steps;
 	int64_t since_ms, plan_ms, push_ms, load_push_ms;
 	int64_t plan_took_ms, push_took_ms;
-	bool list_seen;
+	bool list_received;
 	bool dirty, urgent;
 	bool loads_pending;	 /* changes wait for the next push of loads */
 	int64_t routing_read_ms; /* when the version in force was read */
@@ -179,167 +182,174 @@
 	int64_t quota_pruned_ms; /* when both were last pruned */
 	uint64_t *n_quota_requests, *n_limit_requests;
 	uint64_t *n_work[FLEET_WORKS];
-	uint64_t work_told[FLEET_WORKS]; /* counts at the last log line */
+	uint64_t work_logged[FLEET_WORKS]; /* counts at the last log line */
 	int64_t work_ms;
 };
 
-static inline int64_t fleet_lead_now(const struct fleet_lead *l)
+static inline int64_t fleet_leader_now(const struct fleet_leader *l)
 {
 	return ss_clock_now(&l->d->clock);
 }
 
-static inline void fleet_work(struct fleet_lead *l, enum fleet_work w,
+static inline void fleet_work(struct fleet_leader *l, enum fleet_work w,
 			      uint64_t n)
 {
 	*l->n_work[w] += n;
 }
 
 /* fleet_work.c */
-void fleet_work_begin(struct fleet_lead *l);
-void fleet_work_tick(struct fleet_lead *l, int64_t now);
+void fleet_work_begin(struct fleet_leader *l);
+void fleet_work_tick(struct fleet_leader *l, int64_t now);
 
 /* fleet_table.c */
 /* Returns the endpoint at an address; adds it where there is none. */
-struct fleet_ep *fleet_ep_for(struct fleet_lead *l, const char *addr);
+struct fleet_ep *fleet_ep_for(struct fleet_leader *l, const char *addr);
 void fleet_ep_free(void *ep);
 /* Sets the connection of the endpoint's agent; NULL: none. */
-void fleet_ep_owned_by(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_ep_set_conn(struct fleet_leader *l, struct fleet_ep *ep,
 		       struct conn *c);
 /* Adds an entry's running calls at the endpoint, which has none of that entry
  * yet. */
 void fleet_ep_add_calls(struct fleet_ep *ep, struct fleet_peer *p,
 			const struct wire_list *models);
 /* Removes an entry's calls at all endpoints. */
-void fleet_drop_calls(struct fleet_lead *l, struct fleet_peer *p);
+void fleet_drop_calls(struct fleet_leader *l, struct fleet_peer *p);
 uint32_t fleet_ep_calls(const struct fleet_ep *ep, const char *model);
 
 /* Adds or removes an entry that waits for a model. */
-void fleet_want_add(struct fleet_want *w, struct fleet_peer *p,
-		    const struct wait_at *at);
-void fleet_want_drop(struct fleet_lead *l, struct fleet_want *w,
-		     struct fleet_peer *p);
+void fleet_demand_add_entry(struct fleet_demand *w, struct fleet_peer *p,
+			    const struct entry_wait *at);
+void fleet_demand_drop_entry(struct fleet_leader *l, struct fleet_demand *w,
+			     struct fleet_peer *p);
 /* Removes an entry from all models that it waits for. */
-void fleet_drop_wants(struct fleet_lead *l, struct fleet_peer *p);
+void fleet_drop_waits(struct fleet_leader *l, struct fleet_peer *p);
 
 struct fleet_peer *fleet_peer_new(struct conn *c);
 void fleet_peer_free(void *peer);
 
 /* Returns a model's demand; adds it where there is none. An empty version
  * stands for all versions. */
-struct fleet_want *fleet_want_for(struct fleet_lead *l, const char *service,
-				  const char *model, const char *version);
-bool fleet_ep_usable(const struct fleet_lead *l, const struct fleet_ep *ep);
+struct fleet_demand *fleet_demand_for(struct fleet_leader *l,
+				      const char *service, const char *model,
+				      const char *version);
+bool fleet_ep_usable(const struct fleet_leader *l, const struct fleet_ep *ep);
 /* True while the endpoint is draining for good. */
-bool fleet_ep_ends(const struct fleet_lead *l, const struct fleet_ep *ep);
+bool fleet_ep_is_draining(const struct fleet_leader *l,
+			  const struct fleet_ep *ep);
 /* True while the endpoint's list item can't be parsed, but its agent reports
  * it alive. */
-bool fleet_ep_suspended(const struct fleet_lead *l, const struct fleet_ep *ep);
+bool fleet_ep_suspended(const struct fleet_leader *l,
+			const struct fleet_ep *ep);
 /* True while the endpoint's own signals, a low limit or a backoff, make it
  * unfit to hold more models. */
-bool fleet_ep_strained(const struct fleet_lead *l, const struct fleet_ep *ep);
+bool fleet_ep_strained(const struct fleet_leader *l, const struct fleet_ep *ep);
 /* True while the last report of the endpoint's agent is fresh. */
-bool fleet_ep_reported(const struct fleet_lead *l, const struct fleet_ep *ep);
-void fleet_want_free(void *want);
+bool fleet_ep_reported(const struct fleet_leader *l, const struct fleet_ep *ep);
+void fleet_demand_free(void *want);
 /* Returns the fence that the owner of an engine puts on its orders. It
  * increases with each owner and with each leader. */
-uint64_t fleet_ep_fence(const struct fleet_lead *l, const struct fleet_ep *ep);
+uint64_t fleet_ep_fence(const struct fleet_leader *l,
+			const struct fleet_ep *ep);
 
 /* fleet_peers.c */
-void fleet_peer_open(struct fleet_lead *l, struct conn *c);
-void fleet_peer_closed(struct fleet_lead *l, struct conn *c);
+void fleet_peer_open(struct fleet_leader *l, struct conn *c);
+void fleet_peer_closed(struct fleet_leader *l, struct conn *c);
 /* Returns the engine that the peer is the agent of; NULL: none. */
 struct fleet_ep *fleet_peer_engine(const struct fleet_peer *p);
-void fleet_tell_term(struct fleet_lead *l, struct fleet_peer *p);
+void fleet_send_term(struct fleet_leader *l, struct fleet_peer *p);
 /* Sends the routing version in force to all peers that don't have it. */
-void fleet_tell_routing(struct fleet_lead *l);
+void fleet_send_routing(struct fleet_leader *l);
 /* Records the routing version that an entry reports to follow. */
-void fleet_peer_follows(struct fleet_lead *l, struct fleet_peer *p,
-			uint64_t version);
+void fleet_peer_set_routing(struct fleet_leader *l, struct fleet_peer *p,
+			    uint64_t version);
 
 /* fleet_reports.c */
-void fleet_take_endpoint(struct fleet_lead *l, struct conn *c,
-			 const struct msg_endpoint *m);
-void fleet_take_demand(struct fleet_lead *l, struct conn *c,
-		       const struct msg_demand *m);
+void fleet_apply_agent_report(struct fleet_leader *l, struct conn *c,
+			      const struct msg_endpoint *m);
+void fleet_apply_entry_report(struct fleet_leader *l, struct conn *c,
+			      const struct msg_demand *m);
 /* Drops what entries reported to wait for and haven't repeated. */
-void fleet_forget_wants(struct fleet_lead *l, int64_t now);
+void fleet_expire_demand(struct fleet_leader *l, int64_t now);
 
 /* fleet_listed.c */
-void fleet_take_list(struct fleet_lead *l, struct fleet_list *all);
+void fleet_apply_list(struct fleet_leader *l, struct fleet_list *all);
 /* Applies a reported incarnation to an endpoint, and drops the state of an
  * earlier one that no longer holds. */
-enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-				   const struct fleet_incarnation *reported);
+enum fleet_relation
+fleet_ep_set_incarnation(struct fleet_leader *l, struct fleet_ep *ep,
+			 const struct fleet_incarnation *reported);
 
 /* fleet_unread.c */
 /* An endpoint's list item can't be parsed; can be parsed; is missing from the
  * list. */
-void fleet_ep_unreadable(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_ep_unreadable(struct fleet_leader *l, struct fleet_ep *ep,
 			 int64_t now);
-void fleet_ep_readable(struct fleet_lead *l, struct fleet_ep *ep, int64_t now);
-void fleet_ep_unlisted(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_ep_readable(struct fleet_leader *l, struct fleet_ep *ep,
+		       int64_t now);
+void fleet_ep_unlisted(struct fleet_leader *l, struct fleet_ep *ep,
 		       const struct fleet_list *all, int64_t now);
 
 /* fleet_steps.c */
-void fleet_steps_plan(struct fleet_lead *l, int64_t now);
+void fleet_steps_plan(struct fleet_leader *l, int64_t now);
 /* Sends the steps that every entry has acknowledged, and abandons lost ones. */
-void fleet_steps_run(struct fleet_lead *l, int64_t now);
-void fleet_steps_done(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_steps_run(struct fleet_leader *l, int64_t now);
+void fleet_steps_done(struct fleet_leader *l, struct fleet_ep *ep,
 		      const struct msg_loaded *m);
 /* True while a step is to unload the model, which gets no new calls. */
-bool fleet_step_closes(const struct fleet_ep *ep, const char *model);
+bool fleet_step_unloads(const struct fleet_ep *ep, const char *model);
 void fleet_step_clear(struct fleet_ep *ep);
 /* Abandons the step that was planned for an engine's earlier incarnation. */
-void fleet_step_restarted(struct fleet_lead *l, struct fleet_ep *ep);
+void fleet_step_restarted(struct fleet_leader *l, struct fleet_ep *ep);
 
 /* fleet_remote.c */
-void fleet_remote_tick(struct fleet_lead *l, int64_t now);
+void fleet_remote_tick(struct fleet_leader *l, int64_t now);
 
 /* fleet_suspects.c: requests under which endpoints crash */
-void fleet_suspects_begin(struct fleet_lead *l);
+void fleet_suspects_begin(struct fleet_leader *l);
 /* Handle an entry's outcomes of runs, and its request for a trial run. */
-void fleet_suspects_take(struct fleet_lead *l,
-			 const struct msg_run_outcomes *m);
-void fleet_suspects_ask(struct fleet_lead *l, struct conn *c,
-			const struct msg_trial *m);
+void fleet_suspects_apply(struct fleet_leader *l,
+			  const struct msg_run_outcomes *m);
+void fleet_suspects_request(struct fleet_leader *l, struct conn *c,
+			    const struct msg_trial *m);
 /* Sends entries the suspects that they don't have yet. */
-void fleet_suspects_tick(struct fleet_lead *l, int64_t now);
-void fleet_suspects_status(const struct fleet_lead *l, json_object *o);
+void fleet_suspects_tick(struct fleet_leader *l, int64_t now);
+void fleet_suspects_status(const struct fleet_leader *l, json_object *o);
 
 /* fleet_quota.c */
-void fleet_quota_begin(struct fleet_lead *l);
-void fleet_quota_end(struct fleet_lead *l);
+void fleet_quota_begin(struct fleet_leader *l);
+void fleet_quota_end(struct fleet_leader *l);
 /* Handles an entry's requests for grants of customers' limits; replies. */
-void fleet_quota_ask(struct fleet_lead *l, struct conn *c,
-		     const struct msg_quota_request *m);
+void fleet_quota_request(struct fleet_leader *l, struct conn *c,
+			 const struct msg_quota_request *m);
 /* Does the same for endpoints' own limits. */
-void fleet_limit_ask(struct fleet_lead *l, struct conn *c,
-		     const struct msg_quota_request *m);
+void fleet_limit_request(struct fleet_leader *l, struct conn *c,
+			 const struct msg_quota_request *m);
 /* Handles a closed connection, which is still in the table of peers. */
-void fleet_quota_gone(struct fleet_lead *l, const struct conn *c);
-void fleet_quota_tick(struct fleet_lead *l, int64_t now);
-void fleet_quota_status(struct fleet_lead *l, json_object *o);
+void fleet_quota_client_lost(struct fleet_leader *l, const struct conn *c);
+void fleet_quota_tick(struct fleet_leader *l, int64_t now);
+void fleet_quota_status(struct fleet_leader *l, json_object *o);
 
 /* fleet_streams.c: the versions that began streams */
-void fleet_streams_begin(struct fleet_lead *l, struct stream_log *log);
-void fleet_streams_end(struct fleet_lead *l);
+void fleet_streams_begin(struct fleet_leader *l, struct stream_log *log);
+void fleet_streams_end(struct fleet_leader *l);
 /* Records that an endpoint serves its version. */
-void fleet_streams_seen(struct fleet_lead *l, const struct fleet_ep *ep);
+void fleet_streams_add_version(struct fleet_leader *l,
+			       const struct fleet_ep *ep);
 /* Handle the streams that an entry reports, and its requests for a stream's
  * version. */
-void fleet_streams_take(struct fleet_lead *l, const struct msg_streams *m);
-void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
-		       const struct msg_stream_request *m);
-void fleet_streams_tick(struct fleet_lead *l, int64_t now);
+void fleet_streams_apply(struct fleet_leader *l, const struct msg_streams *m);
+void fleet_streams_request(struct fleet_leader *l, struct conn *c,
+			   const struct msg_stream_request *m);
+void fleet_streams_tick(struct fleet_leader *l, int64_t now);
 
 /* fleet_push.c */
 /* Sends a snapshot of the fleet to the entries that have none. */
-void fleet_push_whole(struct fleet_lead *l);
+void fleet_push_snapshots(struct fleet_leader *l);
 /* An entry has acknowledged a round; a snapshot in flight is lost. */
-void fleet_push_confirmed(struct fleet_lead *l, struct fleet_peer *p);
-void fleet_push_lost(struct fleet_lead *l, struct fleet_peer *p);
-void fleet_push_tick(struct fleet_lead *l, int64_t now);
+void fleet_push_acked(struct fleet_leader *l, struct fleet_peer *p);
+void fleet_push_lost(struct fleet_leader *l, struct fleet_peer *p);
+void fleet_push_tick(struct fleet_leader *l, int64_t now);
 /* Sends the changes to all other entries; loads: also changes of load alone. */
-void fleet_push_changes(struct fleet_lead *l, bool loads);
+void fleet_push_changes(struct fleet_leader *l, bool loads);
 
 #endif
--- a/src/daemon/fleet_listed.c
+++ b/src/daemon/fleet_listed.c
@@ -1,6 +1,6 @@
 /* Applies the VM list to the fleet leader's endpoints, and decides which
  * incarnation of an endpoint is the current one. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 /* An endpoint that has no agent is dropped once it is missing from the list for
  * this long. */
@@ -15,12 +15,12 @@
 static void clear_signals(struct fleet_ep *ep)
 {
 	ep->limit = (struct endpoint_limit){ .per_s = ENDPOINT_LIMIT_NONE };
-	ep->rest_until_ms = 0;
-	ep->says_leaving = false;
+	ep->backoff_until_ms = 0;
+	ep->signals_draining = false;
 }
 
 /* Drops the state and the planned step of an earlier incarnation. */
-static void reset_incarnation(struct fleet_lead *l, struct fleet_ep *ep,
+static void reset_incarnation(struct fleet_leader *l, struct fleet_ep *ep,
 			      int64_t started_ms)
 {
 	log_info("endpoint_restarted",
@@ -30,11 +30,11 @@
 	g_hash_table_remove_all(ep->calls);
 	memset(&ep->failures, 0, sizeof(ep->failures));
 	memset(&ep->failures_sent, 0, sizeof(ep->failures_sent));
-	g_hash_table_remove_all(ep->refused);
+	g_hash_table_remove_all(ep->failed_loads);
 	fleet_report_clear(&ep->report);
-	ep->reported = ep->leaving_listed = false;
-	g_ptr_array_unref(ep->on_list);
-	ep->on_list = g_ptr_array_new_with_free_func(g_free);
+	ep->reported = ep->listed_draining = false;
+	g_ptr_array_unref(ep->listed_models);
+	ep->listed_models = g_ptr_array_new_with_free_func(g_free);
 	ep->changed = l->dirty = l->urgent = true;
 }
 
@@ -42,15 +42,16 @@
  * The list reports a new id long after the agent reported the new start time.
  * State that was received since for that start time holds; only the id is new.
  */
-enum fleet_relation fleet_ep_learn(struct fleet_lead *l, struct fleet_ep *ep,
-				   const struct fleet_incarnation *reported)
+enum fleet_relation
+fleet_ep_set_incarnation(struct fleet_leader *l, struct fleet_ep *ep,
+			 const struct fleet_incarnation *reported)
 {
 	enum fleet_relation relation =
 		fleet_incarnation_compare(&ep->self, reported);
 
 	if (relation == FLEET_RESTARTED) {
 		clear_signals(ep);
-		ep->slow = (struct fleet_slowness){ 0 };
+		ep->slowness = (struct fleet_slowness){ 0 };
 	}
 	if (relation == FLEET_RESTARTED && ep->self.started_ms &&
 	    reported->started_ms && ep->self.started_ms != reported->started_ms)
@@ -66,7 +67,7 @@
  * asks the engine itself. Requests carry the id; with the list's outdated one
  * the engine would refuse all of them until the list catches up.
  */
-static bool is_outdated(const struct fleet_lead *l, const struct fleet_ep *ep,
+static bool is_outdated(const struct fleet_leader *l, const struct fleet_ep *ep,
 			const struct fleet_incarnation *listed)
 {
 	return ep->conn && fleet_ep_reported(l, ep) &&
@@ -77,8 +78,8 @@
  * A list item of an earlier incarnation still gives the address's service and
  * the fact that it is listed, but its models and its draining no longer hold.
  */
-static void apply_instance(struct fleet_lead *l, const struct fleet_instance *i,
-			   int64_t now)
+static void apply_instance(struct fleet_leader *l,
+			   const struct fleet_instance *i, int64_t now)
 {
 	static const GPtrArray none;
 	struct fleet_ep *ep = fleet_ep_for(l, i->addr);
@@ -97,18 +98,19 @@
 		return;
 	}
 	fleet_ep_readable(l, ep, now);
-	relation = is_outdated(l, ep, &listed) ? FLEET_STALE :
-						 fleet_ep_learn(l, ep, &listed);
+	relation = is_outdated(l, ep, &listed) ?
+			   FLEET_STALE :
+			   fleet_ep_set_incarnation(l, ep, &listed);
 	stale = relation == FLEET_STALE;
 	draining = i->draining && !stale;
 	models = stale ? &none : i->models;
 	changed = first || relation == FLEET_RESTARTED ||
 		  strcmp(ep->service, i->service) || !ep->listed ||
-		  ep->leaving_listed != draining ||
+		  ep->listed_draining != draining ||
 		  g_strcmp0(version, ep->self.version);
 	g_free(version);
 	if (changed ||
-	    (!ep->reported && !fleet_same_names(ep->on_list, models)))
+	    (!ep->reported && !fleet_same_names(ep->listed_models, models)))
 		ep->changed = l->dirty = true;
 	if (changed)
 		log_info("endpoint",
@@ -120,18 +122,18 @@
 	ss_str_set(&ep->domain, ss_str(i->domain ? i->domain : ""));
 	ep->slots = i->slots;
 	if (!stale)
-		fleet_streams_seen(l, ep);
+		fleet_streams_add_version(l, ep);
 	ep->listed = true;
-	ep->leaving_listed = draining;
+	ep->listed_draining = draining;
 	ep->listed_ms = now;
-	g_ptr_array_unref(ep->on_list);
-	ep->on_list = stale ? g_ptr_array_new_with_free_func(g_free) :
-			      g_ptr_array_ref(i->models);
+	g_ptr_array_unref(ep->listed_models);
+	ep->listed_models = stale ? g_ptr_array_new_with_free_func(g_free) :
+				    g_ptr_array_ref(i->models);
 }
 
-void fleet_take_list(struct fleet_lead *l, struct fleet_list *all)
+void fleet_apply_list(struct fleet_leader *l, struct fleet_list *all)
 {
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 	GHashTable *by_addr;
 	GHashTableIter it;
 	void *p;
@@ -155,6 +157,6 @@
 			g_hash_table_iter_remove(&it);
 	}
 	/* With an incomplete list, endpoints that exist would be missing. */
-	l->list_seen |= all->complete ||
-			now - l->since_ms > PARTIAL_LIST_WAIT_MS;
+	l->list_received |= all->complete ||
+			    now - l->since_ms > PARTIAL_LIST_WAIT_MS;
 }
--- a/src/daemon/fleet_peers.c
+++ b/src/daemon/fleet_peers.c
@@ -1,6 +1,6 @@
 /* The fleet leader's peers: their connections, and the term and routing version
  * that they are sent. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 struct fleet_ep *fleet_peer_engine(const struct fleet_peer *p)
 {
@@ -8,7 +8,7 @@
 }
 
 /* An agent needs only the services, and is notified when these change. */
-static uint64_t routing_version_for(const struct fleet_lead *l,
+static uint64_t routing_version_for(const struct fleet_leader *l,
 				    const struct fleet_peer *p)
 {
 	const struct document *d = ss_state_routing(group_state(l->g));
@@ -21,7 +21,7 @@
  * control VMs, and the owner of an engine its fence. An agent that owns no
  * engine gets no message, since it may give no orders.
  */
-void fleet_tell_term(struct fleet_lead *l, struct fleet_peer *p)
+void fleet_send_term(struct fleet_leader *l, struct fleet_peer *p)
 {
 	const struct fleet_ep *ep = p->entry ? NULL : fleet_peer_engine(p);
 	struct msg_term m = { .routing = routing_version_for(l, p) };
@@ -33,12 +33,12 @@
 		p->routing_sent = m.routing;
 }
 
-static bool is_behind(const struct fleet_lead *l, const struct fleet_peer *p)
+static bool is_behind(const struct fleet_leader *l, const struct fleet_peer *p)
 {
 	return p->entry && p->routing < l->routing_sent;
 }
 
-static void count_behind(struct fleet_lead *l)
+static void count_behind(struct fleet_leader *l)
 {
 	GHashTableIter it;
 	void *p;
@@ -49,7 +49,7 @@
 		l->entries_behind += is_behind(l, p);
 }
 
-void fleet_tell_routing(struct fleet_lead *l)
+void fleet_send_routing(struct fleet_leader *l)
 {
 	uint64_t version =
 		document_version(ss_state_routing(group_state(l->g)));
@@ -58,7 +58,7 @@
 
 	if (version != l->routing_sent) {
 		l->routing_sent = version;
-		l->routing_read_ms = fleet_lead_now(l);
+		l->routing_read_ms = fleet_leader_now(l);
 		count_behind(l);
 	}
 	g_hash_table_iter_init(&it, l->peers);
@@ -66,12 +66,12 @@
 		struct fleet_peer *p = v;
 
 		if (p->confirmed && p->routing_sent < routing_version_for(l, p))
-			fleet_tell_term(l, p);
+			fleet_send_term(l, p);
 	}
 }
 
 /* Logs once when all connected entries follow the version in force. */
-static void log_routing_everywhere(struct fleet_lead *l)
+static void log_routing_everywhere(struct fleet_leader *l)
 {
 	uint64_t version = l->routing_sent;
 
@@ -79,11 +79,11 @@
 		return;
 	l->routing_everywhere = version;
 	log_info("routing_everywhere", "version=%" PRIu64 " ms=%" PRId64,
-		 version, fleet_lead_now(l) - l->routing_read_ms);
+		 version, fleet_leader_now(l) - l->routing_read_ms);
 }
 
-void fleet_peer_follows(struct fleet_lead *l, struct fleet_peer *p,
-			uint64_t version)
+void fleet_peer_set_routing(struct fleet_leader *l, struct fleet_peer *p,
+			    uint64_t version)
 {
 	l->entries_behind -= is_behind(l, p);
 	p->routing = version;
@@ -94,7 +94,7 @@
 /* Connections. */
 
 struct confirm {
-	struct fleet_lead *l;
+	struct fleet_leader *l;
 	struct conn *conn;
 };
 
@@ -108,7 +108,7 @@
 		p = g_hash_table_lookup(k->l->peers, k->conn);
 		if (p) {
 			p->confirmed = true;
-			fleet_tell_term(k->l, p);
+			fleet_send_term(k->l, p);
 			k->l->dirty = k->l->urgent = true;
 		}
 	}
@@ -120,7 +120,7 @@
  * doesn't know it yet. So a peer is sent nothing before a majority has answered
  * this leader since the peer connected.
  */
-void fleet_peer_open(struct fleet_lead *l, struct conn *c)
+void fleet_peer_open(struct fleet_leader *l, struct conn *c)
 {
 	struct fleet_peer *p = fleet_peer_new(c);
 	struct confirm *k = g_new0(struct confirm, 1);
@@ -134,15 +134,15 @@
 	group_confirm(l->g, (struct read_done){ on_confirmed, k });
 }
 
-static void remove_agent(struct fleet_lead *l, struct fleet_ep *ep)
+static void remove_agent(struct fleet_leader *l, struct fleet_ep *ep)
 {
 	log_info("agent_lost", "endpoint=%s", ep->addr);
-	fleet_ep_owned_by(l, ep, NULL);
-	ep->down = false;
+	fleet_ep_set_conn(l, ep, NULL);
+	ep->unreachable = false;
 	ep->changed = true;
 }
 
-void fleet_peer_closed(struct fleet_lead *l, struct conn *c)
+void fleet_peer_closed(struct fleet_leader *l, struct conn *c)
 {
 	struct fleet_peer *gone = g_hash_table_lookup(l->peers, c);
 
@@ -150,11 +150,11 @@
 		return;
 	fleet_push_lost(l, gone);
 	if (gone->entry)
-		fleet_quota_gone(l, c);
+		fleet_quota_client_lost(l, c);
 	l->entries -= gone->entry;
 	l->entries_behind -= is_behind(l, gone);
 	fleet_drop_calls(l, gone);
-	fleet_drop_wants(l, gone);
+	fleet_drop_waits(l, gone);
 	while (gone->owned->len)
 		remove_agent(l, gone->owned->pdata[0]);
 	g_hash_table_remove(l->peers, c);
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -1,5 +1,5 @@
 /* Sends entries the state of the fleet: a snapshot first, then the changes. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 /* Unsent bytes for a peer, beyond the size of its last snapshot, above which
  * its changes are dropped: 50 ms of a 10 Mbit/s link, and 20 MB for 340 peers.
@@ -19,17 +19,17 @@
 }
 
 /* Adds the models of the endpoint that take new calls. */
-static void add_open_models(const struct fleet_lead *l,
+static void add_open_models(const struct fleet_leader *l,
 			    const struct fleet_ep *ep, GArray *held,
 			    GPtrArray *lists)
 {
 	if (!fleet_ep_reported(l, ep)) {
-		for (guint i = 0; i < ep->on_list->len; i++) {
+		for (guint i = 0; i < ep->listed_models->len; i++) {
 			struct held_model h = {
-				.model = ss_str(ep->on_list->pdata[i])
+				.model = ss_str(ep->listed_models->pdata[i])
 			};
 
-			if (!fleet_step_closes(ep, h.model.p))
+			if (!fleet_step_unloads(ep, h.model.p))
 				g_array_append_val(held, h);
 		}
 		return;
@@ -38,7 +38,7 @@
 		const struct fleet_held_model *x = &g_array_index(
 			ep->report.held, struct fleet_held_model, i);
 
-		if (!fleet_step_closes(ep, x->model))
+		if (!fleet_step_unloads(ep, x->model))
 			fleet_wire_add_held(held, lists, x);
 	}
 }
@@ -52,14 +52,14 @@
 
 /* Adds only the load and the failures of an endpoint: a tenth of its full
  * state, and the part that changes most. Plain services report no load. */
-static void push_load(struct fleet_lead *l, struct push *p,
+static void push_load(struct fleet_leader *l, struct push *p,
 		      const struct fleet_ep *ep)
 {
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 	struct fleet_load x = {
 		.addr = ss_str(ep->addr),
 		.failure_rate = failure_rate_permille(&ep->failures, now),
-		.slowness = fleet_slowness_ratio(&ep->slow, now)
+		.slowness = fleet_slowness_ratio(&ep->slowness, now)
 	};
 
 	if (fleet_ep_reported(l, ep)) {
@@ -72,7 +72,7 @@
 	g_array_append_val(p->loads, x);
 }
 
-static void push_add(struct fleet_lead *l, struct push *p,
+static void push_add(struct fleet_leader *l, struct push *p,
 		     const struct fleet_ep *ep)
 {
 	GArray *held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
@@ -87,13 +87,14 @@
 		.unusable = !fleet_ep_usable(l, ep),
 		.gone = !ep->listed,
 		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
-		.failure_rate =
-			failure_rate_permille(&ep->failures, fleet_lead_now(l)),
-		.slowness = fleet_slowness_ratio(&ep->slow, fleet_lead_now(l)),
+		.failure_rate = failure_rate_permille(&ep->failures,
+						      fleet_leader_now(l)),
+		.slowness = fleet_slowness_ratio(&ep->slowness,
+						 fleet_leader_now(l)),
 		.limit = endpoint_limit_wire(&ep->limit),
-		.limit_age =
-			endpoint_limit_wire_age(&ep->limit, fleet_lead_now(l)),
-		.draining = fleet_ep_ends(l, ep),
+		.limit_age = endpoint_limit_wire_age(&ep->limit,
+						     fleet_leader_now(l)),
+		.draining = fleet_ep_is_draining(l, ep),
 		.version = ss_str(fleet_version(&ep->self)),
 	};
 
@@ -102,7 +103,7 @@
 		e.waiting = ep->report.waiting;
 		e.tokens_used = ep->report.tokens_used;
 		e.tokens_total = ep->report.tokens_total;
-		e.age_ms = fleet_lead_now(l) - ep->report_ms;
+		e.age_ms = fleet_leader_now(l) - ep->report_ms;
 	}
 	g_ptr_array_add(p->lists, held);
 	add_open_models(l, ep, held, p->lists);
@@ -127,15 +128,15 @@
 	g_array_unref(p->etas);
 }
 
-static void add_etas(struct fleet_lead *l, struct push *p, bool all)
+static void add_etas(struct fleet_leader *l, struct push *p, bool all)
 {
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 	GHashTableIter it;
 	void *v;
 
-	g_hash_table_iter_init(&it, l->wants);
+	g_hash_table_iter_init(&it, l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct fleet_want *w = v;
+		struct fleet_demand *w = v;
 		struct fleet_eta e = { ss_str(w->service), ss_str(w->model), -1,
 				       ss_str(w->version) };
 
@@ -148,7 +149,7 @@
 }
 
 /* Encodes one frame for all receivers, which may be hundreds of entries. */
-static GString *encode_frame(struct fleet_lead *l, const struct push *p,
+static GString *encode_frame(struct fleet_leader *l, const struct push *p,
 			     bool snapshot)
 {
 	struct msg_fleet m = { .fence = l->fence,
@@ -170,27 +171,28 @@
 
 static bool needs_snapshot(const struct fleet_peer *p)
 {
-	return p->entry && p->confirmed && !p->whole && !p->snapshot_in_flight;
+	return p->entry && p->confirmed && !p->has_snapshot &&
+	       !p->snapshot_in_flight;
 }
 
 /* Sends a snapshot if the send window has room; otherwise a later tick does. */
-static void send_snapshot(struct fleet_lead *l, struct fleet_peer *peer,
+static void send_snapshot(struct fleet_leader *l, struct fleet_peer *peer,
 			  const GString *frame)
 {
 	if (!has_backlog_room(peer) ||
 	    !send_window_allows(&l->window, frame->len))
 		return;
-	peer->whole = conn_send_frame(peer->conn, frame);
-	if (!peer->whole)
+	peer->has_snapshot = conn_send_frame(peer->conn, frame);
+	if (!peer->has_snapshot)
 		return;
-	fleet_work(l, WORK_WHOLES, 1);
+	fleet_work(l, WORK_SNAPSHOTS, 1);
 	peer->snapshot_in_flight = peer->snapshot_bytes = frame->len;
 	peer->snapshot_round = l->round;
-	peer->snapshot_ms = fleet_lead_now(l);
+	peer->snapshot_ms = fleet_leader_now(l);
 	send_window_sent(&l->window, frame->len);
 }
 
-void fleet_push_whole(struct fleet_lead *l)
+void fleet_push_snapshots(struct fleet_leader *l)
 {
 	GHashTableIter it, at;
 	struct push p;
@@ -202,7 +204,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		any |= needs_snapshot(v);
 	/* Before the first list, a snapshot would be wrongly empty. */
-	if (!any || !l->list_seen)
+	if (!any || !l->list_received)
 		return;
 	push_begin(&p);
 	g_hash_table_iter_init(&at, l->eps);
@@ -221,7 +223,7 @@
 	push_end(&p);
 }
 
-void fleet_push_confirmed(struct fleet_lead *l, struct fleet_peer *p)
+void fleet_push_acked(struct fleet_leader *l, struct fleet_peer *p)
 {
 	if (!p->snapshot_in_flight || p->round < p->snapshot_round)
 		return;
@@ -231,14 +233,14 @@
 	l->dirty = true;
 }
 
-void fleet_push_lost(struct fleet_lead *l, struct fleet_peer *p)
+void fleet_push_lost(struct fleet_leader *l, struct fleet_peer *p)
 {
 	send_window_lost(&l->window, p->snapshot_in_flight);
 	p->snapshot_in_flight = 0;
 	l->dirty = true;
 }
 
-void fleet_push_tick(struct fleet_lead *l, int64_t now)
+void fleet_push_tick(struct fleet_leader *l, int64_t now)
 {
 	GHashTableIter it;
 	void *v;
@@ -256,7 +258,7 @@
 	}
 }
 
-static void send_changes(struct fleet_lead *l, const struct push *p)
+static void send_changes(struct fleet_leader *l, const struct push *p)
 {
 	GString *frame = encode_frame(l, p, false);
 	GHashTableIter it;
@@ -267,17 +269,17 @@
 		struct fleet_peer *peer = v;
 
 		/* An entry that misses a change gets a snapshot next time. */
-		if (!peer->entry || !peer->whole)
+		if (!peer->entry || !peer->has_snapshot)
 			continue;
-		peer->whole = has_backlog_room(peer) &&
-			      conn_send_frame(peer->conn, frame);
+		peer->has_snapshot = has_backlog_room(peer) &&
+				     conn_send_frame(peer->conn, frame);
 		fleet_work(l, WORK_SENDS, 1);
 		fleet_work(l, WORK_BYTES, frame->len);
 	}
 	g_string_free(frame, TRUE);
 }
 
-void fleet_push_changes(struct fleet_lead *l, bool loads)
+void fleet_push_changes(struct fleet_leader *l, bool loads)
 {
 	GHashTableIter it;
 	struct push p;
@@ -300,12 +302,12 @@
 		ep->changed = ep->load_changed = false;
 		ep->adapters_changed = false;
 		ep->failures_sent = ep->failures;
-		fleet_slowness_sent(&ep->slow, fleet_lead_now(l));
+		fleet_slowness_sent(&ep->slowness, fleet_leader_now(l));
 	}
 	add_etas(l, &p, false);
-	g_hash_table_iter_init(&it, l->wants);
+	g_hash_table_iter_init(&it, l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		((struct fleet_want *)v)->eta_changed = false;
+		((struct fleet_demand *)v)->eta_changed = false;
 	if (p.eps->len || p.loads->len || p.etas->len)
 		send_changes(l, &p);
 	l->loads_pending = left;
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -1,6 +1,6 @@
 /* The fleet leader as the allocator of grants: of customers' limits, and of
  * endpoints' own limits. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 #include <json-c/json.h>
 
@@ -11,7 +11,7 @@
 /* Maximum number of customers in a status, about 100 KB. */
 #define STATUS_CUSTOMERS_MAX 1000
 
-void fleet_quota_begin(struct fleet_lead *l)
+void fleet_quota_begin(struct fleet_leader *l)
 {
 	const struct config_fleet *c = &l->d->config.fleet;
 	struct quota_options o = { { c->quota_window_s, c->quota_overage,
@@ -26,7 +26,7 @@
 		metrics_value(l->d->metrics, "ss_fleet_limit_asks_total", "");
 }
 
-void fleet_quota_end(struct fleet_lead *l)
+void fleet_quota_end(struct fleet_leader *l)
 {
 	quota_lease.allocator_free(l->quota_allocator);
 	quota_lease.allocator_free(l->limit_allocator);
@@ -38,11 +38,11 @@
 	void *allocator;
 	/* Fills in the limit for the name in a request; false if the name is
 	 * unknown here. */
-	bool (*find)(struct fleet_lead *l, const char *name,
+	bool (*find)(struct fleet_leader *l, const char *name,
 		     struct customer *out);
 };
 
-static bool find_customer(struct fleet_lead *l, const char *name,
+static bool find_customer(struct fleet_leader *l, const char *name,
 			  struct customer *out)
 {
 	const struct customer *c =
@@ -53,7 +53,7 @@
 	return c != NULL;
 }
 
-static bool find_endpoint(struct fleet_lead *l, const char *name,
+static bool find_endpoint(struct fleet_leader *l, const char *name,
 			  struct customer *out)
 {
 	const struct fleet_ep *ep = g_hash_table_lookup(l->eps, name);
@@ -64,7 +64,7 @@
 	return true;
 }
 
-static void reply_requests(struct fleet_lead *l, struct conn *conn,
+static void reply_requests(struct fleet_leader *l, struct conn *conn,
 			   const struct quota_kind *k,
 			   const struct msg_quota_request *m)
 {
@@ -84,7 +84,7 @@
 		if (!k->find(l, name, &c) ||
 		    quota_lease.allocator_request(k->allocator, holder, &c,
 						  &requests[i],
-						  fleet_lead_now(l), &reply))
+						  fleet_leader_now(l), &reply))
 			g_array_append_val(replies, reply);
 		g_free(name);
 	}
@@ -94,8 +94,8 @@
 	g_array_unref(replies);
 }
 
-void fleet_quota_ask(struct fleet_lead *l, struct conn *conn,
-		     const struct msg_quota_request *m)
+void fleet_quota_request(struct fleet_leader *l, struct conn *conn,
+			 const struct msg_quota_request *m)
 {
 	struct quota_kind k = { MSG_QUOTA_REPLY, l->quota_allocator,
 				find_customer };
@@ -104,8 +104,8 @@
 	reply_requests(l, conn, &k, m);
 }
 
-void fleet_limit_ask(struct fleet_lead *l, struct conn *conn,
-		     const struct msg_quota_request *m)
+void fleet_limit_request(struct fleet_leader *l, struct conn *conn,
+			 const struct msg_quota_request *m)
 {
 	struct quota_kind k = { MSG_LIMIT_REPLY, l->limit_allocator,
 				find_endpoint };
@@ -115,7 +115,7 @@
 }
 
 /* Does nothing if the entry has a newer connection already. */
-void fleet_quota_gone(struct fleet_lead *l, const struct conn *conn)
+void fleet_quota_client_lost(struct fleet_leader *l, const struct conn *conn)
 {
 	uint64_t holder = conn_peer(conn)->incarnation;
 	GHashTableIter it;
@@ -126,12 +126,12 @@
 		if (other != conn && conn_peer(other)->incarnation == holder)
 			return;
 	quota_lease.allocator_client_lost(l->quota_allocator, holder,
-					  fleet_lead_now(l));
+					  fleet_leader_now(l));
 	quota_lease.allocator_client_lost(l->limit_allocator, holder,
-					  fleet_lead_now(l));
+					  fleet_leader_now(l));
 }
 
-void fleet_quota_tick(struct fleet_lead *l, int64_t now)
+void fleet_quota_tick(struct fleet_leader *l, int64_t now)
 {
 	if (now - l->quota_pruned_ms < PRUNE_INTERVAL_MS)
 		return;
@@ -141,13 +141,13 @@
 }
 
 /* Returns a customer's status; of its keys only the number is shown. */
-static json_object *status_of(struct fleet_lead *l, const struct customer *c)
+static json_object *status_of(struct fleet_leader *l, const struct customer *c)
 {
 	json_object *o = json_object_new_object();
 	struct quota_account_view s = { 0 };
 
 	quota_lease.allocator_view(l->quota_allocator, c->name,
-				   fleet_lead_now(l), &s);
+				   fleet_leader_now(l), &s);
 	json_object_object_add(o, "name", json_object_new_string(c->name));
 	json_object_object_add(o, "keys", json_object_new_int64(c->keys->len));
 	json_object_object_add(o, "unit",
@@ -168,7 +168,7 @@
 	return o;
 }
 
-void fleet_quota_status(struct fleet_lead *l, json_object *o)
+void fleet_quota_status(struct fleet_leader *l, json_object *o)
 {
 	json_object *list = json_object_new_array();
 	GHashTableIter it;
--- a/src/daemon/fleet_remote.c
+++ b/src/daemon/fleet_remote.c
@@ -1,6 +1,6 @@
 /* Assigns engines that have no agent on their own VM to control VMs, which run
  * agents for them. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 /* How often members are sent the engines whose agents they run, in ms: a
  * quarter of the time after which they stop these agents without a message. */
@@ -12,7 +12,7 @@
 #define MEMBER_QUIET_MS CONN_FAST_SILENT_MS
 
 /* Returns the members that can run agents; the leader only if it is alone. */
-static GArray *available_members(const struct fleet_lead *l)
+static GArray *available_members(const struct fleet_leader *l)
 {
 	const struct ss_raft *r = group_raft(l->g);
 	const struct ss_raft_members *all = ss_raft_members(r);
@@ -38,7 +38,7 @@
 
 /* Returns the member that runs an engine's agent; 0: none, as the engine needs
  * none or can't be given to one yet. */
-static uint64_t choose_member(struct fleet_lead *l, struct fleet_ep *ep,
+static uint64_t choose_member(struct fleet_leader *l, struct fleet_ep *ep,
 			      const GArray *ids, int64_t now)
 {
 	const struct routing_service *s =
@@ -63,7 +63,7 @@
 /* No control VM polls an engine during a backoff that the engine has asked an
  * entry for: a backoff applies to a VM, and the entry may run on the same VM as
  * the agent. */
-static void send_assignment(struct fleet_lead *l, uint64_t id, int64_t now)
+static void send_assignment(struct fleet_leader *l, uint64_t id, int64_t now)
 {
 	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct name_item));
 	struct msg_remote m = { .fence = l->fence };
@@ -75,7 +75,7 @@
 		const struct fleet_ep *ep = p;
 		struct name_item n = { ss_str(ep->addr) };
 
-		if (ep->remote_member == id && now >= ep->rest_until_ms)
+		if (ep->remote_member == id && now >= ep->backoff_until_ms)
 			g_array_append_val(names, n);
 	}
 	m.engines = (struct wire_list){ names->data, names->len };
@@ -83,7 +83,7 @@
 	g_array_unref(names);
 }
 
-void fleet_remote_tick(struct fleet_lead *l, int64_t now)
+void fleet_remote_tick(struct fleet_leader *l, int64_t now)
 {
 	bool changed = false, any = false;
 	const struct ss_raft_members *all;
@@ -91,7 +91,8 @@
 	GArray *ids;
 	void *p;
 
-	if (!l->list_seen || now - l->remote_assigned_ms < ASSIGN_INTERVAL_MS)
+	if (!l->list_received ||
+	    now - l->remote_assigned_ms < ASSIGN_INTERVAL_MS)
 		return;
 	l->remote_assigned_ms = now;
 	ids = available_members(l);
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -1,6 +1,6 @@
 /* Applies the reports of agents on their engines, and of entries on their
  * callers and on the endpoints' answers. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 #include <math.h>
 
@@ -13,12 +13,12 @@
 /* Agents. */
 
 /* Returns whether the agent owns the engine; sends a new owner its fence. */
-static bool acquire_engine(struct fleet_lead *l, struct fleet_ep *ep,
+static bool acquire_engine(struct fleet_leader *l, struct fleet_ep *ep,
 			   struct conn *c, bool remote)
 {
 	char *name = ss_str_dup(conn_peer(c)->name);
 	enum owner_claim claim =
-		owner_acquire(&ep->owner, name, remote, fleet_lead_now(l));
+		owner_acquire(&ep->owner, name, remote, fleet_leader_now(l));
 	struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 
 	if (claim == OWNER_ACQUIRED)
@@ -30,14 +30,14 @@
 		return false;
 	if (ep->conn == c)
 		return true;
-	fleet_ep_owned_by(l, ep, c);
+	fleet_ep_set_conn(l, ep, c);
 	if (p && p->confirmed)
-		fleet_tell_term(l, p);
+		fleet_send_term(l, p);
 	return true;
 }
 
-void fleet_take_endpoint(struct fleet_lead *l, struct conn *c,
-			 const struct msg_endpoint *m)
+void fleet_apply_agent_report(struct fleet_leader *l, struct conn *c,
+			      const struct msg_endpoint *m)
 {
 	char *addr = ss_str_dup(m->addr);
 	struct fleet_ep *ep = fleet_ep_for(l, addr);
@@ -53,12 +53,12 @@
 		if (ep->reported)
 			log_info("endpoint_silent", "endpoint=%s", ep->addr);
 		ep->reported = false;
-		ep->down = ep->changed = l->dirty = true;
+		ep->unreachable = ep->changed = l->dirty = true;
 		return;
 	}
-	ep->down = false;
+	ep->unreachable = false;
 	fleet_report_read(&r, m);
-	relation = fleet_ep_learn(l, ep, &r.self);
+	relation = fleet_ep_set_incarnation(l, ep, &r.self);
 	if (relation == FLEET_STALE) {
 		fleet_report_clear(&r);
 		return;
@@ -73,31 +73,31 @@
 	fleet_report_clear(&ep->report);
 	ep->report = r;
 	ep->reported = true;
-	ep->report_ms = fleet_lead_now(l);
+	ep->report_ms = fleet_leader_now(l);
 	l->dirty = true;
 }
 
 /* Entries. */
 
-static void apply_demand(struct fleet_lead *l, struct fleet_peer *p,
+static void apply_demand(struct fleet_leader *l, struct fleet_peer *p,
 			 const struct model_demand *m)
 {
 	char *service = ss_str_dup(m->service), *model = ss_str_dup(m->model);
 	char *version = ss_str_dup(m->version);
-	struct fleet_want *w = fleet_want_for(l, service, model, version);
-	int64_t now = fleet_lead_now(l);
-	struct wait_at at = { .waiting = m->waiting,
-			      .due_ms = now + m->slack_ms,
-			      .at_ms = now };
+	struct fleet_demand *w = fleet_demand_for(l, service, model, version);
+	int64_t now = fleet_leader_now(l);
+	struct entry_wait at = { .waiting = m->waiting,
+				 .due_ms = now + m->slack_ms,
+				 .at_ms = now };
 
 	g_free(service);
 	g_free(model);
 	g_free(version);
 	if (m->arrivals)
 		fleet_rate_add(&w->rate, m->arrivals, now);
-	fleet_want_drop(l, w, p);
+	fleet_demand_drop_entry(l, w, p);
 	if (m->waiting) {
-		fleet_want_add(w, p, &at);
+		fleet_demand_add_entry(w, p, &at);
 		/* An entry that waits is to be sent the wake time at once. */
 		w->eta_changed = true;
 		l->urgent = true;
@@ -114,7 +114,7 @@
 	return fleet_incarnation_compare(&ep->self, &reported) == FLEET_STALE;
 }
 
-static void apply_calls(struct fleet_lead *l, struct fleet_peer *p,
+static void apply_calls(struct fleet_leader *l, struct fleet_peer *p,
 			const struct wire_list *list)
 {
 	const struct endpoint_calls *e = list->items;
@@ -136,10 +136,10 @@
  * rate or slowness. So the results of all entries are summed up here and sent
  * to all of them.
  */
-static void apply_results(struct fleet_lead *l, const struct wire_list *list)
+static void apply_results(struct fleet_leader *l, const struct wire_list *list)
 {
 	const struct endpoint_results *e = list->items;
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 
 	for (size_t i = 0; i < list->n; i++) {
 		char *addr = ss_str_dup(e[i].addr);
@@ -154,9 +154,9 @@
 			 failure_rate_at(&ep->failures_sent, now)) >
 		    FAILURE_RATE_STEP)
 			ep->load_changed = true;
-		fleet_slowness_add(&ep->slow, e[i].slowness_ln,
+		fleet_slowness_add(&ep->slowness, e[i].slowness_ln,
 				   e[i].slowness_count, now);
-		if (fleet_slowness_is_due(&ep->slow, now))
+		if (fleet_slowness_is_due(&ep->slowness, now))
 			ep->load_changed = true;
 	}
 }
@@ -166,31 +166,31 @@
  * doesn't know the endpoint's signals, so limits and draining are sent to all
  * entries. A backoff applies to one VM; entries on others may still be served.
  */
-static void apply_signals(struct fleet_lead *l, struct fleet_ep *ep,
+static void apply_signals(struct fleet_leader *l, struct fleet_ep *ep,
 			  const struct endpoint_signals *w)
 {
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 
 	if (endpoint_limit_received(&ep->limit, w->limit, w->limit_age, now)) {
 		log_info("endpoint_limit", "addr=%s id=%s per_s=%.3f", ep->addr,
 			 ep->self.id, ep->limit.per_s);
 		ep->changed = l->dirty = l->urgent = true;
 	}
-	if (w->draining && !ep->says_leaving) {
+	if (w->draining && !ep->signals_draining) {
 		log_info("endpoint_leaving", "addr=%s id=%s", ep->addr,
 			 ep->self.id);
-		ep->says_leaving = true;
+		ep->signals_draining = true;
 		ep->changed = l->dirty = l->urgent = true;
 	}
-	if (now + w->backoff_ms > ep->rest_until_ms && w->backoff_ms) {
-		l->urgent |= now >= ep->rest_until_ms;
+	if (now + w->backoff_ms > ep->backoff_until_ms && w->backoff_ms) {
+		l->urgent |= now >= ep->backoff_until_ms;
 		/* Members are sent their assignments at once. */
 		l->remote_sent_ms = 0;
-		ep->rest_until_ms = now + w->backoff_ms;
+		ep->backoff_until_ms = now + w->backoff_ms;
 	}
 }
 
-static void apply_signal_list(struct fleet_lead *l,
+static void apply_signal_list(struct fleet_leader *l,
 			      const struct wire_list *list)
 {
 	const struct endpoint_signals *w = list->items;
@@ -210,8 +210,8 @@
 	}
 }
 
-void fleet_take_demand(struct fleet_lead *l, struct conn *c,
-		       const struct msg_demand *m)
+void fleet_apply_entry_report(struct fleet_leader *l, struct conn *c,
+			      const struct msg_demand *m)
 {
 	struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 	const struct model_demand *d = m->models.items;
@@ -220,8 +220,8 @@
 		return;
 	fleet_work(l, WORK_REPORTS, 1);
 	p->round = MAX(p->round, m->round);
-	fleet_peer_follows(l, p, m->routing);
-	fleet_push_confirmed(l, p);
+	fleet_peer_set_routing(l, p, m->routing);
+	fleet_push_acked(l, p);
 	for (size_t i = 0; i < m->models.n; i++)
 		apply_demand(l, p, &d[i]);
 	apply_calls(l, p, &m->calls);
@@ -231,7 +231,7 @@
 }
 
 /* Drops the reports that are no longer valid. */
-static void expire_waits(struct fleet_lead *l, struct fleet_want *w,
+static void expire_waits(struct fleet_leader *l, struct fleet_demand *w,
 			 int64_t now)
 {
 	GHashTableIter it;
@@ -241,22 +241,22 @@
 	while (g_hash_table_iter_next(&it, &c, &v)) {
 		struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 
-		if (now - ((struct wait_at *)v)->at_ms <= WAIT_REPORT_TTL_MS)
+		if (now - ((struct entry_wait *)v)->at_ms <= WAIT_REPORT_TTL_MS)
 			continue;
 		g_hash_table_iter_remove(&it);
 		if (p)
-			g_hash_table_remove(p->wants, w);
+			g_hash_table_remove(p->demands, w);
 	}
 }
 
-void fleet_forget_wants(struct fleet_lead *l, int64_t now)
+void fleet_expire_demand(struct fleet_leader *l, int64_t now)
 {
 	GHashTableIter it;
 	void *w;
 
-	g_hash_table_iter_init(&it, l->wants);
+	g_hash_table_iter_init(&it, l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &w)) {
-		const struct fleet_want *want = w;
+		const struct fleet_demand *want = w;
 
 		if (g_hash_table_size(want->waits))
 			expire_waits(l, w, now);
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -1,5 +1,5 @@
 /* Plans steps, which load and unload models, and runs them. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 /* Longest time for which a new leader waits for all agents to connect before it
  * plans: models that aren't reported yet would count as lost. No lease has to
@@ -35,12 +35,12 @@
 #define BLOCKED_LOG_MS 1000
 
 struct service_view {
-	struct fleet_lead *l;
+	struct fleet_leader *l;
 	const struct routing_service *service;
 	struct fleet_view v;
 	GArray *models;	   /* struct fleet_model */
 	GArray *pins;	   /* struct fleet_pin */
-	GPtrArray *pinned; /* struct fleet_want of each pin */
+	GPtrArray *pinned; /* struct fleet_demand of each pin */
 	GArray *nodes;	   /* struct fleet_node */
 	GPtrArray *eps;	   /* struct fleet_ep of each node */
 	GPtrArray *tiers;
@@ -57,7 +57,7 @@
 	memset(s, 0, sizeof(*s));
 }
 
-bool fleet_step_closes(const struct fleet_ep *ep, const char *model)
+bool fleet_step_unloads(const struct fleet_ep *ep, const char *model)
 {
 	return ep->step.on &&
 	       g_ptr_array_find_with_equal_func(ep->step.unload, model,
@@ -74,7 +74,7 @@
 
 /* Returns the number of waiting callers at all entries; sets *slack_ms to the
  * time until the earliest deadline. */
-static uint32_t sum_waits(const struct fleet_want *want, int64_t now,
+static uint32_t sum_waits(const struct fleet_demand *want, int64_t now,
 			  int64_t *slack_ms)
 {
 	uint32_t waiting = 0;
@@ -84,7 +84,7 @@
 	*slack_ms = INT64_MAX;
 	g_hash_table_iter_init(&it, want->waits);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct wait_at *at = v;
+		const struct entry_wait *at = v;
 
 		waiting += (uint32_t)at->waiting;
 		*slack_ms = MIN(*slack_ms, at->due_ms - now);
@@ -97,9 +97,9 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, w->l->wants);
+	g_hash_table_iter_init(&it, w->l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct fleet_want *want = p;
+		struct fleet_demand *want = p;
 		int m = *want->version && g_hash_table_size(want->waits) &&
 					!strcmp(want->service,
 						w->service->name) ?
@@ -124,8 +124,8 @@
 					       struct routing_model, i),
 			.eta_ms = -1,
 		};
-		struct fleet_want *want = fleet_want_for(w->l, w->service->name,
-							 m.spec->name, "");
+		struct fleet_demand *want = fleet_demand_for(
+			w->l, w->service->name, m.spec->name, "");
 		m.rate = fleet_rate_at(&want->rate, w->now);
 		m.waiting = sum_waits(want, w->now, &m.slack_ms);
 		g_array_append_val(w->models, m);
@@ -159,7 +159,7 @@
 			continue;
 		p.model = (uint32_t)m;
 		p.calls = fleet_ep_calls(ep, h->model);
-		p.unloading = fleet_step_closes(ep, h->model);
+		p.unloading = fleet_step_unloads(ep, h->model);
 		g_array_index(w->models, struct fleet_model, m).calls +=
 			p.calls;
 		n->free_mb -= g_array_index(w->models, struct fleet_model, m)
@@ -189,16 +189,16 @@
 
 /* True if the engine's agent reports it, so that its memory use is known, and
  * nothing else occupies it. */
-static bool can_take_step(const struct fleet_lead *l, const struct fleet_ep *ep,
-			  int64_t now)
+static bool can_take_step(const struct fleet_leader *l,
+			  const struct fleet_ep *ep, int64_t now)
 {
 	return ep->conn && ep->reported && !ep->step.on && !ep->report.busy &&
-	       now - ep->report_ms < FLEET_REPORT_MS &&
+	       now - ep->report_ms < FLEET_REPORT_MAX_AGE_MS &&
 	       fleet_ep_usable(l, ep) && !fleet_ep_strained(l, ep);
 }
 
 /* True if the engine executes an order that this leader didn't send. */
-static bool has_foreign_order(const struct fleet_lead *l,
+static bool has_foreign_order(const struct fleet_leader *l,
 			      const struct fleet_ep *ep)
 {
 	return !ep->step.on && fleet_ep_reported(l, ep) && ep->report.busy;
@@ -245,7 +245,7 @@
 static bool load_failed_recently(const struct fleet_ep *ep, const char *model,
 				 int64_t now)
 {
-	const int64_t *at = g_hash_table_lookup(ep->refused, model);
+	const int64_t *at = g_hash_table_lookup(ep->failed_loads, model);
 
 	return at && now - *at < LOAD_RETRY_MS;
 }
@@ -289,9 +289,9 @@
 static void on_blocked(void *arg, uint32_t model, const struct fleet_blocked *b)
 {
 	struct service_view *w = arg;
-	struct fleet_want *want = fleet_want_for(w->l, w->service->name,
-						 model_name(w, model),
-						 b->version ? b->version : "");
+	struct fleet_demand *want =
+		fleet_demand_for(w->l, w->service->name, model_name(w, model),
+				 b->version ? b->version : "");
 
 	if (w->now - want->blocked_ms < BLOCKED_LOG_MS)
 		return;
@@ -306,7 +306,7 @@
 
 static const struct fleet_plan_ops plan_table = { begin_step, on_blocked };
 
-static void update_eta(struct service_view *w, struct fleet_want *want,
+static void update_eta(struct service_view *w, struct fleet_demand *want,
 		       int64_t eta_ms)
 {
 	int64_t eta = eta_ms < 0 ? -1 : w->now + eta_ms;
@@ -326,8 +326,8 @@
 			&g_array_index(w->models, struct fleet_model, i);
 
 		update_eta(w,
-			   fleet_want_for(w->l, w->service->name, m->spec->name,
-					  ""),
+			   fleet_demand_for(w->l, w->service->name,
+					    m->spec->name, ""),
 			   m->eta_ms);
 	}
 	for (guint i = 0; i < w->pins->len; i++)
@@ -341,7 +341,7 @@
 }
 
 /* True if every engine in the VM list has a connected agent. */
-static bool all_reported(const struct fleet_lead *l)
+static bool all_reported(const struct fleet_leader *l)
 {
 	GHashTableIter it;
 	void *p;
@@ -358,7 +358,7 @@
 	return true;
 }
 
-static bool may_preload(const struct fleet_lead *l, int64_t now)
+static bool may_preload(const struct fleet_leader *l, int64_t now)
 {
 	int64_t age = now - l->since_ms;
 
@@ -366,7 +366,7 @@
 	       (age >= PRELOAD_MAX_DELAY_MS || all_reported(l));
 }
 
-static void plan_service(struct fleet_lead *l,
+static void plan_service(struct fleet_leader *l,
 			 const struct routing_service *service, int64_t now)
 {
 	struct service_view w = { .l = l, .service = service, .now = now };
@@ -420,8 +420,8 @@
  * loads that its predecessor began, so it starts with an empty bucket; the
  * bucket holds at most one second's loads.
  */
-static void refill_store(struct fleet_lead *l, const struct routing_service *s,
-			 int64_t now)
+static void refill_store(struct fleet_leader *l,
+			 const struct routing_service *s, int64_t now)
 {
 	double rate = s->loads_per_s * STORE_SHARE;
 	double preset = (double)l->preset.store_per_minute / 60.0;
@@ -433,9 +433,9 @@
 	l->store_ms = now;
 }
 
-void fleet_steps_plan(struct fleet_lead *l, int64_t now)
+void fleet_steps_plan(struct fleet_leader *l, int64_t now)
 {
-	if (!l->list_seen ||
+	if (!l->list_received ||
 	    (now - l->since_ms < AGENT_WAIT_MS && !all_reported(l)))
 		return;
 	for (guint i = 0; i < l->routing->services->len; i++) {
@@ -451,7 +451,7 @@
 
 /* Running steps. */
 
-static bool confirmed_by_all(const struct fleet_lead *l, uint64_t round)
+static bool confirmed_by_all(const struct fleet_leader *l, uint64_t round)
 {
 	GHashTableIter it;
 	void *p;
@@ -460,14 +460,14 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct fleet_peer *peer = p;
 
-		if (peer->entry && peer->whole && peer->round < round)
+		if (peer->entry && peer->has_snapshot && peer->round < round)
 			return false;
 	}
 	return true;
 }
 
 /* True if the engine's agent has received the term that a step carries. */
-static bool agent_knows_term(const struct fleet_lead *l,
+static bool agent_knows_term(const struct fleet_leader *l,
 			     const struct fleet_ep *ep)
 {
 	const struct fleet_peer *p = g_hash_table_lookup(l->peers, ep->conn);
@@ -489,7 +489,7 @@
  * to it, and its running calls have ended. Otherwise these calls would be
  * refused or delay the engine's next order.
  */
-static bool may_send(const struct fleet_lead *l, const struct fleet_ep *ep,
+static bool may_send(const struct fleet_leader *l, const struct fleet_ep *ep,
 		     int64_t now)
 {
 	int64_t age = now - ep->step.since_ms;
@@ -505,7 +505,7 @@
 
 /* False if the step's model has been removed from the routing since it was
  * planned. */
-static bool model_is_routed(const struct fleet_lead *l,
+static bool model_is_routed(const struct fleet_leader *l,
 			    const struct fleet_ep *ep)
 {
 	const struct routing_service *s =
@@ -515,7 +515,7 @@
 }
 
 /* Returns the number of loads from the store that are running. */
-static size_t count_store_loads(const struct fleet_lead *l)
+static size_t count_store_loads(const struct fleet_leader *l)
 {
 	GHashTableIter it;
 	size_t n = 0;
@@ -534,7 +534,7 @@
 
 /* Updates the estimate of the store's speed from a load: once if it takes too
  * long, and when it ends. */
-static void observe_store(struct fleet_lead *l, struct step_run *s,
+static void observe_store(struct fleet_leader *l, struct step_run *s,
 			  int64_t took_ms, bool done)
 {
 	int64_t expected_ms = s->plan.expected_ms;
@@ -544,16 +544,17 @@
 	    (!done && took_ms <= fleet_store_slow_ms(expected_ms)))
 		return;
 	s->slow = !done;
-	fleet_store_observe(&l->store, s->beside, took_ms, expected_ms, done);
+	fleet_store_observe(&l->store, s->concurrent_loads, took_ms,
+			    expected_ms, done);
 	if (l->store.max_loads != before)
 		log_info("store_speed",
 			 "at_once=%zu step=%" PRIu64 " beside=%zu ms=%" PRId64
 			 " alone_ms=%" PRId64 " done=%d",
-			 l->store.max_loads, s->number, s->beside, took_ms,
-			 expected_ms, done);
+			 l->store.max_loads, s->number, s->concurrent_loads,
+			 took_ms, expected_ms, done);
 }
 
-static void send_step(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
+static void send_step(struct fleet_leader *l, struct fleet_ep *ep, int64_t now)
 {
 	struct step_run *s = &ep->step;
 	GArray *names = fleet_wire_names(s->unload);
@@ -566,19 +567,19 @@
 	if (model_is_routed(l, ep) && conn_send(ep->conn, MSG_LOAD, &m)) {
 		s->sent = true;
 		s->sent_ms = now;
-		s->beside = count_store_loads(l);
+		s->concurrent_loads = count_store_loads(l);
 		ep->changed = l->dirty = true;
 	}
 	g_array_unref(names);
 }
 
-static void end_step(struct fleet_lead *l, struct fleet_ep *ep)
+static void end_step(struct fleet_leader *l, struct fleet_ep *ep)
 {
 	fleet_step_clear(ep);
 	ep->changed = l->dirty = l->urgent = true;
 }
 
-void fleet_step_restarted(struct fleet_lead *l, struct fleet_ep *ep)
+void fleet_step_restarted(struct fleet_leader *l, struct fleet_ep *ep)
 {
 	if (!ep->step.on)
 		return;
@@ -588,7 +589,7 @@
 	end_step(l, ep);
 }
 
-static void run_step(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
+static void run_step(struct fleet_leader *l, struct fleet_ep *ep, int64_t now)
 {
 	struct step_run *s = &ep->step;
 	int64_t timeout_ms = s->plan.expected_ms * 3 + STEP_SLACK_MS;
@@ -606,7 +607,7 @@
 	observe_store(l, s, now - s->sent_ms, false);
 }
 
-void fleet_steps_run(struct fleet_lead *l, int64_t now)
+void fleet_steps_run(struct fleet_leader *l, int64_t now)
 {
 	GHashTableIter it;
 	void *p;
@@ -617,11 +618,11 @@
 			run_step(l, p, now);
 }
 
-void fleet_steps_done(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_steps_done(struct fleet_leader *l, struct fleet_ep *ep,
 		      const struct msg_loaded *m)
 {
 	struct step_run *s = &ep->step;
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 
 	if (!s->on || s->number != m->step || m->fence != fleet_ep_fence(l, ep))
 		return;
@@ -633,7 +634,7 @@
 		 SS_FMT(m->text));
 	if (m->code) {
 		(*l->n_failed)++;
-		g_hash_table_replace(ep->refused, g_strdup(s->load),
+		g_hash_table_replace(ep->failed_loads, g_strdup(s->load),
 				     g_memdup2(&now, sizeof(now)));
 	} else {
 		observe_store(l, s, m->took_ms, true);
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -1,6 +1,6 @@
 /* The fleet leader's record of which version began each stream, and its
  * replication to the followers, so that it survives the loss of the leader. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 #include "../core/stream_wire.h"
 
@@ -14,7 +14,7 @@
  * it. */
 #define LEADER_STARTUP_MS 1000
 
-void fleet_streams_begin(struct fleet_lead *l, struct stream_log *log)
+void fleet_streams_begin(struct fleet_leader *l, struct stream_log *log)
 {
 	l->streams = log;
 	l->streams_sent = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -24,27 +24,28 @@
 		metrics_value(l->d->metrics, "ss_fleet_stream_asks_total", "");
 }
 
-void fleet_streams_end(struct fleet_lead *l)
+void fleet_streams_end(struct fleet_leader *l)
 {
 	g_hash_table_unref(l->streams_sent);
 }
 
-void fleet_streams_seen(struct fleet_lead *l, const struct fleet_ep *ep)
+void fleet_streams_add_version(struct fleet_leader *l,
+			       const struct fleet_ep *ep)
 {
 	struct stream_item x = { 0, ep->service, fleet_version(&ep->self),
 				 STREAM_LIFETIME_MAX_MS };
 
 	if (*x.version)
-		stream_log_add(l->streams, &x, fleet_lead_now(l));
+		stream_log_add(l->streams, &x, fleet_leader_now(l));
 }
 
-void fleet_streams_take(struct fleet_lead *l, const struct msg_streams *m)
+void fleet_streams_apply(struct fleet_leader *l, const struct msg_streams *m)
 {
 	fleet_work(l, WORK_STREAMS,
-		   stream_wire_apply(l->streams, m, fleet_lead_now(l)));
+		   stream_wire_apply(l->streams, m, fleet_leader_now(l)));
 }
 
-static void send_reply(struct fleet_lead *l, struct conn *c, uint64_t sub,
+static void send_reply(struct fleet_leader *l, struct conn *c, uint64_t sub,
 		       enum stream_reply result, const struct stream_item *x)
 {
 	struct msg_stream_reply m = { .sub = sub, .result = result };
@@ -57,19 +58,19 @@
 		conn_send(c, MSG_STREAM_REPLY, &m);
 }
 
-static bool reply_if_known(struct fleet_lead *l, struct conn *c, uint64_t sub,
+static bool reply_if_known(struct fleet_leader *l, struct conn *c, uint64_t sub,
 			   uint64_t key)
 {
 	struct stream_item x;
 
-	if (!key || !stream_log_find(l->streams, key, fleet_lead_now(l), &x))
+	if (!key || !stream_log_find(l->streams, key, fleet_leader_now(l), &x))
 		return false;
 	send_reply(l, c, sub, STREAM_KNOWN, &x);
 	return true;
 }
 
 struct version_request {
-	struct fleet_lead *l;
+	struct fleet_leader *l;
 	struct conn *conn;
 	uint64_t sub, key;
 	char *service;
@@ -81,15 +82,15 @@
 static void on_confirmed(void *arg, bool ok)
 {
 	struct version_request *k = arg;
-	struct fleet_lead *l = k->l;
+	struct fleet_leader *l = k->l;
 	struct stream_item x = { .service = k->service };
 
 	if (ok && !reply_if_known(l, k->conn, k->sub, k->key)) {
-		int64_t now = fleet_lead_now(l);
+		int64_t now = fleet_leader_now(l);
 
 		x.version =
 			stream_log_sole_version(l->streams, k->service, now);
-		if (now - l->since_ms < LEADER_STARTUP_MS || !l->list_seen)
+		if (now - l->since_ms < LEADER_STARTUP_MS || !l->list_received)
 			send_reply(l, k->conn, k->sub, STREAM_PENDING, NULL);
 		else if (x.version)
 			send_reply(l, k->conn, k->sub, STREAM_SOLE_VERSION, &x);
@@ -100,8 +101,8 @@
 	g_free(k);
 }
 
-void fleet_streams_ask(struct fleet_lead *l, struct conn *c,
-		       const struct msg_stream_request *m)
+void fleet_streams_request(struct fleet_leader *l, struct conn *c,
+			   const struct msg_stream_request *m)
 {
 	struct version_request *k;
 
@@ -119,7 +120,7 @@
 
 /* Sends a follower the changes that it hasn't been sent, or all streams again
  * after a message that couldn't be sent. */
-static void replicate_to(struct fleet_lead *l, uint64_t id, int64_t now)
+static void replicate_to(struct fleet_leader *l, uint64_t id, int64_t now)
 {
 	uint64_t *sent_mark = g_hash_table_lookup(l->streams_sent, &id);
 	struct stream_wire w;
@@ -138,12 +139,12 @@
 				  items);
 	stream_wire_pack(&w, items);
 	*sent_mark = group_tell(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
-	fleet_work(l, WORK_SPREADS, 1);
+	fleet_work(l, WORK_REPLICATIONS, 1);
 	stream_wire_clear(&w);
 	g_array_unref(items);
 }
 
-void fleet_streams_tick(struct fleet_lead *l, int64_t now)
+void fleet_streams_tick(struct fleet_leader *l, int64_t now)
 {
 	const struct ss_raft *r = group_raft(l->g);
 	const struct ss_raft_members *all = ss_raft_members(r);
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -1,7 +1,7 @@
 /* The leader's part in stopping requests that crash endpoints: it collects the
  * entries' observations, sends the quarantined requests to all entries, and
  * admits trial runs. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 #include <json-c/json.h>
 
@@ -14,7 +14,7 @@
 /* Suspects listed in the status; the metrics have the total. */
 #define MAX_STATUS_SUSPECTS 64
 
-void fleet_suspects_begin(struct fleet_lead *l)
+void fleet_suspects_begin(struct fleet_leader *l)
 {
 	/* A trial run that a former leader admitted may still be running. */
 	struct suspects_options o = { .capacity = MAX_SUSPECTS,
@@ -27,14 +27,14 @@
 	l->n_quarantined = metrics_value(m, "ss_fleet_quarantined", "");
 }
 
-static bool is_quarantined(const struct fleet_lead *l,
+static bool is_quarantined(const struct fleet_leader *l,
 			   const struct fingerprint *fp, int64_t now)
 {
 	return suspects_remaining_ms(l->suspects, fp, now) >= 0;
 }
 
 /* Logs a request that wasn't quarantined before. */
-static void log_quarantined(const struct fleet_lead *l,
+static void log_quarantined(const struct fleet_leader *l,
 			    const struct fingerprint *fp, bool was_quarantined,
 			    const char *cause, int64_t now)
 {
@@ -46,7 +46,7 @@
 			 suspects_remaining_ms(l->suspects, fp, now));
 }
 
-static void take_crash(struct fleet_lead *l, const struct run_outcome_item *x,
+static void take_crash(struct fleet_leader *l, const struct run_outcome_item *x,
 		       int64_t now)
 {
 	struct fingerprint fp = { x->fingerprint_hi, x->fingerprint_lo };
@@ -63,7 +63,7 @@
 	log_quarantined(l, &fp, was_quarantined, "ends", now);
 }
 
-static void merge_state(struct fleet_lead *l, const struct suspect_item *x,
+static void merge_state(struct fleet_leader *l, const struct suspect_item *x,
 			int64_t now)
 {
 	struct suspect_state w = { { x->fingerprint_hi, x->fingerprint_lo },
@@ -77,7 +77,7 @@
 			now);
 }
 
-static void clear_suspect(struct fleet_lead *l,
+static void clear_suspect(struct fleet_leader *l,
 			  const struct run_outcome_item *x, int64_t now)
 {
 	struct fingerprint fp = { x->fingerprint_hi, x->fingerprint_lo };
@@ -89,11 +89,12 @@
 			 fingerprint_text(&fp, text), was_quarantined);
 }
 
-void fleet_suspects_take(struct fleet_lead *l, const struct msg_run_outcomes *m)
+void fleet_suspects_apply(struct fleet_leader *l,
+			  const struct msg_run_outcomes *m)
 {
 	const struct run_outcome_item *x = m->outcomes.items;
 	const struct suspect_item *r = m->suspects.items;
-	int64_t now = fleet_lead_now(l);
+	int64_t now = fleet_leader_now(l);
 
 	for (size_t i = 0; i < m->suspects.n; i++)
 		merge_state(l, &r[i], now);
@@ -110,14 +111,14 @@
 	}
 }
 
-void fleet_suspects_ask(struct fleet_lead *l, struct conn *c,
-			const struct msg_trial *m)
+void fleet_suspects_request(struct fleet_leader *l, struct conn *c,
+			    const struct msg_trial *m)
 {
 	struct fingerprint fp = { m->fingerprint_hi, m->fingerprint_lo };
 	struct msg_trial reply = *m;
 	char text[FINGERPRINT_TEXT_SIZE];
 
-	reply.admission = suspects_admit(l->suspects, &fp, fleet_lead_now(l),
+	reply.admission = suspects_admit(l->suspects, &fp, fleet_leader_now(l),
 					 &reply.wait_ms);
 	log_info("trial_asked",
 		 "print=%s entry=%.*s leave=%" PRId64 " wait_ms=%" PRId64,
@@ -130,7 +131,7 @@
 
 /* Returns the frame with the changes since *mark, and advances *mark past them.
  */
-static GString *changes_frame(const struct fleet_lead *l, uint64_t *mark,
+static GString *changes_frame(const struct fleet_leader *l, uint64_t *mark,
 			      int64_t now)
 {
 	GArray *states =
@@ -160,7 +161,7 @@
 
 /* Sends the changes to all entries. Most entries are at the same mark, so the
  * last frame is reused where possible. */
-static void send_changes(struct fleet_lead *l, int64_t now)
+static void send_changes(struct fleet_leader *l, int64_t now)
 {
 	uint64_t from = 0, to = 0;
 	GString *frame = NULL;
@@ -187,7 +188,7 @@
 		g_string_free(frame, TRUE);
 }
 
-void fleet_suspects_tick(struct fleet_lead *l, int64_t now)
+void fleet_suspects_tick(struct fleet_leader *l, int64_t now)
 {
 	suspects_tick(l->suspects, now);
 	*l->n_suspects = suspects_count(l->suspects);
@@ -195,15 +196,15 @@
 	send_changes(l, now);
 }
 
-void fleet_suspects_status(const struct fleet_lead *l, json_object *o)
+void fleet_suspects_status(const struct fleet_leader *l, json_object *o)
 {
 	GArray *states =
 		g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	json_object *list = json_object_new_array();
 	char text[FINGERPRINT_TEXT_SIZE];
 
-	suspects_changes(l->suspects, 0, MAX_STATUS_SUSPECTS, fleet_lead_now(l),
-			 states);
+	suspects_changes(l->suspects, 0, MAX_STATUS_SUSPECTS,
+			 fleet_leader_now(l), states);
 	for (guint i = 0; i < states->len; i++) {
 		const struct suspect_state *w =
 			&g_array_index(states, struct suspect_state, i);
--- a/src/daemon/fleet_unread.c
+++ b/src/daemon/fleet_unread.c
@@ -1,5 +1,5 @@
 /* Endpoints whose entry in the VM list can't be parsed. */
-#include "fleet_lead_int.h"
+#include "fleet_leader_int.h"
 
 /* Minimum interval between two log lines for one endpoint. */
 #define UNREAD_LOG_MS 10000
@@ -10,28 +10,30 @@
  * a fault of the list's writer would cost loads from the store though the
  * engine is healthy.
  */
-void fleet_ep_unreadable(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
+void fleet_ep_unreadable(struct fleet_leader *l, struct fleet_ep *ep,
+			 int64_t now)
 {
 	ep->listed_ms = now;
-	if (ep->unread_ms)
+	if (ep->unreadable_since_ms)
 		return;
-	ep->unread_ms = now;
+	ep->unreadable_since_ms = now;
 	ep->changed = l->dirty = true;
-	if (ep->unread_told_ms && now - ep->unread_told_ms < UNREAD_LOG_MS)
+	if (ep->unreadable_logged_ms &&
+	    now - ep->unreadable_logged_ms < UNREAD_LOG_MS)
 		return;
-	ep->unread_told_ms = now;
+	ep->unreadable_logged_ms = now;
 	log_warn("endpoint_unreadable", "addr=%s id=%s service=%s", ep->addr,
 		 ep->self.id, ep->service);
 }
 
-void fleet_ep_readable(struct fleet_lead *l, struct fleet_ep *ep, int64_t now)
+void fleet_ep_readable(struct fleet_leader *l, struct fleet_ep *ep, int64_t now)
 {
-	if (!ep->unread_ms)
+	if (!ep->unreadable_since_ms)
 		return;
-	if (ep->unread_told_ms == ep->unread_ms)
+	if (ep->unreadable_logged_ms == ep->unreadable_since_ms)
 		log_info("endpoint_readable", "addr=%s id=%s ms=%" PRId64,
-			 ep->addr, ep->self.id, now - ep->unread_ms);
-	ep->unread_ms = 0;
+			 ep->addr, ep->self.id, now - ep->unreadable_since_ms);
+	ep->unreadable_since_ms = 0;
 	ep->changed = l->dirty = true;
 }
 
@@ -40,11 +42,11 @@
  * crashed endpoint for a while, but never omits one that serves. An unreadable
  * entry, however, may belong to this endpoint.
  */
-void fleet_ep_unlisted(struct fleet_lead *l, struct fleet_ep *ep,
+void fleet_ep_unlisted(struct fleet_leader *l, struct fleet_ep *ep,
 		       const struct fleet_list *all, int64_t now)
 {
-	bool alive = !ep->unread_ms || fleet_ep_reported(l, ep);
-	int64_t unread_ms = alive ? 0 : now - ep->unread_ms;
+	bool alive = !ep->unreadable_since_ms || fleet_ep_reported(l, ep);
+	int64_t unread_ms = alive ? 0 : now - ep->unreadable_since_ms;
 
 	switch (fleet_list_presence(all, ep->self.id, ep->addr, unread_ms)) {
 	case FLEET_UNKNOWN:
@@ -57,6 +59,6 @@
 	}
 	log_info("endpoint_gone", "addr=%s id=%s", ep->addr, ep->self.id);
 	ep->listed = false;
-	ep->unread_ms = 0;
+	ep->unreadable_since_ms = 0;
 	ep->changed = l->dirty = true;
 }
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -10,7 +10,7 @@
 #include "../src/core/fleet_slowness.h"
 #include "../src/core/state.h"
 #include "../src/core/stream_wire.h"
-#include "../src/daemon/fleet_lead.h"
+#include "../src/daemon/fleet_leader.h"
 #include "../src/vmlist/instances.h"
 
 #define TICK_MS 20
@@ -439,7 +439,7 @@
 	frame_add(bytes, kind, msg);
 	from = cpu_ms();
 	if (frame_decode((const uint8_t *)bytes->str, bytes->len, &f, NULL)) {
-		fleet_lead_ops.message(c->w->leader, c, &f);
+		fleet_leader_ops.message(c->w->leader, c, &f);
 		frame_done(&f);
 	}
 	*cost += cpu_ms() - from;
@@ -897,7 +897,7 @@
 	struct conn *c = peer_new(w, ROLE_ENTRY, i, -1);
 
 	w->entries->pdata[i] = c;
-	fleet_lead_ops.open(w->leader, c);
+	fleet_leader_ops.open(w->leader, c);
 }
 
 static void add_agent(struct fleet_world *w, int i)
@@ -908,7 +908,7 @@
 	c->gone = i >= w->o.engines - w->o.agents_missing;
 	if (c->gone)
 		return;
-	fleet_lead_ops.open(w->leader, c);
+	fleet_leader_ops.open(w->leader, c);
 	w->engines[i].report_due = true;
 }
 
@@ -951,7 +951,7 @@
 		engine_init(w, i);
 	w->streams = stream_log_new(STREAM_LOG_CAPACITY);
 	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
-	w->leader = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
+	w->leader = fleet_leader_ops.begin(&w->d, NULL, w->routing, w->streams);
 	w->entries = g_ptr_array_new_with_free_func(peer_free);
 	w->agents = g_ptr_array_new_with_free_func(peer_free);
 	g_ptr_array_set_size(w->entries, o->entries);
@@ -967,7 +967,7 @@
 
 void fleet_world_free(struct fleet_world *w)
 {
-	fleet_lead_ops.end(w->leader);
+	fleet_leader_ops.end(w->leader);
 	stream_log_free(w->streams);
 	stream_log_free(w->follower);
 	g_free(w->stream_version);
@@ -1100,7 +1100,7 @@
 	if (now - w->tick_ms >= TICK_MS) {
 		w->tick_ms = now;
 		from = cpu_ms();
-		fleet_lead_ops.tick(w->leader);
+		fleet_leader_ops.tick(w->leader);
 		w->cost.ticks += cpu_ms() - from;
 	}
 }
@@ -1148,7 +1148,7 @@
 	double from = cpu_ms();
 
 	c->gone = true;
-	fleet_lead_ops.closed(w->leader, c);
+	fleet_leader_ops.closed(w->leader, c);
 	*cost += cpu_ms() - from;
 }
 
@@ -1274,15 +1274,15 @@
 void fleet_world_lose_leader(struct fleet_world *w)
 {
 	current_world = w;
-	fleet_lead_ops.end(w->leader);
+	fleet_leader_ops.end(w->leader);
 	stream_log_free(w->streams);
 	w->streams = w->follower;
 	w->follower = stream_log_new(STREAM_LOG_CAPACITY);
-	w->leader = fleet_lead_ops.begin(&w->d, NULL, w->routing, w->streams);
+	w->leader = fleet_leader_ops.begin(&w->d, NULL, w->routing, w->streams);
 	for (int i = 0; i < w->o.entries; i++)
-		fleet_lead_ops.open(w->leader, w->entries->pdata[i]);
+		fleet_leader_ops.open(w->leader, w->entries->pdata[i]);
 	for (int i = 0; i < w->o.engines; i++) {
-		fleet_lead_ops.open(w->leader, w->agents->pdata[i]);
+		fleet_leader_ops.open(w->leader, w->agents->pdata[i]);
 		w->engines[i].report_due = true;
 	}
 }
