--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -35,7 +35,7 @@
 
 	fleet_world_run(w, WARM_MS);
 	if (limited)
-		fleet_world_name_limits(w);
+		fleet_world_enable_limits(w);
 	fleet_world_cost(w);
 	for (size_t i = 0; i < G_N_ELEMENTS(counted); i++)
 		fleet_world_work(w, counted[i]);
@@ -47,7 +47,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(counted); i++)
 		printf(" %.0f |", (double)fleet_world_work(w, counted[i]) / s);
 	printf(" %d | %.0f | %.1f |\n", fleet_world_steps(w),
-	       fleet_world_asked(w) / s, fleet_world_admitted(w) / s);
+	       fleet_world_grant_requests(w) / s, fleet_world_admitted(w) / s);
 	fflush(stdout);
 	fleet_world_free(w);
 }
--- a/bench/streams.c
+++ b/bench/streams.c
@@ -60,12 +60,12 @@
 	ms = fleet_world_cost(w).reports;
 	printf("| %d | %.0f | %.0f, %.0f | %.0f, %.0f | %zu, %zu KB | %.2f | "
 	       "%.0f, %.0f | %.0f |\n",
-	       entries, streams * entries, (double)c.told / s,
-	       (double)c.told_bytes / s, (double)c.spread / s,
-	       (double)c.spread_bytes / s, c.kept,
+	       entries, streams * entries, (double)c.to_leader / s,
+	       (double)c.to_leader_bytes / s, (double)c.to_follower / s,
+	       (double)c.to_follower_bytes / s, c.kept,
 	       c.kept * stream_log_record_bytes() / 1024, ms / s,
-	       (double)c.spread * entries / s,
-	       (double)c.spread_bytes * entries / s,
+	       (double)c.to_follower * entries / s,
+	       (double)c.to_follower_bytes * entries / s,
 	       2 * taken_up * entries * entries);
 	fflush(stdout);
 	fleet_world_free(w);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -129,7 +129,7 @@
 	struct control_role *k = arg;
 
 	(void)r;
-	remote_agents_routing(k->remote);
+	remote_agents_set_routing(k->remote);
 	if (k->leader)
 		k->ops->applied(k->leader);
 }
@@ -202,12 +202,12 @@
 		return;
 	}
 	if (f->kind == MSG_REMOTE && conn_peer(c)->role == ROLE_CONTROL)
-		remote_agents_told(k->remote, &f->u.remote);
+		remote_agents_assign(k->remote, &f->u.remote);
 	else if (f->kind == MSG_STREAMS && conn_peer(c)->role == ROLE_CONTROL)
 		stream_wire_apply(k->streams, &f->u.streams,
 				  ss_clock_now(&k->d->clock));
 	else if (f->kind == MSG_ADAPTER)
-		remote_agents_adapter(k->remote, c, &f->u.adapter);
+		remote_agents_request_adapter(k->remote, c, &f->u.adapter);
 	else if (k->leader && is_managed(c))
 		k->ops->message(k->leader, c, f);
 }
@@ -219,7 +219,7 @@
 	(void)why;
 	g_hash_table_remove(k->conns, c);
 	mirror_peer_closed(k->mirror, c, ss_clock_now(&k->d->clock));
-	remote_agents_left(k->remote, c);
+	remote_agents_conn_closed(k->remote, c);
 	group_conn_closed(k->group, c);
 	if (k->leader)
 		k->ops->closed(k->leader, c);
@@ -524,7 +524,7 @@
 		return false;
 	addr = daemon_advertised(d, k->listener);
 	group_set_addr(k->group, addr);
-	ro.asked_at = addr;
+	ro.adapter_addr = addr;
 	ro.routing = routing_follow_table(k->follow);
 	k->remote = remote_agents_new(&ro);
 	g_free(addr);
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -242,7 +242,8 @@
 			const struct fleet_ep *ep);
 /* True while the endpoint's own signals, a low limit or a backoff, make it
  * unfit to hold more models. */
-bool fleet_ep_strained(const struct fleet_leader *l, const struct fleet_ep *ep);
+bool fleet_ep_throttled(const struct fleet_leader *l,
+			const struct fleet_ep *ep);
 /* True while the last report of the endpoint's agent is fresh. */
 bool fleet_ep_reported(const struct fleet_leader *l, const struct fleet_ep *ep);
 void fleet_demand_free(void *want);
@@ -279,7 +280,7 @@
 fleet_ep_set_incarnation(struct fleet_leader *l, struct fleet_ep *ep,
 			 const struct fleet_incarnation *reported);
 
-/* fleet_unread.c */
+/* fleet_unreadable.c */
 /* An endpoint's list item can't be parsed; can be parsed; is missing from the
  * list. */
 void fleet_ep_unreadable(struct fleet_leader *l, struct fleet_ep *ep,
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -194,7 +194,7 @@
 {
 	return ep->conn && ep->reported && !ep->step.on && !ep->report.busy &&
 	       now - ep->report_ms < FLEET_REPORT_MAX_AGE_MS &&
-	       fleet_ep_usable(l, ep) && !fleet_ep_strained(l, ep);
+	       fleet_ep_usable(l, ep) && !fleet_ep_throttled(l, ep);
 }
 
 /* True if the engine executes an order that this leader didn't send. */
@@ -207,7 +207,7 @@
 static void add_node(struct service_view *w, struct fleet_ep *ep)
 {
 	bool usable = fleet_ep_usable(w->l, ep);
-	bool strained = fleet_ep_strained(w->l, ep);
+	bool strained = fleet_ep_throttled(w->l, ep);
 	struct fleet_node n = { .domain = ep->domain,
 				.version = ep->self.version,
 				.usable = usable && !strained,
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -245,7 +245,7 @@
 	       fleet_ep_reported(l, ep);
 }
 
-bool fleet_ep_strained(const struct fleet_leader *l, const struct fleet_ep *ep)
+bool fleet_ep_throttled(const struct fleet_leader *l, const struct fleet_ep *ep)
 {
 	int64_t now = fleet_leader_now(l);
 
--- a/src/daemon/remote_agents.c
+++ b/src/daemon/remote_agents.c
@@ -29,7 +29,7 @@
 
 	r->d = o->daemon;
 	r->routing = o->routing;
-	r->adapter_addr = g_strdup(o->asked_at);
+	r->adapter_addr = g_strdup(o->adapter_addr);
 	r->agents = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					  agent_free);
 	return r;
@@ -68,7 +68,7 @@
 	return false;
 }
 
-void remote_agents_told(struct remote_agents *r, const struct msg_remote *m)
+void remote_agents_assign(struct remote_agents *r, const struct msg_remote *m)
 {
 	const struct name_item *n = m->engines.items;
 	GHashTableIter it;
@@ -95,8 +95,8 @@
 	}
 }
 
-void remote_agents_adapter(struct remote_agents *r, struct conn *c,
-			   const struct msg_adapter *m)
+void remote_agents_request_adapter(struct remote_agents *r, struct conn *c,
+				   const struct msg_adapter *m)
 {
 	struct msg_adapter_done refusal = { .sub = m->sub,
 					    .code = SS_ERROR_UNAVAILABLE,
@@ -112,7 +112,7 @@
 		conn_send(c, MSG_ADAPTER_DONE, &refusal);
 }
 
-void remote_agents_left(struct remote_agents *r, const struct conn *c)
+void remote_agents_conn_closed(struct remote_agents *r, const struct conn *c)
 {
 	GHashTableIter it;
 	void *a;
@@ -122,7 +122,7 @@
 		engine_agent_conn_closed(a, c);
 }
 
-void remote_agents_routing(struct remote_agents *r)
+void remote_agents_set_routing(struct remote_agents *r)
 {
 	GHashTableIter it;
 	void *a;
--- a/src/daemon/remote_agents.h
+++ b/src/daemon/remote_agents.h
@@ -11,7 +11,7 @@
 
 struct remote_agents_options {
 	struct daemon *daemon;
-	const char *asked_at; /* address for adapter requests: this VM's
+	const char *adapter_addr; /* address for adapter requests: this VM's
 				 listener; copied */
 	const struct routing *routing; /* routing in force on this VM */
 };
@@ -20,14 +20,14 @@
 void remote_agents_free(struct remote_agents *r);
 
 /* Runs agents for the engines that the leader assigns, and stops all others. */
-void remote_agents_told(struct remote_agents *r, const struct msg_remote *m);
+void remote_agents_assign(struct remote_agents *r, const struct msg_remote *m);
 /* Handles an entry's adapter request; answers with an error if the engine's
  * agent doesn't run here. */
-void remote_agents_adapter(struct remote_agents *r, struct conn *c,
-			   const struct msg_adapter *m);
-void remote_agents_left(struct remote_agents *r, const struct conn *c);
+void remote_agents_request_adapter(struct remote_agents *r, struct conn *c,
+				   const struct msg_adapter *m);
+void remote_agents_conn_closed(struct remote_agents *r, const struct conn *c);
 /* The routing has changed. */
-void remote_agents_routing(struct remote_agents *r);
+void remote_agents_set_routing(struct remote_agents *r);
 /* Called every 20 ms. */
 void remote_agents_tick(struct remote_agents *r);
 
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -320,8 +320,8 @@
 				    const struct msg_streams *m)
 {
 	stream_wire_apply(w->follower, m, w->d.clock.fake_ms);
-	w->stream_cost.spread++;
-	w->stream_cost.spread_bytes += frame_bytes(MSG_STREAMS, m);
+	w->stream_cost.to_follower++;
+	w->stream_cost.to_follower_bytes += frame_bytes(MSG_STREAMS, m);
 }
 
 bool group_tell(struct group *g, uint64_t id, enum msg_kind kind,
@@ -636,8 +636,8 @@
 	deliver(c, MSG_DEMAND, &m, &w->cost.reports);
 }
 
-void fleet_world_slow(struct fleet_world *w, int entry, int engine,
-		      double ratio)
+void fleet_world_report_slowness(struct fleet_world *w, int entry, int engine,
+				 double ratio)
 {
 	struct conn *c = w->entries->pdata[entry];
 	struct endpoint_results e = { .addr = ss_str(w->engines[engine].addr),
@@ -652,7 +652,7 @@
 	deliver(c, MSG_DEMAND, &m, &w->cost.reports);
 }
 
-int64_t fleet_world_told_slow(struct fleet_world *w, int engine)
+int64_t fleet_world_sent_slowness(struct fleet_world *w, int engine)
 {
 	int64_t slow = w->engines[engine].slow;
 
@@ -660,8 +660,8 @@
 	return slow;
 }
 
-void fleet_world_limit(struct fleet_world *w, int entry, int engine,
-		       double per_s)
+void fleet_world_report_limit(struct fleet_world *w, int entry, int engine,
+			      double per_s)
 {
 	struct endpoint_limit l = { per_s, w->d.clock.fake_ms };
 	struct endpoint_signals x = { .limit = endpoint_limit_wire(&l),
@@ -670,7 +670,8 @@
 	report_signals(w, entry, engine, x);
 }
 
-void fleet_world_rest(struct fleet_world *w, int entry, int engine, int64_t ms)
+void fleet_world_report_backoff(struct fleet_world *w, int entry, int engine,
+				int64_t ms)
 {
 	report_signals(w, entry, engine,
 		       (struct endpoint_signals){ .backoff_ms = ms });
@@ -681,13 +682,13 @@
 	return g_hash_table_contains(w->remote, w->engines[engine].addr);
 }
 
-void fleet_world_leave(struct fleet_world *w, int entry, int engine)
+void fleet_world_report_draining(struct fleet_world *w, int entry, int engine)
 {
 	report_signals(w, entry, engine,
 		       (struct endpoint_signals){ .draining = true });
 }
 
-int fleet_world_told(const struct fleet_world *w, int engine)
+int fleet_world_count_informed(const struct fleet_world *w, int engine)
 {
 	int n = 0;
 
@@ -700,7 +701,7 @@
 	return n;
 }
 
-int fleet_world_permits(struct fleet_world *w, int entry, int engine)
+int fleet_world_request_grant(struct fleet_world *w, int entry, int engine)
 {
 	struct quota_request a = { .customer = ss_str(w->engines[engine].addr),
 				   .number = 1,
@@ -1039,10 +1040,10 @@
 	g_array_unref(requests);
 }
 
-void fleet_world_name_limits(struct fleet_world *w)
+void fleet_world_enable_limits(struct fleet_world *w)
 {
 	for (int k = 0; k < w->o.limited; k++)
-		fleet_world_limit(w, 0, k, LIMIT_PER_S);
+		fleet_world_report_limit(w, 0, k, LIMIT_PER_S);
 	for (int i = 0; i < w->o.entries; i++) {
 		struct conn *c = w->entries->pdata[i];
 
@@ -1059,7 +1060,7 @@
 	return w->admitted;
 }
 
-int fleet_world_asked(const struct fleet_world *w)
+int fleet_world_grant_requests(const struct fleet_world *w)
 {
 	return w->grant_requests;
 }
@@ -1178,7 +1179,7 @@
 	add_agent(w, engine);
 }
 
-void fleet_world_adapter(struct fleet_world *w, int engine)
+void fleet_world_add_adapter(struct fleet_world *w, int engine)
 {
 	w->engines[engine].adapters++;
 	w->engines[engine].report_due = true;
@@ -1204,7 +1205,7 @@
 	return ((struct conn *)w->entries->pdata[entry])->backlog;
 }
 
-int fleet_world_wholes(const struct fleet_world *w, int entry)
+int fleet_world_full_updates(const struct fleet_world *w, int entry)
 {
 	return ((struct conn *)w->entries->pdata[entry])->wholes;
 }
@@ -1227,7 +1228,8 @@
 	return n;
 }
 
-void fleet_world_version(struct fleet_world *w, int engine, const char *version)
+void fleet_world_set_version(struct fleet_world *w, int engine,
+			     const char *version)
 {
 	for (int i = engine; i < w->o.engines; i++) {
 		fleet_world_restart_engine(w, i);
@@ -1248,16 +1250,16 @@
 		g_array_append_val(items, x);
 	}
 	stream_wire_pack(&wire, items);
-	w->stream_cost.told++;
-	w->stream_cost.told_bytes += frame_bytes(MSG_STREAMS, &wire.m);
+	w->stream_cost.to_leader++;
+	w->stream_cost.to_leader_bytes += frame_bytes(MSG_STREAMS, &wire.m);
 	deliver(w->entries->pdata[entry], MSG_STREAMS, &wire.m,
 		&w->cost.reports);
 	stream_wire_clear(&wire);
 	g_array_unref(items);
 }
 
-int64_t fleet_world_ask_stream(struct fleet_world *w, int entry, uint64_t key,
-			       const char **version)
+int64_t fleet_world_request_stream(struct fleet_world *w, int entry,
+				   uint64_t key, const char **version)
 {
 	struct msg_stream_request m = { .sub = 1,
 					.key = key,
--- a/test/test_fleet_leader.c
+++ b/test/test_fleet_leader.c
@@ -92,7 +92,7 @@
 	fleet_world_work(w, "sends");
 	fleet_world_work(w, "endpoints");
 	for (int i = 0; i < adapters; i++) {
-		fleet_world_adapter(w, i);
+		fleet_world_add_adapter(w, i);
 		fleet_world_run(w, every_ms);
 	}
 	fleet_world_run(w, LOAD_PUSH_MS);
@@ -114,10 +114,10 @@
 
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
-	wholes = fleet_world_wholes(w, 0);
+	wholes = fleet_world_full_updates(w, 0);
 	fleet_world_stop_entry(w, 0);
 	for (int i = 0; i < 40 * SECOND_MS / LOAD_PUSH_MS; i++) {
-		fleet_world_adapter(w, i);
+		fleet_world_add_adapter(w, i);
 		fleet_world_run(w, LOAD_PUSH_MS);
 	}
 	before = fleet_world_backlog(w, 0);
@@ -127,7 +127,7 @@
 	assert_int_equal(before, after);
 	fleet_world_continue_entry(w, 0);
 	fleet_world_run(w, SECOND_MS);
-	assert_int_equal(fleet_world_wholes(w, 0), wholes + 1);
+	assert_int_equal(fleet_world_full_updates(w, 0), wholes + 1);
 	fleet_world_free(w);
 }
 
@@ -169,18 +169,21 @@
 
 		fleet_world_run(w, 2 * SECOND_MS);
 		fleet_world_work(w, "endpoints");
-		fleet_world_limit(w, 0, engine, 2);
+		fleet_world_report_limit(w, 0, engine, 2);
 		fleet_world_run(w, LOAD_PUSH_MS);
-		assert_int_equal(fleet_world_told(w, engine), sizes[i].entries);
+		assert_int_equal(fleet_world_count_informed(w, engine),
+				 sizes[i].entries);
 		fleet_world_restart_entry(w, 1);
 		fleet_world_run(w, SECOND_MS);
-		assert_int_equal(fleet_world_told(w, engine), sizes[i].entries);
+		assert_int_equal(fleet_world_count_informed(w, engine),
+				 sizes[i].entries);
 		for (int k = 0; k < sizes[i].entries; k++)
-			granted += fleet_world_permits(w, k, engine);
+			granted += fleet_world_request_grant(w, k, engine);
 		/* All grants come from one bucket, within its overage. */
 		assert_in_range(granted, 1, 5 * QUOTA_MILLI);
 		/* Of an endpoint that states no limit, nothing is granted. */
-		assert_int_equal(fleet_world_permits(w, 0, engine + 1), 0);
+		assert_int_equal(fleet_world_request_grant(w, 0, engine + 1),
+				 0);
 		fleet_world_free(w);
 	}
 }
@@ -194,9 +197,10 @@
 		struct fleet_world *w = world_of(&sizes[i]);
 
 		fleet_world_run(w, 2 * SECOND_MS);
-		fleet_world_leave(w, 0, 5);
+		fleet_world_report_draining(w, 0, 5);
 		fleet_world_run(w, LOAD_PUSH_MS);
-		assert_int_equal(fleet_world_told(w, 5), sizes[i].entries);
+		assert_int_equal(fleet_world_count_informed(w, 5),
+				 sizes[i].entries);
 		fleet_world_free(w);
 	}
 }
@@ -218,7 +222,7 @@
 	(void)state;
 	fleet_world_run(w, 6 * SECOND_MS);
 	assert_true(fleet_world_is_remote(w, engine));
-	fleet_world_rest(w, 3, engine, backoff_ms);
+	fleet_world_report_backoff(w, 3, engine, backoff_ms);
 	fleet_world_run(w, SECOND_MS / 4);
 	for (int at = SECOND_MS / 4; at < backoff_ms; at += 50) {
 		assert_false(fleet_world_is_remote(w, engine));
@@ -237,12 +241,12 @@
 
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
-	fleet_world_limit(w, 0, 3, 2);
+	fleet_world_report_limit(w, 0, 3, 2);
 	fleet_world_run(w, SECOND_MS);
-	assert_in_range(fleet_world_permits(w, 1, 3), 1, 5 * QUOTA_MILLI);
+	assert_in_range(fleet_world_request_grant(w, 1, 3), 1, 5 * QUOTA_MILLI);
 	fleet_world_restart_engine(w, 3);
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_permits(w, 2, 3), 0);
+	assert_int_equal(fleet_world_request_grant(w, 2, 3), 0);
 	fleet_world_free(w);
 }
 
@@ -256,12 +260,12 @@
 
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
-	fleet_world_limit(w, 0, 3, 0.5);
+	fleet_world_report_limit(w, 0, 3, 0.5);
 	fleet_world_run(w, SECOND_MS);
 	before = fleet_world_orders(w, 3);
 	for (int k = 0; k < 10; k++) {
 		/* The engine repeats its limit in each answer. */
-		fleet_world_limit(w, k, 3, 0.5);
+		fleet_world_report_limit(w, k, 3, 0.5);
 		for (int m = 0; m < 60; m++)
 			fleet_world_call(w, k, m);
 		fleet_world_run(w, SECOND_MS);
@@ -282,21 +286,24 @@
 		const char *version;
 
 		(void)state;
-		fleet_world_version(w, sizes[i].engines / 2, "v2");
+		fleet_world_set_version(w, sizes[i].engines / 2, "v2");
 		fleet_world_run(w, 2 * SECOND_MS);
 		fleet_world_streams(w, 0, 100, 50, "v1");
 		fleet_world_streams(w, 1, 200, 50, "v2");
-		assert_int_equal(fleet_world_ask_stream(w, 2, 130, &version),
+		assert_int_equal(fleet_world_request_stream(w, 2, 130,
+							    &version),
 				 STREAM_KNOWN);
 		assert_string_equal(version, "v1");
 		/* Time for the replication to followers. */
 		fleet_world_run(w, 100);
 		fleet_world_restart_entry(w, 0);
 		fleet_world_lose_leader(w);
-		assert_int_equal(fleet_world_ask_stream(w, 2, 130, &version),
+		assert_int_equal(fleet_world_request_stream(w, 2, 130,
+							    &version),
 				 STREAM_KNOWN);
 		assert_string_equal(version, "v1");
-		assert_int_equal(fleet_world_ask_stream(w, 2, 230, &version),
+		assert_int_equal(fleet_world_request_stream(w, 2, 230,
+							    &version),
 				 STREAM_KNOWN);
 		assert_string_equal(version, "v2");
 		fleet_world_free(w);
@@ -311,27 +318,27 @@
 	const char *version;
 
 	(void)state;
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_PENDING);
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_SOLE_VERSION);
 	assert_string_equal(version, "v1");
-	fleet_world_version(w, 20, "v2");
+	fleet_world_set_version(w, 20, "v2");
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_UNKNOWN);
 	/* The last endpoint of v1 is gone, but its streams may be resumed. */
-	fleet_world_version(w, 0, "v2");
+	fleet_world_set_version(w, 0, "v2");
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_UNKNOWN);
 	fleet_world_lose_leader(w);
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_UNKNOWN);
 	fleet_world_run(w, 60 * SECOND_MS);
-	assert_int_equal(fleet_world_ask_stream(w, 0, 7, &version),
+	assert_int_equal(fleet_world_request_stream(w, 0, 7, &version),
 			 STREAM_SOLE_VERSION);
 	assert_string_equal(version, "v2");
 	fleet_world_free(w);
@@ -345,7 +352,7 @@
 	struct fleet_world *w = world_of(&few);
 
 	(void)state;
-	fleet_world_version(w, 6, "v2");
+	fleet_world_set_version(w, 6, "v2");
 	fleet_world_run(w, 4 * SECOND_MS);
 	for (int m = 40; m < 44; m++) {
 		for (int k = 0; k < 20 && !fleet_world_holds_at(w, m, "v2");
@@ -363,7 +370,7 @@
 static void report_slow(struct fleet_world *w, int engine, double ratio)
 {
 	for (int k = 0; k < sizes[0].entries; k++) {
-		fleet_world_slow(w, k, engine, ratio);
+		fleet_world_report_slowness(w, k, engine, ratio);
 		fleet_world_run(w, SECOND_MS / sizes[0].entries);
 	}
 	fleet_world_run(w, LOAD_PUSH_MS);
@@ -372,11 +379,11 @@
 /* Returns true if one more slow answer doesn't make the leader send a ratio. */
 static bool is_forgotten(struct fleet_world *w, int engine)
 {
-	fleet_world_told_slow(w, engine);
+	fleet_world_sent_slowness(w, engine);
 	fleet_world_run(w, SECOND_MS);
-	fleet_world_slow(w, 0, engine, 6);
+	fleet_world_report_slowness(w, 0, engine, 6);
 	fleet_world_run(w, LOAD_PUSH_MS);
-	return !fleet_world_told_slow(w, engine);
+	return !fleet_world_sent_slowness(w, engine);
 }
 
 /* Guards against a slow engine that each entry detects only by a late call of
@@ -389,20 +396,20 @@
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
 	report_slow(w, 1, 1.2);
-	assert_int_equal(fleet_world_told_slow(w, 1), 0);
+	assert_int_equal(fleet_world_sent_slowness(w, 1), 0);
 	report_slow(w, 3, 6);
-	assert_in_range(fleet_world_told_slow(w, 3), 4000, 6000);
+	assert_in_range(fleet_world_sent_slowness(w, 3), 4000, 6000);
 	/* Without reports, the leader stops sending the ratio. */
 	fleet_world_run(w, 20 * SECOND_MS);
-	fleet_world_told_slow(w, 3);
+	fleet_world_sent_slowness(w, 3);
 	fleet_world_run(w, 2 * SECOND_MS);
-	assert_int_equal(fleet_world_told_slow(w, 3), 0);
+	assert_int_equal(fleet_world_sent_slowness(w, 3), 0);
 	report_slow(w, 3, 6);
 	fleet_world_lose_leader(w);
 	fleet_world_run(w, SECOND_MS);
 	assert_true(is_forgotten(w, 3));
 	report_slow(w, 3, 6);
-	assert_in_range(fleet_world_told_slow(w, 3), 4000, 6000);
+	assert_in_range(fleet_world_sent_slowness(w, 3), 4000, 6000);
 	fleet_world_restart_engine(w, 3);
 	fleet_world_run(w, SECOND_MS);
 	assert_true(is_forgotten(w, 3));
