--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -6,7 +6,7 @@
 #include "../operator/routing_http.h"
 #include "../vmlist/vms.h"
 #include "fleet_leader.h"
-#include "lead.h"
+#include "replica_leader.h"
 #include "remote_agents.h"
 #include "routing_follow.h"
 
--- a/src/daemon/fleet_remote.c
+++ b/src/daemon/fleet_remote.c
@@ -79,7 +79,7 @@
 			g_array_append_val(names, n);
 	}
 	m.engines = (struct wire_list){ names->data, names->len };
-	group_tell(l->g, id, MSG_REMOTE, &m);
+	group_send(l->g, id, MSG_REMOTE, &m);
 	g_array_unref(names);
 }
 
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -138,7 +138,7 @@
 	mark = stream_log_changes(l->streams, *sent_mark, REPLICATE_MAX, now,
 				  items);
 	stream_wire_pack(&w, items);
-	*sent_mark = group_tell(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
+	*sent_mark = group_send(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
 	fleet_work(l, WORK_REPLICATIONS, 1);
 	stream_wire_clear(&w);
 	g_array_unref(items);
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -555,7 +555,7 @@
 	return out;
 }
 
-bool group_tell(struct group *g, uint64_t id, enum msg_kind kind,
+bool group_send(struct group *g, uint64_t id, enum msg_kind kind,
 		const void *msg)
 {
 	const struct ss_raft_member *to = ss_raft_member(g->raft, id);
--- a/src/daemon/group.h
+++ b/src/daemon/group.h
@@ -71,7 +71,7 @@
 
 /* Sends a message to a member, which may be this one; returns false if there is
  * no connection. */
-bool group_tell(struct group *g, uint64_t id, enum msg_kind kind,
+bool group_send(struct group *g, uint64_t id, enum msg_kind kind,
 		const void *msg);
 
 bool group_remove_member(struct group *g, uint64_t id, GError **error);
--- a/src/daemon/lead.c
+++ b/src/daemon/replica_leader.c
@@ -1,5 +1,5 @@
 /* The leader of replicas behind agents: connections, configuration, orders. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 /* Planning interval in ms. A full-size pass takes 1.8 ms, so ten a second use
  * 2 % of a core. */
--- a/src/daemon/lead_claim.c
+++ b/src/daemon/replica_leader_claim.c
@@ -1,5 +1,5 @@
 /* Claims of at-most-once calls, which are unique across all entries. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 struct claim {
 	struct replica_leader *l;
--- a/src/daemon/lead_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -4,7 +4,7 @@
 #define SS_LEAD_INT_H
 
 #include "../core/plan.h"
-#include "lead.h"
+#include "replica_leader.h"
 
 /* A node that is disconnected for this long gets no new calls, in ms. */
 #define LEADER_NODE_LOST_MS 1500
@@ -95,7 +95,7 @@
 	return ss_clock_now(&l->d->clock);
 }
 
-/* lead_table.c, which calls none of the other files. */
+/* replica_leader_table.c, which calls none of the other files. */
 void leader_tables_init(struct replica_leader *l);
 void leader_tables_clear(struct replica_leader *l);
 /*
@@ -117,22 +117,22 @@
 const struct model_rec *leader_resolve(const struct replica_leader *l,
 				       const char *name);
 
-/* lead_nodes.c */
+/* replica_leader_nodes.c */
 void leader_handle_register(struct replica_leader *l, struct conn *c,
 			    const struct msg_register *m);
 void leader_handle_report(struct replica_leader *l, struct conn *c,
 			  const struct msg_report *m);
-/* lead_plan.c */
+/* replica_leader_plan.c */
 void leader_plan(struct replica_leader *l, int64_t now);
-/* lead_route.c */
+/* replica_leader_route.c */
 void leader_push_routes(struct replica_leader *l);
 void leader_push_route(struct replica_leader *l, struct leader_model *m,
 		       struct leader_watch *w);
-/* lead_claim.c */
+/* replica_leader_claim.c */
 void leader_handle_claim(struct replica_leader *l, struct conn *c,
 			 const struct msg_claim *m);
 
-/* lead_status.c: the status function of leader_ops. */
+/* replica_leader_status.c: the status function of leader_ops. */
 void leader_status(void *leader, struct json_object *o);
 
 #endif
--- a/src/daemon/lead_nodes.c
+++ b/src/daemon/replica_leader_nodes.c
@@ -1,5 +1,5 @@
 /* Updates of nodes from their agents' reports and the platform's VM list. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 #include "../vmlist/vms.h"
 
--- a/src/daemon/lead_plan.c
+++ b/src/daemon/replica_leader_plan.c
@@ -1,5 +1,5 @@
 /* Runs the planner: builds its view and proposes its decisions. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 /* Interval at which models are checked for preloading, in ms: short against the
  * 15 minute slots of the arrival histories. */
--- a/src/daemon/lead_route.c
+++ b/src/daemon/replica_leader_route.c
@@ -1,5 +1,5 @@
 /* Routes: sends entries the replicas of the models that they watch. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 #include "../core/choose.h"
 
--- a/src/daemon/lead_status.c
+++ b/src/daemon/replica_leader_status.c
@@ -1,5 +1,5 @@
 /* The leader's status and explanations for operators. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 #include <json-c/json.h>
 
--- a/src/daemon/lead_table.c
+++ b/src/daemon/replica_leader_table.c
@@ -1,5 +1,5 @@
 /* The leader's tables of nodes and models, and look-ups in them. */
-#include "lead_int.h"
+#include "replica_leader_int.h"
 
 bool leader_still_valid(const GError *error)
 {
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -324,7 +324,7 @@
 	w->stream_cost.to_follower_bytes += frame_bytes(MSG_STREAMS, m);
 }
 
-bool group_tell(struct group *g, uint64_t id, enum msg_kind kind,
+bool group_send(struct group *g, uint64_t id, enum msg_kind kind,
 		const void *msg)
 {
 	const struct msg_remote *m = msg;
