--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -561,7 +561,7 @@
 		agent_free(a);
 		return NULL;
 	}
-	a->addr = daemon_advertised(d, a->listener);
+	a->addr = daemon_advertised_addr(d, a->listener);
 	a->endpoint = a->ops->open(&eo);
 	a->link = link_new(&ko);
 	a->tick = daemon_every(d, TICK_MS, on_tick, a);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -522,7 +522,7 @@
 	k->listener = conn_listen(&conn, d->config.listen, error);
 	if (!k->listener)
 		return false;
-	addr = daemon_advertised(d, k->listener);
+	addr = daemon_advertised_addr(d, k->listener);
 	group_set_addr(k->group, addr);
 	ro.adapter_addr = addr;
 	ro.routing = routing_follow_table(k->follow);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -54,7 +54,7 @@
 			   void *arg);
 
 /* The address under which others reach this process; the caller frees it. */
-char *daemon_advertised(const struct daemon *d, const struct listener *l);
+char *daemon_advertised_addr(const struct daemon *d, const struct listener *l);
 
 /* Answer /healthz, /readyz and /metrics; false for any other path. */
 bool daemon_status_request(struct daemon *d, struct evhttp_request *req,
--- a/src/daemon/fleet_agent.c
+++ b/src/daemon/fleet_agent.c
@@ -99,9 +99,10 @@
 {
 	struct fleet_agent *a = g_new0(struct fleet_agent, 1);
 	struct conn_options conn = daemon_conn_options(d, &conn_table, a);
-	struct routing_fetch_options fo = {
-		.daemon = d, .services = true, .take = take_routing, .arg = a
-	};
+	struct routing_fetch_options fo = { .daemon = d,
+					    .services_only = true,
+					    .applied = take_routing,
+					    .arg = a };
 	struct engine_agent_options ao = { .daemon = d,
 					   .endpoint = d->config.fleet.endpoint,
 					   .holder = d->config.fleet.holder,
@@ -114,7 +115,7 @@
 		agent_free(a);
 		return NULL;
 	}
-	a->addr = daemon_advertised(d, a->listener);
+	a->addr = daemon_advertised_addr(d, a->listener);
 	ao.adapter_addr = a->addr;
 	a->fetch = routing_fetch_new(&fo);
 	a->agent = engine_agent_new(&ao);
--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -498,7 +498,7 @@
 					.list = on_list,
 					.arg = e };
 	struct routing_fetch_options fo = { .daemon = d,
-					    .take = take_routing,
+					    .applied = take_routing,
 					    .arg = e };
 	struct link_options lo = { .conn = daemon_conn_options(d, NULL, NULL),
 				   .control = d->config.control,
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -86,7 +86,7 @@
 	return ev;
 }
 
-char *daemon_advertised(const struct daemon *d, const struct listener *l)
+char *daemon_advertised_addr(const struct daemon *d, const struct listener *l)
 {
 	char *ip = NULL, *addr;
 	uint16_t port;
--- a/src/daemon/routing_fetch.c
+++ b/src/daemon/routing_fetch.c
@@ -160,7 +160,7 @@
 {
 	struct routing_fetch *r = arg;
 
-	r->o.take(r->o.arg, table);
+	r->o.applied(r->o.arg, table);
 }
 
 static void on_unreadable(void *arg, uint64_t have)
@@ -179,7 +179,7 @@
 	struct fetch_options fo = { .ops = &fetch_table,
 				    .arg = r,
 				    .self = o->daemon->config.name,
-				    .services_only = o->services };
+				    .services_only = o->services_only };
 	struct routing_follow_options wo = { o->daemon, on_applied,
 					     on_unreadable, r };
 
--- a/src/daemon/routing_fetch.h
+++ b/src/daemon/routing_fetch.h
@@ -13,10 +13,10 @@
 
 struct routing_fetch_options {
 	struct daemon *daemon;
-	bool services; /* fetch no routes: the process uses none */
+	bool services_only; /* fetch no routes: the process uses none */
 	/* A newer version is in force in the table, which is always the same
 	 * one. */
-	void (*take)(void *arg, struct routing *r);
+	void (*applied)(void *arg, struct routing *r);
 	void *arg;
 };
 
