--- a/src/daemon/fleet_leader.h
+++ b/src/daemon/fleet_leader.h
@@ -4,8 +4,8 @@
  * entries the placement. Its tables start empty with each leadership and fill
  * within a second or two; agents' reports are authoritative.
  */
-#ifndef SS_FLEET_LEAD_H
-#define SS_FLEET_LEAD_H
+#ifndef SS_FLEET_LEADER_H
+#define SS_FLEET_LEADER_H
 
 #include "leader.h"
 
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -1,6 +1,6 @@
 /* The fleet leader's tables; private to the src/daemon/fleet_* files. */
-#ifndef SS_FLEET_LEAD_INT_H
-#define SS_FLEET_LEAD_INT_H
+#ifndef SS_FLEET_LEADER_INT_H
+#define SS_FLEET_LEADER_INT_H
 
 #include <json-c/json_types.h>
 
--- a/src/daemon/replica_leader.h
+++ b/src/daemon/replica_leader.h
@@ -4,8 +4,8 @@
  * what to load and unload and sends orders and routes. It starts empty with
  * each leadership and is rebuilt from reports within seconds.
  */
-#ifndef SS_LEAD_H
-#define SS_LEAD_H
+#ifndef SS_REPLICA_LEADER_H
+#define SS_REPLICA_LEADER_H
 
 #include "leader.h"
 
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -1,7 +1,7 @@
 /* Internal state of the leader of replicas; only its own files
  * include this. */
-#ifndef SS_LEAD_INT_H
-#define SS_LEAD_INT_H
+#ifndef SS_REPLICA_LEADER_INT_H
+#define SS_REPLICA_LEADER_INT_H
 
 #include "../core/plan.h"
 #include "replica_leader.h"
