--- a/test/proc_faults.py
+++ b/test/proc_faults.py
@@ -1,7 +1,7 @@
-"""Scenarios on real processes: kills, freezes, lost disks, silent links.
+"""Scenarios on real processes: kills, freezes, lost disks, silent connections.
 
-Each opens with its symptom, sequence and cause. Waits are on conditions;
-the verdicts don't depend on how long anything took.
+Each states the failure that it guards against, and how it comes about. Waits
+are on conditions, so that results don't depend on timing.
 """
 import argparse
 import json
@@ -39,8 +39,8 @@
 
 
 def node_that_runs(s, before):
-    """The agent beside the engine that began a run since the counts were
-    taken: a model may have two replicas, and either may get a call."""
+    """The agent of the engine with a new run since the counts were taken; a
+    model may have two replicas, and either may get a call."""
     def grown():
         return [e for e, n in run_counts(s).items() if n > before[e]]
 
@@ -57,8 +57,9 @@
     return json.loads(body)["error"]["outcome"]
 
 
-class Later(threading.Thread):
-    """A request in the background; result() gives it or its error."""
+class Async(threading.Thread):
+    """A request in the background; result() returns its value, None if it
+    failed."""
 
     def __init__(self, fn):
         super().__init__(daemon=True)
@@ -68,7 +69,7 @@
     def run(self):
         try:
             self.value = self.fn()
-        except Exception as e:  # a broken connection is a result too
+        except Exception as e:  # a broken connection is a valid result
             self.error = e
 
     def result(self, seconds=40):
@@ -78,7 +79,8 @@
 
 
 class Relay:
-    """A TCP relay that can go silent: open to both ends, passing nothing."""
+    """A TCP relay that can go silent: connections stay open, bytes are
+    dropped."""
 
     def __init__(self, target):
         self.target = target
@@ -98,20 +100,20 @@
                 a.close()
                 continue
             self.connections += 1
-            # Only connections made before it went silent are dead.
-            dead = {"was": False}
+            # Connections made before it went silent drop bytes, new ones pass.
+            dropping = {"was": False}
             for x, y in ((a, b), (b, a)):
-                threading.Thread(target=self.copy, args=(x, y, dead),
+                threading.Thread(target=self.copy, args=(x, y, dropping),
                                  daemon=True).start()
 
-    def copy(self, x, y, dead):
-        born_silent = self.silent
+    def copy(self, x, y, dropping):
+        made_silent = self.silent
         while True:
             try:
                 data = x.recv(65536)
-                if self.silent and not born_silent:
-                    dead["was"] = True
-                if dead["was"] and data:
+                if self.silent and not made_silent:
+                    dropping["was"] = True
+                if dropping["was"] and data:
                     continue
                 if not data:
                     break
@@ -126,10 +128,10 @@
 
 
 def leader_killed_during_load(s):
-    """Symptom: a model is loaded twice, or a caller waits for ever.
-    Sequence: the leader dies while a load that it decided runs. Cause: the
-    next leader doesn't know of the decision."""
-    call = Later(lambda: chat(s.addr["entry-1"], "parcel-reader", "abc"))
+    """Guards against a model that is loaded twice, or a caller that waits for
+    ever, when the leader is killed while a load that it ordered runs and the
+    next leader doesn't know of it."""
+    call = Async(lambda: chat(s.addr["entry-1"], "parcel-reader", "abc"))
     wait_for(lambda: any(e["event"] == "load" for n in s.engines
                          for e in s.events(n)), why="the load begins")
     old = s.leader()
@@ -144,9 +146,9 @@
 
 
 def frozen_leader_is_harmless(s):
-    """Symptom: an entry goes back to an old preset. Sequence: the leader
-    freezes, another is elected, the preset is switched, the old one wakes.
-    Cause: it still believes that it leads."""
+    """Guards against an entry that returns to an old preset. The leader is
+    frozen, another is elected and switches the preset, and the old one resumes
+    in the belief that it leads."""
     old = s.leader()
     s.procs[old].freeze()
     wait_for(s.leader, why="a new leader")
@@ -169,9 +171,9 @@
 
 
 def agent_killed_during_booking(s):
-    """Symptom: a booking doubled. Sequence: the agent dies while the
-    service works on it. Cause: the entry sends it to be sure."""
-    call = Later(lambda: book(s, "entry-1", "k-agent",
+    """Guards against a doubled booking: the agent is killed while the service
+    runs it, and the entry must not send it again."""
+    call = Async(lambda: book(s, "entry-1", "k-agent",
                               "/svc/portal-web/book?delay_ms=1500"))
     wait_for(lambda: runs(s, "service-1", "k-agent"), why="it runs")
     s.procs["agent-service-1"].kill()
@@ -190,10 +192,9 @@
 
 
 def entry_killed_during_booking(s):
-    """Symptom: a family charged twice. Sequence: the entry dies, the
-    caller sends again through the other one. Cause: the second entry knows
-    nothing of the first call."""
-    call = Later(lambda: book(s, "entry-1", "k-entry",
+    """Guards against a doubled booking: the entry is killed, and the caller
+    resends through another one that knows nothing of the first call."""
+    call = Async(lambda: book(s, "entry-1", "k-entry",
                               "/svc/portal-web/book?delay_ms=800"))
     wait_for(lambda: runs(s, "service-1", "k-entry"), why="it runs")
     s.procs["entry-1"].kill()
@@ -211,11 +212,11 @@
 
 
 def same_key_at_once(s):
-    """Symptom: a double click books twice. Sequence: the same key at both
-    entries at the same time. Cause: each takes itself for the first."""
+    """Guards against a doubled booking when one key arrives at both entries at
+    the same time, and each takes itself for the first."""
     for i in range(10):
         key = "k-both-%d" % i
-        calls = [Later(lambda e=e: book(
+        calls = [Async(lambda e=e: book(
             s, e, key, "/svc/portal-web/book?delay_ms=20"))
             for e in ("entry-1", "entry-2", "entry-1", "entry-2")]
         answers = [c.result() for c in calls]
@@ -226,9 +227,9 @@
 
 
 def lost_disk_after_repair(s):
-    """Symptom: accepted presets are gone. Sequence: a control VM loses its
-    disk, comes back, joins; then a second one is lost. Cause: the new one
-    counted before it had the log, or voted under its old name."""
+    """Guards against the loss of accepted presets. A control VM loses its disk
+    and joins again; then a second one is lost. The new member must not count
+    before it has the log, nor vote under its old identity."""
     code, body = s.operate("GET", "/v1/presets")
     peak = [p for p in body["presets"] if p["name"] == "peak"][0]
     code, answer = s.operate("PATCH", "/v1/presets/peak", {
@@ -257,9 +258,10 @@
 
 
 def restart_after_hundreds_of_changes(s):
-    """Symptom: a control VM takes ever longer to start, or starts without
-    its newest changes. Sequence: hundreds of changes, snapshots between,
-    all control VMs killed at once. Cause: the log grows without end."""
+    """Guards against a log that grows without bound, so that a control VM
+    starts ever more slowly, and against a restart that loses the newest
+    changes. Hundreds of changes with snapshots between them; then all control
+    VMs are killed at once."""
     version = [p for p in s.operate("GET", "/v1/presets")[1]["presets"]
                if p["name"] == "ordinary"][0]["version"]
     for i in range(300):
@@ -288,12 +290,13 @@
 
 
 def operators_race(s):
-    """Symptom: two operators both told "accepted" for the same version.
-    Sequence: changes at once under equal numbers, then one resent after
-    the leader died. Cause: the check isn't part of the log."""
+    """Guards against two operators whose changes are both accepted for one
+    version, when the check is not part of the log. Concurrent changes expect
+    the same version; the accepted one is resent after the leader was
+    killed."""
     version = [p for p in s.operate("GET", "/v1/presets")[1]["presets"]
                if p["name"] == "maintenance"][0]["version"]
-    calls = [Later(lambda i=i: s.operate("PATCH", "/v1/presets/maintenance", {
+    calls = [Async(lambda i=i: s.operate("PATCH", "/v1/presets/maintenance", {
         "field": "keep_max_ms", "value": 600 + i, "expect": version,
         "change_id": "race-%d" % i})) for i in range(6)]
     answers = [c.result() for c in calls]
@@ -315,7 +318,7 @@
 
 
 def wrong_token_changes_nothing(s):
-    """Symptom: a stranger switches the preset. Cause: no token, or any."""
+    """Guards against a preset switch with no token or a wrong one."""
     leader = s.leader()
     before = s.operate("GET", "/v1/presets")[1]
     for token in (None, "Bearer wrong", "Bearer demo-token2", "demo-token"):
@@ -328,8 +331,8 @@
 
 
 def engine_killed(s):
-    """Symptom: a model stays dead. Sequence: the engine process dies with
-    the model loaded, comes back empty. Cause: control still holds it for
+    """Guards against a model that stays unavailable. The engine is killed with
+    the model loaded, and restarts empty, while control still has it as
     ready."""
     check(chat(s.addr["entry-1"], "letter-writer", "one")[0] == 200, "warm")
     at = [r["node"][len("agent-"):] for r in s.status()["replicas"]
@@ -342,12 +345,12 @@
 
 
 def drained_endpoint(s):
-    """Symptom: work is sent to a VM that is going, or a stream is cut.
-    Sequence: an endpoint with a long stream is drained. Cause: entries
-    hear of it late; the stop doesn't wait."""
+    """Guards against work sent to a VM that drains, as entries learn of it
+    late, and against a stream that is cut, as draining does not wait for it.
+    An endpoint with a long stream is drained."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
     before = run_counts(s)
-    stream = Later(lambda: chat(s.addr["entry-1"], "claims-draft", "long",
+    stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "long",
                                 stream=True, max_tokens=500))
     node = node_that_runs(s, before)
     engine = node[len("agent-"):]
@@ -368,10 +371,10 @@
 
 
 def planned_stop_of_an_entry(s):
-    """Symptom: a stop cuts a caller off. Sequence: SIGTERM with a long
-    stream in flight. Cause: the process doesn't wait for it."""
+    """Guards against a stop that does not wait for its callers: SIGTERM to an
+    entry with a long stream in progress."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
-    stream = Later(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
+    stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
                                 stream=True, max_tokens=400))
     wait_for(lambda: b"ss_entry_calls 1" in
              request(s.addr["entry-1"], "GET", "/metrics")[2],
@@ -385,11 +388,11 @@
 
 
 def planned_stop_of_an_agent(s):
-    """Symptom: a roll of the daemons cuts streams. Sequence: SIGTERM to
-    an agent with a stream in flight. Cause: it exits at once."""
+    """Guards against streams cut by a rolling restart: SIGTERM to an agent
+    with a stream in progress."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
     before = run_counts(s)
-    stream = Later(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
+    stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
                                 stream=True, max_tokens=300))
     node = node_that_runs(s, before)
     code = s.procs[node].stop(30)
@@ -402,9 +405,9 @@
 
 
 def vm_list_is_followed(s):
-    """Symptom: memory of a VM that no longer exists stays taken, or work
-    goes to one that is leaving. Sequence: the platform's list shows a VM
-    as leaving, then not at all. Cause: nobody reads the list."""
+    """Guards against reserved memory of a VM that no longer exists, and work
+    sent to a draining one. The platform's list shows a VM as leaving, and then
+    not at all."""
     names = ["agent-" + e for e in s.engines + s.services]
 
     def put(states):
@@ -429,9 +432,9 @@
 
 
 def frozen_agent_is_found(s):
-    """Symptom: callers hang until their deadline. Sequence: the agent
-    freezes with a booking inside. Cause: the connection stays open."""
-    call = Later(lambda: book(s, "entry-1", "k-frozen",
+    """Guards against callers that wait until their deadline. An agent is
+    frozen with a booking in progress, and its connection stays open."""
+    call = Async(lambda: book(s, "entry-1", "k-frozen",
                               "/svc/portal-web/book?delay_ms=300"))
     wait_for(lambda: runs(s, "service-1", "k-frozen"), why="it runs")
     s.procs["agent-service-1"].freeze()
@@ -448,11 +451,11 @@
 
 
 def silent_link_is_asked_after(s):
-    """Symptom: a booking that ran is lost, or runs twice. Sequence: the
-    connection between entry and agent goes silent for good while new ones
-    work. Cause: something between them lost track of it."""
+    """Guards against a booking that ran and is lost, or runs twice. The
+    connection between entry and agent goes silent for good, as when a firewall
+    drops its state, while new ones work."""
     relay = s.relays["agent-service-1"]
-    call = Later(lambda: book(s, "entry-1", "k-silent",
+    call = Async(lambda: book(s, "entry-1", "k-silent",
                               "/svc/portal-web/book?delay_ms=400"))
     wait_for(lambda: runs(s, "service-1", "k-silent"), why="it runs")
     before = relay.connections
@@ -491,7 +494,7 @@
 
 
 def run_kind(label, only, **options):
-    """All scenarios on one system after the other, as in a long day."""
+    """Run all scenarios in sequence on one system."""
     relays = {}
 
     def via(name):
@@ -527,7 +530,7 @@
     p.add_argument("--only", nargs="*")
     args = p.parse_args()
     BUILD = args.build
-    # Engines that check the fencing number, and engines that ignore it.
+    # Engines that check the fencing token, and engines that ignore it.
     good = run_kind("checks", args.only, checks_fence=True)
     if not args.only:
         good &= run_kind("ignores", args.only, checks_fence=False)
--- a/test/proc_input.py
+++ b/test/proc_input.py
@@ -1,4 +1,4 @@
-"""Bad input to real processes: a typed answer, and the process goes on."""
+"""Bad input to real processes: each answers with an error and runs on."""
 import argparse
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 def raw(addr, data, seconds=8, stop=b"\r\n\r\n"):
-    """Send bytes, read until the end or silence."""
+    """Send bytes; read until the connection closes or the timeout."""
     host, port = addr.rsplit(":", 1)
     with socket.create_connection((host, int(port))) as c:
         c.settimeout(seconds)
@@ -75,7 +75,7 @@
         assert error["outcome"] == "not_run" and error["request_id"], name
 
 
-# name, bytes; each must be answered with an error or closed, in time.
+# name, bytes; the answer is an error, or the connection closes, in time.
 BROKEN = [
     ("no HTTP", b"\x00\x01\x02\x03\r\n\r\n"),
     ("bad version", b"GET / HTTP/9.9\r\n\r\n"),
@@ -109,7 +109,7 @@
 
 
 def pipelined_requests(s):
-    """Two requests in one write: both answered, in order, or closed."""
+    """Two requests in one write: answered in order, or closed."""
     one = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
     got = raw(s.addr["entry-1"], one + one, seconds=2)
     assert got.count(b"200 OK") >= 1, got
@@ -122,9 +122,9 @@
 
 
 def cut_answers_are_closed(s):
-    """Symptom: a caller waits for ever on half an answer. Sequence: the
-    deadline passes within a stream. Cause: the body has no last chunk, and
-    the connection stays open."""
+    """Guards against a caller that waits for ever on a partial answer: the
+    deadline passes within a stream, which has no last chunk, and the
+    connection stays open."""
     body = json.dumps(dict(HELLO, stream=True, max_tokens=2000))
     got = raw(s.addr["entry-1"], (
         "POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: 700\r\n"
@@ -135,8 +135,8 @@
 
 
 def callers_gone_cancel_work(s):
-    """Symptom: an engine works for callers who left. Sequence: the caller
-    closes his connection during a stream. Cause: nobody tells the agent."""
+    """Guards against an engine that works for callers that are gone: one closes
+    its connection during a stream, and the agent must be notified."""
     host, port = s.addr["entry-1"].rsplit(":", 1)
     body = json.dumps(dict(HELLO, stream=True, max_tokens=5000))
     c = socket.create_connection((host, int(port)))
