--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,7 +1,6 @@
-"""Mixed load under a random schedule of faults, then the history check.
+"""Mixed load under a random schedule of faults, then a check of the history.
 
-One seed gives one schedule. Each round lasts a bounded time; a fault may
-come while another is still there.
+A seed determines the schedule. Rounds have a fixed length; faults may overlap.
 """
 import argparse
 import http.client
@@ -17,14 +16,14 @@
 
 ROUND_S = 10.0
 WORKERS = 10
-ANSWER_S = 25.0  # callers' deadlines are shorter: no answer by then is lost
+ANSWER_TIMEOUT_S = 25.0  # longer than all deadlines: no answer by then is lost
 
 
 def call(s, r, rng):
-    """One request, written down in its record."""
+    """Send one request and fill in its record."""
     entry = rng.choice(s.entries)
     host, port = s.addr[entry].split(":")
-    # A key belongs to its customer: a resend comes from the same one.
+    # A key belongs to a customer: a resend comes from the same one.
     customer = ["desk", "phone", "portal"][sum(r.key.encode()) % 3]
     headers = {"X-Tenant": customer,
                "X-Deadline-Ms": str(rng.choice([4000, 8000, 12000]))}
@@ -39,7 +38,8 @@
         body = {"model": rng.choice(list(s.models)), "max_tokens": r.tokens,
                 "messages": [{"role": "user", "content": r.key}],
                 "stream": r.kind == "stream"}
-    conn = http.client.HTTPConnection(host, int(port), timeout=ANSWER_S)
+    conn = http.client.HTTPConnection(host, int(port),
+                                      timeout=ANSWER_TIMEOUT_S)
     try:
         conn.request("POST", path, json.dumps(body), headers)
         reply = conn.getresponse()
@@ -51,7 +51,7 @@
         r.body, r.broken = e.partial, True
     except TimeoutError:
         r.entry = entry
-        return  # no answer at all: lost
+        return  # no answer: lost
     except (OSError, http.client.HTTPException):
         r.broken = True
         r.status = None
@@ -61,7 +61,7 @@
 
 
 class Load:
-    """Workers that ask without pause; bookings are resent until known."""
+    """Workers that send continuously; bookings are resent until confirmed."""
 
     def __init__(self, s, seed):
         self.s, self.seed = s, seed
@@ -82,7 +82,7 @@
                 r = history.Record(kind, key, time.time())
                 self.records.append(r)
                 call(self.s, r, rng)
-                # As a caller does: again, perhaps through another entry.
+                # Resend as a caller does, perhaps through another entry.
                 if kind != "book" or r.status == 200 or rng.random() < 0.3:
                     break
             time.sleep(rng.random() * 0.05)
@@ -90,17 +90,17 @@
     def end(self):
         self.stop.set()
         for t in self.threads:
-            t.join(ANSWER_S + 10)
+            t.join(ANSWER_TIMEOUT_S + 10)
         return self.records
 
 
 class Faults:
-    """What goes wrong, and how it is made good again."""
+    """Injects faults, and ends them after a time."""
 
     def __init__(self, s, rng):
         self.s, self.rng = s, rng
-        self.undo = []  # (when, what, fn)
-        self.leaving = {}
+        self.undo = []  # (time, fn)
+        self.draining = {}
         self.done = []
 
     def later(self, seconds, fn):
@@ -136,7 +136,7 @@
         if code != 200:
             return
         begin = time.time() * 1000
-        spans = self.leaving.setdefault(e, [])
+        spans = self.draining.setdefault(e, [])
         spans.append([begin, begin + 3600e3])
 
         def back():
@@ -151,7 +151,7 @@
                 "preset": self.rng.choice(sorted(self.s.presets)),
                 "expect": body["version"]})
 
-    def strike(self):
+    def inject(self):
         s, rng = self.s, self.rng
         kinds = {
             "kill a control VM": lambda: self.kill(
@@ -185,7 +185,7 @@
 
 
 def entry_versions(s, seen):
-    """Sample the version in force on each entry, by process."""
+    """Sample the configuration version of each entry process."""
     for e in s.entries:
         p = s.procs[e]
         if not p.alive() or p.frozen:
@@ -200,7 +200,7 @@
 
 
 def undecided(s):
-    """Models that engines hold and no control VM has decided, at rest."""
+    """1 if engines hold models without a decision of control, else 0."""
     def settled():
         status = s.status()
         decided = {(r["node"], r["model"]) for r in
@@ -226,14 +226,14 @@
     rng = random.Random(seed)
     load, faults, versions = Load(s, seed), Faults(s, rng), {}
     end = time.monotonic() + ROUND_S
-    strike = time.monotonic() + rng.uniform(0.3, 1.5)
+    next_fault = time.monotonic() + rng.uniform(0.3, 1.5)
     while time.monotonic() < end:
-        if time.monotonic() >= strike:
-            faults.strike()
-            # Sometimes two at once.
+        if time.monotonic() >= next_fault:
+            faults.inject()
+            # Two overlapping faults at times.
             if rng.random() < 0.25:
-                faults.strike()
-            strike = time.monotonic() + rng.uniform(0.5, 2.0)
+                faults.inject()
+            next_fault = time.monotonic() + rng.uniform(0.5, 2.0)
         faults.run_due()
         entry_versions(s, versions)
         time.sleep(0.05)
@@ -255,21 +255,21 @@
                snapshot_entries=100, checks_fence=not args.ignore_fence,
                store_mbps=40000)
     total = None
-    struck = []
+    injected = []
     try:
         s.start()
         for i in range(args.rounds):
             records, faults, versions = run_round(s, args.seed + i)
             s.wait_ready(30)
             journals = {n: s.events(n) for n in s.engines + s.services}
-            counts = history.check(records, journals, faults.leaving,
+            counts = history.check(records, journals, faults.draining,
                                    versions, undecided(s))
-            struck += faults.done
+            injected += faults.done
             for r in records:
                 if r.done is None:
                     print("lost: %s %s at %.3f through %s" % (
                         r.kind, r.key, r.sent, r.entry))
-            for name, spans in faults.leaving.items():
+            for name, spans in faults.draining.items():
                 for e in journals[name]:
                     if e["event"] == "run" and any(
                             a + 3000 < e["at"] < b for a, b in spans):
@@ -283,8 +283,8 @@
                 total.setdefault(c, 0)
     finally:
         s.kill()
-    print("\n%d faults: %s" % (len(struck), ", ".join(
-        "%s %d" % (k, struck.count(k)) for k in sorted(set(struck)))))
+    print("\n%d faults: %s" % (len(injected), ", ".join(
+        "%s %d" % (k, injected.count(k)) for k in sorted(set(injected)))))
     print(history.table(total))
     return 1 if any(total[c] for c in history.FAULTS) else 0
 
--- a/tools/history.py
+++ b/tools/history.py
@@ -1,18 +1,18 @@
-"""Compares what callers were told with what endpoints wrote down."""
+"""Compares the answers that callers got with the journals of endpoints."""
 import collections
 import json
 
 
 class Record:
-    """One request as its caller saw it."""
+    """One request, as seen by its caller."""
 
     def __init__(self, kind, key, sent):
         self.kind, self.key, self.sent = kind, key, sent
         self.done = None
         self.status = None   # None: the connection broke, or no answer
         self.body = b""
-        self.whole = False   # the body came to its proper end
-        self.broken = False  # the connection was cut
+        self.whole = False   # the body is complete
+        self.broken = False  # the connection broke
         self.tokens = 0
         self.request_id = None
 
@@ -27,12 +27,12 @@
           "connection_broken", "lost", "doubled", "false_not_run", "mixed",
           "cut_but_whole", "memory_over", "undecided_replicas",
           "work_after_leaving", "config_reverted"]
-# These must be zero.
+# Counts that must be zero.
 FAULTS = COUNTS[5:]
 
 
 def runs_of(journals):
-    """key -> how often it ran; request id -> how often."""
+    """Numbers of runs by idempotency key and by request id."""
     keys, ids = collections.Counter(), collections.Counter()
     for events in journals.values():
         for e in events:
@@ -84,10 +84,13 @@
         counts["mixed"] += 1
 
 
-def check(records, journals, leaving, versions, undecided):
-    """records: what callers saw; journals: name -> events; leaving:
-    endpoint -> [(from, to)] in wall ms; versions: process -> versions as
-    sampled; undecided: replicas held that nobody decided."""
+def check(records, journals, draining, versions, undecided):
+    """Count all outcomes and violations.
+
+    records: requests of callers; journals: name -> events; draining:
+    endpoint -> [(from, to)] in Unix ms; versions: process -> sampled
+    versions; undecided: replicas that no control VM decided on.
+    """
     counts = collections.Counter({c: 0 for c in COUNTS})
     keys, ids = runs_of(journals)
     count_answers(records, counts, keys, ids)
@@ -96,7 +99,7 @@
         counts["memory_over"] += sum(
             1 for e in events if e["event"] == "overcommit" or
             e.get("used", 0) > e.get("memory", 1 << 62))
-        for begin, end in leaving.get(name, []):
+        for begin, end in draining.get(name, []):
             counts["work_after_leaving"] += sum(
                 1 for e in events
                 if e["event"] == "run" and begin + 3000 < e["at"] < end)
