--- a/test/run.sh
+++ b/test/run.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Run all tests of a build folder; count cases, print failures, end with
-# "N passed, N failed". Cases named in KNOWN-RED.txt ("PROGRAM/CASE: cause;
-# issue", a line each, three at most) are printed and not counted as failed;
-# every other case of the same program is, and so is a line whose case passes.
+# Runs all tests of a build folder, prints the failed cases, and ends with
+# "N passed, N failed". Cases listed in KNOWN-RED.txt ("PROGRAM/CASE: cause;
+# issue", one per line, at most three) are printed but not counted as failed.
+# Other cases of the same program are counted, and a listed case that passes
+# is a failure.
 set -u
 build=${1:-build}
 top=$(cd "$(dirname "$0")/.." && pwd)
@@ -26,8 +27,9 @@
 trap 'rm -rf "$logs"' EXIT
 JOBS=${JOBS:-$(nproc)}
 
-# Names of the cases that failed, each once: a runner may print one twice. A
-# soak's case is its seed ("seed-7"), a property its text with dashes.
+# Prints the names of failed cases, without duplicates, as a runner may print
+# one twice. A soak's case is its seed ("seed-7"), a property's is its text with
+# dashes.
 failed_cases() { # pattern
 	awk -v pattern="$1" '
 	/^- / { property = substr($0, 3); gsub(/[ ,"]+/, "-", property) }
@@ -39,8 +41,8 @@
 	}' "$out" | sort -u
 }
 
-# A program whose every failed case is known has ended as those would have it:
-# no sanitizer's report, teardown error or exception beside them.
+# True if a program's exit is not explained by its failed cases: a sanitizer's
+# report, a teardown error or an exception.
 ended_otherwise() { # exit status, failed cases
 	[ "$1" -ge 124 ] && return 0
 	grep -q '^Traceback' "$out" && return 0
@@ -58,8 +60,8 @@
 	done
 }
 
-# Programs that share no port, file or timing run beside each other; what each
-# said is judged afterwards, in order, so that the verdict doesn't depend on it.
+# Programs that share no port, file or timing run in parallel. Their output is
+# evaluated afterwards in a fixed order.
 start() { # name, command...
 	log=$logs/$1
 	shift
@@ -112,7 +114,7 @@
 
 export RC_PARAMS="seed=20261202 max_success=${PROP_RUNS:-1000} noshrink=0"
 if [ "${PROGRAMS:-1}" = 1 ]; then
-	# The longest first: nothing is left to wait for at the end.
+	# The longest programs start first, so that none runs alone at the end.
 	for t in $(programs 'prop_*'); do
 		start "$(basename "$t")" timeout 600 "$t"
 	done
@@ -127,7 +129,7 @@
 		judge "$(basename "$t")" '^OK, passed' '^Falsifiable'
 	done
 fi
-# A program in so many parts beside each other, judged as one.
+# Runs a program as several parts in parallel, evaluated as one.
 in_parts() { # number, command...
 	n=$1
 	shift
@@ -144,8 +146,8 @@
 	return "$rc"
 }
 
-# Real processes, whose clocks are real ones: beside each other only what leaves
-# most processors at rest; the soak, with hundreds of processes, by itself.
+# Tests of real processes depend on real time: only those that leave most
+# processors idle run in parallel; the soak, with hundreds of processes, alone.
 if [ "${PROCESSES:-1}" = 1 ]; then
 	python="timeout 900 /usr/bin/python3"
 	for t in test/proc_*.py; do
