--- a/test/fleet/soak_fleet.py
+++ b/test/fleet/soak_fleet.py
@@ -10,7 +10,7 @@
 
 from standin import (ADAPTER_SLOTS, MEMORY_MB, MODELS, STEP, Engine, Listing,
                      Proxy, Web, World)
-from ports import free_port, free_ports_again
+from ports import free_port, release_ports
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(
     os.path.abspath(__file__))))
@@ -290,7 +290,7 @@
         for x in self.proxies + self.servers:
             if x.server:
                 x.server.close()
-        free_ports_again()
+        release_ports()
 
 
 def engine_parts(loads_per_s):
--- a/test/proc_input.py
+++ b/test/proc_input.py
@@ -135,8 +135,8 @@
 
 
 def callers_gone_cancel_work(s):
-    """Guards against an engine that works for callers that are gone: one closes
-    its connection during a stream, and the agent must be notified."""
+    """Guards against an engine that works for callers that are gone: one
+    closes its connection during a stream, and the agent must be notified."""
     host, port = s.addr["entry-1"].rsplit(":", 1)
     body = json.dumps(dict(HELLO, stream=True, max_tokens=5000))
     c = socket.create_connection((host, int(port)))
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,12 +1,14 @@
-"""A fleet beside a started system: one control VM and one entry of their own,
-in front of the same stand-ins, which the entry calls directly."""
+"""A fleet next to a running system, with one control VM and one entry.
+
+Its entry calls the system's stand-ins directly, without agents.
+"""
 import json
 import os
 import shutil
 
 from system import ROOT, Process, request, wait_for
 
-HOST = "x"  # as bench-load names it
+HOST = "x"  # bench-load's Host header
 
 
 def routing(customers):
@@ -25,10 +27,10 @@
 
 
 class Fleet:
-    """addr is the entry's for callers, status that of its metrics."""
+    """addr: the entry's address for callers; status: that of its metrics."""
 
     def __init__(self, folder, build, ports, endpoints, customers=None):
-        """endpoints: service -> address of a stand-in that is up."""
+        """endpoints: service -> address of a running stand-in."""
         self.customers = customers
         self.headers = {"Host": HOST}
         if customers:
--- a/tools/path.py
+++ b/tools/path.py
@@ -1,5 +1,8 @@
-"""Speed of the path: at the stand-in directly, through agents, and through
-the gate of a fleet, with and without customers' limits, in turns within one run, so that all meet the same noise.
+"""Measures the overhead of each path to an endpoint: directly, through agents,
+and through the gate of a fleet, with and without customers' limits.
+
+Measurements of the paths alternate within one run, so that the machine's noise
+affects all of them alike.
 """
 import argparse
 import json
@@ -12,13 +15,13 @@
 from system import PRESETS, ROOT, System, chat, request, wait_for
 
 ROUNDS = 3
-# Streams beside which no stand-in of one thread keeps its pace: they show
-# what an entry bears.
-MANY = 512
-# A stream of TOKENS at 1 ms each; they begin spread over that time, so that
-# each newcomer is seen beside others, not beside a crowd of newcomers.
+# Number of streams that overloads a single-threaded stand-in; shows the
+# capacity of an entry.
+MAX_STREAMS = 512
+# A stream has TOKENS of 1 ms each. Starts are spread over that time, so that a
+# new stream is measured among running ones, not in a burst of new ones.
 TOKENS, STREAM_MS = 400, 400
-# Of the way with limits: one that is never reached.
+# Limit of the path "limited", which is never reached.
 CUSTOMERS = [{"name": "one", "keys": ["key-1"], "unit": "token",
               "rawTokens": 200, "ratePerS": 1e12, "burst": 1e12}]
 
@@ -38,8 +41,8 @@
     return sum(r[key] for r in rows) / sum(r["seconds"] for r in rows)
 
 
-class Way:
-    """One way to the endpoint, and the processes that it goes through."""
+class Path:
+    """A path to the endpoint, and the processes on it."""
 
     def __init__(self, name, web, lm, procs, *more):
         self.name, self.procs = name, procs
@@ -50,18 +53,18 @@
                 for name, addr in self.procs.items()}
 
 
-def in_turns(ways, ask):
-    """(rows, CPU in us by process) of each way."""
-    rows = [[] for _ in ways]
-    before = [w.cpu_us() for w in ways]
+def alternate(paths, measure_one):
+    """(path, rows, CPU in us by process) of each path."""
+    rows = [[] for _ in paths]
+    before = [w.cpu_us() for w in paths]
     for _ in range(ROUNDS):
-        for w, r in zip(ways, rows):
-            r.append(ask(w))
+        for w, r in zip(paths, rows):
+            r.append(measure_one(w))
     used = []
-    for w, b in zip(ways, before):
+    for w, b in zip(paths, before):
         after = w.cpu_us()
         used.append({n: after[n] - b[n] for n in after})
-    return zip(ways, rows, used)
+    return zip(paths, rows, used)
 
 
 def cost(used, n):
@@ -69,11 +72,11 @@
                      for k, v in used.items()) or "-"
 
 
-def small(ways, build, conns, seconds):
-    """Small requests to the plain service."""
+def small(paths, build, conns, seconds):
+    """Latency and rate of small requests to the plain service."""
     base = None
     print("%d connections, small requests" % conns)
-    for w, rows, used in in_turns(ways, lambda w: load(
+    for w, rows, used in alternate(paths, lambda w: load(
             build, *w.web, "-c", conns, "-s", seconds)):
         p50, p99 = median(rows, "p50_us"), median(rows, "p99_us")
         base = base or (p50, p99)
@@ -84,13 +87,13 @@
                   cost(used, sum(r["requests"] for r in rows))))
 
 
-def streams(ways, build, conns, seconds):
+def streams(paths, build, conns, seconds):
     body = json.dumps({"model": "letter-writer", "stream": True,
                        "max_tokens": TOKENS,
                        "messages": [{"role": "user", "content": "s"}]})
     base = None
     print("%d streams" % conns)
-    for w, rows, used in in_turns(ways, lambda w: load(
+    for w, rows, used in alternate(paths, lambda w: load(
             build, *w.lm, "-c", conns, "-s", seconds, "-m", "POST",
             "-b", body, "-r", STREAM_MS)):
         first, pause = (median(rows, k + "_p99_us")
@@ -104,7 +107,7 @@
 
 
 def idle_memory(s):
-    """Of connections that ask nothing."""
+    """Print an entry's memory for each idle connection."""
     import socket
     idle = metrics(s.addr["entry-1"])["ss_process_resident_bytes"]
     host, port = s.addr["entry-1"].split(":")
@@ -118,32 +121,32 @@
         c.close()
 
 
-def ways_of(s, f, limited):
+def paths_of(s, f, limited):
     lm = "/v1/chat/completions"
     web = "/svc/portal-web/seats/1"
     entry = s.addr["entry-1"]
     return [
-        Way("directly", (s.addr["service-1"], "/seats/1"),
-            (s.addr["engine-1"], lm), {}),
-        Way("agents", (entry, web), (entry, lm), {
+        Path("directly", (s.addr["service-1"], "/seats/1"),
+             (s.addr["engine-1"], lm), {}),
+        Path("agents", (entry, web), (entry, lm), {
             "entry": entry,
             "service agent": s.addr["agent-service-1-status"],
             "engine agent": s.addr["agent-engine-1-status"]}),
-        Way("gate", (f.addr, web), (f.addr, lm), {"entry": f.status}),
-        Way("limited", (limited.addr, web), (limited.addr, lm),
-            {"entry": limited.status}, "-k",
-            limited.headers["Authorization"])]
+        Path("gate", (f.addr, web), (f.addr, lm), {"entry": f.status}),
+        Path("limited", (limited.addr, web), (limited.addr, lm),
+             {"entry": limited.status}, "-k",
+             limited.headers["Authorization"])]
 
 
 def measure(s, f, limited, args):
-    ways = [w for w in ways_of(s, f, limited) if not args.ways or
+    paths = [w for w in paths_of(s, f, limited) if not args.ways or
             w.name in args.ways.split(",")]
     print("each entry is one thread, on one of %d processors; load of the "
           "machine %.1f" % (len(os.sched_getaffinity(0)), os.getloadavg()[0]))
     for conns in (1, 16, 48):
-        small(ways, args.build, conns, args.seconds)
-    for conns in (32, 128, MANY):
-        streams(ways, args.build, conns, args.seconds)
+        small(paths, args.build, conns, args.seconds)
+    for conns in (32, 128, MAX_STREAMS):
+        streams(paths, args.build, conns, args.seconds)
 
 
 def main():
@@ -154,9 +157,9 @@
                    help="only these, of directly,agents,gate,limited")
     args = p.parse_args()
     models = {"letter-writer": {"pool": "lm-pool", "bytes": 1 << 30,
-                                "slots": MANY}}
+                                "slots": MAX_STREAMS}}
     folder = os.path.join(ROOT, args.build, "path")
-    # The model stays loaded, also while only the gate calls its engine.
+    # Keeps the model loaded while only the gate calls its engine.
     keep = dict(PRESETS["ordinary"], keep_min_ms=3600000,
                 keep_max_ms=3600000)
     s = System(folder, build=args.build, entries=1, engines=1, token_ms=1,
--- a/tools/ports.py
+++ b/tools/ports.py
@@ -1,22 +1,23 @@
-"""Ports on loopback that nobody else is given before they are listened on."""
+"""Reserves ports on loopback until a process listens on them."""
 import socket
 
-_held = []
+_reserved = []
 
 
-def free_ports_again():
-    """Give back the ports of a run that is over."""
-    while _held:
-        _held.pop().close()
+def release_ports():
+    """Release all reserved ports at the end of a run."""
+    while _reserved:
+        _reserved.pop().close()
 
 
 def free_port():
-    """A port that stays ours: a bound socket that doesn't listen keeps the
-    kernel from giving it to others before a process listens on it, and
-    SO_REUSEADDR lets that process bind it all the same.
+    """Reserve a port and return it.
+
+    A bound socket that doesn't listen keeps the kernel from assigning the port
+    to others, and SO_REUSEADDR lets a process bind it nevertheless.
     """
     s = socket.socket()
     s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     s.bind(("127.0.0.1", 0))
-    _held.append(s)
+    _reserved.append(s)
     return s.getsockname()[1]
--- a/tools/scale.py
+++ b/tools/scale.py
@@ -1,4 +1,6 @@
-"""Slopes for docs/CAPACITY.md: real processes in growing numbers."""
+"""Measures CPU, memory and traffic of each role by the number of processes,
+for docs/CAPACITY.md.
+"""
 import argparse
 import os
 import subprocess
@@ -7,11 +9,11 @@
 
 from system import ROOT, System, request, wait_for
 
-SECONDS = 6.0
+MEASUREMENT_S = 6.0
 
 
 class Scaled(System):
-    """Many agents that share one stand-in service; many entries."""
+    """A system with many entries, and many agents of one stand-in service."""
 
     def __init__(self, folder, agents, entries, build):
         super().__init__(folder, entries=entries, controls=3, engines=0,
@@ -43,10 +45,10 @@
 
 
 def rates(s, names):
-    """Mean over processes: CPU in % of a core, MB, bytes a second."""
+    """Means over the processes: CPU in % of a core, MB, bytes per second."""
     start = time.monotonic()
     before = {n: sample(s, n) for n in names}
-    time.sleep(SECONDS)  # the length of the measurement, not a wait
+    time.sleep(MEASUREMENT_S)  # duration of the measurement
     after = {n: sample(s, n) for n in names}
     took = time.monotonic() - start
     n = len(names)
@@ -55,7 +57,7 @@
             sum(after[x][2] - before[x][2] for x in names) / n / took)
 
 
-def one(agents, entries, build):
+def measure_size(agents, entries, build):
     s = Scaled(os.path.join(ROOT, build, "scale"), agents, entries, build)
     try:
         s.start(ready=False)
@@ -74,9 +76,9 @@
         row["entry"] = rates(s, s.entries[:10])
         start = time.monotonic()
         rc, _, err = s.ctl("presets", "switch", "peak", "--wait-ms", "20000")
-        force = (time.monotonic() - start) * 1e3
+        apply_ms = (time.monotonic() - start) * 1e3
         print("agents %4d entries %3d  preset in force everywhere after "
-              "%.0f ms" % (agents, entries, force))
+              "%.0f ms" % (agents, entries, apply_ms))
         for role, (cpu, mb, b) in row.items():
             print("   %-9s %6.2f %% of a core  %6.1f MB  %8.0f bytes/s" %
                   (role, cpu, mb, b), flush=True)
@@ -93,7 +95,7 @@
         [os.path.join(ROOT, args.build, "bench-cores")]).decode())
     for size in args.sizes.split(","):
         agents, entries = size.split("x")
-        one(int(agents), int(entries), args.build)
+        measure_size(int(agents), int(entries), args.build)
     return 0
 
 
--- a/tools/system.py
+++ b/tools/system.py
@@ -1,8 +1,8 @@
-"""Starts the whole system with stand-ins on loopback, and stops it.
+"""Starts and stops a whole system with stand-ins on loopback.
 
-Used by the demo, the tests with real processes and the measurements.
-Ports come from the kernel, waits are on conditions, and only processes
-that this module started are ever signalled, by id.
+Used by the demo, the tests of real processes and the measurements. The kernel
+assigns the ports, waits are on conditions, and signals go only to processes
+that this module started, by id.
 """
 import http.client
 import json
@@ -12,11 +12,11 @@
 import subprocess
 import time
 
-from ports import free_port, free_ports_again
+from ports import free_port, release_ports
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 GB = 1 << 30
-MARK = "X-Signature"  # by which an entry of a fleet knows an endpoint's answer
+MARK = "X-Signature"  # header that marks answers of an endpoint itself
 
 PRESETS = {
     "ordinary": {
@@ -47,7 +47,7 @@
 
 
 def wait_for(what, seconds=15.0, step=0.01, why=""):
-    """Wait until what() gives something true, and return that."""
+    """Poll what() until it returns a true value, and return that."""
     end = time.monotonic() + seconds
     while True:
         got = what()
@@ -59,7 +59,7 @@
 
 
 def request(addr, method, path, body=None, headers=None, timeout=60.0):
-    """One HTTP request: (status, headers, bytes). Raises OSError."""
+    """Send a HTTP request: (status, headers, body). Raises OSError."""
     host, port = addr.rsplit(":", 1)
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -106,7 +106,7 @@
             self.proc.send_signal(sig)
 
     def kill(self):
-        """As a VM that is lost: at once."""
+        """Kill it at once, as when its VM is lost."""
         self.signal(signal.SIGKILL)
         if self.proc:
             self.proc.wait(10)
@@ -121,7 +121,7 @@
         self.signal(signal.SIGCONT)
 
     def stop(self, seconds=15.0):
-        """A planned stop; returns the exit code."""
+        """Stop it with SIGTERM; returns the exit code."""
         if not self.alive():
             return self.proc.returncode if self.proc else None
         self.thaw()
@@ -130,7 +130,7 @@
 
 
 class System:
-    """Entries, control VMs, agents and the stand-ins they need."""
+    """Entries, control VMs, agents, and the stand-ins that they need."""
 
     def __init__(self, folder, entries=2, controls=3, engines=3, services=1,
                  build="build", engine_bytes=40 * GB, checks_fence=True,
@@ -149,20 +149,20 @@
         self.receive_ms = receive_ms
         self.procs = {}
         self.addr = {}
-        take = lambda: "127.0.0.1:%d" % free_port()
-        self.spare = [take() for _ in range(spare_ports)]
+        new_addr = lambda: "127.0.0.1:%d" % free_port()
+        self.spare = [new_addr() for _ in range(spare_ports)]
         self.entries = ["entry-%d" % (i + 1) for i in range(entries)]
         self.controls = ["ctl-%d" % (i + 1) for i in range(controls)]
         self.engines = ["engine-%d" % (i + 1) for i in range(engines)]
         self.services = ["service-%d" % (i + 1) for i in range(services)]
-        self.frame = {c: take() for c in self.controls}
-        self.operator = {c: take() for c in self.controls}
-        self.store, self.platform = take(), take()
+        self.frame = {c: new_addr() for c in self.controls}
+        self.operator = {c: new_addr() for c in self.controls}
+        self.store, self.platform = new_addr(), new_addr()
         self.token = os.path.join(self.folder, "token")
         with open(self.token, "w") as f:
             f.write("demo-token\n")
         self._write_models()
-        # A test may stand between: listen_via maps a name to its relay.
+        # listen_via: name -> function that puts a test's relay in front of it.
         self.listen_via = listen_via or {}
         self._standin("store", self.store, "store",
                       "--store-mbps", str(store_mbps))
@@ -170,21 +170,21 @@
         self._standin("platform", self.platform, "platform",
                       "--vms", ",".join(names))
         for e in self.engines:
-            self.addr[e] = take()
+            self.addr[e] = new_addr()
             args = ["--bytes", str(engine_bytes), "--store", self.store,
                     "--token-ms", str(token_ms)]
             if checks_fence:
                 args.append("--checks-fence")
             self._standin(e, self.addr[e], "engine", *args)
-            self._agent(e, take(), take(), "engine", "lm-pool")
+            self._agent(e, new_addr(), new_addr(), "engine", "lm-pool")
         for s in self.services:
-            self.addr[s] = take()
+            self.addr[s] = new_addr()
             self._standin(s, self.addr[s], "service")
-            self._agent(s, take(), take(), "service", "portal-web")
+            self._agent(s, new_addr(), new_addr(), "service", "portal-web")
         for c in self.controls:
             self._control(c)
         for e in self.entries:
-            self.addr[e] = take()
+            self.addr[e] = new_addr()
             self._entry(e)
 
     def _path(self, name):
@@ -290,7 +290,7 @@
             return False
 
     def operate(self, method, path, body=None, control=None, timeout=3.0):
-        """Ask operators' HTTP: (status, JSON); (0, None) without answer."""
+        """Call the operators' API: (status, JSON), or (0, None)."""
         names = [control] if control else self.controls
         last = (0, None)
         for c in names:
@@ -312,7 +312,7 @@
         return body if code == 200 else {}
 
     def leader(self):
-        """The name of the control VM that a majority confirms."""
+        """Name of the control VM that is confirmed as leader by a majority."""
         for c in self.controls:
             if not self.procs[c].alive() or self.procs[c].frozen:
                 continue
@@ -333,7 +333,7 @@
         return p.returncode, p.stdout.decode(), p.stderr.decode()
 
     def events(self, name):
-        """What a stand-in wrote down."""
+        """Events of a stand-in's journal."""
         try:
             with open(self.journal(name)) as f:
                 return [json.loads(line) for line in f if line.endswith("\n")]
@@ -341,7 +341,7 @@
             return []
 
     def stop(self):
-        """Planned stop of all; True where every daemon exited with 0."""
+        """Stop all with SIGTERM; True if every daemon exited with 0."""
         clean = True
         order = self.entries + ["agent-" + e for e in
                                 self.engines + self.services] + self.controls
@@ -358,4 +358,4 @@
         for p in self.procs.values():
             if p.alive():
                 p.kill()
-        free_ports_again()
+        release_ports()
