--- a/test/fleet/scenarios.py
+++ b/test/fleet/scenarios.py
@@ -120,10 +120,10 @@
         f.write("{")
     fleet.procs["entry-0"].send(signal.SIGHUP)
 
-    async def told():
+    async def logged():
         return log_has(fleet, "entry-0", "event=reload_failed")
 
-    await until(told, RECOVERY_S, "nothing was said of the bad settings")
+    await until(logged, RECOVERY_S, "nothing was said of the bad settings")
     assert fleet.procs["entry-0"].proc.poll() is None, "the entry ended"
 
 
@@ -265,10 +265,10 @@
 
 async def engine_without_its_agent_is_served(fleet):
     """Guards against a working engine that isn't used after its agent's VM is
-    lost: without orders no model is loaded there, and adapters fail. A control
-    VM takes over from the agent after its lease, and hands back when the agent
-    returns. The engine records two holders of one fence, and fences that
-    decrease.
+    lost: without orders no model is loaded there, and adapters fail, so
+    that a tenth of all models isn't served. A control VM takes over from the
+    agent after its lease, and hands back when the agent returns. The engine
+    records two holders of one fence, and fences that decrease.
     """
     await await_first_change(fleet.operators)
     callers = Callers(fleet, longest=7)
--- a/test/fleet/shared.py
+++ b/test/fleet/shared.py
@@ -36,8 +36,8 @@
 
 async def failures_are_shared(fleet):
     """Guards against calls to a failing server from entries that haven't seen
-    it fail. With many entries, each calls a server too rarely to find out by
-    itself. One entry's calls fail; then calls arrive at another one.
+    it fail. With a hundred entries, each calls a server too rarely to find
+    out by itself. One entry's calls fail; then calls arrive at another one.
     """
     await await_first_change(fleet.operators)
     first, other = sorted(fleet.entries)[:2]
--- a/test/fleet/standin.py
+++ b/test/fleet/standin.py
@@ -49,17 +49,17 @@
         self.engines = []
         self.runs = {}       # request id -> [Run, ...]
         self.sent_to = {}    # request id -> the entry that it was sent to
-        self.headers_received = {}      # request id -> headers of each arrival
+        self.headers_received = {}  # request id -> headers of each arrival
         self.arrivals = {}   # service -> [(time, request id), ...]
         self.loads = []      # when a load from the store began
-        self.crashes_by_body = {}   # poison body -> [time of a crash, ...]
+        self.crashes_by_body = {}  # poison body -> [time of a crash, ...]
         self.poison = {}     # poison body -> [(run's time, request id), ...]
         self.faults = []     # violations, as text
         # stream, by the request that began it -> [(time, server, version,
         # event), ...], an item for each event that an endpoint wrote
         self.streams = {}
         self.journal = Journal()
-        self.run_end = 0.0      # when the soak ended
+        self.run_end = 0.0  # when the soak ended
         self.lag = 0.0       # longest scheduling delay of the soak itself
 
     def record_headers(self, headers):
@@ -120,7 +120,7 @@
         self.disk = set()    # models with a copy on disk
         self.ids = 0
         self.version = "v1"  # of its software
-        self.started_ms = 0        # Unix time of its last start
+        self.started_ms = 0  # Unix time of its last start
         self.writers = set()
         self.server = None
         self.lose = 0        # how many of the next answers are lost
@@ -128,11 +128,11 @@
         self.state = "ready"
         self.draining_since = 0.0
         self.limit = None    # rate limit that it states, per second
-        self.announced_limits = []      # [time first stated, end, limit]
-        self.received_requests = []        # (time, request id, incarnation)
-        self.backoff_s = None   # it rejects requests, with this backoff
-        self.backoffs_requested = []      # (time, sender, seconds)
-        self.drain_signals = []       # (time, sender, incarnation)
+        self.announced_limits = []  # [time first stated, end, limit]
+        self.received_requests = []  # (time, request id, incarnation)
+        self.backoff_s = None  # it rejects requests, with this backoff
+        self.backoffs_requested = []  # (time, sender, seconds)
+        self.drain_signals = []  # (time, sender, incarnation)
         # Serializes overlapping faults that restart this server.
         self.restart_lock = asyncio.Lock()
         self.proxy = None    # the proxy in front of it
@@ -321,7 +321,7 @@
     def __init__(self, world, name, service, zone):
         super().__init__(world, name, service, zone)
         self.loads_to_lose = 0  # next loads that run late, unanswered
-        self.delayed_orders = []       # [order, starts when sent, expiry]
+        self.delayed_orders = []  # [order, starts when sent, expiry]
         self.step = STEP
         self.first_s = 0.0   # seconds to the first event, if more than a step
         world.engines.append(self)
@@ -548,9 +548,9 @@
 class ProxiedConnection:
     """A connection through a proxy, as its pair of stream writers."""
 
-    def __init__(self, client, server, deaf):
+    def __init__(self, client, server, dropping):
         self.client, self.server = client, server
-        self.dropping = set(deaf)    # directions whose bytes are dropped
+        self.dropping = set(dropping)  # directions whose bytes are dropped
 
 
 class Proxy:
@@ -563,7 +563,7 @@
         self.delay = 0.0
         self.refuse = False
         self.server = None
-        self.dropping = set()    # the same for new connections
+        self.dropping = set()  # the same for new connections
 
     async def start(self):
         self.server = await asyncio.start_server(
--- a/test/fleet/words.py
+++ b/test/fleet/words.py
@@ -11,7 +11,7 @@
 CALLED = 50          # requests that an endpoint gets before its first signal
 
 
-async def call_all(fleet, called):
+async def call_all(fleet, endpoints):
     """Callers at all entries, once each endpoint has got CALLED calls."""
     await await_first_change(fleet.operators)
     callers = Callers(fleet, longest=20)
@@ -21,7 +21,7 @@
     callers.loops = [asyncio.ensure_future(callers.loop(i)) for i in range(10)]
 
     async def served():
-        return all(s.calls() > CALLED for s in called)
+        return all(s.calls() > CALLED for s in endpoints)
 
     await until(served, MODELS_LOADED_S + RECOVERY_S, "they aren't called")
     return callers
