--- a/test/fleet/soak_fleet.py
+++ b/test/fleet/soak_fleet.py
@@ -10,7 +10,7 @@
 
 from standin import (ADAPTER_SLOTS, MEMORY_MB, MODELS, STEP, Engine, Listing,
                      Proxy, Web, World)
-from ports import free_port, free_ports_again
+from ports import free_port, release_ports
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(
     os.path.abspath(__file__))))
@@ -41,7 +41,7 @@
         self.starts = 0
         self.log_offset = 0  # where the lines of the current start begin
         # Serializes overlapping faults that restart the process.
-        self.turn = asyncio.Lock()
+        self.restart_lock = asyncio.Lock()
 
     def start(self):
         self.starts += 1
@@ -242,7 +242,7 @@
             p = Proxy(s.name, "127.0.0.1", free_port(), s.addr)
             await p.start()
             s.listed = "127.0.0.1:%d" % p.port
-            s.front = p
+            s.proxy = p
             self.proxies.append(p)
 
     def add_agents(self):
@@ -290,7 +290,7 @@
         for x in self.proxies + self.servers:
             if x.server:
                 x.server.close()
-        free_ports_again()
+        release_ports()
 
 
 def engine_parts(loads_per_s):
