--- a/test/fleet/changes.py
+++ b/test/fleet/changes.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from look import leader_of
+from fleet_logs import leader_of
 from soak import RECOVERY_S, await_first_change, until
 from soak_fleet import CONTROLS
 from soak_operators import APPLY_S, mark, routing
--- a/test/fleet/poison.py
+++ b/test/fleet/poison.py
@@ -4,7 +4,7 @@
 import signal
 import time
 
-from look import leader_of, log_has, control_log_count
+from fleet_logs import leader_of, log_has, control_log_count
 from soak import MODELS_LOADED_S, RECOVERY_S, await_first_change, until
 from soak_callers import Callers
 from soak_faults import DRAIN_BOUND_S, Faults
--- a/test/fleet/scenarios.py
+++ b/test/fleet/scenarios.py
@@ -13,10 +13,10 @@
 
 import changes
 import poison
-import shared
+import shared_failures
 import versions
-import words
-from look import leader_of, log_count, log_has, control_log_count
+import signal_scenarios
+from fleet_logs import leader_of, log_count, log_has, control_log_count
 from soak import MODELS_LOADED_S, RECOVERY_S, await_first_change, until
 from soak_callers import Callers
 from soak_fleet import CONTROLS, ROOT, Fleet
@@ -705,8 +705,8 @@
              engine_without_its_agent_is_served,
              relay_leads_to_the_leader, operators_pass_a_frozen_relay,
              seeds_become_relays_before_a_loss_of_power,
-             *poison.SCENARIOS, *shared.SCENARIOS, *changes.SCENARIOS,
-             *words.SCENARIOS, *versions.SCENARIOS]
+             *poison.SCENARIOS, *shared_failures.SCENARIOS, *changes.SCENARIOS,
+             *signal_scenarios.SCENARIOS, *versions.SCENARIOS]
 
 
 async def play(scenario, seed, daemon):
--- a/test/fleet/shared.py
+++ b/test/fleet/shared_failures.py
@@ -2,7 +2,7 @@
 import asyncio
 import re
 
-from look import log_search
+from fleet_logs import log_search
 from soak import RECOVERY_S, await_first_change, until
 from soak_http import http
 from standin import plain
--- a/test/fleet/words.py
+++ b/test/fleet/signal_scenarios.py
@@ -1,11 +1,11 @@
 """Scenarios of the signals that endpoints state in their answers."""
 import asyncio
 
-from look import control_log_count
+from fleet_logs import control_log_count
 from soak import (MODELS_LOADED_S, RECOVERY_S, await_first_change, until,
                   watch_lag)
 from soak_callers import Callers
-from soak_words import (DRAIN_S, LIMIT_KNOWN_S, WINDOW_S, backoff_violations,
+from soak_signals import (DRAIN_S, LIMIT_KNOWN_S, WINDOW_S, backoff_violations,
                         drain_violations, limit_violations)
 
 CALLED = 50          # requests that an endpoint gets before its first signal
--- a/test/fleet/soak.py
+++ b/test/fleet/soak.py
@@ -22,7 +22,7 @@
 from soak_customers import routing_customers
 from soak_operators import Operators
 from soak_surge import surge
-from soak_uneven import call_one_model, draw_first_event_delays
+from soak_slow_engines import call_one_model, draw_first_event_delays
 from soak_versions import RESUMING_CALLERS, draw_versions, resume_streams
 
 # Seeds that have failed: (seconds of faults, size), each with the cause of the
--- a/test/fleet/soak_checks.py
+++ b/test/fleet/soak_checks.py
@@ -11,9 +11,9 @@
 from soak_fleet import GRACE_MS, RETRY_RATIO, RETRY_SLACK
 from soak_journal import most_in_window
 from soak_poison import CRASH_LIMIT, MAX_LATER_RUNS, POISON_KNOWN_S
-from soak_uneven import slow_preferred
+from soak_slow_engines import slow_preferred
 from soak_versions import mixed_version_streams, too_few_resumed
-from soak_words import backoff_violations, drain_violations, limit_violations
+from soak_signals import backoff_violations, drain_violations, limit_violations
 
 # Time after a fault in which its effects are excused: processes have to detect
 # them first.
--- a/test/fleet/soak_faults.py
+++ b/test/fleet/soak_faults.py
@@ -14,9 +14,9 @@
 from soak_fleet import CONTROLS, ZONES
 from soak_outage import outage
 from soak_poison import PoisonSender
-from soak_uneven import slow_first_events
+from soak_slow_engines import slow_first_events
 from soak_versions import roll_out
-from soak_words import request_backoffs, state_rate_limits
+from soak_signals import request_backoffs, state_rate_limits
 from standin import TO_CLIENT, TO_SERVER
 
 DRAIN_BOUND_S = 3.0  # until a draining endpoint gets no new work
--- a/test/fleet/versions.py
+++ b/test/fleet/versions.py
@@ -4,7 +4,7 @@
 import asyncio
 import signal
 
-from look import leader_of
+from fleet_logs import leader_of
 from soak import MODELS_LOADED_S, RECOVERY_S, await_first_change, until
 from soak_versions import ResumingCaller, mixed_version_streams, resumed_share
 from standin import MODELS
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -9,7 +9,7 @@
 
 from demo_load import show_load
 from demo_versions import show_versions
-from demo_words import show_signals
+from demo_signals import show_signals
 from system import GB, ROOT, System, chat, request, wait_for
 
 FOLDER = os.path.join(ROOT, "build", "demo")
--- a/tools/demo_load.py
+++ b/tools/demo_load.py
@@ -7,7 +7,7 @@
 from collections import namedtuple
 
 # Importing it puts the tests' stand-ins on the module path.
-from demo_words import SEED, run
+from demo_signals import SEED, run
 from soak import RECOVERY_S, until
 from soak_fleet import engine_parts
 from soak_http import connect
--- a/tools/demo_versions.py
+++ b/tools/demo_versions.py
@@ -6,7 +6,7 @@
 import signal
 
 # Importing it puts the tests' stand-ins on the module path.
-from demo_words import SEED, run
+from demo_signals import SEED, run
 from soak_operators import Operators
 from soak_versions import mixed_version_streams
 from versions import begin, end_all, two_versions
