--- a/bench/cores.c
+++ b/bench/cores.c
@@ -1,6 +1,7 @@
 /*
- * The pure cores at the size of letter 1: time, bytes and memory of the
- * replicated state, of a planning pass and of an admission queue.
+ * Benchmark of the I/O-free core modules at production sizes: time, memory and
+ * snapshot size of the replicated state, and the time of planning passes for
+ * pools and for the fleet. Also measures how long a log append and sync take.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -30,14 +31,14 @@
 	return (double)(m.uordblks + m.hblkhd) / 1e6;
 }
 
-static uint64_t index_now;
+static uint64_t last_index;
 
 static void apply(struct ss_state *s, struct command *c)
 {
 	GString *bytes = ss_command_encode(c);
 	struct command_result r;
 
-	ss_state_apply(s, ++index_now, ss_str_gs(bytes), &r);
+	ss_state_apply(s, ++last_index, ss_str_gs(bytes), &r);
 	g_string_free(bytes, TRUE);
 }
 
@@ -104,37 +105,38 @@
 static void measure_state(int adapters, int claims)
 {
 	struct ss_state *s = ss_state_new();
-	double heap = heap_mb(), start = now_ms(), applied, made, restored;
+	double heap = heap_mb(), start = now_ms(), apply_ms, snapshot_ms,
+	       restore_ms;
 	struct ss_state *t;
 	GString *image;
 	int changes;
 
-	index_now = 0;
+	last_index = 0;
 	add_models(s, 160, adapters);
 	add_nodes(s, 690);
 	add_claims(s, claims);
-	changes = (int)index_now;
-	applied = now_ms() - start;
+	changes = (int)last_index;
+	apply_ms = now_ms() - start;
 	heap = heap_mb() - heap;
 	start = now_ms();
 	image = ss_state_snapshot(s);
-	made = now_ms() - start;
+	snapshot_ms = now_ms() - start;
 	t = ss_state_new();
 	start = now_ms();
 	ss_state_restore(t, ss_str_gs(image));
-	restored = now_ms() - start;
+	restore_ms = now_ms() - start;
 	printf("state: %6d adapters %6d claims: %6.1f MB heap, %5.2f us an "
 	       "apply, snapshot %5.1f MB in %6.1f ms, restored in %6.1f ms\n",
-	       adapters, claims, heap, applied * 1e3 / changes,
-	       (double)image->len / 1e6, made, restored);
+	       adapters, claims, heap, apply_ms * 1e3 / changes,
+	       (double)image->len / 1e6, snapshot_ms, restore_ms);
 	g_string_free(image, TRUE);
 	ss_state_free(s);
 	ss_state_free(t);
 }
 
-/* A planning pass. */
+/* Planning passes of a pool. */
 
-static enum ss_tier no_tier(void *arg, const char *model, const char *node)
+static enum ss_tier remote_tier(void *arg, const char *model, const char *node)
 {
 	(void)arg;
 	(void)model;
@@ -149,8 +151,8 @@
 	return NULL;
 }
 
-static void no_load(void *arg, const struct plan_demand *d,
-		    const struct plan_node *n, size_t count)
+static void count_load(void *arg, const struct plan_demand *d,
+		       const struct plan_node *n, size_t count)
 {
 	(void)d;
 	(void)n;
@@ -158,7 +160,8 @@
 	(*(int *)arg)++;
 }
 
-static void no_unload(void *arg, const struct plan_replica *r, const char *why)
+static void count_unload(void *arg, const struct plan_replica *r,
+			 const char *why)
 {
 	(void)r;
 	(void)why;
@@ -167,7 +170,7 @@
 
 static void measure_plan(int nodes, int replicas, int demands)
 {
-	static const struct plan_ops ops = { no_load, no_unload };
+	static const struct plan_ops ops = { count_load, count_unload };
 	struct plan_node *n = g_new0(struct plan_node, nodes);
 	struct plan_replica *r = g_new0(struct plan_replica, replicas);
 	struct plan_demand *d = g_new0(struct plan_demand, demands);
@@ -177,7 +180,7 @@
 			       .nodes = n,
 			       .replicas = r,
 			       .demands = d,
-			       .tier = no_tier,
+			       .tier = remote_tier,
 			       .arrivals = no_arrivals };
 	int decided = 0;
 	double start;
@@ -225,18 +228,19 @@
 	preset_clear(&preset);
 }
 
-/* A placing pass of a fleet. */
+/* Placement passes of a fleet. */
 
-#define FLEET_HELD 2	/* models on each engine */
-#define FLEET_COPIES 12 /* and copies on its disk */
+#define ENGINE_REPLICAS 2     /* models loaded on each engine */
+#define ENGINE_DISK_COPIES 12 /* checkpoints on its disk */
 
-static void no_step(void *arg, const struct fleet_step *s)
+static void count_step(void *arg, const struct fleet_step *s)
 {
 	(void)s;
 	(*(int *)arg)++;
 }
 
-static void no_blocked(void *arg, uint32_t model, const struct fleet_blocked *b)
+static void count_blocked(void *arg, uint32_t model,
+			  const struct fleet_blocked *b)
 {
 	(void)model;
 	(void)b;
@@ -244,13 +248,15 @@
 }
 
 /*
- * The worst pass: the first models are full, the last are held nowhere, none
- * of these has a copy, and the store is closed; so each engine is weighed for
- * each of them, and none gets a step. One of an engine's models may leave.
+ * Sets up the most expensive pass: the replicas of the first `full` models are
+ * full, the last `unplaced` models have neither a replica nor a disk copy, and
+ * the store accepts no load. Each engine is scored for each of these models,
+ * and no step follows. One model of each engine has no calls and may be
+ * unloaded.
  */
-static void fill_fleet(struct fleet_view *v, size_t full, size_t rare)
+static void fill_fleet(struct fleet_view *v, size_t full, size_t unplaced)
 {
-	size_t others = v->n_models - full - rare;
+	size_t others = v->n_models - full - unplaced;
 	uint64_t seed = 7;
 
 	for (size_t i = 0; i < v->n_nodes; i++) {
@@ -259,7 +265,7 @@
 
 		for (size_t m = 0; m < v->n_models; m++)
 			tier[m] = TIER_REMOTE;
-		for (int k = 0; k < FLEET_COPIES; k++)
+		for (int k = 0; k < ENGINE_DISK_COPIES; k++)
 			tier[full + ss_random(&seed) % others] = TIER_DISK;
 		*n = (struct fleet_node){ .domain = g_strdup_printf(
 						  "domain-%zu", i % 8),
@@ -271,7 +277,7 @@
 					  .tier = tier };
 		n->replicas =
 			g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
-		for (uint32_t k = 0; k < FLEET_HELD; k++) {
+		for (uint32_t k = 0; k < ENGINE_REPLICAS; k++) {
 			struct fleet_replica p = {
 				.model = (uint32_t)(ss_random(&seed) %
 						    (full + others)),
@@ -284,9 +290,10 @@
 	}
 }
 
-static void measure_fleet(size_t nodes, size_t models, size_t full, size_t rare)
+static void measure_fleet(size_t nodes, size_t models, size_t full,
+			  size_t unplaced)
 {
-	static const struct fleet_plan_ops ops = { no_step, no_blocked };
+	static const struct fleet_plan_ops ops = { count_step, count_blocked };
 	static const struct routing_model spec = { .weights_mb = 34300,
 						   .store_load_ms = 13200,
 						   .disk_load_ms = 510,
@@ -302,24 +309,24 @@
 
 	for (size_t m = 0; m < models; m++)
 		v.models[m] = (struct fleet_model){ .spec = &spec };
-	fill_fleet(&v, full, rare);
+	fill_fleet(&v, full, unplaced);
 	for (size_t m = 0; m < full; m++)
 		v.models[m].waiting = 1000;
-	for (size_t m = models - rare; m < models; m++)
+	for (size_t m = models - unplaced; m < models; m++)
 		v.models[m].waiting = 1;
 	start = now_ms();
 	for (int i = 0; i < passes; i++)
 		fleet_plan(&v, &ops, &decided);
 	printf("fleet: %4zu engines %4zu models, %2zu full, %2zu waited for: "
 	       "%8.2f ms a pass\n",
-	       nodes, models, full, rare, (now_ms() - start) / passes);
+	       nodes, models, full, unplaced, (now_ms() - start) / passes);
 }
 
-/* One change made durable, alone and in groups. */
+/* Measures the time to make a change durable, one by one and in groups. */
 static void measure_disk(int group)
 {
 	static char folder[] = "/tmp/ss-bench-XXXXXX";
-	static bool made;
+	static bool folder_made;
 	struct disk_options o = { .folder = folder };
 	struct ss_raft_entry e = { .term = 1,
 				   .kind = SS_RAFT_DATA,
@@ -332,9 +339,9 @@
 	double start;
 	int syncs = 200;
 
-	if (!made && !mkdtemp(folder))
+	if (!folder_made && !mkdtemp(folder))
 		return;
-	made = true;
+	folder_made = true;
 	d = disk_open(&o, &st, NULL);
 	e.index = st.n_entries;
 	start = now_ms();
