--- a/bench/load.c
+++ b/bench/load.c
@@ -1,8 +1,9 @@
 /*
- * A closed-loop load: so many connections ask without pause for so long.
- * Prints one line of JSON: requests, events and errors in that time, and
- * latencies in us: of whole answers, to the first piece of an answer, and of
- * the pauses between two events of a stream.
+ * Closed-loop load generator: each connection sends its next request as soon as
+ * the last one is answered, for a given time. Prints one line of JSON: the
+ * number of requests, events and errors, and latencies in us: of whole answers
+ * (""), until the first event ("first_"), and between two events of a stream
+ * ("pause_").
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -22,15 +23,16 @@
 	struct event_base *base;
 	char *ip;
 	uint16_t port;
-	const char *path, *body, *method, *key; /* key: NULL for none */
-	struct hist latency, first, pause;
-	uint64_t requests, events, errors, asked;
+	const char *path, *body, *method,
+		*key; /* key: Authorization header or NULL */
+	struct hist latency, first, gap;
+	uint64_t requests, events, errors, sent;
 };
 
 struct client {
 	struct load *l;
 	struct evhttp_connection *conn;
-	int64_t sent_us, event_us; /* event_us 0: none of this answer yet */
+	int64_t sent_us, event_us; /* event_us: last event, or 0 */
 };
 
 static int64_t now_us(void)
@@ -41,7 +43,7 @@
 	return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-static void ask(struct client *c);
+static void send_request(struct client *c);
 
 static void on_chunk(struct evhttp_request *req, void *arg)
 {
@@ -53,7 +55,7 @@
 	while (p.pos >= 0) {
 		c->l->events++;
 		if (c->event_us)
-			hist_add(&c->l->pause, (uint64_t)(now - c->event_us));
+			hist_add(&c->l->gap, (uint64_t)(now - c->event_us));
 		else
 			hist_add(&c->l->first, (uint64_t)(now - c->sent_us));
 		c->event_us = now;
@@ -72,10 +74,10 @@
 	} else {
 		c->l->errors++;
 	}
-	ask(c);
+	send_request(c);
 }
 
-static void ask(struct client *c)
+static void send_request(struct client *c)
 {
 	struct evhttp_request *req = evhttp_request_new(on_done, c);
 	struct evkeyvalq *h = evhttp_request_get_output_headers(req);
@@ -85,7 +87,7 @@
 	evhttp_request_set_chunked_cb(req, on_chunk);
 	evhttp_add_header(h, "Host", "x");
 	evhttp_add_header(h, "X-Deadline-Ms", "30000");
-	g_snprintf(id, sizeof(id), "%d-%" PRIu64, getpid(), ++c->l->asked);
+	g_snprintf(id, sizeof(id), "%d-%" PRIu64, getpid(), ++c->l->sent);
 	evhttp_add_header(h, "X-Request-Id", id);
 	if (c->l->key)
 		evhttp_add_header(h, "Authorization", c->l->key);
@@ -98,11 +100,11 @@
 			    c->l->path);
 }
 
-static void begin(evutil_socket_t fd, short what, void *arg)
+static void start_client(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
 	(void)what;
-	ask(arg);
+	send_request(arg);
 }
 
 static void print_quantiles(const char *what, const struct hist *h)
@@ -148,7 +150,7 @@
 		c->l = &l;
 		c->conn =
 			evhttp_connection_base_new(l.base, NULL, l.ip, l.port);
-		event_base_once(l.base, -1, EV_TIMEOUT, begin, c, &at);
+		event_base_once(l.base, -1, EV_TIMEOUT, start_client, c, &at);
 	}
 	event_base_loopexit(l.base, &(struct timeval){ seconds, 0 });
 	event_base_dispatch(l.base);
@@ -158,7 +160,7 @@
 	       (double)(now_us() - start) / 1e6);
 	print_quantiles("", &l.latency);
 	print_quantiles("first_", &l.first);
-	print_quantiles("pause_", &l.pause);
+	print_quantiles("pause_", &l.gap);
 	printf("}\n");
 	return 0;
 }
