--- a/bench/load.c
+++ b/bench/load.c
@@ -1,9 +1,8 @@
 /*
  * Closed-loop load generator: each connection sends its next request as soon as
  * the last one is answered, for a given time. Prints one line of JSON: the
- * number of requests, events and errors, and latencies in us: of whole answers
- * (""), until the first event ("first_"), and between two events of a stream
- * ("pause_").
+ * number of requests, events and errors, and latencies in us: of whole answers,
+ * until the first event (first_), and between two events of a stream (pause_).
  */
 #include <event2/buffer.h>
 #include <event2/event.h>
