--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,7 +1,8 @@
 /*
- * The planner's decisions against baselines: the same decision code on a
- * virtual clock, over made-up traces of both deployments. Loads end after
- * times computed from size and nearness; nothing else is modelled.
+ * Compares the planner's load and unload decisions with baseline policies: the
+ * production planner on a virtual clock, over synthetic traces of two
+ * deployments. The time of a load follows from the model's size and the tier of
+ * its nearest copy; nothing else is modelled.
  */
 #include <math.h>
 #include <popt.h>
@@ -15,13 +16,13 @@
 #define GB (1ull << 30)
 #define HOUR_MS (3600 * 1000LL)
 #define DAY_MS (24 * HOUR_MS)
-/* Monday, 2026-11-30, 00:00 UTC. */
+/* Start of the traces: Monday, 2026-11-30, 00:00 UTC. */
 #define START_MS 1795996800000LL
 #define DAYS 5
-#define MEASURED_FROM (3 * DAY_MS) /* the days before only teach */
+#define MEASURED_FROM_MS (3 * DAY_MS) /* earlier days only build up history */
 #define STEP_MS 1000
 #define STORE_MB_S 2000.0
-#define CACHED 12 /* checkpoints on a node's disk */
+#define NODE_CHECKPOINTS 12 /* kept on a node's disk */
 #define MODELS_MAX 128
 #define NODES_MAX 32
 
@@ -29,12 +30,12 @@
 	const char *name;
 	int nodes, models;
 	uint64_t node_bytes;
-	int open_hour, close_hour; /* when people ask */
+	int open_hour, close_hour; /* of interactive use */
 	double sessions_per_hour;
 	int batch_models, batch_calls, batch_hour;
 	int store_per_minute;
-	int weight;	/* its preset's cold_weight */
-	uint64_t seeds; /* where its traces begin */
+	int weight;	/* cold_weight of its preset */
+	uint64_t seeds; /* first seed of its traces */
 };
 
 static const struct deployment deployments[] = {
@@ -49,9 +50,9 @@
 
 struct policy {
 	const char *name;
-	int64_t keep_min, keep_max; /* both the same: a fixed time */
-	bool ahead, random;
-	int weight; /* -1: the deployment's */
+	int64_t keep_min, keep_max; /* ms; equal: a fixed keep time */
+	bool preloads, random;
+	int weight; /* cold_weight; -1: the deployment's */
 };
 
 static const struct policy policies[] = {
@@ -72,7 +73,7 @@
 };
 
 struct replica {
-	int model, node; /* node -1: free slot */
+	int model, node; /* node -1: unloaded */
 	int state;
 	int64_t born, ready_at, idle_since, busy_until;
 };
@@ -88,10 +89,10 @@
 	int64_t last_load[MODELS_MAX];
 	GArray *replicas; /* struct replica */
 	GArray *trace;
-	int cached[NODES_MAX][CACHED];
+	int cached[NODES_MAX][NODE_CHECKPOINTS];
 	struct ss_arrivals arrivals[MODELS_MAX], all;
-	GArray *waiting[MODELS_MAX]; /* int64_t: when each came */
-	bool ahead[MODELS_MAX];
+	GArray *waiting[MODELS_MAX]; /* int64_t: arrival times */
+	bool preloads[MODELS_MAX];
 	int64_t now;
 	/* Results. */
 	struct hist cold;
@@ -109,7 +110,7 @@
 	return -mean * log(1 - uniform(w));
 }
 
-/* A popular few and a long tail. */
+/* Picks a model at random: a few are popular, with a long tail. */
 static int pick_model(struct world *w)
 {
 	double u = uniform(w);
@@ -117,7 +118,7 @@
 	return (int)((double)w->d->models * u * u * u);
 }
 
-static gint by_time(gconstpointer a, gconstpointer b)
+static gint compare_arrivals(gconstpointer a, gconstpointer b)
 {
 	const struct arrival *x = a, *y = b;
 
@@ -144,7 +145,7 @@
 	int64_t night = day * DAY_MS + d->batch_hour * HOUR_MS;
 	double mean = (double)HOUR_MS / d->sessions_per_hour;
 
-	/* The herd at opening: the same models each day. */
+	/* The surge at opening asks for the same models each day. */
 	for (int m = 0; m < d->models / 4; m++)
 		add_session(w, open + (int64_t)(uniform(w) * 120000), m);
 	for (int64_t t = open; t < close; t += (int64_t)exponential(w, mean))
@@ -160,13 +161,13 @@
 
 static enum ss_tier real_tier(const struct world *w, int model, int node)
 {
-	for (int i = 0; i < CACHED; i++)
+	for (int i = 0; i < NODE_CHECKPOINTS; i++)
 		if (w->cached[node][i] == model + 1)
 			return TIER_DISK;
 	return TIER_REMOTE;
 }
 
-static int number_of(const char *name)
+static int name_index(const char *name)
 {
 	return atoi(name + 1);
 }
@@ -175,36 +176,36 @@
 {
 	struct world *w = arg;
 
-	/* Random placement: the planner is told made-up nearness. */
+	/* Random placement: the planner gets random tiers. */
 	if (w->p->random)
 		return (enum ss_tier)(ss_random(&w->rng) % 3);
-	return real_tier(w, number_of(model), number_of(node));
+	return real_tier(w, name_index(model), name_index(node));
 }
 
 static const struct ss_arrivals *arrivals_of(void *arg, const char *model)
 {
-	return &((struct world *)arg)->arrivals[number_of(model)];
+	return &((struct world *)arg)->arrivals[name_index(model)];
 }
 
 static void keep_checkpoint(struct world *w, int model, int node)
 {
 	int *c = w->cached[node];
-	int at = CACHED - 1;
+	int at = NODE_CHECKPOINTS - 1;
 
-	for (int i = 0; i < CACHED; i++)
+	for (int i = 0; i < NODE_CHECKPOINTS; i++)
 		if (c[i] == model + 1)
 			at = i;
 	memmove(c + 1, c, (size_t)at * sizeof(*c));
 	c[0] = model + 1;
 }
 
-static void do_load(void *arg, const struct plan_demand *d,
-		    const struct plan_node *n, size_t count)
+static void start_load(void *arg, const struct plan_demand *d,
+		       const struct plan_node *n, size_t count)
 {
 	static const double factor[] = { 1, 0.4, 0.1 };
 	struct world *w = arg;
-	struct replica r = { .model = number_of(d->model),
-			     .node = number_of(n->name),
+	struct replica r = { .model = name_index(d->model),
+			     .node = name_index(n->name),
 			     .state = REPLICA_LOADING,
 			     .born = w->now };
 	double ms = (double)d->bytes / 1e6 / STORE_MB_S * 1e3;
@@ -213,11 +214,12 @@
 	ms *= factor[real_tier(w, r.model, r.node)];
 	r.ready_at = w->now + 50 + (int64_t)ms;
 	keep_checkpoint(w, r.model, r.node);
-	w->loads += w->now >= MEASURED_FROM;
+	w->loads += w->now >= MEASURED_FROM_MS;
 	g_array_append_val(w->replicas, r);
 }
 
-static void do_unload(void *arg, const struct plan_replica *r, const char *why)
+static void remove_replica(void *arg, const struct plan_replica *r,
+			   const char *why)
 {
 	struct world *w = arg;
 
@@ -225,7 +227,7 @@
 	g_array_index(w->replicas, struct replica, r->id).node = -1;
 }
 
-static const struct plan_ops ops = { do_load, do_unload };
+static const struct plan_ops ops = { start_load, remove_replica };
 
 static void add_demand(struct world *w, GArray *demands, int m)
 {
@@ -239,14 +241,14 @@
 				 .priority = 5 };
 
 	if (d.waiting == 0) {
-		if (!w->ahead[m])
+		if (!w->preloads[m])
 			return;
 		d.preload = true;
 	}
 	g_array_append_val(demands, d);
 }
 
-static void plan(struct world *w)
+static void run_planner(struct world *w)
 {
 	struct plan_node nodes[NODES_MAX];
 	GArray *replicas =
@@ -310,20 +312,20 @@
 	return NULL;
 }
 
-static void serve(struct world *w, struct replica *r, int64_t came)
+static void serve(struct world *w, struct replica *r, int64_t arrived_ms)
 {
-	int64_t waited = MAX(w->now - came, 0);
+	int64_t waited = MAX(w->now - arrived_ms, 0);
 
 	r->busy_until = MAX(r->busy_until, w->now + 3000);
 	r->idle_since = r->busy_until;
-	if (came < MEASURED_FROM)
+	if (arrived_ms < MEASURED_FROM_MS)
 		return;
 	w->calls++;
 	w->cold_calls += waited > 0;
 	hist_add(&w->cold, (uint64_t)waited);
 }
 
-static void end_loads(struct world *w)
+static void finish_loads(struct world *w)
 {
 	for (guint i = 0; i < w->replicas->len; i++) {
 		struct replica *r =
@@ -346,7 +348,7 @@
 
 static void count_idle(struct world *w)
 {
-	if (w->now < MEASURED_FROM)
+	if (w->now < MEASURED_FROM_MS)
 		return;
 	for (guint i = 0; i < w->replicas->len; i++) {
 		const struct replica *r =
@@ -359,27 +361,27 @@
 	}
 }
 
-/* The traces' days are those of UTC. */
+/* Converts trace time to wall-clock time; days begin at midnight UTC. */
 static struct ss_wall wall_at(int64_t ms)
 {
 	return (struct ss_wall){ .ms = START_MS + ms };
 }
 
-static void look_ahead(struct world *w)
+static void predict_preloads(struct world *w)
 {
 	struct ss_keep_costs c = {
 		.cold_weight = (double)w->preset.cold_weight / 100
 	};
 
-	for (int m = 0; w->p->ahead && m < w->d->models; m++) {
+	for (int m = 0; w->p->preloads && m < w->d->models; m++) {
 		c.load_ms = pacer_load_ms(&w->pacer, w->bytes[m], TIER_REMOTE);
 		c.share = (double)w->bytes[m] / (double)w->d->node_bytes;
-		w->ahead[m] =
+		w->preloads[m] =
 			ss_wake_ahead(&w->arrivals[m], wall_at(w->now), &c);
 	}
 }
 
-static void sweep(struct world *w)
+static void compact_replicas(struct world *w)
 {
 	for (guint i = w->replicas->len; i-- > 0;)
 		if (g_array_index(w->replicas, struct replica, i).node < 0)
@@ -388,7 +390,7 @@
 
 static void step(struct world *w, guint *next)
 {
-	end_loads(w);
+	finish_loads(w);
 	while (*next < w->trace->len) {
 		struct arrival *a =
 			&g_array_index(w->trace, struct arrival, *next);
@@ -400,21 +402,21 @@
 		ss_arrivals_add(&w->arrivals[a->model], &w->all,
 				wall_at(a->at));
 		r = ready_replica(w, a->model);
-		/* The step's own length isn't a wait. */
+		/* The simulation step's length doesn't count as waiting. */
 		if (r)
 			serve(w, r, w->now);
 		else
 			g_array_append_val(w->waiting[a->model], a->at);
 	}
 	if (w->now % 60000 == 0)
-		look_ahead(w);
-	plan(w);
-	sweep(w);
+		predict_preloads(w);
+	run_planner(w);
+	compact_replicas(w);
 	count_idle(w);
 }
 
-static void begin(struct world *w, const struct deployment *d,
-		  const struct policy *p, uint64_t seed)
+static void world_init(struct world *w, const struct deployment *d,
+		       const struct policy *p, uint64_t seed)
 {
 	memset(w, 0, sizeof(*w));
 	w->d = d;
@@ -439,10 +441,10 @@
 		g_snprintf(w->node_names[i], 16, "n%d", i);
 	for (int day = 0; day < DAYS; day++)
 		make_day(w, day);
-	g_array_sort(w->trace, by_time);
+	g_array_sort(w->trace, compare_arrivals);
 }
 
-static void end(struct world *w)
+static void world_clear(struct world *w)
 {
 	for (int m = 0; m < w->d->models; m++)
 		g_array_unref(w->waiting[m]);
@@ -458,28 +460,28 @@
 static void print_svg(FILE *f, const struct deployment *d,
 		      const struct point *pts, int row)
 {
-	double most_idle = 0, most_cold = 0;
+	double max_idle = 0, max_cold = 0;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(policies); i++) {
-		most_idle = MAX(most_idle, pts[i].idle);
-		most_cold = MAX(most_cold, pts[i].cold_s);
+		max_idle = MAX(max_idle, pts[i].idle);
+		max_cold = MAX(max_cold, pts[i].cold_s);
 	}
 	fprintf(f,
 		"<g transform=\"translate(60,%d)\"><text x=\"200\" y=\"0\">"
 		"%s: p99 cold start (up, to %.1f s) against idle "
 		"accelerator hours (right, to %.0f)</text>"
 		"<path d=\"M0 10V310H640\" fill=\"none\" stroke=\"black\"/>",
-		row * 360 + 30, d->name, most_cold, most_idle);
+		row * 360 + 30, d->name, max_cold, max_idle);
 	for (size_t i = 0; i < G_N_ELEMENTS(policies); i++) {
-		double x = 10 + pts[i].idle / MAX(most_idle, 1e-9) * 560;
-		double y = 305 - pts[i].cold_s / MAX(most_cold, 1e-9) * 280;
-		bool ours = g_str_has_prefix(policies[i].name, "history");
+		double x = 10 + pts[i].idle / MAX(max_idle, 1e-9) * 560;
+		double y = 305 - pts[i].cold_s / MAX(max_cold, 1e-9) * 280;
+		bool is_history = g_str_has_prefix(policies[i].name, "history");
 
 		fprintf(f,
 			"<circle cx=\"%.0f\" cy=\"%.0f\" r=\"4\" "
 			"fill=\"%s\"/><text x=\"%.0f\" y=\"%.0f\" "
 			"font-size=\"9\">%s</text>",
-			x, y, ours ? "blue" : "gray", x + 6, y + 3,
+			x, y, is_history ? "blue" : "gray", x + 6, y + 3,
 			policies[i].name);
 	}
 	fprintf(f, "</g>\n");
@@ -497,7 +499,8 @@
 		struct world w;
 		guint next = 0;
 
-		begin(&w, d, p, d->seeds + (uint64_t)k + (unseen ? 1000 : 0));
+		world_init(&w, d, p,
+			   d->seeds + (uint64_t)k + (unseen ? 1000 : 0));
 		for (w.now = 0; w.now < DAYS * DAY_MS; w.now += STEP_MS)
 			step(&w, &next);
 		hist_merge(&cold, &w.cold);
@@ -505,7 +508,7 @@
 		calls += w.calls;
 		colds += w.cold_calls;
 		loads += w.loads;
-		end(&w);
+		world_clear(&w);
 	}
 	pt.idle = idle / rounds;
 	pt.cold_s = (double)hist_quantile(&cold, 0.99) / 1e3;
