--- a/bench/quota.c
+++ b/bench/quota.c
@@ -1,16 +1,17 @@
 /*
- * How customers' limits are kept: each way to do it, side by side, on the same
- * days in simulated time.
+ * Compares the schemes that enforce customers' limits, in simulated time: each
+ * runs the same scenarios of load and faults. With --classes, compares instead
+ * how requests of several classes share one limit.
  */
 #include <popt.h>
 #include <stdio.h>
 
 #include "../test/quota_world.h"
 
-static const struct quota_scheme *const ways[] = { &quota_even, &quota_lease,
-						   &quota_owner };
+static const struct quota_scheme *const schemes[] = { &quota_even, &quota_lease,
+						      &quota_owner };
 
-/* Sizes: a small fleet, a large one, and the one that is planned. */
+/* A small fleet, a large one and the planned one, each by customer count. */
 static const struct {
 	int entries, customers;
 	double requests_per_s;
@@ -20,9 +21,9 @@
 	{ 31, 10000, 260 }, { 105, 10000, 900 }, { 340, 10000, 1600 },
 };
 
-#define DAY_MS 40000
+#define SCENARIO_MS 40000
 
-static const struct world_event none[] = { { .at_ms = 0 } };
+static const struct world_event no_events[] = { { .at_ms = 0 } };
 static const struct world_event hot[] = {
 	{ 8000, WORLD_HOT, 12000, 1, 3, 6 },
 };
@@ -60,8 +61,8 @@
 	const char *name;
 	const struct world_event *events;
 	size_t n;
-} days[] = {
-	{ "calm", none, 0 },
+} scenarios[] = {
+	{ "calm", no_events, 0 },
 	{ "hot customers", hot, G_N_ELEMENTS(hot) },
 	{ "leader lost", leader, G_N_ELEMENTS(leader) },
 	{ "power lost", power, G_N_ELEMENTS(power) },
@@ -71,7 +72,7 @@
 };
 
 static int seeds = 1, entries, customers, csv, classes;
-static char *only_way, *only_day;
+static char *only_scheme, *only_scenario;
 
 static void print_head(void)
 {
@@ -88,15 +89,15 @@
 		       "bytes/s", "far b/s", "asks/s", "us");
 }
 
-static void print_one(const struct world_options *o, const char *day,
-		      uint64_t seed, const struct world_result *r)
+static void print_result(const struct world_options *o, const char *scenario,
+			 uint64_t seed, const struct world_result *r)
 {
 	if (csv)
 		printf("%d,%d,%s,%s,%" PRIu64 ",%.4f,%.5f,%.5f,%.4f,%.4f,%.1f,%"
 		       ".4f,%.0f,%.0f,%.0f,%.0f,"
 		       "%.2f\n",
-		       o->entries, o->customers, day, o->scheme->name, seed,
-		       r->worst, r->refused, r->worst_refused, r->served,
+		       o->entries, o->customers, scenario, o->scheme->name,
+		       seed, r->worst, r->refused, r->worst_refused, r->served,
 		       r->waited, r->waited_ms, r->late, r->messages, r->bytes,
 		       r->cross_domain_bytes, r->allocator_requests,
 		       r->allocator_us);
@@ -104,8 +105,8 @@
 		printf("%-7d %-6d %-14s %-6s %7.3f %7.2f%% %7.2f%% %6.1f%% "
 		       "%6.1f%% %6.1f %5.2f%% %7.0f %8.0f %8.0f %7.0f %6.2f  "
 		       "%s\n",
-		       o->entries, o->customers, day, o->scheme->name, r->worst,
-		       100 * r->refused, 100 * r->worst_refused,
+		       o->entries, o->customers, scenario, o->scheme->name,
+		       r->worst, 100 * r->refused, 100 * r->worst_refused,
 		       100 * r->served, 100 * r->waited, r->waited_ms,
 		       100 * r->late, r->messages, r->bytes,
 		       r->cross_domain_bytes, r->allocator_requests,
@@ -113,15 +114,16 @@
 	fflush(stdout);
 }
 
-static void run_day(size_t size, size_t day, const struct quota_scheme *way)
+static void run_scenario(size_t size, size_t scenario,
+			 const struct quota_scheme *scheme)
 {
 	for (int s = 1; s <= seeds; s++) {
 		struct world_options o = {
-			.scheme = way,
+			.scheme = scheme,
 			.entries = sizes[size].entries,
 			.customers = sizes[size].customers,
 			.domains = 4,
-			.length_ms = DAY_MS,
+			.length_ms = SCENARIO_MS,
 			.requests_per_s = sizes[size].requests_per_s,
 			.limit_x = 1.8,
 			.floor_per_s = 4200,
@@ -130,18 +132,17 @@
 			.cpu_share = 0.32,
 			.drift = 0.001,
 			.seed = (uint64_t)s * 7919,
-			.events = days[day].events,
-			.n_events = days[day].n,
+			.events = scenarios[scenario].events,
+			.n_events = scenarios[scenario].n,
 		};
 		struct world_result r;
 
 		world_run(&o, &r);
-		print_one(&o, days[day].name, (uint64_t)s, &r);
+		print_result(&o, scenarios[scenario].name, (uint64_t)s, &r);
 	}
 }
 
-/* Requests of several classes, of customers that send three times their
- * limit. */
+/* Class mixes, for customers that send about three times their limit. */
 static const struct {
 	const char *name;
 	const struct world_class *classes;
@@ -157,7 +158,7 @@
 	[WORLD_BY_CLASS] = "by class",
 };
 
-static void print_shares(const struct world_options *o, const char *day,
+static void print_shares(const struct world_options *o, const char *scenario,
 			 const char *mix, uint64_t seed,
 			 const struct world_result *r)
 {
@@ -168,21 +169,21 @@
 		if (csv)
 			printf("%d,%s,%s,%s,%" PRIu64 ",%d,%" PRId64
 			       ",%.4f,%.4f,%.4f,%.0f\n",
-			       o->entries, day, mix, sharings[o->sharing], seed,
-			       k->class_id, k->objective_ms, x->served,
+			       o->entries, scenario, mix, sharings[o->sharing],
+			       seed, k->class_id, k->objective_ms, x->served,
 			       x->in_time, r->worst, r->allocator_requests);
 		else
 			printf("%-7d %-14s %-6s %-9s %4" PRIu64 " %5d %9" PRId64
 			       " %6.1f%% %6.1f%% %7.3f %7.0f\n",
-			       o->entries, day, mix, sharings[o->sharing], seed,
-			       k->class_id, k->objective_ms, 100 * x->served,
-			       100 * x->in_time, r->worst,
+			       o->entries, scenario, mix, sharings[o->sharing],
+			       seed, k->class_id, k->objective_ms,
+			       100 * x->served, 100 * x->in_time, r->worst,
 			       r->allocator_requests);
 	}
 	fflush(stdout);
 }
 
-/* Half a customer's time it sends some three times its limit. */
+/* Customers send about three times their limit for half of the time. */
 static const struct world_event bursts[] = {
 	{ 2000, WORLD_HOT, 3000, 0, 4, 6 },
 	{ 8000, WORLD_HOT, 3000, 0, 4, 6 },
@@ -197,15 +198,15 @@
 	double limit_x;
 	const struct world_event *events;
 	size_t n;
-} loads[] = {
-	{ "steady", 1.0 / 3, none, 0 },
+} class_scenarios[] = {
+	{ "steady", 1.0 / 3, no_events, 0 },
 	{ "bursts", 2, bursts, G_N_ELEMENTS(bursts) },
 	{ "leader lost", 1.0 / 3, leader, G_N_ELEMENTS(leader) },
 	{ "entries cut", 1.0 / 3, cuts, G_N_ELEMENTS(cuts) },
 };
 
-static void run_shares(int size, size_t day, size_t mix,
-		       enum world_sharing sharing)
+static void run_class_scenario(int size, size_t scenario, size_t mix,
+			       enum world_sharing sharing)
 {
 	for (int s = 1; s <= seeds; s++) {
 		struct world_options o = {
@@ -213,16 +214,16 @@
 			.entries = size,
 			.customers = 4,
 			.domains = 4,
-			.length_ms = DAY_MS,
+			.length_ms = SCENARIO_MS,
 			.requests_per_s = 5.0 * size,
-			.limit_x = loads[day].limit_x,
+			.limit_x = class_scenarios[scenario].limit_x,
 			.overage = { 8, 0.1, 4000 },
 			.delay_ms = 1.4,
 			.cpu_share = 0.32,
 			.drift = 0.001,
 			.seed = (uint64_t)s * 7919,
-			.events = loads[day].events,
-			.n_events = loads[day].n,
+			.events = class_scenarios[scenario].events,
+			.n_events = class_scenarios[scenario].n,
 			.classes = mixes[mix].classes,
 			.n_classes = mixes[mix].n,
 			.sharing = sharing,
@@ -230,22 +231,24 @@
 		struct world_result r;
 
 		world_run(&o, &r);
-		print_shares(&o, loads[day].name, mixes[mix].name, (uint64_t)s,
-			     &r);
+		print_shares(&o, class_scenarios[scenario].name,
+			     mixes[mix].name, (uint64_t)s, &r);
 	}
 }
 
-static bool is_wanted_day(int size, const char *day)
+static bool is_selected_scenario(int size, const char *scenario)
 {
 	return (!entries || entries == size) &&
-	       (!only_day || !strncmp(only_day, day, strlen(only_day)));
+	       (!only_scenario ||
+		!strncmp(only_scenario, scenario, strlen(only_scenario)));
 }
 
-static void run_load(int size, size_t day)
+static void run_mixes(int size, size_t scenario)
 {
 	for (size_t m = 0; m < G_N_ELEMENTS(mixes); m++)
 		for (size_t k = G_N_ELEMENTS(sharings); k-- > 0;)
-			run_shares(size, day, m, (enum world_sharing)k);
+			run_class_scenario(size, scenario, m,
+					   (enum world_sharing)k);
 }
 
 static void run_classes(void)
@@ -260,16 +263,18 @@
 		       "entries", "day", "mix", "shared", "seed", "class",
 		       "objective", "served", "in time", "window", "asks/s");
 	for (size_t i = 0; i < G_N_ELEMENTS(shared); i++)
-		for (size_t d = 0; d < G_N_ELEMENTS(loads); d++)
-			if (is_wanted_day(shared[i], loads[d].name))
-				run_load(shared[i], d);
+		for (size_t d = 0; d < G_N_ELEMENTS(class_scenarios); d++)
+			if (is_selected_scenario(shared[i],
+						 class_scenarios[d].name))
+				run_mixes(shared[i], d);
 }
 
-static bool wanted(size_t size, size_t day, size_t way)
+static bool is_selected(size_t size, size_t scenario, size_t scheme)
 {
-	return is_wanted_day(sizes[size].entries, days[day].name) &&
+	return is_selected_scenario(sizes[size].entries,
+				    scenarios[scenario].name) &&
 	       (!customers || customers == sizes[size].customers) &&
-	       (!only_way || !strcmp(only_way, ways[way]->name));
+	       (!only_scheme || !strcmp(only_scheme, schemes[scheme]->name));
 }
 
 int main(int argc, const char **argv)
@@ -281,9 +286,9 @@
 		  "only this size (31, 105, 340)", "N" },
 		{ "customers", 'c', POPT_ARG_INT, &customers, 0,
 		  "only so many (16, 1000, 10000)", "N" },
-		{ "way", 'w', POPT_ARG_STRING, &only_way, 0,
+		{ "way", 'w', POPT_ARG_STRING, &only_scheme, 0,
 		  "only this way (even, lease, owner)", "NAME" },
-		{ "day", 'd', POPT_ARG_STRING, &only_day, 0,
+		{ "day", 'd', POPT_ARG_STRING, &only_scenario, 0,
 		  "only days that begin so", "NAME" },
 		{ "classes", 0, POPT_ARG_NONE, &classes, 0,
 		  "only requests of several classes, by how these share",
@@ -308,10 +313,10 @@
 	}
 	print_head();
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++)
-		for (size_t d = 0; d < G_N_ELEMENTS(days); d++)
-			for (size_t k = 0; k < G_N_ELEMENTS(ways); k++)
-				if (wanted(i, d, k))
-					run_day(i, d, ways[k]);
+		for (size_t d = 0; d < G_N_ELEMENTS(scenarios); d++)
+			for (size_t k = 0; k < G_N_ELEMENTS(schemes); k++)
+				if (is_selected(i, d, k))
+					run_scenario(i, d, schemes[k]);
 	poptFreeContext(ctx);
 	return 0;
 }
