--- a/bench/routing.c
+++ b/bench/routing.c
@@ -1,7 +1,8 @@
 /*
- * What a change of the routing costs: one route more among few and many, and
- * many at once, as each role pays it; beside it the way of reading all routes
- * at each change, for the ratio in one run.
+ * Benchmark of a routing change: the processor time that the leader, a control
+ * VM and an entry spend on adding one route to few or many, or many routes at
+ * once. As a baseline in the same run, an entry that parses all routes at each
+ * change.
  */
 #include <popt.h>
 #include <stdio.h>
@@ -12,14 +13,14 @@
 #include "../src/core/mirror.h"
 #include "../src/core/routing_update.h"
 
-/* Share of a core that the processes of the calculation have. */
-#define SHARE 0.09
+/* Share of a core that each process gets. */
+#define CPU_SHARE 0.09
 #define PROCESSES 100
-#define MEMBERS 5
-/* One way, between two VMs of different failure domains, in ms. */
-#define DELAY_MS 1.4
-/* Of a member's link. */
-#define BYTES_PER_MS 12500.0
+#define CONTROL_VMS 5
+/* Delay between two VMs of different failure domains. */
+#define ONE_WAY_DELAY_MS 1.4
+/* Bandwidth of a control VM's link. */
+#define LINK_BYTES_PER_MS 12500.0
 
 static int rounds = 15;
 
@@ -31,7 +32,7 @@
 	return (double)t.tv_sec * 1000 + (double)t.tv_nsec / 1e6;
 }
 
-static GString *text_of(uint64_t version, int routes)
+static GString *routing_text(uint64_t version, int routes)
 {
 	GString *s = g_string_new(NULL);
 	uint64_t seed = 1;
@@ -52,24 +53,24 @@
 }
 
 struct cost {
-	double all;	/* processor time of the change, ms */
-	double longest; /* of one turn of the loop */
+	double total;	/* processor time of the change, in ms */
+	double longest; /* of one event loop iteration */
 };
 
-static void add_turn(struct cost *c, double ms)
+static void add_iteration(struct cost *c, double ms)
 {
-	c->all += ms;
+	c->total += ms;
 	c->longest = MAX(c->longest, ms);
 }
 
 struct result {
-	struct cost leader, member, entry, before;
+	struct cost leader, member, entry, baseline;
 	size_t bytes;
 };
 
-/* The operator's text compared, read, checked and packed. */
-static GString *lead(struct document *d, struct routing *r, const GString *text,
-		     struct cost *c)
+/* The leader compares the operator's text, parses, checks and packs it. */
+static GString *leader_update(struct document *d, struct routing *r,
+			      const GString *text, struct cost *c)
 {
 	enum routing_step step = ROUTING_MORE;
 	struct routing_update *u;
@@ -80,46 +81,47 @@
 			       document_compare(d, ss_str_gs(text),
 						users_platform.routing->lists,
 						NULL));
-	add_turn(c, cpu_ms() - from);
+	add_iteration(c, cpu_ms() - from);
 	while (step == ROUTING_MORE) {
 		from = cpu_ms();
 		step = routing_update_step(u, NULL);
-		add_turn(c, cpu_ms() - from);
+		add_iteration(c, cpu_ms() - from);
 	}
 	g_assert(step == ROUTING_VALID);
 	from = cpu_ms();
 	packed = document_pack(routing_update_change(u));
 	routing_update_free(u);
-	add_turn(c, cpu_ms() - from);
+	add_iteration(c, cpu_ms() - from);
 	return packed;
 }
 
-/* A member applies it, and hands it out as it stands in the log. */
-static void apply(struct document *d, const GString *packed, struct cost *c)
+/* A control VM applies the change, and serves it as it stands in the log. */
+static void member_apply(struct document *d, const GString *packed,
+			 struct cost *c)
 {
 	double from = cpu_ms();
 	struct document_patch *n = document_unpack(ss_str_gs(packed), NULL);
 
 	document_apply(d, &n->change, NULL);
 	document_patch_free(n);
-	add_turn(c, cpu_ms() - from);
+	add_iteration(c, cpu_ms() - from);
 }
 
-static void follow(struct routing_follower *w, const GString *packed,
-		   struct cost *c)
+static void follower_update(struct routing_follower *w, const GString *packed,
+			    struct cost *c)
 {
 	double from = cpu_ms();
 
 	routing_follower_add(w, ss_str_gs(packed), NULL);
-	add_turn(c, cpu_ms() - from);
+	add_iteration(c, cpu_ms() - from);
 	while (routing_follower_busy(w)) {
 		from = cpu_ms();
 		routing_follower_step(w, NULL);
-		add_turn(c, cpu_ms() - from);
+		add_iteration(c, cpu_ms() - from);
 	}
 }
 
-/* All routes unpacked and read at each change. */
+/* Baseline: unpacks and parses all routes. */
 static void read_all(const GString *text, struct cost *c)
 {
 	GString *packed = g_string_new(NULL), *opened;
@@ -130,42 +132,45 @@
 	opened = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
 	routing_unref(
 		routing_read(users_platform.routing, ss_str_gs(opened), NULL));
-	add_turn(c, cpu_ms() - from);
+	add_iteration(c, cpu_ms() - from);
 	g_string_free(opened, TRUE);
 	g_string_free(packed, TRUE);
 }
 
-static void least(struct cost *of, const struct cost *c)
+static void keep_minimum(struct cost *of, const struct cost *c)
 {
-	if (!of->all || c->all < of->all)
+	if (!of->total || c->total < of->total)
 		*of = *c;
 }
 
-static void play(int held, int added, struct result *best)
+static void run_case(int held, int added, struct result *best)
 {
 	struct routing_follower *leader =
 		routing_follower_new(users_platform.routing);
 	struct routing_follower *entry =
 		routing_follower_new(users_platform.routing);
 	struct document *d = document_new();
-	GString *before = text_of(1, held), *after = text_of(2, held + added);
+	GString *before = routing_text(1, held),
+		*after = routing_text(2, held + added);
 	struct cost unused = { 0 };
 	struct result r = { 0 };
 	GString *whole, *change;
 
-	whole = lead(d, routing_follower_table(leader), before, &unused);
-	apply(d, whole, &unused);
-	follow(leader, whole, &unused);
-	follow(entry, whole, &unused);
-	change = lead(d, routing_follower_table(leader), after, &r.leader);
-	apply(d, change, &r.member);
-	follow(entry, change, &r.entry);
-	read_all(after, &r.before);
+	whole = leader_update(d, routing_follower_table(leader), before,
+			      &unused);
+	member_apply(d, whole, &unused);
+	follower_update(leader, whole, &unused);
+	follower_update(entry, whole, &unused);
+	change = leader_update(d, routing_follower_table(leader), after,
+			       &r.leader);
+	member_apply(d, change, &r.member);
+	follower_update(entry, change, &r.entry);
+	read_all(after, &r.baseline);
 	best->bytes = change->len;
-	least(&best->leader, &r.leader);
-	least(&best->member, &r.member);
-	least(&best->entry, &r.entry);
-	least(&best->before, &r.before);
+	keep_minimum(&best->leader, &r.leader);
+	keep_minimum(&best->member, &r.member);
+	keep_minimum(&best->entry, &r.entry);
+	keep_minimum(&best->baseline, &r.baseline);
 	g_string_free(whole, TRUE);
 	g_string_free(change, TRUE);
 	g_string_free(before, TRUE);
@@ -175,13 +180,18 @@
 	document_free(d);
 }
 
-/* The last of all has it: told, fetched from its member in turn, and read. */
-static double last_ms(size_t bytes, double read_cpu_ms)
+/*
+ * Time until the last process has a change: a notice, a request and its reply
+ * cross the network, the control VM serves its processes one after
+ * another, and the process reads the change.
+ */
+static double propagation_ms(size_t bytes, double read_cpu_ms)
 {
-	double turns = (double)PROCESSES / MEMBERS;
+	double fetches = (double)PROCESSES / CONTROL_VMS;
 
-	return 3 * DELAY_MS + turns * (double)bytes / BYTES_PER_MS +
-	       read_cpu_ms / SHARE;
+	return 3 * ONE_WAY_DELAY_MS +
+	       fetches * (double)bytes / LINK_BYTES_PER_MS +
+	       read_cpu_ms / CPU_SHARE;
 }
 
 static const struct {
@@ -189,10 +199,11 @@
 } cases[] = { { 50, 1 },    { 4250, 1 },    { 12000, 1 },
 	      { 50, 1400 }, { 4250, 1400 }, { 12000, 1400 } };
 
-static void row(int held, int added, const char *role, const struct cost *c)
+static void print_row(int held, int added, const char *role,
+		      const struct cost *c)
 {
-	printf("%6d %6d  %-22s %9.3f %9.3f %9.1f\n", held, added, role, c->all,
-	       c->longest, c->longest / SHARE);
+	printf("%6d %6d  %-22s %9.3f %9.3f %9.1f\n", held, added, role,
+	       c->total, c->longest, c->longest / CPU_SHARE);
 }
 
 int main(int argc, const char **argv)
@@ -212,26 +223,27 @@
 	       "on 9 %%\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		for (int k = 0; k < rounds; k++)
-			play(cases[i].held, cases[i].added, &r[i]);
-		row(cases[i].held, cases[i].added, "leader, operator's call",
-		    &r[i].leader);
-		row(cases[i].held, cases[i].added, "control VM", &r[i].member);
-		row(cases[i].held, cases[i].added, "entry", &r[i].entry);
-		row(cases[i].held, cases[i].added, "entry, reading all",
-		    &r[i].before);
+			run_case(cases[i].held, cases[i].added, &r[i]);
+		print_row(cases[i].held, cases[i].added,
+			  "leader, operator's call", &r[i].leader);
+		print_row(cases[i].held, cases[i].added, "control VM",
+			  &r[i].member);
+		print_row(cases[i].held, cases[i].added, "entry", &r[i].entry);
+		print_row(cases[i].held, cases[i].added, "entry, reading all",
+			  &r[i].baseline);
 		printf("               %zu bytes; the last of %d has it after "
 		       "%.0f ms (reading all: %.0f ms)\n",
 		       r[i].bytes, PROCESSES,
-		       last_ms(r[i].bytes, r[i].entry.all),
-		       last_ms(r[i].bytes, r[i].before.all));
+		       propagation_ms(r[i].bytes, r[i].entry.total),
+		       propagation_ms(r[i].bytes, r[i].baseline.total));
 	}
 	printf("agents hear of no change that leaves services as they are\n");
 	printf("one route more among 12000, against among 50: leader %.1f, "
 	       "control VM %.1f, entry %.1f, reading all %.1f times\n",
-	       r[2].leader.all / r[0].leader.all,
-	       r[2].member.all / r[0].member.all,
-	       r[2].entry.all / r[0].entry.all,
-	       r[2].before.all / r[0].before.all);
+	       r[2].leader.total / r[0].leader.total,
+	       r[2].member.total / r[0].member.total,
+	       r[2].entry.total / r[0].entry.total,
+	       r[2].baseline.total / r[0].baseline.total);
 	poptFreeContext(ctx);
 	return 0;
 }
