--- a/bench/streams.c
+++ b/bench/streams.c
@@ -1,8 +1,9 @@
 /*
- * What it costs that any entry can tell which version began a stream: the real
- * leader and a follower, told by so many entries, in simulated time. Beside it,
- * by the same messages, what it would cost to tell all entries, and to ask all
- * of them instead.
+ * Benchmark of the stream log, by which any entry can look up the model version
+ * that a stream began with: the real leader and a follower receive the reports
+ * of simulated entries, in simulated time. For comparison, derives the messages
+ * that sending each record to all entries, or querying all entries at each
+ * resumption, would take.
  */
 #include <popt.h>
 #include <stdio.h>
@@ -10,33 +11,34 @@
 #include "../src/core/stream_log.h"
 #include "../test/fleet_world.h"
 
-#define WARM_MS 30000
-/* An entry tells what has begun since its last turn; so often, in ms. */
-#define TURN_MS 10
-/* To an entry, in ms: as followers are told. */
-#define SPREAD_MS 50
-#define VERSIONS 3
+#define WARMUP_MS 30000
+/* Interval at which an entry reports the streams that it has started. */
+#define REPORT_INTERVAL_MS 10
+/* Interval at which records would be sent to an entry, as to followers. */
+#define FOLLOWER_INTERVAL_MS 50
+#define MODEL_VERSIONS 3
 
-static int length_ms = 10000;
-static double streams = 0.27, taken_up = 0.02; /* a second, of each entry */
+static int measured_ms = 10000;
+static double streams = 0.27, resumed = 0.02; /* per second and entry */
 
 static const int sizes[] = { 10, 360, 720 };
 
-static void begin(struct fleet_world *w, int entries, uint64_t *key,
-		  double *owed)
+static void start_streams(struct fleet_world *w, int entries, uint64_t *key,
+			  double *due)
 {
-	static const char *const names[VERSIONS] = { "v1", "v1.1", "v1.2" };
+	static const char *const names[MODEL_VERSIONS] = { "v1", "v1.1",
+							   "v1.2" };
 
-	for (*owed += streams * entries * TURN_MS / 1000.0; *owed >= 1;
-	     (*owed)--) {
+	for (*due += streams * entries * REPORT_INTERVAL_MS / 1000.0; *due >= 1;
+	     (*due)--) {
 		uint64_t k = ++*key;
 
 		fleet_world_streams(w, (int)(k * 7919 % (uint64_t)entries), k,
-				    1, names[k % VERSIONS]);
+				    1, names[k % MODEL_VERSIONS]);
 	}
 }
 
-static void play(int entries)
+static void measure(int entries)
 {
 	struct fleet_world_options o = { .entries = entries,
 					 .engines = 20,
@@ -45,16 +47,17 @@
 					 .seed = 9 };
 	struct fleet_world *w = fleet_world_new(&o);
 	struct fleet_world_streams c;
-	double s = length_ms / 1000.0, owed = 0, ms;
+	double s = measured_ms / 1000.0, due = 0, ms;
 	uint64_t key = 0;
 
-	for (int at = 0; at < WARM_MS + length_ms; at += TURN_MS) {
-		if (at == WARM_MS) {
+	for (int at = 0; at < WARMUP_MS + measured_ms;
+	     at += REPORT_INTERVAL_MS) {
+		if (at == WARMUP_MS) {
 			fleet_world_stream_cost(w);
 			fleet_world_cost(w);
 		}
-		begin(w, entries, &key, &owed);
-		fleet_world_run(w, TURN_MS);
+		start_streams(w, entries, &key, &due);
+		fleet_world_run(w, REPORT_INTERVAL_MS);
 	}
 	c = fleet_world_stream_cost(w);
 	ms = fleet_world_cost(w).reports;
@@ -66,7 +69,7 @@
 	       c.kept * stream_log_record_bytes() / 1024, ms / s,
 	       (double)c.spread * entries / s,
 	       (double)c.spread_bytes * entries / s,
-	       2 * taken_up * entries * entries);
+	       2 * resumed * entries * entries);
 	fflush(stdout);
 	fleet_world_free(w);
 }
@@ -74,11 +77,11 @@
 int main(int argc, const char **argv)
 {
 	struct poptOption options[] = {
-		{ "ms", 0, POPT_ARG_INT, &length_ms, 0,
+		{ "ms", 0, POPT_ARG_INT, &measured_ms, 0,
 		  "measure for so long, in simulated ms", "MS" },
 		{ "streams", 0, POPT_ARG_DOUBLE, &streams, 0,
 		  "streams a second of each entry that may be resumed", "N" },
-		{ "taken-up", 0, POPT_ARG_DOUBLE, &taken_up, 0,
+		{ "taken-up", 0, POPT_ARG_DOUBLE, &resumed, 0,
 		  "streams a second that are taken up at each entry", "N" },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
@@ -94,6 +97,6 @@
 	       "entries instead: messages, bytes a s | asked of all instead: "
 	       "messages a s |\n|---|---|---|---|---|---|---|---|\n");
 	for (size_t i = 0; i < sizeof(sizes) / sizeof(*sizes); i++)
-		play(sizes[i]);
+		measure(sizes[i]);
 	return 0;
 }
