--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -1,4 +1,4 @@
-/* A model engine: loads, unloads, and answers with made-up tokens. */
+/* Stand-in for a model engine: loads, unloads, and answers with fake tokens. */
 #include "standin.h"
 
 #include <event2/buffer.h>
@@ -26,11 +26,11 @@
 struct engine {
 	struct standin *s;
 	GPtrArray *models; /* struct model */
-	GQueue cached;	   /* names on the local disk, newest first */
+	GQueue cached;	   /* checkpoints on the local disk, newest first */
 	long long fence;
 };
 
-static struct model *find(struct engine *e, const char *name)
+static struct model *find_model(struct engine *e, const char *name)
 {
 	for (guint i = 0; i < e->models->len; i++) {
 		struct model *m = e->models->pdata[i];
@@ -41,7 +41,7 @@
 	return NULL;
 }
 
-static long long used(struct engine *e)
+static long long used_bytes(struct engine *e)
 {
 	long long sum = 0;
 
@@ -57,8 +57,9 @@
 
 	json_object_object_add(o, "model", json_object_new_string(name));
 	json_object_object_add(o, "bytes", json_object_new_int64(bytes));
-	json_object_object_add(o, "used",
-			       json_object_new_int64(used((struct engine *)e)));
+	json_object_object_add(
+		o, "used",
+		json_object_new_int64(used_bytes((struct engine *)e)));
 	json_object_object_add(o, "memory", json_object_new_int64(e->s->bytes));
 	return o;
 }
@@ -71,7 +72,7 @@
 	g_free(m);
 }
 
-/* Loads. */
+/* Loading and unloading. */
 
 struct load {
 	struct engine *e;
@@ -84,30 +85,30 @@
 	g_free(l);
 }
 
-static void keep_cached(struct engine *e, const char *name)
+static void cache_checkpoint(struct engine *e, const char *name)
 {
-	GList *had =
+	GList *old =
 		g_queue_find_custom(&e->cached, name, (GCompareFunc)strcmp);
 
-	if (had) {
-		g_free(had->data);
-		g_queue_delete_link(&e->cached, had);
+	if (old) {
+		g_free(old->data);
+		g_queue_delete_link(&e->cached, old);
 	}
 	g_queue_push_head(&e->cached, g_strdup(name));
 	while ((int)e->cached.length > e->s->cached)
 		g_free(g_queue_pop_tail(&e->cached));
 }
 
-static void load_ready(evutil_socket_t fd, short what, void *arg)
+static void on_load_ready(evutil_socket_t fd, short what, void *arg)
 {
 	struct load *l = arg;
-	struct model *m = find(l->e, l->name);
+	struct model *m = find_model(l->e, l->name);
 
 	(void)fd;
 	(void)what;
 	if (m && m->state == MODEL_LOADING) {
 		m->state = MODEL_READY;
-		keep_cached(l->e, l->name);
+		cache_checkpoint(l->e, l->name);
 		standin_journal(l->e->s, "ready",
 				model_event(l->e, m->name, m->bytes));
 	}
@@ -118,12 +119,12 @@
 		       const GError *error)
 {
 	struct load *l = arg;
-	struct model *m = find(l->e, l->name);
+	struct model *m = find_model(l->e, l->name);
 
 	(void)body;
 	(void)error;
 	if (status == 200) {
-		load_ready(-1, 0, l);
+		on_load_ready(-1, 0, l);
 		return;
 	}
 	if (m && m->state == MODEL_LOADING)
@@ -131,11 +132,11 @@
 	load_free(l);
 }
 
-static void begin_load(struct engine *e, const struct model *m)
+static void start_load(struct engine *e, const struct model *m)
 {
 	struct load *l = g_new0(struct load, 1);
-	bool near = g_queue_find_custom(&e->cached, m->name,
-					(GCompareFunc)strcmp) != NULL;
+	bool on_disk = g_queue_find_custom(&e->cached, m->name,
+					   (GCompareFunc)strcmp) != NULL;
 	char *path;
 	struct http_request_options get = { .base = e->s->base,
 					    .addr = e->s->store,
@@ -146,9 +147,9 @@
 
 	l->e = e;
 	l->name = g_strdup(m->name);
-	if (near || !*e->s->store) {
-		standin_later(e->s, m->bytes / MB * 1000 / e->s->load_mbps,
-			      load_ready, l);
+	if (on_disk || !*e->s->store) {
+		standin_schedule(e->s, m->bytes / MB * 1000 / e->s->load_mbps,
+				 on_load_ready, l);
 		return;
 	}
 	path = g_strdup_printf("/weights/%s?bytes=%lld", m->name, m->bytes);
@@ -180,8 +181,11 @@
 	http_reply(req, status, "text/plain", ss_str(s));
 }
 
-/* Whether an order's number is too old for an engine that looks at it. */
-static bool fenced(struct engine *e, long long fence)
+/*
+ * Whether to refuse an order because its fencing number is below the highest
+ * seen, which it records; only engines that check fencing numbers refuse.
+ */
+static bool is_fenced(struct engine *e, long long fence)
 {
 	if (e->s->checks_fence && fence < e->fence)
 		return true;
@@ -194,9 +198,9 @@
 {
 	const char *name = text_of(o, "model");
 	long long bytes = number_of(o, "bytes");
-	struct model *m = find(e, name);
+	struct model *m = find_model(e, name);
 
-	if (fenced(e, number_of(o, "fence"))) {
+	if (is_fenced(e, number_of(o, "fence"))) {
 		standin_journal(e->s, "fenced", model_event(e, name, bytes));
 		reply_text(req, 409, "old fence\n");
 		return;
@@ -205,7 +209,7 @@
 		reply_text(req, 200, "held\n");
 		return;
 	}
-	if (used(e) + bytes > e->s->bytes) {
+	if (used_bytes(e) + bytes > e->s->bytes) {
 		standin_journal(e->s, "overcommit",
 				model_event(e, name, bytes));
 		reply_text(req, 507, "no memory\n");
@@ -216,14 +220,14 @@
 	m->bytes = bytes;
 	g_ptr_array_add(e->models, m);
 	standin_journal(e->s, "load", model_event(e, name, bytes));
-	begin_load(e, m);
+	start_load(e, m);
 	reply_text(req, 202, "loading\n");
 }
 
-static void unloaded(evutil_socket_t fd, short what, void *arg)
+static void on_unloaded(evutil_socket_t fd, short what, void *arg)
 {
 	struct load *l = arg;
-	struct model *m = find(l->e, l->name);
+	struct model *m = find_model(l->e, l->name);
 
 	(void)fd;
 	(void)what;
@@ -238,10 +242,10 @@
 static void order_unload(struct engine *e, struct evhttp_request *req,
 			 json_object *o)
 {
-	struct model *m = find(e, text_of(o, "model"));
+	struct model *m = find_model(e, text_of(o, "model"));
 	struct load *l;
 
-	if (fenced(e, number_of(o, "fence"))) {
+	if (is_fenced(e, number_of(o, "fence"))) {
 		reply_text(req, 409, "old fence\n");
 		return;
 	}
@@ -250,7 +254,7 @@
 		l->e = e;
 		l->name = g_strdup(m->name);
 		m->state = MODEL_UNLOADING;
-		standin_later(e->s, UNLOAD_MS, unloaded, l);
+		standin_schedule(e->s, UNLOAD_MS, on_unloaded, l);
 	}
 	reply_text(req, 202, "unloading\n");
 }
@@ -259,7 +263,7 @@
 {
 	json_object *root = json_object_new_object();
 	json_object *list = json_object_new_array();
-	json_object *near = json_object_new_array();
+	json_object *cached = json_object_new_array();
 
 	for (guint i = 0; i < e->models->len; i++) {
 		const struct model *m = e->models->pdata[i];
@@ -280,36 +284,36 @@
 		json_object_object_add(o, "model",
 				       json_object_new_string(p->data));
 		json_object_object_add(o, "tier", json_object_new_int(1));
-		json_object_array_add(near, o);
+		json_object_array_add(cached, o);
 	}
 	json_object_object_add(root, "bytes",
 			       json_object_new_int64(e->s->bytes));
 	json_object_object_add(root, "models", list);
-	json_object_object_add(root, "cached", near);
+	json_object_object_add(root, "cached", cached);
 	http_reply_json(req, 200, root);
 }
 
-/* Calls. */
+/* Requests. */
 
 struct run {
 	struct engine *e;
 	struct evhttp_request *req;
-	char *model, *id, *word;
+	char *model, *id, *echo; /* echo: the tokens' text */
 	int tokens, done, events;
 	bool stream;
-	bool odd; /* its word isn't the same in JSON */
+	bool needs_escape; /* JSON escapes characters of echo */
 	GString *text;
-	/* An event's bytes around its token, which are all the same. */
-	char *before, *after;
+	/* The bytes before and after the token, the same in each event. */
+	char *prefix, *suffix;
 };
 
 static void run_free(struct run *r)
 {
 	g_free(r->model);
 	g_free(r->id);
-	g_free(r->word);
-	g_free(r->before);
-	g_free(r->after);
+	g_free(r->echo);
+	g_free(r->prefix);
+	g_free(r->suffix);
 	g_string_free(r->text, TRUE);
 	g_free(r);
 }
@@ -367,16 +371,16 @@
 	return s;
 }
 
-/* Writing the JSON anew for each token would cost more than the rest. */
-static void make_event(struct run *r)
+/* Builds the event once; serializing JSON for each token would dominate. */
+static void make_event_template(struct run *r)
 {
-	/* It stands for a token, in JSON as it does without. */
-	static const char mark[] = "<token>";
-	char *json = event_json(r, mark, NULL);
-	char *at = strstr(json, mark);
+	/* Stands for the token; JSON doesn't escape it. */
+	static const char placeholder[] = "<token>";
+	char *json = event_json(r, placeholder, NULL);
+	char *at = strstr(json, placeholder);
 
-	r->before = g_strndup(json, (gsize)(at - json));
-	r->after = g_strdup(at + sizeof(mark) - 1);
+	r->prefix = g_strndup(json, (gsize)(at - json));
+	r->suffix = g_strdup(at + sizeof(placeholder) - 1);
 	g_free(json);
 }
 
@@ -395,8 +399,8 @@
 {
 	char *json;
 
-	if (r->done < r->tokens && !r->odd) {
-		send_event(r, r->before, token, r->after);
+	if (r->done < r->tokens && !r->needs_escape) {
+		send_event(r, r->prefix, token, r->suffix);
 		return;
 	}
 	json = event_json(r, token, r->done < r->tokens ? NULL : "stop");
@@ -428,14 +432,14 @@
 	(void)fd;
 	(void)what;
 	if (!evhttp_request_get_connection(r->req)) {
-		/* The agent went away: cancelled. */
+		/* The agent closed the connection: the request is cancelled. */
 		standin_journal(r->e->s, "cancelled", run_event(r));
 		evhttp_request_free(r->req);
 		run_free(r);
 		return;
 	}
 	g_snprintf(token, sizeof(token), "%s%.60s-%d", r->done ? " " : "",
-		   r->word, r->done);
+		   r->echo, r->done);
 	g_string_append(r->text, token);
 	r->done++;
 	if (r->stream)
@@ -443,15 +447,15 @@
 	if (r->done >= r->tokens)
 		finish(r);
 	else
-		standin_later(r->e->s, r->e->s->token_ms, next_token, r);
+		standin_schedule(r->e->s, r->e->s->token_ms, next_token, r);
 }
 
-/* The last message's text, or the prompt, without spaces. */
-static char *word_of(json_object *o)
+/* The last message's text, or the prompt, with underscores for white space. */
+static char *echo_text(json_object *o)
 {
 	json_object *list;
 	const char *s = text_of(o, "prompt");
-	char *word;
+	char *echo;
 
 	if (json_object_object_get_ex(o, "messages", &list) &&
 	    json_object_is_type(list, json_type_array) &&
@@ -459,8 +463,8 @@
 		s = text_of(json_object_array_get_idx(
 				    list, json_object_array_length(list) - 1),
 			    "content");
-	word = g_strndup(s ? s : "", 60);
-	return g_strdelimit(word, " \n\t", '_');
+	echo = g_strndup(s ? s : "", 60);
+	return g_strdelimit(echo, " \n\t", '_');
 }
 
 static bool is_same_in_json(const char *s)
@@ -473,15 +477,15 @@
 static bool is_ready(struct engine *e, const char *name)
 {
 	const char *colon = strchr(name, ':');
-	struct model *m = find(e, name);
+	struct model *m = find_model(e, name);
 
 	if (!m && colon)
-		m = find(e, colon + 1);
+		m = find_model(e, colon + 1);
 	return m && m->state == MODEL_READY;
 }
 
-/* Else the kernel holds a token back until the one before is acknowledged. */
-static void send_at_once(struct evhttp_request *req)
+/* With Nagle's algorithm, a token waits until the last one is acknowledged. */
+static void disable_nagle(struct evhttp_request *req)
 {
 	struct bufferevent *bev = evhttp_connection_get_bufferevent(
 		evhttp_request_get_connection(req));
@@ -491,7 +495,8 @@
 		   sizeof(one));
 }
 
-static void call(struct engine *e, struct evhttp_request *req, json_object *o)
+static void start_run(struct engine *e, struct evhttp_request *req,
+		      json_object *o)
 {
 	struct run *r;
 	json_object *v;
@@ -506,7 +511,7 @@
 	r->req = req;
 	r->model = g_strdup(text_of(o, "model"));
 	r->id = g_strdup(standin_header(req, "X-Request-Id"));
-	r->word = word_of(o);
+	r->echo = echo_text(o);
 	r->text = g_string_new(NULL);
 	r->tokens = (int)number_of(o, "max_tokens");
 	r->tokens = r->tokens > 0 ? MIN(r->tokens, TOKENS_MAX) : TOKENS_DEFAULT;
@@ -516,9 +521,9 @@
 	evhttp_request_own(req);
 	standin_mark(e->s, req);
 	if (r->stream) {
-		r->odd = !is_same_in_json(r->word);
-		make_event(r);
-		send_at_once(req);
+		r->needs_escape = !is_same_in_json(r->echo);
+		make_event_template(r);
+		disable_nagle(req);
 		evhttp_add_header(evhttp_request_get_output_headers(req),
 				  "Content-Type", "text/event-stream");
 		evhttp_send_reply_start(req, 200, "OK");
@@ -549,7 +554,7 @@
 	else if (!strcmp(path, "/admin/unload"))
 		order_unload(e, req, o);
 	else
-		call(e, req, o);
+		start_run(e, req, o);
 	json_object_put(o);
 }
 
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -1,4 +1,4 @@
-/* standin: one process that plays a part outside of the system. */
+/* Runs one stand-in per process: an engine, service, store or platform. */
 #include "standin.h"
 
 #include "../base/timeval.h"
@@ -17,7 +17,7 @@
 static const struct {
 	const char *name;
 	struct http_server *(*start)(struct standin *s, GError **error);
-} parts[] = {
+} roles[] = {
 	{ "engine", engine_start },
 	{ "service", service_start },
 	{ "store", store_start },
@@ -37,16 +37,16 @@
 	json_object_object_add(o, "at", json_object_new_int64(ss_wall_ms()));
 	text = json_object_to_json_string_ext(o, JSON_C_TO_STRING_PLAIN);
 	line = g_strdup_printf("%s\n", text);
-	/* One write a line: a kill leaves whole lines. */
+	/* One write() per line, so that a killed process leaves whole lines. */
 	if (write(s->journal_fd, line, strlen(line)) < 0)
 		abort();
 	g_free(line);
 	json_object_put(o);
 }
 
-void standin_later(struct standin *s, int64_t ms,
-		   void (*fn)(evutil_socket_t fd, short what, void *arg),
-		   void *arg)
+void standin_schedule(struct standin *s, int64_t ms,
+		      void (*fn)(evutil_socket_t fd, short what, void *arg),
+		      void *arg)
 {
 	struct timeval tv = timeval_from_ms(ms);
 
@@ -73,16 +73,16 @@
 }
 
 long long standin_query(struct evhttp_request *req, const char *key,
-			long long otherwise)
+			long long fallback)
 {
 	const char *query =
 		evhttp_uri_get_query(evhttp_request_get_evhttp_uri(req));
 	struct evkeyvalq params;
 	const char *v = NULL;
-	long long n = otherwise;
+	long long n = fallback;
 
 	if (!query || evhttp_parse_query_str(query, &params))
-		return otherwise;
+		return fallback;
 	v = evhttp_find_header(&params, key);
 	if (v)
 		n = atoll(v);
@@ -97,7 +97,7 @@
 	event_base_loopbreak(arg);
 }
 
-/* libevent's usual clock steps by 4 ms, which is longer than a token. */
+/* libevent's default timer has a resolution of 4 ms, too coarse for tokens. */
 static struct event_base *precise_base(void)
 {
 	struct event_config *c = event_config_new();
@@ -109,15 +109,15 @@
 	return base;
 }
 
-static int run(struct standin *s, const char *part)
+static int run(struct standin *s, const char *role)
 {
 	struct http_server *http = NULL;
 	GError *error = NULL;
 	struct event *term;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(parts); i++)
-		if (part && !strcmp(parts[i].name, part))
-			http = parts[i].start(s, &error);
+	for (size_t i = 0; i < G_N_ELEMENTS(roles); i++)
+		if (role && !strcmp(roles[i].name, role))
+			http = roles[i].start(s, &error);
 	if (!http) {
 		fprintf(stderr, "standin: %s\n",
 			error ? error->message :
--- a/src/standin/others.c
+++ b/src/standin/others.c
@@ -1,26 +1,26 @@
-/* A plain service, the weight store, and the platform's VM list. */
+/* Stand-ins for a service, the weight store and the platform's VM list. */
 #include "standin.h"
 
 #include <event2/buffer.h>
 
 #define MB 1000000LL
 
-/* The plain service: answers each call and writes down that it ran. */
+/* The plain service: answers each request and journals that it ran. */
 
 struct service {
 	struct standin *s;
 	long long runs;
 };
 
-struct served {
+struct service_call {
 	struct service *v;
 	struct evhttp_request *req;
 	long long run;
 };
 
-static void serve_now(evutil_socket_t fd, short what, void *arg)
+static void send_service_reply(evutil_socket_t fd, short what, void *arg)
 {
-	struct served *r = arg;
+	struct service_call *r = arg;
 	json_object *o = json_object_new_object();
 
 	(void)fd;
@@ -41,14 +41,14 @@
 static void on_service(void *arg, struct evhttp_request *req)
 {
 	struct service *v = arg;
-	struct served *r;
+	struct service_call *r;
 	json_object *o;
 
 	if (!strcmp(evhttp_request_get_uri(req), "/healthz")) {
 		http_reply(req, 200, "text/plain", SS_LIT("ok\n"));
 		return;
 	}
-	r = g_new0(struct served, 1);
+	r = g_new0(struct service_call, 1);
 	r->v = v;
 	r->req = req;
 	r->run = ++v->runs;
@@ -63,7 +63,8 @@
 		o, "path", json_object_new_string(evhttp_request_get_uri(req)));
 	standin_journal(v->s, "run", o);
 	evhttp_request_own(req);
-	standin_later(v->s, standin_query(req, "delay_ms", 0), serve_now, r);
+	standin_schedule(v->s, standin_query(req, "delay_ms", 0),
+			 send_service_reply, r);
 }
 
 struct http_server *service_start(struct standin *s, GError **error)
@@ -79,22 +80,25 @@
 	return http_server_new(&o, error);
 }
 
-/* The weight store: so many loads at full speed, more share it. */
+/*
+ * The weight store: up to store_parallel loads run at full speed, more share
+ * the bandwidth.
+ */
 
 struct store {
 	struct standin *s;
 	int active;
-	long long slow; /* factor, for faults */
+	long long slowdown; /* factor on load times, for fault injection */
 };
 
-struct weights {
+struct store_load {
 	struct store *t;
 	struct evhttp_request *req;
 };
 
-static void weights_sent(evutil_socket_t fd, short what, void *arg)
+static void on_load_sent(evutil_socket_t fd, short what, void *arg)
 {
-	struct weights *w = arg;
+	struct store_load *w = arg;
 
 	(void)fd;
 	(void)what;
@@ -107,23 +111,23 @@
 {
 	struct store *t = arg;
 	long long bytes = standin_query(req, "bytes", 0);
-	struct weights *w;
+	struct store_load *w;
 	int64_t ms;
 
 	if (g_str_has_prefix(evhttp_request_get_uri(req), "/slow")) {
-		t->slow = MAX(standin_query(req, "factor", 1), 1);
+		t->slowdown = MAX(standin_query(req, "factor", 1), 1);
 		http_reply(req, 200, "text/plain", SS_LIT("ok\n"));
 		return;
 	}
 	t->active++;
-	ms = bytes / MB * 1000 / t->s->store_mbps * t->slow;
+	ms = bytes / MB * 1000 / t->s->store_mbps * t->slowdown;
 	if (t->active > t->s->store_parallel)
 		ms = ms * t->active / t->s->store_parallel;
-	w = g_new0(struct weights, 1);
+	w = g_new0(struct store_load, 1);
 	w->t = t;
 	w->req = req;
 	evhttp_request_own(req);
-	standin_later(t->s, ms, weights_sent, w);
+	standin_schedule(t->s, ms, on_load_sent, w);
 }
 
 struct http_server *store_start(struct standin *s, GError **error)
@@ -136,11 +140,11 @@
 					 .arg = t };
 
 	t->s = s;
-	t->slow = 1;
+	t->slowdown = 1;
 	return http_server_new(&o, error);
 }
 
-/* The VM list: PUT replaces it, GET gives it. */
+/* The VM list: PUT replaces it, GET returns it. */
 
 struct platform {
 	GString *list;
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -1,7 +1,7 @@
 /*
- * Stand-ins for what the system meets outside: model engines, plain
- * services, the weight store and the platform's VM list. For tests, the
- * demo and measurements only.
+ * Stand-in servers for external systems: model engines, plain services, the
+ * weight store and the platform's VM list. For tests, the demo and benchmarks
+ * only.
  */
 #ifndef SS_STANDIN_H
 #define SS_STANDIN_H
@@ -15,15 +15,16 @@
 	struct ss_clock clock;
 	const char *listen;
 	const char *store;   /* an engine's weight store; empty: none */
-	const char *journal; /* file that gets a line an event */
-	const char *vms;     /* names, separated by commas */
+	const char *journal; /* file that gets one line per event */
+	const char *vms;     /* comma-separated names */
 	const char *mark;    /* header that marks its answers; empty: none */
-	long long bytes;     /* of an engine's memory */
-	int checks_fence;
-	int token_ms;
-	int load_mbps; /* a load without a store, and from disk */
-	int store_mbps, store_parallel;
-	int cached; /* checkpoints that an engine's disk keeps */
+	long long bytes;     /* accelerator memory of an engine */
+	int checks_fence;    /* refuse orders with an old fencing number */
+	int token_ms;	     /* between two tokens */
+	int load_mbps;	     /* MB/s of a load from disk, or without a store */
+	int store_mbps;	     /* MB/s of the store for one load */
+	int store_parallel;  /* loads that run at full speed at once */
+	int cached;	     /* checkpoints kept on an engine's disk */
 	int journal_fd;
 };
 
@@ -32,21 +33,23 @@
 struct http_server *store_start(struct standin *s, GError **error);
 struct http_server *platform_start(struct standin *s, GError **error);
 
-/* Append {"at":ms,"event":...} and the fields of o, which is taken. */
+/* Journals the fields of o with "event" and "at" (in ms); takes ownership of o.
+ */
 void standin_journal(struct standin *s, const char *event,
 		     struct json_object *o);
 
-void standin_later(struct standin *s, int64_t ms,
-		   void (*fn)(evutil_socket_t fd, short what, void *arg),
-		   void *arg);
+/* Calls fn(-1, EV_TIMEOUT, arg) once after ms. */
+void standin_schedule(struct standin *s, int64_t ms,
+		      void (*fn)(evutil_socket_t fd, short what, void *arg),
+		      void *arg);
 
-/* Mark an answer as this endpoint's own, for the request that it names. */
+/* Marks an answer as this endpoint's own, and repeats the X-Request-Id. */
 void standin_mark(const struct standin *s, struct evhttp_request *req);
 
-/* A request header, "" where it isn't there. */
+/* A request header, or "" if it is missing. */
 const char *standin_header(struct evhttp_request *req, const char *name);
-/* A number in the query, or otherwise. */
+/* A number in the query string, or fallback if it is missing. */
 long long standin_query(struct evhttp_request *req, const char *key,
-			long long otherwise);
+			long long fallback);
 
 #endif
