--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -33,8 +33,7 @@
 struct http_server *store_start(struct standin *s, GError **error);
 struct http_server *platform_start(struct standin *s, GError **error);
 
-/* Journals the fields of o with "event" and "at" (in ms); takes ownership of o.
- */
+/* Journals o with "event" and "at" (in ms) added; takes ownership of o. */
 void standin_journal(struct standin *s, const char *event,
 		     struct json_object *o);
 
