--- a/bench/cores.c
+++ b/bench/cores.c
@@ -1,7 +1,7 @@
 /*
- * Benchmark of the I/O-free core modules at production sizes: time, memory and
- * snapshot size of the replicated state, and the time of planning passes for
- * pools and for the fleet. Also measures how long a log append and sync take.
+ * Benchmark of the I/O-free core modules for large deployments: time, memory
+ * and snapshot size of the replicated state, and the time of planning passes
+ * for pools and for the fleet. Also measures log appends with their sync.
  */
 #include <malloc.h>
 #include <stdio.h>
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,8 +1,8 @@
 /*
  * Compares the planner's load and unload decisions with baseline policies: the
  * production planner on a virtual clock, over synthetic traces of two
- * deployments. The time of a load follows from the model's size and the tier of
- * its nearest copy; nothing else is modelled.
+ * deployments. The time of a load follows from the model's size and from the
+ * tier where the node finds it; nothing else is modelled.
  */
 #include <math.h>
 #include <popt.h>
