--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -149,8 +149,8 @@
 	return (UNRESERVED_PER_ROUND - a->credit) * MAX(a->interval_ms, since);
 }
 
-/* The next guaranteed dispatch would be too late, and none was taken in advance
- * yet. */
+/* Whether the next guaranteed dispatch would be too late, and none was taken in
+ * advance yet. */
 static bool must_raise(const struct admission *a, int64_t latest_ms,
 		       int64_t now)
 {
--- a/src/core/balance.c
+++ b/src/core/balance.c
@@ -208,7 +208,7 @@
 	return balance_choose(n, count, fill, tie);
 }
 
-void balance_record_result(double *failing, bool failed)
+void balance_record_result(double *rate, bool failed)
 {
-	*failing += FAILURE_ALPHA * ((failed ? 1.0 : 0.0) - *failing);
+	*rate += FAILURE_ALPHA * ((failed ? 1.0 : 0.0) - *rate);
 }
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -23,7 +23,7 @@
 	double unreported;   /* calls that other entries may have sent since */
 	double failure_rate; /* recent failure rate, a moving average */
 	uint64_t affinity;   /* higher: its prompt cache is more likely warm */
-	double slowness; /* response time / that of others; 0: unknown, as 1 */
+	double slowness;     /* response time / that of others; 0: unknown */
 	double objective_used; /* part of the latency objective that passes
 			until it answers; 0: unknown */
 };
@@ -46,8 +46,8 @@
 /*
  * The same for a model with a high call rate. An engine's calls wait during the
  * prefill of another prompt. An engine that has just loaded the model has the
- * least load in all reports until the next one: it would get dozens of prompts
- * at once, and the streams of all its calls would pause.
+ * lowest reported load until its next report. If all entries chose it, it would
+ * get dozens of prompts at once, and the streams of all its calls would pause.
  *
  * So the node is drawn at random, weighted by the room below twice the mean
  * load. A node with less load gets more calls and fills up within the duration
@@ -68,6 +68,6 @@
 double balance_random(uint64_t *seed);
 
 /* Adds the result of a call to a moving average of failures. */
-void balance_record_result(double *failing, bool failed);
+void balance_record_result(double *rate, bool failed);
 
 #endif
--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -202,7 +202,8 @@
 	t->o.ops->reply(t->o.arg, peer, &m);
 }
 
-/* Sends the stored pieces from number have on, and later ones as they come. */
+/* Sends the stored pieces from the number "have" on, and later ones as they
+ * come. */
 static void subscribe(struct calls *t, struct call *c, void *peer, uint64_t sub,
 		      uint64_t have)
 {
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -56,9 +56,9 @@
 
 /*
  * Subscribes a peer to a call. A running or finished call sends its pieces
- * from number have on. An id that was never seen is recorded as refused and
- * answered OUTCOME_NOT_RUN. An evicted id, or one of another incarnation, is
- * answered OUTCOME_UNKNOWN.
+ * from the number "have" on. An id that was never seen is recorded as refused
+ * and answered OUTCOME_NOT_RUN. An evicted id, or one of another incarnation,
+ * is answered OUTCOME_UNKNOWN.
  */
 void calls_attach(struct calls *t, void *peer, const struct msg_attach *m,
 		  int64_t now);
--- a/src/core/delayed_orders.c
+++ b/src/core/delayed_orders.c
@@ -95,8 +95,8 @@
 	       o->expect > r->orders && !same && !is_held(r, o);
 }
 
-/* Another order that expects the same count needs at least as much memory: only
- * one of them can be carried out. */
+/* Whether another order that expects the same count needs at least as much
+ * memory: only one of them can be carried out. */
 static bool is_covered(const struct delayed_orders *l, guint i,
 		       const struct fleet_report *r, const char *model,
 		       const char *adapter, int64_t now)
--- a/src/core/delayed_orders.h
+++ b/src/core/delayed_orders.h
@@ -24,16 +24,17 @@
 struct delayed_orders *delayed_orders_new(void);
 void delayed_orders_free(struct delayed_orders *l);
 
-/* A load got no clear answer. prior_incarnation: the engine has restarted since
- * it was sent. */
+/* Adds a load that got no clear answer. prior_incarnation: the engine has
+ * restarted since it was sent. */
 void delayed_orders_add(struct delayed_orders *l, const struct fleet_order *o,
 			double mb, bool prior_incarnation, int64_t now);
-/* The engine has restarted under the same id. */
+/* Records that the engine has restarted under the same id. */
 void delayed_orders_restarted(struct delayed_orders *l);
-/* The endpoint has another id: it refuses orders that name the previous one. */
+/* Drops all orders, as the endpoint has another id and refuses orders that name
+ * the previous one. */
 void delayed_orders_clear(struct delayed_orders *l);
 
-/* What has to stay free beside what the engine holds. */
+/* Room that has to stay free beside what the engine holds. */
 struct delayed_room {
 	double mb;
 	size_t adapters;
--- a/src/core/endpoint_limit.c
+++ b/src/core/endpoint_limit.c
@@ -16,10 +16,11 @@
 /* Typical time for which a call holds a slot of an engine, in s. */
 #define SLOT_HOLD_S 2
 /* Part of the limit that the agent's polls may use beside callers. With longer
- * intervals than this maximum, in ms, the endpoint would be taken for lost. */
+ * intervals than this maximum, in ms, the endpoint would count as lost. */
 #define POLL_SHARE 0.25
 #define POLL_MAX_MS 2000
-/* A signal older than this, in ms, doesn't keep models away. */
+/* A signal older than this, in ms, no longer keeps the planner from loading
+ * models on the engine. */
 #define LOW_MAX_AGE_MS 10000
 
 const struct quota_options endpoint_limit_quota = {
--- a/src/core/endpoint_limit.h
+++ b/src/core/endpoint_limit.h
@@ -1,11 +1,9 @@
 /*
  * The rate limit that an endpoint signals in its answers. It holds for all VMs
  * together, for as long as the endpoint signals it. Entries share it as they
- * share a customer's limit (quota.h), with the endpoint in the customer's
- * place.
- *
- * If each entry kept to the limit by itself, the endpoint would get it as many
- * times as there are entries.
+ * share a customer's limit (quota.h), with the endpoint as the customer. If
+ * each entry enforced the whole limit by itself, the endpoint would get up to
+ * the limit from each of them.
  */
 #ifndef SS_ENDPOINT_LIMIT_H
 #define SS_ENDPOINT_LIMIT_H
@@ -33,9 +31,9 @@
 			     int64_t age, int64_t now);
 
 /*
- * The limit is so low that an engine with that many slots can't be filled, so
- * it gets no further models. This expires: an endpoint that gets no requests
- * can't signal that its limit was raised.
+ * Whether the limit is so low that an engine with that many slots can't be
+ * filled; such an engine gets no further models. This expires: an endpoint that
+ * gets no requests can't signal that its limit was raised.
  */
 bool endpoint_limit_is_low(const struct endpoint_limit *l, int64_t slots,
 			   int64_t now);
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -228,8 +228,8 @@
 	return sum;
 }
 
-/* There is memory for a model or adapter beside what is held and what delayed
- * orders may still load. */
+/* Whether there is memory for a model or adapter beside what is held and what
+ * delayed orders may still load. */
 static bool fits(const struct engine *e, const char *model, const char *adapter,
 		 int64_t now)
 {
@@ -356,7 +356,7 @@
 	return false;
 }
 
-/* Unload the least recently used adapter that no call waits for. */
+/* Unloads the least recently used adapter that no call waits for. */
 static bool unload_oldest_adapter(struct engine *e)
 {
 	const char *model = NULL, *adapter = NULL;
@@ -392,7 +392,7 @@
 	e->o.ops->adapter_done(e->o.arg, ticket, code, text);
 }
 
-/* End a request that succeeded, expired or can't succeed; true if it ended. */
+/* Ends a request that succeeded, expired or can't succeed; true if it ended. */
 static bool finish_request(struct engine *e, guint i, int64_t now)
 {
 	const struct adapter_request *r =
@@ -510,8 +510,8 @@
 	advance(e, now);
 }
 
-/* The leader planned the step for an earlier incarnation. A step for one that
- * hasn't reported here yet is accepted and waits for its report. */
+/* Whether the leader planned the step for an earlier incarnation. A step for
+ * one that hasn't reported here yet is accepted and waits for its report. */
 static bool is_for_earlier_start(const struct engine *e,
 				 const struct engine_step *s)
 {
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -2,8 +2,8 @@
  * Orders to one model engine: the agent beside it carries out the leader's
  * steps and loads the adapters that calls need. A state machine without I/O.
  *
- * Only the engine's own reports say what it holds. One order is outstanding at
- * a time. Each order names the number of orders that the engine had accepted
+ * Only the engine's own reports state what it holds. One order is outstanding
+ * at a time. Each order names the number of orders that the engine had accepted
  * when the order was decided, so the engine refuses one that is delayed past
  * newer ones. A load is ordered only if the memory in the last report can hold
  * it, together with delayed orders to an earlier incarnation that the engine
@@ -33,7 +33,7 @@
 };
 
 struct engine_ops {
-	/* Send the order; the answer goes to engine_order_answered(). */
+	/* Sends the order; the answer goes to engine_order_answered(). */
 	void (*order)(void *arg, const struct fleet_order *o);
 	/* A step has ended; code 0 or an enum ss_error. */
 	void (*step_done)(void *arg, uint64_t fence, uint64_t step, int code,
@@ -54,35 +54,37 @@
 struct engine *engine_new(const struct engine_options *o);
 void engine_free(struct engine *e);
 
-/* Sizes of models, from the routing in force; NULL while none is known. */
+/* Sets the service of the routing in force, which states the sizes of models;
+ * NULL while none is known. */
 void engine_set_service(struct engine *e, const struct routing_service *s);
 
 /*
- * A leader's term, which a majority has confirmed since this process started.
- * Orders carry the newest term as their fence. Before the first one nothing is
- * ordered and steps are refused: before a restart, this agent may have ordered
- * with a fence that it no longer knows, and a leader that was cut off since
- * may not know of a newer one.
+ * Sets a leader's term, which a majority has confirmed since this process
+ * started. Orders carry the newest term as their fence. Before the first one
+ * nothing is ordered and steps are refused: before a restart, this agent may
+ * have ordered with a fence that it no longer knows, and a leader that was cut
+ * off since may not know of a newer one.
  */
 void engine_set_term(struct engine *e, uint64_t fence, int64_t now);
 
 /*
- * A report of the engine, requested after the last order was answered. The
- * caller owns it, and keeps it until the next report or engine_free(). A report
- * of an earlier incarnation, or one older than the last, is ignored and isn't
- * referenced. A restart aborts the step and clears the refused fence.
+ * Handles a report of the engine, requested after the last order was answered.
+ * The caller owns it, and keeps it until the next report or engine_free(). A
+ * report of an earlier incarnation, or one older than the last, is ignored and
+ * isn't referenced. A restart aborts the step and clears the refused fence.
  */
 void engine_report_received(struct engine *e, const struct fleet_report *r,
 			    int64_t now);
 
-/* The engine can't be read: its state is unknown, and it may have restarted. */
+/* Records that the engine can't be read: its state is unknown, and it may have
+ * restarted. */
 void engine_unavailable(struct engine *e, int64_t now);
 
-/* Start a step. A refusal is passed to step_done: SS_ERROR_UNAVAILABLE,
+/* Starts a step. A refusal is passed to step_done: SS_ERROR_UNAVAILABLE,
  * SS_ERROR_FENCED or SS_ERROR_OVERLOAD. */
 void engine_step(struct engine *e, const struct engine_step *s, int64_t now);
 
-/* A call needs an adapter until until_ms on the clock. */
+/* Requests an adapter for a call that waits for it until the time until_ms. */
 void engine_request_adapter(struct engine *e, uint64_t ticket,
 			    struct ss_str model, struct ss_str adapter,
 			    int64_t until_ms, int64_t now);
@@ -91,9 +93,10 @@
 			   int64_t now);
 void engine_tick(struct engine *e, int64_t now);
 
-/* Work is in progress: the engine should be read often. */
+/* Whether work is in progress: the engine should be read often. */
 bool engine_busy(const struct engine *e);
-/* An order is outstanding, so a report may be older than its effect. */
+/* Whether an order is outstanding, so that a report may be older than its
+ * effect. */
 bool engine_order_pending(const struct engine *e);
 
 #endif
--- a/src/core/fetch.h
+++ b/src/core/fetch.h
@@ -30,12 +30,13 @@
 	void (*sources)(void *arg, GPtrArray *out);
 	/* Address of the leader; NULL: unknown. */
 	const char *(*leader)(void *arg);
-	/* Send a request; only the answer to the last one counts. */
+	/* Sends a request; only the answer to the last one counts. */
 	void (*request)(void *arg, const char *addr, const struct msg_fetch *m);
-	/* Acknowledge the answer to the control VM that was asked last. */
+	/* Acknowledges the answer to the control VM that was asked last. */
 	void (*acknowledge)(void *arg, const struct msg_fetch *m);
-	/* Apply changes up to a newer version; false if they are unusable. They
-	 * may be read later, with errors passed to fetch_require_full(). */
+	/* Applies changes up to a newer version; false if they are unusable.
+	 * They may be parsed later, and errors passed to fetch_require_full().
+	 */
 	bool (*apply)(void *arg, const struct msg_routing *m);
 };
 
@@ -53,12 +54,13 @@
 void fetch_want(struct fetch *f, uint64_t version, int64_t now);
 /* The newest version that was received; 0: none. */
 uint64_t fetch_version(const struct fetch *f);
-/* Changes after version have can't be read: request a full copy. */
+/* Requests a full copy, as the changes after the version "have" can't be read.
+ */
 void fetch_require_full(struct fetch *f, uint64_t have, int64_t now);
 
-/* The control VM that was asked last has answered. */
+/* Handles the answer of the control VM that was asked last. */
 void fetch_answered(struct fetch *f, const struct msg_routing *m, int64_t now);
-/* Its connection has closed. */
+/* Handles the loss of the connection to that control VM. */
 void fetch_failed(struct fetch *f, int64_t now);
 void fetch_tick(struct fetch *f, int64_t now);
 
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -139,7 +139,8 @@
 /* Returns the present bound; limit is the maximum that the settings allow. */
 size_t fleet_store_max_loads(const struct fleet_store *s, size_t limit);
 /* Records that a load has taken took_ms so far, or until it was done. n loads
- * were running when it began, itself included; alone it takes alone_ms. */
+ * were running when it began, itself included; a load that runs alone takes
+ * alone_ms. */
 void fleet_store_observe(struct fleet_store *s, size_t n, int64_t took_ms,
 			 int64_t alone_ms, bool done);
 /* Returns the duration above which a load counts as slowed down by others. */
--- a/src/core/fleet_measure.c
+++ b/src/core/fleet_measure.c
@@ -7,9 +7,9 @@
 /* Initial number of parallel loads from the store. The bound doubles each time
  * that as many loads were as fast as a single one. */
 #define STORE_INITIAL_LOADS 2
-/* A load that takes this multiple of its time alone was slowed down by others.
- * The factor is above the delay that orders and reports add, and below the
- * effect of one additional load. */
+/* A load that takes this multiple of the time that it takes alone was slowed
+ * down by others. The factor is above the delay that orders and reports add,
+ * and below the effect of one additional load. */
 #define STORE_SLOW_FACTOR 1.25
 /* Time constant of a rate: long enough to distinguish an idle model from one
  * that is called every few seconds. */
--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -1,5 +1,4 @@
-/* What endpoints of a fleet report about themselves, and the orders that
- * engines get. */
+/* Incarnations and reports of a fleet's endpoints, and orders to engines. */
 #ifndef SS_FLEET_TYPES_H
 #define SS_FLEET_TYPES_H
 
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -3,7 +3,7 @@
  *
  * Once an operator was informed that a change is in force, it has to hold in
  * every process, also in one that is slow, was stalled or lost the leader. Each
- * process can tell when it may be behind: the leader announced a newer version,
+ * process knows when it may be behind: the leader announced a newer version,
  * or no leader is connected. It then doesn't state that a route is missing. If
  * it still doesn't hold the announced version after the time that a change
  * normally takes, it no longer acts on the version that it holds.
@@ -22,8 +22,8 @@
 #define FRESHNESS_STALL_MS 500
 /* ... first reads the messages that arrived meanwhile, for this time, in ms. */
 #define FRESHNESS_CATCH_UP_MS 200
-/* How long requests wait for a process that is behind, in ms, once the delay is
- * its own fault. */
+/* How much longer requests are held, in ms, by a process that is still behind
+ * after FRESHNESS_APPLY_MS or has no leader after FRESHNESS_LEADER_LOST_MS. */
 #define FRESHNESS_HOLD_MS 500
 /* The maximum of announced versions that are not held yet. Further ones count
  * as announced together with the last of them. */
@@ -62,8 +62,8 @@
 /* The time without a leader; 0 if one is connected. */
 int64_t freshness_disconnected_ms(const struct freshness *f, int64_t now);
 
-/* until: a request may wait for a better level until then; not at all if it is
- * not later than now. */
+/* Returns the level, and in *until the time until which a request may wait for
+ * a better one; not later than now: it may not wait. */
 enum freshness_level freshness_level(const struct freshness *f, int64_t now,
 				     int64_t *until);
 
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -14,7 +14,7 @@
 	uint64_t have, want;
 	bool services_only; /* no routes; versions are those of services */
 	bool waiting;	    /* in the queue */
-	/* It was sent a notice that its answer is queued. */
+	/* A notice that the answer is queued was sent. */
 	bool notified;
 	int64_t since_ms; /* when it last asked or was sent the routing */
 	size_t unacked;	  /* bytes that it hasn't acknowledged */
@@ -161,7 +161,7 @@
 	return open;
 }
 
-/* Tell a process that its answer is queued, so that it doesn't ask another
+/* Notifies a process that its answer is queued, so that it doesn't ask another
  * control VM. */
 static void send_queued_notice(struct mirror *m, struct fetcher *f)
 {
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -49,16 +49,16 @@
 struct mirror *mirror_new(const struct mirror_options *o, int64_t now);
 void mirror_free(struct mirror *m);
 
-/* Add a version; one that isn't newer is ignored. */
+/* Adds a version; one that isn't newer is ignored. */
 void mirror_add_version(struct mirror *m, const struct mirror_version *v,
 			int64_t now);
 uint64_t mirror_version(const struct mirror *m);
 
-/* A request, with the versions that the peer holds and wants; also the
- * acknowledgement of what it was sent. */
+/* Handles a request, with the versions that the peer holds and wants. The
+ * request also acknowledges what the peer was sent. */
 void mirror_request(struct mirror *m, void *peer, const struct msg_fetch *f,
 		    int64_t now);
-/* The peer's connection has closed. */
+/* Drops a peer whose connection has closed. */
 void mirror_peer_closed(struct mirror *m, void *peer, int64_t now);
 void mirror_tick(struct mirror *m, int64_t now);
 
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -330,7 +330,8 @@
 	int64_t started_ms; /* as in struct fleet_incarnation */
 	/* Failure rate over all entries, in parts of FAILURE_RATE_SCALE. */
 	int64_t failure_rate;
-	/* Its own rate limit, as sent by endpoint_limit_wire(), and the age. */
+	/* The endpoint's rate limit, as of endpoint_limit_wire(), and the age
+	 * of its signal. */
 	int64_t limit, limit_age;
 	struct ss_str version; /* as in struct fleet_incarnation */
 	bool draining;	       /* about to stop for good */
@@ -420,7 +421,7 @@
 };
 
 /* Reply to msg_fetch, once the control VM holds the wanted version. A reply
- * without changes says that they follow, after those to other peers. */
+ * without changes states that they follow, after those to other peers. */
 struct msg_routing {
 	uint64_t version;
 	uint64_t base;		  /* version that they apply to; 0: full copy */
@@ -452,7 +453,8 @@
 	struct ss_str text;
 };
 
-/* What an entry has observed of a suspected request, as struct run_outcome. */
+/* An outcome that an entry reports of a suspected request, as struct
+ * run_outcome. */
 struct run_outcome_item {
 	uint64_t fingerprint_hi, fingerprint_lo;
 	int64_t kind; /* enum run_outcome_kind */
--- a/src/core/return_slots.h
+++ b/src/core/return_slots.h
@@ -6,9 +6,9 @@
  * as a customer's limit or a model at capacity. If all were given the same
  * time, they would return at once, and most would be refused again. So each
  * caller gets a slot, at the rate at which its cause was recently served. Only
- * what is served while callers are refused counts for the rate: the rest shows
- * what callers request, not what they could get. Slots of different causes are
- * independent.
+ * what is served while callers are refused counts for the rate: at other times
+ * it shows what callers request, not what they could get. Slots of different
+ * causes are independent.
  */
 #ifndef SS_RETURN_SLOTS_H
 #define SS_RETURN_SLOTS_H
--- a/src/core/router_int.h
+++ b/src/core/router_int.h
@@ -94,7 +94,7 @@
 struct rcall *rcall_new(const struct router_call *o);
 
 /* router_attempt.c */
-/* Tells the agent to stop the attempt. */
+/* Requests that the agent stop the attempt. */
 void router_send_cancel(struct router *r, struct rcall *c);
 /* Requests the attempt's outcome and the rest of its answer from the agent. */
 void router_send_attach(struct router *r, struct rcall *c);
--- a/src/core/speed.h
+++ b/src/core/speed.h
@@ -50,9 +50,9 @@
 /* The reported work time as a ratio; 0: none or too old. */
 double speed_work_ratio(const struct speed *s, int64_t now);
 
-/* The weight of the estimate by now, in answers. */
+/* The present weight of the estimate, in answers. */
 double speed_sample_weight(const struct speed *s, int64_t now);
-/* The response time by now, in ms; 0: unknown. */
+/* The present estimate of the response time, in ms; 0: unknown. */
 double speed_ms(const struct speed *s, int64_t now);
 /* The median of n times, the lower one of two; sorts them. 0 for fewer than
  * two, as there is nothing to compare. */
@@ -86,7 +86,7 @@
 		     int64_t now);
 /* Records that a call is sent; the first one after an ejection is the probe. */
 void ejection_call_sent(struct ejection *r, int64_t now);
-/* Records an answer at that ratio. Returns true if it was that of the probe and
+/* Records an answer at that ratio. Returns true if the probe was answered and
  * the endpoint is to be ejected again. */
 bool ejection_call_answered(struct ejection *r, double ratio);
 
--- a/src/core/start_limit.h
+++ b/src/core/start_limit.h
@@ -23,7 +23,7 @@
 	int64_t peak, last_peak, period_start_ms;
 };
 
-/* Sets no limit, without any measurement. */
+/* Initializes without a limit and without measurements. */
 void start_limit_init(struct start_limit *l);
 
 /* Whether another prompt may be sent while in_flight are. */
--- a/src/core/stream_timing.c
+++ b/src/core/stream_timing.c
@@ -13,7 +13,7 @@
 #define BOUND_DEVIATIONS 4.0
 /* Events whose mean gap makes up one sample. A single gap includes whatever
  * else the engine did in that step; eight gaps of some 50 ms show a slowdown
- * within half a second. A shorter stream says nothing about events per token,
+ * within half a second. A shorter stream doesn't show the events per token,
  * as its last event holds all remaining tokens. */
 #define EVENTS_PER_SAMPLE 8
 /* Samples from which on an estimate is used alone: the weight of the first one
--- a/src/core/stream_timing.h
+++ b/src/core/stream_timing.h
@@ -1,8 +1,8 @@
 /*
  * Estimates the duration of answers from the timing of earlier ones and of
- * those in flight. It tells whether a request that starts now would finish
- * before a given time. Engines differ several times over by model, by batch and
- * by VM, so no fixed time per token fits all of them.
+ * those in flight. The estimates show whether a request that starts now would
+ * finish before a given time. Engines differ several times over by model, by
+ * batch and by VM, so no fixed time per token fits all of them.
  */
 #ifndef SS_STREAM_TIMING_H
 #define SS_STREAM_TIMING_H
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -63,7 +63,7 @@
 /* Replaces a request's state by what the leader reports. */
 void suspects_apply(struct suspects *s, const struct suspect_state *w,
 		    int64_t now);
-/* Merges the state that another process remembers; the later end of the
+/* Merges the state that another process holds; the later end of the
  * quarantine period counts. */
 void suspects_merge(struct suspects *s, const struct suspect_state *w,
 		    int64_t now);
