--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -48,7 +48,7 @@
 	uint64_t entries;	 /* with a balance, or possibly with one */
 };
 
-/* What a request needs from the limit. */
+/* A request that the limit is to admit. */
 struct quota_need {
 	double cost;
 	bool queued;	 /* it was answered QUOTA_WAIT before */
@@ -94,12 +94,12 @@
 /* An entry's request to the allocator of a customer. */
 struct quota_request {
 	struct ss_str customer;
-	uint64_t number;   /* echoed in the reply */
-	int64_t balance;   /* balance; below 0: overdrawn while disconnected */
-	int64_t want;	   /* additional amount */
-	int64_t shortfall; /* shortfall of the first waiting request */
-	int64_t demand;	   /* recently, per second */
-	int64_t mean_cost; /* mean cost of a request */
+	uint64_t number;	    /* echoed in the reply */
+	int64_t balance;	    /* below 0: overdrawn while disconnected */
+	int64_t want;		    /* additional amount */
+	int64_t shortfall;	    /* shortfall of the first waiting request */
+	int64_t demand;		    /* recently, per second */
+	int64_t mean_cost;	    /* mean cost of a request */
 	int64_t disconnected_spent; /* spent at the rate below since the last
 				       request */
 	int64_t disconnected_rate;  /* may be spent per second while
@@ -130,8 +130,8 @@
 	const char *name;
 	/*
 	 * Returns the id of the member that allocates a customer's grants, out
-	 * of the reachable ones. NULL: there is no allocator. Ids are of any
-	 * kind.
+	 * of the reachable ones. A scheme without an allocator has NULL here.
+	 * Ids are opaque.
 	 */
 	uint64_t (*allocator_for)(struct ss_str customer, uint64_t leader,
 				  const uint64_t *entries, size_t n);
--- a/src/customer/quota_allocator.c
+++ b/src/customer/quota_allocator.c
@@ -10,8 +10,9 @@
  * and for single requests above the limit. */
 #define OUTSTANDING_SHARE 0.2
 #define OVERDRAFT_SHARE 0.25
-/* Fraction of it that a new allocator's bucket starts with: earlier grants are
- * unknown, and not every waiting request has to wait for the refill. */
+/* Fraction of the permitted overage that a new allocator's bucket starts with:
+ * earlier grants are unknown, and not every waiting request has to wait for the
+ * refill. */
 #define INITIAL_SHARE 0.2
 /* Fraction of the burst that is set aside for balances where the permitted
  * overage is too small for them. */
@@ -52,7 +53,7 @@
 };
 
 struct allocator {
-	struct quota_max_overage slack;
+	struct quota_max_overage overage;
 	GHashTable *accounts; /* name -> struct account */
 	int64_t started_ms;
 };
@@ -70,7 +71,7 @@
 {
 	struct allocator *p = g_new0(struct allocator, 1);
 
-	p->slack = o->overage;
+	p->overage = o->overage;
 	p->started_ms = now;
 	p->accounts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    account_free);
@@ -96,8 +97,8 @@
 static double overage_of(const struct allocator *p,
 			 const struct customer_limit *l)
 {
-	return p->slack.ratio * (l->per_s * p->slack.window_s + l->burst) +
-	       p->slack.extra;
+	return p->overage.ratio * (l->per_s * p->overage.window_s + l->burst) +
+	       p->overage.extra;
 }
 
 /* Maximum of all entries' balances. */
@@ -108,8 +109,8 @@
 		   OUTSTANDING_BURST * l->burst);
 }
 
-/* Within a window as much is granted as the limit allows: a part of the burst
- * at once, the rest of it with the rate. */
+/* Size of the bucket: part of the burst. The remainder is added to the refill
+ * rate, so that a window's grants add up to what the limit allows. */
 static double bucket_size(const struct allocator *p,
 			  const struct customer_limit *l)
 {
@@ -122,7 +123,7 @@
 static double refill_rate(const struct allocator *p,
 			  const struct customer_limit *l)
 {
-	return l->per_s + SPREAD_SHARE * l->burst / p->slack.window_s;
+	return l->per_s + SPREAD_SHARE * l->burst / p->overage.window_s;
 }
 
 /* Returns true while entries may still be spending by replies of the previous
@@ -156,7 +157,8 @@
 	}
 }
 
-/* Also drops what was retained for its waiting requests. */
+/* Subtracts a holder's demands from the sums, and drops what was retained for
+ * waiting requests of its classes. */
 static void remove_demands(struct account *a, const struct holder *h)
 {
 	add_demands(a, h, -1);
@@ -237,23 +239,23 @@
  * Each class retains the shortfall of its first request, however rare its
  * requests are. */
 static void update_demands(struct account *a, struct holder *h,
-			   const struct quota_request *ask)
+			   const struct quota_request *req)
 {
-	const struct quota_class_item *x = ask->classes.items;
+	const struct quota_class_item *x = req->classes.items;
 
 	remove_demands(a, h);
 	memset(h->demands, 0, sizeof(h->demands));
 	memset(h->served, 0, sizeof(h->served));
-	for (size_t i = 0; i < ask->classes.n; i++) {
+	for (size_t i = 0; i < req->classes.n; i++) {
 		int class = quota_classes_clamp(x[i].class_id);
 
 		h->demands[class] += MAX(quota_from_milli(x[i].demand), 0);
 		h->served[class] += MAX(quota_from_milli(x[i].served), 0);
 		a->shares.waiting[class] = quota_from_milli(x[i].shortfall);
 	}
-	if (!ask->classes.n) {
+	if (!req->classes.n) {
 		h->demands[0] = MAX(h->demand, 0);
-		a->shares.waiting[0] = quota_from_milli(ask->shortfall);
+		a->shares.waiting[0] = quota_from_milli(req->shortfall);
 	}
 	add_demands(a, h, 1);
 }
@@ -267,7 +269,7 @@
  */
 static struct holder *update_holder(const struct allocator *p,
 				    struct account *a, uint64_t id,
-				    const struct quota_request *ask,
+				    const struct quota_request *req,
 				    int64_t now)
 {
 	struct holder *h = find_holder(a, id);
@@ -276,27 +278,27 @@
 	if (h) {
 		if (h->lost)
 			a->level += h->charged;
-		a->level -= quota_from_milli(ask->disconnected_spent);
+		a->level -= quota_from_milli(req->disconnected_spent);
 		h->lost = false;
 		h->charged = 0;
 	} else {
 		struct holder one = {
 			.id = id,
-			.rate = quota_from_milli(ask->disconnected_rate),
-			.overdraft = quota_from_milli(ask->overdraft)
+			.rate = quota_from_milli(req->disconnected_rate),
+			.overdraft = quota_from_milli(req->overdraft)
 		};
 
 		g_array_append_val(a->holders, one);
 		h = &g_array_index(a->holders, struct holder,
 				   a->holders->len - 1);
 	}
-	h->balance = MAX(quota_from_milli(ask->balance), 0);
+	h->balance = MAX(quota_from_milli(req->balance), 0);
 	if (known || !is_new(p, now))
-		a->level += MIN(quota_from_milli(ask->balance), 0);
-	h->demand = quota_from_milli(ask->demand);
-	update_demands(a, h, ask);
+		a->level += MIN(quota_from_milli(req->balance), 0);
+	h->demand = quota_from_milli(req->demand);
+	update_demands(a, h, req);
 	h->until_ms = now + QUOTA_LEASE_MS + LEASE_MARGIN_MS;
-	a->level += quota_from_milli(ask->returned);
+	a->level += quota_from_milli(req->returned);
 	return h;
 }
 
@@ -444,14 +446,14 @@
 
 /* Grants to each class out of what it may spend, the most urgent first. */
 static double grant_by_class(const struct allocator *p, struct account *a,
-			     const struct quota_request *ask,
+			     const struct quota_request *req,
 			     struct quota_reply *out)
 {
-	const struct quota_class_item whole = { .want = ask->want,
-						.shortfall = ask->shortfall };
-	const struct quota_class_item *x = ask->classes.n ? ask->classes.items :
+	const struct quota_class_item whole = { .want = req->want,
+						.shortfall = req->shortfall };
+	const struct quota_class_item *x = req->classes.n ? req->classes.items :
 							    &whole;
-	size_t most = ask->classes.n ? MIN(ask->classes.n, QUOTA_CLASSES) : 1;
+	size_t most = req->classes.n ? MIN(req->classes.n, QUOTA_CLASSES) : 1;
 	double room = outstanding_room(p, a), all = 0;
 
 	quota_classes_divide(&a->shares, a->level);
@@ -463,7 +465,7 @@
 		out->retry_after_ms =
 			earlier_of(out->retry_after_ms, part->retry_after_ms);
 	}
-	if (ask->classes.n)
+	if (req->classes.n)
 		out->classes = (struct wire_list){ a->parts, most };
 	return all;
 }
@@ -471,12 +473,12 @@
 /* Grants without regard to classes. */
 static double grant_undivided(const struct allocator *p,
 			      const struct account *a,
-			      const struct quota_request *ask,
+			      const struct quota_request *req,
 			      struct quota_reply *out)
 {
-	double first = quota_from_milli(ask->shortfall);
+	double first = quota_from_milli(req->shortfall);
 	double n = grant(p, a, a->level, outstanding_room(p, a),
-			 quota_from_milli(ask->want), first);
+			 quota_from_milli(req->want), first);
 
 	out->grant = quota_to_milli(n);
 	if (n < first)
@@ -488,27 +490,27 @@
 
 bool quota_allocator_request(void *allocator, uint64_t id,
 			     const struct customer *c,
-			     const struct quota_request *ask, int64_t now,
+			     const struct quota_request *req, int64_t now,
 			     struct quota_reply *out)
 {
 	struct allocator *p = allocator;
 	struct account *a = get_account(p, c, now);
-	struct holder *h = update_holder(p, a, id, ask, now);
+	struct holder *h = update_holder(p, a, id, req, now);
 	struct others o;
 	double n;
 
-	*out = (struct quota_reply){ .customer = ask->customer,
-				     .number = ask->number };
-	n = quota_classes_several(&a->shares) ? grant_by_class(p, a, ask, out) :
-						grant_undivided(p, a, ask, out);
+	*out = (struct quota_reply){ .customer = req->customer,
+				     .number = req->number };
+	n = quota_classes_several(&a->shares) ? grant_by_class(p, a, req, out) :
+						grant_undivided(p, a, req, out);
 	a->level -= n;
 	a->granted += n;
-	a->refused += quota_from_milli(ask->refused);
+	a->refused += quota_from_milli(req->refused);
 	h->balance += n;
 	o = sum_others(a, h);
 	h->rate = disconnected_rate(p, a, h, &o, now);
 	h->overdraft =
-		max_overdraft(p, a, h, &o, quota_from_milli(ask->mean_cost));
+		max_overdraft(p, a, h, &o, quota_from_milli(req->mean_cost));
 	out->disconnected_rate = quota_to_milli(h->rate);
 	out->overdraft = quota_to_milli(h->overdraft);
 	return true;
--- a/src/customer/quota_classes.h
+++ b/src/customer/quota_classes.h
@@ -6,8 +6,8 @@
  * It matters when a customer sends several times its limit in requests of
  * different priorities. First come, first served would give most tokens to
  * patient requests, as they may wait longest. So new tokens are divided by
- * demand, and a class of whose demand a larger fraction was served than of a
- * more urgent class's gets less. Each class retains its part for its next
+ * demand, and a class gets less if a larger fraction of its demand was served
+ * than of a more urgent class's. Each class retains its part for its next
  * requests; the surplus goes to the others, the most urgent first. A waiting
  * request borrows what is retained for classes without a waiting request. If
  * one class is in use it gets everything.
@@ -20,8 +20,8 @@
 struct quota_classes {
 	double demand[QUOTA_CLASSES];  /* recently, per second */
 	double served[QUOTA_CLASSES];  /* served part of the demand */
-	double waiting[QUOTA_CLASSES]; /* cost of waiting requests; a class with
-					  some lends nothing */
+	double waiting[QUOTA_CLASSES]; /* cost of waiting requests; a class that
+					  has any lends nothing */
 	double balance[QUOTA_CLASSES]; /* of the total; below 0: borrowed */
 };
 
--- a/src/customer/quota_client.c
+++ b/src/customer/quota_client.c
@@ -99,7 +99,7 @@
 		      REPLY_TIMEOUT_MAX_MS;
 }
 
-/* The allocator is unreachable or silent. */
+/* Whether the allocator is unreachable or silent. */
 static bool is_disconnected(const struct quota_client *u, int64_t now)
 {
 	return !u->connected ||
@@ -368,7 +368,8 @@
 	*retry_after_ms = expected_wait_ms(u, class, now);
 	if (*retry_after_ms <= max_wait_ms(u, n, r, now))
 		return false;
-	/* Its wait is over, and no retry time was received. */
+	/* No retry time was received, and the request has waited for as long as
+	 * it accepts: the time is estimated from the rate of grants. */
 	shortfall = n->cost - quota_classes_available(&u->shares, class,
 						      spendable(u, now));
 	if (!*retry_after_ms)
--- a/src/customer/quota_client_int.h
+++ b/src/customer/quota_client_int.h
@@ -27,7 +27,7 @@
 	double first_cost; /* cost of the first waiting request, or of a smaller
 			      overdue one */
 	int64_t first_due_ms; /* its objective */
-	int64_t retry_at_ms;  /* the allocator has none before */
+	int64_t retry_at_ms;  /* the allocator has no tokens before */
 };
 
 struct quota_client {
--- a/src/customer/quota_client_request.c
+++ b/src/customer/quota_client_request.c
@@ -16,7 +16,7 @@
 	       MAX(u->demand * GRANT_DEMAND_S, quota_client_min_balance(u));
 }
 
-/* What the balance of a class lacks. */
+/* Amount that the balance of a class lacks. */
 static double class_deficit(const struct quota_client *u, int class)
 {
 	double ahead = MAX(u->shares.demand[class] * GRANT_DEMAND_S,
@@ -25,7 +25,7 @@
 	return u->shares.waiting[class] + ahead - u->shares.balance[class];
 }
 
-/* Time before which the allocator has none for any class with waiting
+/* Time before which the allocator has no tokens for any class with waiting
  * requests. */
 static int64_t retry_at(const struct quota_client *u)
 {
--- a/src/customer/quota_lease.h
+++ b/src/customer/quota_lease.h
@@ -25,8 +25,7 @@
 /* An account or quota client without requests for this long, in ms, is dropped:
  * its bucket would be full again. */
 #define QUOTA_FORGET_MS 60000
-/* Lower bound of the delay after which callers and entries are told to retry,
- * in ms. */
+/* Minimum retry delay that callers and entries get, in ms. */
 #define QUOTA_RETRY_MIN_MS 100
 /* Retry delay where no rate is known, in ms. */
 #define QUOTA_RETRY_DEFAULT_MS 500
@@ -75,7 +74,7 @@
 void quota_allocator_free(void *allocator);
 bool quota_allocator_request(void *allocator, uint64_t holder,
 			     const struct customer *c,
-			     const struct quota_request *ask, int64_t now,
+			     const struct quota_request *req, int64_t now,
 			     struct quota_reply *out);
 bool quota_allocator_view(void *allocator, const char *customer, int64_t now,
 			  struct quota_account_view *out);
