--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -23,7 +23,8 @@
 	double unreported;   /* calls that other entries may have sent since */
 	double failure_rate; /* recent failure rate, a moving average */
 	uint64_t affinity;   /* higher: its prompt cache is more likely warm */
-	double slowness;     /* response time / that of others; 0: unknown */
+	/* Response time / that of others; 0: unknown, counts as 1. */
+	double slowness;
 	double objective_used; /* part of the latency objective that passes
 			until it answers; 0: unknown */
 };
