--- a/src/node/conn.h
+++ b/src/node/conn.h
@@ -26,9 +26,9 @@
 /*
  * Time limit for the TCP handshake, in ms, after which the connection is better
  * retried: the VM wasn't up at the first SYN, and the kernel resends that only
- * after a second. Ten times the longest round trip between regions. It
- * doesn't cover the hello: a process that waits for its disk would never get
- * connected.
+ * after a second. The limit is ten times the longest round trip between
+ * regions. It doesn't cover the hello: a process that waits for its disk would
+ * never get connected.
  */
 #define CONN_CONNECT_MS 300
 /* Limit of the bytes buffered for a peer that doesn't read: what a link of
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -12,7 +12,7 @@
  * routings of a few megabytes. */
 #define FRAME_MAX (16u * 1024 * 1024)
 
-/* Stands in place of a kind: a compressed kind and message follow. */
+/* Value in place of the kind: a compressed kind and message follow. */
 #define FRAME_PACKED 0x7e
 /* Smallest message that is compressed, in bytes. Shorter ones fit into one
  * packet uncompressed, so that the time isn't worth it. */
--- a/src/node/link.c
+++ b/src/node/link.c
@@ -18,8 +18,8 @@
 /*
  * Number of other VMs that are asked for the leader while the leader is quiet.
  * The link switches to one that reports that it leads, so a frozen leader is
- * replaced before its connection times out. Few, as all processes ask at the
- * same time.
+ * replaced before its connection times out. The number is small, as all
+ * processes ask at the same time.
  */
 #define QUIET_ASKED_MAX 2
 
