--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -15,7 +15,7 @@
 	if (!ep)
 		return;
 	gate_ep_note_result(f->g, ep, failed);
-	/* These counts are reported to the leader. Requests that never reached
+	/* The counts are reported to the leader. Requests that never reached
 	 * the endpoint, or whose callers left without an answer, aren't among
 	 * them: this VM may be at fault. */
 	if (failed)
@@ -80,8 +80,8 @@
 	forward_retry(f, true, why);
 }
 
-/* Callers take these statuses to mean that the request didn't run. True where
- * the endpoint hasn't stated so: such an answer isn't passed on. */
+/* Callers take these statuses to mean that the request didn't run. Such an
+ * answer isn't passed on unless the endpoint states that it didn't. */
 static bool wrongly_implies_not_run(const struct forward *f, int status)
 {
 	return f->route->kind != ROUTE_SAFE &&
@@ -254,19 +254,19 @@
 	forward_end(f, true, "");
 }
 
-static void on_failed(void *arg, enum upstream_failure end, bool closed)
+static void on_failed(void *arg, enum upstream_failure failure, bool closed)
 {
 	struct forward *f = arg;
 
 	f->up = NULL;
-	if (end == UPSTREAM_NOT_SENT) {
+	if (failure == UPSTREAM_NOT_SENT) {
 		forward_not_sent(f);
 		return;
 	}
 	times_note_aborted(f);
 	if (closed)
 		crash_check_begin(f);
-	fail_send(f, upstream_failure_name(end));
+	fail_send(f, upstream_failure_name(failure));
 }
 
 const struct upstream_ops forward_upstream_ops = { on_head, on_body, on_flush,
--- a/src/proxy/answer_times.c
+++ b/src/proxy/answer_times.c
@@ -33,7 +33,7 @@
 		add(&ep->timing, ms);
 }
 
-/* Tracks the longest pause between events: a stream also counts as late where
+/* Tracks the longest pause between events: a stream also counts as late if
  * its events pause for longer than its route allows. */
 static void note_pause(struct forward *f, int64_t now)
 {
@@ -80,7 +80,7 @@
 
 void times_note_end(struct forward *f)
 {
-	/* Of a resumed stream only the rest was sent here. */
+	/* Of a resumed stream only the remainder was sent here. */
 	if (f->is_events && f->call.after_event > 0)
 		timing_raise_length(f->timing, f->events.count,
 				    f->call.tokens_out);
@@ -104,8 +104,8 @@
 	return o;
 }
 
-/* An answer that was abandoned counts where it took longer than those that
- * came: an engine that hangs shows in no other way. */
+/* An abandoned answer counts if it took longer than those that began:
+ * otherwise an engine that hangs would go unnoticed. */
 void times_note_aborted(struct forward *f)
 {
 	struct timing_pending o = outstanding(f, gate_now(f->g));
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -37,7 +37,7 @@
 #define RECONNECT_DELAY_MS 50
 /* Longest idle time of a kept connection that is still used, in ms. A longer
  * idle one may be broken without either side knowing, and a request that can't
- * be repeated takes less of that risk. */
+ * be repeated has the shorter limit. */
 #define IDLE_MAX_ONCE_MS 2000
 #define IDLE_MAX_REPEATABLE_MS 10000
 
@@ -243,14 +243,15 @@
 	g_free(service);
 }
 
-/* Random, so that callers refused at one time don't return at one time. */
+/* Random part of a Retry-After, so that callers refused at one time don't
+ * return at one time. */
 static int64_t jitter_ms(const struct forward *f)
 {
 	return (int64_t)(ss_random(&f->g->seed) % RETRY_AFTER_SPREAD_MS);
 }
 
-/* When a caller refused for want of an endpoint is to return: once the model is
- * loaded or an endpoint has room, and its return slot comes. */
+/* Retry-After of a caller refused for lack of an endpoint: it returns once the
+ * model is loaded or an endpoint has room, in its return slot. */
 static int64_t model_retry_after_ms(struct forward *f)
 {
 	const struct model_queue *l = f->queue;
@@ -268,7 +269,7 @@
 		       slot_ms;
 }
 
-/* The request may run more than once. */
+/* Whether the request may run more than once. */
 static bool is_repeatable(const struct forward *f)
 {
 	return f->route->kind == ROUTE_SAFE ||
@@ -372,7 +373,7 @@
 	f->up = upstream_send(g->upstream, &r);
 }
 
-/* Nothing reached the endpoint, so that this wasn't a send. */
+/* Nothing reached the endpoint, so the send doesn't count. */
 static void uncount_send(struct forward *f)
 {
 	if (f->tried->len)
@@ -636,9 +637,10 @@
 				      SS_LIT("its agent says nothing"));
 }
 
-/* True for a send whose endpoint has restarted and which is to be given up. Not
- * while its caller reads slowly, as the rest of the answer may still be in the
- * connection, nor where it can't be sent again, as nothing is gained then. */
+/* True for a send that is given up because its endpoint has restarted. False
+ * while its caller reads slowly, as the end of the answer may still be in the
+ * connection, and if the request can't be sent again, as nothing is gained
+ * then. */
 static bool is_lost(const struct forward *f, int64_t now)
 {
 	return f->lost_ms && now >= f->lost_ms && !f->reading_paused &&
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -88,8 +88,8 @@
  * and frees it with gate_report_done(). */
 struct gate_report {
 	struct msg_demand m;
-	/* It differs from the last report, or has arrivals, waiting requests,
-	 * call results or signals. */
+	/* The report differs from the last one, or has arrivals, waiting
+	 * requests, call results or signals. */
 	bool news;
 	GArray *models, *calls, *results, *signals;
 	GPtrArray *call_lists;
@@ -97,7 +97,7 @@
 void gate_report(struct gate *g, struct gate_report *r);
 void gate_report_done(struct gate_report *r);
 
-/* Requests under which endpoints crash. */
+/* Requests on which endpoints crash, and their quarantine. */
 
 /* A new leader was found, which has no reports of this entry yet. */
 void gate_leader_found(struct gate *g);
@@ -128,7 +128,8 @@
 void gate_quota_requests(struct gate *g, GArray *out);
 void gate_take_quota(struct gate *g, const struct msg_quota_reply *m);
 
-/* The same for limits that endpoints state, by address. */
+/* Adds the requests for grants of limits that endpoints state, by address;
+ * takes the reply. */
 void gate_limit_requests(struct gate *g, GArray *out);
 void gate_take_limit(struct gate *g, const struct msg_quota_reply *m);
 
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -215,7 +215,8 @@
 	return c->eps->pdata[g_array_index(c->start_limited, guint, k)];
 }
 
-/* Longest expected time to a first event at engines excluded that way. */
+/* Longest expected time to a first event at engines excluded by their start
+ * limit. */
 static int64_t start_limited_first_ms(const struct forward *f,
 				      const struct candidates *c)
 {
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -75,7 +75,7 @@
 	struct gate_signals signals;
 	struct stream_timing timing; /* timing of its streams, all models */
 	struct start_limit start_limit;
-	/* This gate's prompts there without an event yet. */
+	/* Prompts of this gate's streams there, until their first event. */
 	int64_t open_prompts;
 	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
 	struct timing_pending open_timing;
@@ -152,16 +152,16 @@
 	/* First and latest lookup of the version of the stream it resumes. */
 	int64_t lookup_first_ms, lookup_last_ms;
 	int64_t leader_reply_ms; /* latest; it may yet learn the version */
-	/* Given up then if it can be repeated, as its endpoint is gone; 0: no.
-	 */
+	/* When the request is retried if it may be, as its endpoint is gone;
+	 * 0: its endpoint isn't gone. */
 	int64_t lost_ms;
 	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
 	bool prompt_open;  /* counts among its endpoint's open prompts */
 	bool start_waited; /* has waited for a start limit */
 	int64_t queued_ms; /* when it entered its model queue */
 	int64_t sent_ms;
-	/* Its time, as gate_speed.c compares it, when it was last counted as
-	 * slow while under way; 0: never. */
+	/* Response time, as gate_speed.c compares it, when the pending request
+	 * was last counted as slow; 0: never. */
 	double slow_counted_ms;
 	double limit_per_s;	/* of its endpoint when sent; -1: none */
 	double grants;		/* grants taken for its endpoint, unused */
@@ -207,9 +207,9 @@
 	struct fleet_rate rate;	  /* of arrivals at this gate */
 	uint64_t reported;	  /* queue length in the last report */
 	bool changed;
-	/* Requests wait for a start limit since; 0: they don't. */
+	/* Since when requests wait for a start limit; 0: none wait. */
 	int64_t start_wait_ms;
-	int64_t start_first_event_ms; /* time to a first event expected there */
+	int64_t start_first_event_ms; /* expected then, until a first event */
 	struct stream_timing timing;  /* of the model's streams */
 	struct timing_pending open_timing;
 	struct model_queue_group *group;
@@ -240,15 +240,16 @@
 	GQueue groups_waiting;	 /* groups in which a request waits */
 	uint64_t dispatch_round; /* counts dispatches of groups */
 	GHashTable *retries;	 /* service -> struct service_retries */
-	/* service -> struct pace of its streams; "service\nroute" -> of plain
-	 * answers, as a slow route would hide among a fast one's many. */
+	/* service -> struct stream_timing of its streams; "service\nroute" ->
+	 * of plain answers, as the many answers of a fast route would hide a
+	 * slow one. */
 	GHashTable *timings;
 	GHashTable *forwards;
 	GHashTable *tickets;	   /* &ticket -> struct forward */
 	GHashTable *latency_hists; /* route name -> struct hist */
 	uint64_t seed, ticket, round, fence, last_incarnation_no;
 	GArray *startup_hold;	 /* until routing and fleet are known */
-	GPtrArray *crash_checks; /* struct ending: suspected crashes */
+	GPtrArray *crash_checks; /* struct crash_check: suspected crashes */
 	struct suspects *suspects;
 	struct crash_log crash_log;
 	uint64_t suspects_mark;	    /* up to which the leader knows them */
@@ -258,11 +259,11 @@
 	struct return_slots *refused_slots;
 	uint64_t *n_slots_given, *n_slots_beyond;
 	int64_t since_ms; /* start of this process */
-	/* Largest reported number of entries; they share the slack of retries.
+	/* Largest reported number of entries, which share the slack of retries.
 	 */
 	uint64_t entries;
 	bool fleet_known;
-	/* Requests that end meanwhile don't dispatch again. */
+	/* While a dispatch runs, requests that end don't start another. */
 	bool dispatching;
 	int64_t stop_end_ms; /* end of a planned stop; 0: none */
 	int64_t tidy_ms;
@@ -271,7 +272,7 @@
 	void *quota_client;		/* of customers' limits */
 	void *limit_client;		/* of endpoints' limits */
 	int64_t reservations_ms;	/* last checked */
-	GHashTable *quota_queues;	/* customer -> struct quota_queue */
+	GHashTable *quota_queues;	/* customer -> struct quota_queues */
 	guint quota_waiting;		/* in all of them */
 	GHashTable *counts_by_customer; /* customer -> struct customer_counts */
 	uint64_t *n_requests, *n_ok, *n_refused, *n_failed, *n_callers_left,
@@ -324,7 +325,8 @@
 /* gate_speed.c: slowness of endpoints relative to each other */
 struct gate_speeds *gate_speeds_new(struct metrics *m);
 void gate_speeds_free(struct gate_speeds *x);
-/* Called for the first event or a plain answer, before f->pace includes it. */
+/* Called for the first event or a plain answer, before f->timing includes it.
+ */
 void gate_speed_answered(struct forward *f);
 /* The request leaves its endpoint; counts if gate_speed_answered() wasn't
  * called. */
@@ -359,7 +361,7 @@
 /* Returns the grants of a request that isn't sent after all. */
 void gate_limit_release(struct forward *f, struct gate_ep *ep);
 /* Adds signals to be reported to the leader, as struct endpoint_signals. */
-void gate_signals_report(struct gate *g, struct gate_ep *ep, GArray *words);
+void gate_signals_report(struct gate *g, struct gate_ep *ep, GArray *signals);
 void gate_limits_tick(struct gate *g, int64_t now);
 
 /* gate_starts.c: limits of prompts in flight on engines */
@@ -391,8 +393,8 @@
  * requests are held, and it is to be refused. */
 bool startup_hold_request(struct gate *g, struct caller_call *c,
 			  struct ss_str body, int64_t came_ms);
-/* The same until a time on the clock, for a process whose routing may be out of
- * date. */
+/* Holds a request until a time on the clock, for a process whose routing may be
+ * out of date. */
 bool startup_hold_until(struct gate *g, struct caller_call *c,
 			struct ss_str body, int64_t came_ms, int64_t until_ms);
 /* The caller has left. */
@@ -404,14 +406,15 @@
 /* The endpoint closed the connection before its answer was complete. */
 void crash_check_begin(struct forward *f);
 void crash_checks_tick(struct gate *g, int64_t now);
-void crash_check_free(void *ending);
+void crash_check_free(void *p);
 
 /* quarantine.c: requests that endpoints crashed under too often */
 const struct fingerprint *forward_fingerprint(struct forward *f);
-/* An endpoint crashed while running it; life: its incarnation number. */
-void quarantine_note_crash(struct gate *g, const struct fingerprint *print,
-			   uint64_t life);
-/* Its answer is complete. */
+/* An endpoint crashed while running the request. incarnation_hash: names the
+ * endpoint's incarnation in all processes. */
+void quarantine_note_crash(struct gate *g, const struct fingerprint *fp,
+			   uint64_t incarnation_hash);
+/* The request's answer is complete. */
 void quarantine_note_answer(struct forward *f);
 /*
  * True: the request isn't to be sent now, as it was refused or the leader is
@@ -434,14 +437,14 @@
 
 /* gate_quota.c: customers' limits */
 /* Frees a customer's queue of requests that wait for grants. */
-void quota_queue_free(void *line);
+void quota_queue_free(void *queues);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
-/* Whether its customer has a limit. */
+/* Whether the request's customer has a limit. */
 bool quota_limits(const struct forward *f);
-/* Queues it for a grant, passes it on to its model queue, or refuses and frees
- * it. */
+/* Queues the request for a grant, passes it on to its model queue, or refuses
+ * and frees it. */
 void quota_begin(struct forward *f);
-/* Removes it from the queue for grants, before f is freed. */
+/* Removes the request from the queue for grants, before f is freed. */
 void forward_leave_quota_queue(struct forward *f);
 /* Returns the cost of a request that didn't run. */
 void forward_refund(struct forward *f);
@@ -452,12 +455,12 @@
 /* Id of the request that got the first event of the stream it resumes, for a
  * log line. */
 struct ss_str forward_resumed_request(const struct forward *f);
-/* 0 is the most urgent. */
+/* Priority of the request; 0 is the most urgent. */
 int64_t forward_priority(const struct forward *f);
-/* Its customer's name; empty: none. */
+/* Name of the request's customer; empty: none. */
 const char *forward_customer(const struct forward *f);
 void forward_caller_left(struct forward *f);
-/* Tries to send a waiting request; false: it goes on waiting. */
+/* Tries to send a waiting request; false: it still waits. */
 bool forward_try_send(struct forward *f);
 /* Time on the clock after which a waiting request is refused. */
 int64_t forward_latest_send_ms(const struct forward *f);
@@ -489,7 +492,7 @@
 void resume_note_begin(struct forward *f);
 /* Whether the stream may be begun or resumed at the endpoint. */
 bool resume_fits(const struct forward *f, const struct gate_ep *ep);
-/* It waits, and no endpoint is left that could resume it. */
+/* Whether the request waits and no endpoint is left that could resume it. */
 bool resume_hopeless(struct forward *f);
 
 /* answer_times.c: how long requests take, and which may begin before a stop */
@@ -508,13 +511,13 @@
 
 /* retry_after.c: return slots of refused callers, as a delay in ms from now,
  * random within spread_ms; least_ms: for a single caller */
-/* Its model, or plain service, is full or absent. */
+/* The request's model, or plain service, is full or absent. */
 int64_t retry_after_model_ms(struct forward *f, int64_t least_ms,
 			     int64_t spread_ms);
-/* Its customer's limit is reached. */
+/* The limit of the request's customer is reached. */
 int64_t retry_after_quota_ms(struct forward *f, int64_t least_ms,
 			     int64_t spread_ms);
-/* It is sent for the first time. */
+/* The request is sent for the first time. */
 void retry_after_served(struct forward *f);
 
 /* answer.c */
@@ -537,7 +540,8 @@
 void forward_end(struct forward *f, bool whole, const char *why);
 /* No connection was made, so the send isn't counted. May free f. */
 void forward_not_sent(struct forward *f);
-/* Releases the request's place at its endpoint. */
+/* Aborts what is pending for the request at its endpoint, an agent or the
+ * leader; the endpoint no longer counts it. */
 void forward_leave_endpoint(struct forward *f);
 
 /* model_queues.c */
--- a/src/proxy/gate_signals.c
+++ b/src/proxy/gate_signals.c
@@ -130,9 +130,8 @@
 	       (!w->probe_ms || now - w->probe_ms >= PROBE_TIMEOUT_MS);
 }
 
-/* After a backoff one request goes first as a probe. If all the
- * waiting ones were sent, they would be rejected together, at the cost of a
- * retry each. */
+/* After a backoff one request is sent first, as a probe. If all waiting
+ * requests were sent, they could all be rejected and cost a retry each. */
 void gate_signals_on_send(struct gate *g, struct gate_ep *ep, int64_t now)
 {
 	*g->n_limited += ep->signals.limit.per_s >= 0;
@@ -258,7 +257,7 @@
 	struct gate_signals *x = &ep->signals;
 	bool limit = limit_report_is_due(ep, now);
 	bool backoff = now < x->backoff_until_ms && !x->backoff_reported;
-	/* Until the leader lists it as draining, too. */
+	/* Draining is reported until the leader lists it, too. */
 	bool draining = x->draining_ms && ep->known && !ep->draining &&
 			resend_is_due(x->draining_reported_ms, now);
 	struct endpoint_signals w = { 0 };
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -92,8 +92,8 @@
 	return scale > 0 ? (double)MAX(now - f->sent_ms, 1) / scale : 0;
 }
 
-/* The endpoint has the request and has sent no event; the caller isn't the one
- * that delays it. */
+/* Whether the endpoint has the request and has sent no event, and isn't delayed
+ * by a slow caller. */
 static bool is_pending(const struct forward *f)
 {
 	return f->state >= FORWARD_SENT && !f->event_mark.events &&
@@ -322,7 +322,7 @@
 }
 
 /* Whether the endpoint is too slow for this request by the ratio that entries
- * measure. A work time that it reports itself never ejects it. */
+ * measure. The work time that the endpoint reports never ejects it. */
 static bool is_too_slow(const struct forward *f, const struct gate_ep *ep,
 			double median_ms)
 {
--- a/src/proxy/model_queues.c
+++ b/src/proxy/model_queues.c
@@ -155,9 +155,9 @@
 		g_queue_unlink(&g->groups_waiting, &gr->link);
 }
 
-/* Counts the turn that the request has used. Only a dispatched request uses
- * one: a request that is sent on arrival was preferred to no other. */
-static void count_turn(struct forward *f)
+/* Counts the send for its admission rule. Only dispatched requests count: a
+ * request that is sent on arrival was preferred to no other. */
+static void count_dispatched(struct forward *f)
 {
 	struct model_queue_group *gr = f->queue->group;
 	const struct admission_head *h = gr->tried;
@@ -172,7 +172,7 @@
 
 void model_queue_take(struct forward *f)
 {
-	count_turn(f);
+	count_dispatched(f);
 	ss_queue_take(f->queue->waiting, &f->item);
 	note_removed(f);
 }
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -30,9 +30,9 @@
 /* Crashes and answers that this entry observes. */
 
 static void record(struct gate *g, const struct fingerprint *fp,
-		   enum run_outcome_kind kind, uint64_t life)
+		   enum run_outcome_kind kind, uint64_t incarnation_hash)
 {
-	struct run_outcome e = { *fp, kind, life, gate_now(g) };
+	struct run_outcome e = { *fp, kind, incarnation_hash, gate_now(g) };
 
 	crash_log_add(&g->crash_log, &e);
 }
@@ -54,13 +54,13 @@
 }
 
 void quarantine_note_crash(struct gate *g, const struct fingerprint *fp,
-			   uint64_t life)
+			   uint64_t incarnation_hash)
 {
 	int64_t now = gate_now(g);
 	bool quarantined = suspects_remaining_ms(g->suspects, fp, now) >= 0;
 
-	record(g, fp, OUTCOME_CRASHED, life);
-	suspects_add_crash(g->suspects, fp, life, now);
+	record(g, fp, OUTCOME_CRASHED, incarnation_hash);
+	suspects_add_crash(g->suspects, fp, incarnation_hash, now);
 	if (!quarantined && suspects_remaining_ms(g->suspects, fp, now) >= 0)
 		stop_quarantined(g);
 }
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -61,8 +61,8 @@
 	return ep->incarnation_no == f->began_incarnation_no;
 }
 
-/* The endpoint runs the version that began the stream, or may turn out to. An
- * endpoint that is down counts, unless it is stopping for good. */
+/* Whether the endpoint runs the version that began the stream, or may turn out
+ * to. An endpoint that is down counts, unless it is stopping for good. */
 static bool may_fit(const struct forward *f, const struct gate_ep *ep)
 {
 	return ep->known && !ep->removing && !ep->signals.draining_ms &&
@@ -120,8 +120,9 @@
 
 /* Streams that begin at this entry. */
 
-/* How long the stream may be resumed: its caller does so within its timeout. */
-static int64_t stream_life_ms(const struct forward *f)
+/* How long the stream may be resumed: a caller resumes it within its timeout.
+ */
+static int64_t stream_resumable_ms(const struct forward *f)
 {
 	return MAX(f->route->timeout_ms, f->call.deadline_ms) +
 	       RESUME_MARGIN_MS;
@@ -146,10 +147,10 @@
 		return;
 	u.key = stream_key(ss_str(forward_customer(f)), f->call.id);
 	if (*fleet_version(&ep->self)) {
-		log_stream(g, u.key, ep, stream_life_ms(f));
+		log_stream(g, u.key, ep, stream_resumable_ms(f));
 		return;
 	}
-	u.until_ms = gate_now(g) + stream_life_ms(f);
+	u.until_ms = gate_now(g) + stream_resumable_ms(f);
 	if (g->unnamed->len < UNVERSIONED_MAX)
 		g_array_append_val(g->unnamed, u);
 }
@@ -229,7 +230,7 @@
 }
 
 /* A route may be split over several services, and a stream is resumed at the
- * service that began it. False where the route can't send the request there. */
+ * service that began it. False if the route can't send the request there. */
 static bool switch_service(struct forward *f, const char *service)
 {
 	struct gate *g = f->g;
@@ -247,7 +248,7 @@
 	return true;
 }
 
-/* False where the route no longer leads to the service that began the stream: f
+/* False if the route no longer leads to the service that began the stream: f
  * was refused and freed. */
 static bool bind_to_version(struct forward *f, const char *service,
 			    const char *version, const char *from)
--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -12,8 +12,9 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-/* A hundred round trips, and less than the retransmission timeout of a SYN.
- * Nothing was sent by then, so the request can go to another endpoint. */
+/* Time limit for the TCP handshake: a hundred round trips, and less than the
+ * retransmission timeout of a SYN. No request was sent by then, so it can go to
+ * another endpoint. */
 #define CONNECT_TIMEOUT_MS 400
 /* A connection with data that stays unacknowledged for this long is dead: ten
  * retransmissions on a working link. */
@@ -102,7 +103,7 @@
 
 /*
  * Reset a connection whose response is no longer wanted. After a normal close
- * the kernel would still deliver the buffered rest of the request, seconds
+ * the kernel would still deliver the buffered part of the request, seconds
  * later if the link was down. A reset discards it.
  */
 static void conn_reset(struct upstream_conn *l)
@@ -125,7 +126,7 @@
 	return r;
 }
 
-static void fail(struct upstream_conn *l, enum upstream_failure end,
+static void fail(struct upstream_conn *l, enum upstream_failure failure,
 		 bool closed)
 {
 	struct upstream_request r;
@@ -137,7 +138,7 @@
 	l->depth++;
 	r = detach(l);
 	l->closing = true;
-	r.ops->failed(r.arg, end, closed);
+	r.ops->failed(r.arg, failure, closed);
 	l->depth--;
 	conn_reset(l);
 }
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -37,7 +37,7 @@
 	 * endpoint's VM closed or reset the connection; otherwise this side
 	 * did, after a timeout or an error.
 	 */
-	void (*failed)(void *arg, enum upstream_failure end, bool closed);
+	void (*failed)(void *arg, enum upstream_failure failure, bool closed);
 };
 
 struct upstream_options {
