--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -441,7 +441,7 @@
 	a->ops->read(a->endpoint, on_read, a);
 }
 
-/* Whether all replies have been written to their entries. */
+/* Returns true if all replies have been written to their entries. */
 static bool all_replies_written(const struct agent_role *a)
 {
 	GHashTableIter it;
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -59,7 +59,7 @@
 	g_array_unref(members);
 }
 
-/* Whether a peer is sent the leader's address. */
+/* Returns true if a peer is sent the leader's address. */
 static bool is_client(struct conn *c)
 {
 	int64_t role = conn_peer(c)->role;
@@ -67,7 +67,8 @@
 	return role != ROLE_CONTROL && role != ROLE_READER;
 }
 
-/* Whether a peer is managed by the leader, beyond learning its address. */
+/* Returns true if the leader exchanges further messages with a peer, beyond
+ * sending it the leader's address. */
 static bool is_managed(struct conn *c)
 {
 	return is_client(c) && conn_peer(c)->role != ROLE_RELAY;
@@ -134,7 +135,7 @@
 		k->ops->applied(k->leader);
 }
 
-/* Nothing to request: follow_log() falls back to the full routing. */
+/* Requests no full copy, as follow_log() falls back to the full routing. */
 static void on_unusable(void *arg, uint64_t have)
 {
 	(void)arg;
@@ -171,7 +172,8 @@
 {
 	struct control_role *k = arg;
 
-	/* Only a lost leadership is urgent; the tick handles the rest. */
+	/* Frees the state of a lost leadership at once; all other changes wait
+	 * for the tick. */
 	if (k->group && !group_leads(k->group))
 		check_leadership(k);
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,5 @@
-/* What all roles of the daemon share: event loop, clock, metrics, shutdown. */
+/* State and functions shared by all roles of the daemon: event loop, clock,
+ * metrics, shutdown. */
 #ifndef SS_DAEMON_H
 #define SS_DAEMON_H
 
@@ -24,7 +25,7 @@
 struct role_ops {
 	const char *name;
 	void *(*start)(struct daemon *d, GError **error);
-	/* Start a planned stop; the role calls daemon_exit() at its end. */
+	/* Starts a planned stop, at whose end the role calls daemon_exit(). */
 	void (*stop)(void *role);
 	bool (*ready)(void *role);
 	void (*free)(void *role);
@@ -42,26 +43,27 @@
  */
 #define DAEMON_LINGER_MS 200
 
-/* Stop the event loop; the process exits with this code. */
+/* Stops the event loop; the process exits with this code. */
 void daemon_exit(struct daemon *d, int code);
 
-/* Options of a connection between processes of the system. */
+/* Returns the options of a connection between processes of the system. */
 struct conn_options daemon_conn_options(struct daemon *d,
 					const struct conn_ops *ops, void *arg);
 
-/* A new repeating timer, which is running. */
+/* Creates and starts a repeating timer. */
 struct event *daemon_every(struct daemon *d, int64_t ms, event_callback_fn fn,
 			   void *arg);
 
-/* The address under which others reach this process; the caller frees it. */
+/* Returns the address under which others reach this process; the caller frees
+ * it. */
 char *daemon_advertised_addr(const struct daemon *d, const struct listener *l);
 
-/* Answer /healthz, /readyz and /metrics; false for any other path. */
+/* Answers /healthz, /readyz and /metrics; returns false for any other path. */
 bool daemon_status_request(struct daemon *d, struct evhttp_request *req,
 			   bool ready);
 void daemon_metrics_text(struct daemon *d, GString *out);
 
-/* Update the metrics of this process's CPU time and memory. */
+/* Updates the metrics of this process's CPU time and memory. */
 void daemon_sample_self(struct daemon *d);
 
 #endif
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -34,14 +34,16 @@
 
 struct engine_agent {
 	struct engine_agent_options o;
-	char *addr; /* of the engine */
+	char *addr; /* address of the engine */
 	struct msg_hello hello;
 	struct engine *engine;
 	struct http_client *endpoint;
 	struct link *link;
-	struct routing_service *service; /* whose models it can hold */
-	struct fleet_report *report;	 /* the latest; NULL: none */
-	/* The engine's; the id is NULL until the engine is queried for it. */
+	struct routing_service
+		*service; /* service whose models the engine can hold */
+	struct fleet_report *report; /* the latest report; NULL: none */
+	/* The engine's incarnation; the id is NULL until the engine is queried
+	 * for it. */
 	struct fleet_incarnation self;
 	struct endpoint_limit limit; /* stated in its answers */
 	bool draining;		     /* stated in its answers */
@@ -78,7 +80,7 @@
 }
 
 /* Applies the signals (rate limit, draining, backoff) in an engine's answer.
- * Answers to callers carry the same ones. */
+ * Answers to callers carry the same signals. */
 static void apply_signals(struct engine_agent *a,
 			  const struct http_client_response *r)
 {
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -8,7 +8,7 @@
 #define TICK_MS 20
 /* Time in ms after which an unused connection to an agent is closed. */
 #define AGENT_IDLE_MS 60000
-/* Minimum time in ms between two tries to connect to an agent. */
+/* Minimum time in ms between two attempts to connect to an agent. */
 #define AGENT_RETRY_MS 200
 /* Time in ms that a request for the list of models waits for the leader: enough
  * for an election and the answer. */
@@ -106,7 +106,7 @@
 	entry_request_free(q);
 }
 
-/* Abort an answer that has started and can't be completed. A stream of events
+/* Aborts an answer that has started and can't be completed. A stream of events
  * gets an error event first. */
 static void abort_answer(struct request *q, const struct router_result *end)
 {
@@ -280,7 +280,7 @@
 	const struct msg_hello *h = conn_peer(c);
 
 	if (!ss_str_eq(h->name, ss_str(a->node))) {
-		/* Another VM has the address now, not the wanted one. */
+		/* The address now belongs to another VM than the wanted one. */
 		log_warn("wrong_agent", "wanted=%s found=%.*s", a->node,
 			 SS_FMT(h->name));
 		a->conn = NULL;
--- a/src/daemon/entry_int.h
+++ b/src/daemon/entry_int.h
@@ -46,7 +46,7 @@
 
 int64_t entry_now(const struct entry_role *e);
 
-/* Answer with a typed error and free the request. */
+/* Answers with a typed error and frees the request. */
 void entry_refuse(struct request *q, enum ss_error code, const char *text,
 		  enum outcome outcome, int64_t retry_after_ms);
 void entry_request_free(struct request *q);
--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -18,9 +18,9 @@
 /* Time without the leader after which the VM list is read directly: a draining
  * endpoint must get no more calls 3 s after the list shows it. */
 #define LEADERLESS_MS 1200
-/* The same for an entry that has just started. It has no callers yet and waits
- * longer: hundreds of entries that start together would use up the list's
- * request rate and keep the new leader from reading it. */
+/* The same time for an entry that has just started. The entry has no callers
+ * yet and waits longer: hundreds of entries that start together would use up
+ * the list's request rate and keep the new leader from reading it. */
 #define STARTUP_MS 4000
 /* Poll interval of the VM list. Together with LEADERLESS_MS a draining endpoint
  * gets no more calls after 2.2 s. */
@@ -53,9 +53,9 @@
 
 struct fleet_entry {
 	struct daemon *d;
-	/* Hello message to agents. It has another role, as a control VM that
-	 * runs an agent must not take the connection for an entry that looks
-	 * for the leader. */
+	/* Hello message to agents. Its role differs from an entry's: a control
+	 * VM that runs an agent would otherwise treat the connection as that
+	 * of an entry that looks for the leader. */
 	struct msg_hello agent_hello;
 	struct gate *gate;
 	struct link *link;
@@ -287,8 +287,9 @@
 	case MSG_FLEET:
 		e->leader_ms = now_ms(e);
 		gate_take_fleet(e->gate, &f->u.fleet);
-		/* The leader waits for this confirmation before it unloads
-		 * models and sends others what they lack. */
+		/* Confirms the snapshot or change. The leader waits for that
+		 * before it unloads models, and before it sends more snapshots
+		 * than its send window holds. */
 		if (e->demand_due)
 			send_demand(e, now_ms(e));
 		break;
@@ -331,7 +332,8 @@
 	g_array_unref(requests);
 }
 
-/* Sent at once: the same request may crash another endpoint in the meantime. */
+/* Reports outcomes at once: the same request may crash another endpoint in the
+ * meantime. */
 static void send_crashes(struct fleet_entry *e)
 {
 	struct gate_crash_report r;
@@ -342,8 +344,8 @@
 						 &r.m));
 }
 
-/* Sent at once: callers may outlive this process and resume their streams
- * elsewhere. */
+/* Reports streams at once: callers may outlive this process and resume their
+ * streams elsewhere. */
 static void send_streams(struct fleet_entry *e)
 {
 	struct stream_wire w;
--- a/src/daemon/fleet_leader.c
+++ b/src/daemon/fleet_leader.c
@@ -10,7 +10,7 @@
 #define LIST_POLL_MS 900
 /* Changes are batched for this long, which bounds the delay of a call. */
 #define PUSH_INTERVAL_MS 20
-/* Interval of changes of load alone: entries add the calls that they send
+/* Interval of pushes of changed loads: entries add the calls that they send
  * themselves. */
 #define LOAD_PUSH_INTERVAL_MS 200
 /* Updates to entries take at most 1/PUSH_TIME_SHARE of the leader's time, but
@@ -24,7 +24,8 @@
 #define PLAN_INTERVAL_MS 50
 #define PLAN_TIME_SHARE 50
 #define PLAN_PAUSE_MAX_MS 500
-/* While callers wait: at the next tick, and up to a tenth of its time. */
+/* While callers wait, planning runs at the next tick and may take a tenth of
+ * the leader's time. */
 #define URGENT_TIME_SHARE 10
 #define URGENT_PAUSE_MAX_MS 100
 
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -33,9 +33,9 @@
 	bool sent;	/* to the agent */
 	uint64_t round; /* entries that confirmed it send no new calls */
 	int64_t since_ms, sent_ms;
-	size_t concurrent_loads; /* concurrent store loads when it was sent,
-				    itself too */
-	bool slow; /* it was seen to take longer because of them */
+	size_t concurrent_loads; /* store loads in progress when this
+				    step was sent, including its own */
+	bool slow; /* the store's estimate already counts this load as slow */
 };
 
 /* Running calls on one model of an endpoint. */
@@ -46,19 +46,19 @@
 
 struct fleet_ep {
 	char *addr, *service, *domain, *agent;
-	/* The id is the list's, which lags; the start time is the first that
-	 * the list or the agent reported. */
+	/* The id is from the list, which lags behind; the start time is the
+	 * first one that the list or the agent reported. */
 	struct fleet_incarnation self;
 	int64_t slots;
 	bool listed, listed_draining;
-	int64_t listed_ms;	      /* when the list last had it */
-	int64_t unreadable_since_ms;  /* since when its list item can't be
-				       * parsed; 0: it  can */
-	int64_t unreadable_logged_ms; /* when that was last logged */
-	GPtrArray *listed_models;     /* char *, models by the list */
+	int64_t listed_ms;	      /* when the list last had this endpoint */
+	int64_t unreadable_since_ms;  /* when its list item ceased to be valid;
+				       * 0: the item is valid */
+	int64_t unreadable_logged_ms; /* last log line about the invalid item */
+	GPtrArray *listed_models;     /* char *, models in the list's item */
 	struct owner owner;
-	uint64_t remote_member; /* member that is to run its agent; 0: none */
-	struct conn *conn;	/* of its owner; NULL: none */
+	uint64_t remote_member; /* member assigned to run its agent; 0: none */
+	struct conn *conn;	/* connection of its agent; NULL: none */
 	bool unreachable;	/* its agent can't reach it */
 	bool reported;
 	int64_t report_ms;
@@ -68,15 +68,16 @@
 	struct failure_rate failures_sent; /* as last sent to entries */
 	struct fleet_slowness slowness;	   /* over the reports of all entries */
 	struct endpoint_limit limit;
-	int64_t backoff_until_ms; /* end of the backoff it asked some entry for
-				   */
-	bool signals_draining;	  /* it signalled draining to some entry */
+	int64_t backoff_until_ms; /* end of the backoff that its signals to
+				     entries request */
+	bool signals_draining;	  /* an entry received its draining signal */
 	struct step_run step;
-	bool changed;	       /* entries are to be sent all of it */
-	bool load_changed;     /* only its load */
-	bool adapters_changed; /* not its models; the entry whose request loaded
-				* an adapter knows of it already */
-	GHashTable *failed_loads; /* model -> when a load of it failed, ms */
+	bool changed;	       /* entries need the whole endpoint */
+	bool load_changed;     /* entries need only its load */
+	bool adapters_changed; /* its adapters changed, but not its models; the
+				* entry whose request loaded an adapter already
+				* has the change */
+	GHashTable *failed_loads; /* model -> last failed load, ms */
 };
 
 /* Requests of one entry that wait for one model. */
@@ -86,53 +87,57 @@
 	int64_t at_ms;	  /* when the entry reported them */
 };
 
-/* Demand for one model. With a version: only of streams that it began. */
+/* Demand for one model. With a version, only the demand of streams that this
+ * version began. */
 struct fleet_demand {
 	char *service, *model, *version;
 	struct fleet_rate rate;
 	GHashTable *waits; /* conn of an entry -> struct entry_wait */
 	int64_t eta_ms;	   /* clock time; -1: unknown */
 	bool eta_changed;
-	int64_t blocked_ms; /* when that was last logged */
+	int64_t blocked_ms; /* last log line about the blocked model */
 };
 
 /*
- * A connected agent or entry. It keeps references to the endpoints and models
- * that it is involved in, so that a message or a disconnect costs time in
- * proportion to these, not to the whole fleet.
+ * A connected agent or entry. The record refers to the endpoints and models of
+ * this peer, so that the cost of a message or a disconnect is proportional to
+ * their number rather than to the size of the fleet.
  */
 struct fleet_peer {
 	struct conn *conn;
 	bool entry;
-	GPtrArray *owned;	 /* struct fleet_ep whose conn it is */
-	GPtrArray *called_addrs; /* char *, addresses where its calls are */
-	GHashTable *demands; /* set of struct fleet_demand that it waits for */
-	bool confirmed;	     /* a majority has answered since it connected */
-	bool has_snapshot;   /* it has a snapshot and all changes since */
-	size_t snapshot_bytes;	   /* size of the last snapshot sent */
-	size_t snapshot_in_flight; /* bytes of it that aren't acknowledged */
-	uint64_t snapshot_round;   /* round that acknowledges them */
-	int64_t snapshot_ms;	   /* when it was sent */
-	uint64_t routing_sent;	   /* version that was sent to it */
-	uint64_t routing;	   /* version that it reports to follow */
-	uint64_t round;		   /* last one acknowledged */
-	uint64_t suspects; /* mark of the suspects that were sent to it */
+	GPtrArray *owned; /* struct fleet_ep that the peer is the agent of */
+	GPtrArray *called_addrs; /* char *, addresses of endpoints with its
+				    calls */
+	GHashTable *demands;	 /* set of struct fleet_demand with its waits */
+	bool confirmed;	       /* a majority has answered since it connected */
+	bool has_snapshot;     /* the peer was sent a snapshot and all later
+				  changes */
+	size_t snapshot_bytes; /* size of the last snapshot sent */
+	size_t snapshot_in_flight; /* bytes of that snapshot without
+				      acknowledgement */
+	uint64_t snapshot_round;   /* round whose acknowledgement covers them */
+	int64_t snapshot_ms;	   /* time at which the snapshot was sent */
+	uint64_t routing_sent;	   /* last routing version sent to the peer */
+	uint64_t routing;	   /* routing version that the peer reports */
+	uint64_t round;		   /* last round that the peer acknowledged */
+	uint64_t suspects;	   /* mark of the suspects sent so far */
 };
 
 /* Counters of the leader's work. */
 enum fleet_work {
-	WORK_REPORTS,	/* reports of entries */
-	WORK_AGENTS,	/* reports of agents */
-	WORK_FRAMES,	/* frames for entries, each encoded once */
-	WORK_SENDS,	/* sends of changes, one per receiver */
-	WORK_BYTES,	/* bytes of these sends */
-	WORK_ENDPOINTS, /* endpoints in frames */
-	WORK_LOADS,	/* loads in frames without the rest of the endpoint */
-	WORK_ETAS,	/* wake times in frames */
-	WORK_SNAPSHOTS, /* snapshots sent */
-	WORK_PLANS,	/* placement passes */
-	WORK_STREAMS,	/* streams that entries reported */
-	WORK_REPLICATIONS, /* messages that replicate them to followers */
+	WORK_REPORTS,	   /* reports of entries */
+	WORK_AGENTS,	   /* reports of agents */
+	WORK_FRAMES,	   /* frames for entries, each encoded once */
+	WORK_SENDS,	   /* sends of changes, one per receiver */
+	WORK_BYTES,	   /* bytes of these sends */
+	WORK_ENDPOINTS,	   /* endpoints in frames */
+	WORK_LOADS,	   /* endpoints in frames with only their load */
+	WORK_ETAS,	   /* wake times in frames */
+	WORK_SNAPSHOTS,	   /* snapshots sent */
+	WORK_PLANS,	   /* placement passes */
+	WORK_STREAMS,	   /* streams that entries reported */
+	WORK_REPLICATIONS, /* messages that replicate streams to followers */
 	WORK_VISITS,	   /* rows visited for a message or a lost connection */
 	FLEET_WORKS
 };
@@ -146,21 +151,21 @@
 	uint64_t preset_version;
 	GHashTable *peers;	 /* conn -> struct fleet_peer */
 	uint64_t entries;	 /* number of peers that are entries */
-	uint64_t entries_behind; /* don't follow routing_sent yet */
+	uint64_t entries_behind; /* entries behind routing_sent */
 	GHashTable *eps;	 /* addr -> struct fleet_ep */
 	GHashTable
 		*demands; /* "service\nmodel\nversion" -> struct fleet_demand */
 	uint64_t fence;	  /* term of this leadership */
-	uint64_t round;	  /* the newest; each set of snapshots has its own */
-	uint64_t step_round; /* that all entries are to acknowledge */
+	uint64_t round;	  /* newest round; each set of snapshots has its own */
+	uint64_t step_round; /* newest round of a step; sent with changes */
 	uint64_t steps;
 	int64_t since_ms, plan_ms, push_ms, load_push_ms;
 	int64_t plan_took_ms, push_took_ms;
 	bool list_received;
 	bool dirty, urgent;
-	bool loads_pending;	 /* changes wait for the next push of loads */
-	int64_t routing_read_ms; /* when the version in force was read */
-	uint64_t routing_sent;	 /* that version */
+	bool loads_pending;	     /* load changes wait for the next push */
+	int64_t routing_read_ms;     /* when the version in force was read */
+	uint64_t routing_sent;	     /* routing version in force */
 	uint64_t routing_everywhere; /* version that all entries follow */
 	struct send_window window;   /* of snapshots in flight */
 	struct fleet_store store;
@@ -236,8 +241,8 @@
 /* True while the endpoint is draining for good. */
 bool fleet_ep_is_draining(const struct fleet_leader *l,
 			  const struct fleet_ep *ep);
-/* True while the endpoint's list item can't be parsed, but its agent reports
- * it alive. */
+/* True while the endpoint's list item can't be parsed, but its agent still
+ * reports the endpoint. */
 bool fleet_ep_suspended(const struct fleet_leader *l,
 			const struct fleet_ep *ep);
 /* True while the endpoint's own signals, a low limit or a backoff, make it
@@ -269,7 +274,7 @@
 			      const struct msg_endpoint *m);
 void fleet_apply_entry_report(struct fleet_leader *l, struct conn *c,
 			      const struct msg_demand *m);
-/* Drops what entries reported to wait for and haven't repeated. */
+/* Drops reports of waiting requests that entries haven't repeated in time. */
 void fleet_expire_demand(struct fleet_leader *l, int64_t now);
 
 /* fleet_listed.c */
@@ -281,8 +286,8 @@
 			 const struct fleet_incarnation *reported);
 
 /* fleet_unreadable.c */
-/* An endpoint's list item can't be parsed; can be parsed; is missing from the
- * list. */
+/* Handle an endpoint whose list item can't be parsed, can be parsed, or is
+ * missing from the list. */
 void fleet_ep_unreadable(struct fleet_leader *l, struct fleet_ep *ep,
 			 int64_t now);
 void fleet_ep_readable(struct fleet_leader *l, struct fleet_ep *ep,
@@ -346,11 +351,13 @@
 /* fleet_push.c */
 /* Sends a snapshot of the fleet to the entries that have none. */
 void fleet_push_snapshots(struct fleet_leader *l);
-/* An entry has acknowledged a round; a snapshot in flight is lost. */
+/* Update the send window: an entry has acknowledged a round, or its snapshot in
+ * flight is lost or timed out. */
 void fleet_push_acked(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_lost(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_tick(struct fleet_leader *l, int64_t now);
-/* Sends the changes to all other entries; loads: also changes of load alone. */
+/* Sends the changes to all other entries; loads: also endpoints of which only
+ * the load changed. */
 void fleet_push_changes(struct fleet_leader *l, bool loads);
 
 #endif
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -229,7 +229,7 @@
 		return;
 	send_window_acked(&l->window, p->snapshot_in_flight, p->snapshot_ms);
 	p->snapshot_in_flight = 0;
-	/* Others may wait for room in the window. */
+	/* Other entries may wait for room in the send window. */
 	l->dirty = true;
 }
 
--- a/src/daemon/fleet_remote.c
+++ b/src/daemon/fleet_remote.c
@@ -11,7 +11,8 @@
  * silence after which a connection between the daemon's processes is closed. */
 #define MEMBER_QUIET_MS CONN_FAST_SILENT_MS
 
-/* Returns the members that can run agents; the leader only if it is alone. */
+/* Returns the members that can run agents; the leader only if no other member
+ * is available. */
 static GArray *available_members(const struct fleet_leader *l)
 {
 	const struct ss_raft *r = group_raft(l->g);
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -12,7 +12,7 @@
 
 /* Agents. */
 
-/* Returns whether the agent owns the engine; sends a new owner its fence. */
+/* Returns true if the agent owns the engine; sends a new owner its fence. */
 static bool acquire_engine(struct fleet_leader *l, struct fleet_ep *ep,
 			   struct conn *c, bool remote)
 {
@@ -98,7 +98,7 @@
 	fleet_demand_drop_entry(l, w, p);
 	if (m->waiting) {
 		fleet_demand_add_entry(w, p, &at);
-		/* An entry that waits is to be sent the wake time at once. */
+		/* Sends the wake time to a waiting entry at once. */
 		w->eta_changed = true;
 		l->urgent = true;
 	}
@@ -133,8 +133,8 @@
 
 /*
  * One entry among a hundred calls an endpoint too seldom to learn its failure
- * rate or slowness. So the results of all entries are summed up here and sent
- * to all of them.
+ * rate or slowness, so the leader adds up the results of all entries and sends
+ * the sums to each of them.
  */
 static void apply_results(struct fleet_leader *l, const struct wire_list *list)
 {
@@ -260,8 +260,8 @@
 
 		if (g_hash_table_size(want->waits))
 			expire_waits(l, w, now);
-		/* The demand of a model is kept, that of a version is dropped
-		 * with its last waiting entry. */
+		/* The demand of a model is kept; the demand of a version is
+		 * dropped with its last waiting entry. */
 		if (*want->version && !g_hash_table_size(want->waits))
 			g_hash_table_iter_remove(&it);
 	}
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -13,8 +13,8 @@
 #define PRELOAD_DELAY_MS 1000
 #define PRELOAD_MAX_DELAY_MS 3000
 /* Longest wait for the entries' confirmation, which takes a round trip. An
- * entry that doesn't confirm has lost its link; the engine then refuses its
- * calls with an error that says so. */
+ * entry that doesn't confirm has lost its connection; the engine then refuses
+ * its calls with a specific error. */
 #define CONFIRM_MS 300
 /* Longest time for which an unload waits for running calls. After that it is
  * sent, and the engine waits for them itself. */
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -118,8 +118,8 @@
 	group_confirm(l->g, (struct read_done){ on_confirmed, k });
 }
 
-/* Sends a follower the changes that it hasn't been sent, or all streams again
- * after a message that couldn't be sent. */
+/* Sends a follower the changes since the last message to it, or all streams if
+ * that message couldn't be sent. */
 static void replicate_to(struct fleet_leader *l, uint64_t id, int64_t now)
 {
 	uint64_t *sent_mark = g_hash_table_lookup(l->streams_sent, &id);
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -5,8 +5,8 @@
 
 #include <json-c/json.h>
 
-/* As an entry's: the number of requests that a fleet of 200 endpoints runs at a
- * time. */
+/* Capacity of the table, the same as in an entry: the number of requests that a
+ * fleet of 200 endpoints runs at a time. */
 #define MAX_SUSPECTS 4096
 /* Suspects in one message, about 2 KB. More of them take several ticks, which
  * bounds what is sent to hundreds of entries at a time. */
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -228,7 +228,8 @@
 	       (fleet_ep_reported(l, ep) && ep->report.draining);
 }
 
-/* True if nothing, other than perhaps its list entry, rules out new work. */
+/* True if the endpoint is listed, reachable and not draining. Its list item may
+ * be unreadable. */
 static bool is_healthy(const struct fleet_leader *l, const struct fleet_ep *ep)
 {
 	return ep->listed && !ep->unreachable && !fleet_ep_is_draining(l, ep);
--- a/src/daemon/fleet_unreadable.c
+++ b/src/daemon/fleet_unreadable.c
@@ -1,11 +1,11 @@
-/* Endpoints whose entry in the VM list can't be parsed. */
+/* Endpoints whose item in the VM list can't be parsed. */
 #include "fleet_leader_int.h"
 
 /* Minimum interval between two log lines for one endpoint. */
-#define UNREAD_LOG_MS 10000
+#define UNREADABLE_LOG_MS 10000
 
 /*
- * An endpoint with an unreadable entry gets no new work but keeps what it has:
+ * An endpoint with an unreadable item gets no new work but keeps what it has:
  * its running calls, its step, and the memory that counts as in use. Otherwise
  * a fault of the list's writer would cost loads from the store though the
  * engine is healthy.
@@ -19,7 +19,7 @@
 	ep->unreadable_since_ms = now;
 	ep->changed = l->dirty = true;
 	if (ep->unreadable_logged_ms &&
-	    now - ep->unreadable_logged_ms < UNREAD_LOG_MS)
+	    now - ep->unreadable_logged_ms < UNREADABLE_LOG_MS)
 		return;
 	ep->unreadable_logged_ms = now;
 	log_warn("endpoint_unreadable", "addr=%s id=%s service=%s", ep->addr,
@@ -40,15 +40,16 @@
 /*
  * An endpoint that the list no longer shows is gone: the list may still show a
  * crashed endpoint for a while, but never omits one that serves. An unreadable
- * entry, however, may belong to this endpoint.
+ * item, however, may belong to this endpoint.
  */
 void fleet_ep_unlisted(struct fleet_leader *l, struct fleet_ep *ep,
 		       const struct fleet_list *all, int64_t now)
 {
 	bool alive = !ep->unreadable_since_ms || fleet_ep_reported(l, ep);
-	int64_t unread_ms = alive ? 0 : now - ep->unreadable_since_ms;
+	int64_t unreadable_ms = alive ? 0 : now - ep->unreadable_since_ms;
 
-	switch (fleet_list_presence(all, ep->self.id, ep->addr, unread_ms)) {
+	switch (fleet_list_presence(all, ep->self.id, ep->addr,
+				    unreadable_ms)) {
 	case FLEET_UNKNOWN:
 		return;
 	case FLEET_UNREADABLE:
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -231,7 +231,8 @@
 	return ss_state_restore(g->state, data);
 }
 
-/* Fails the pending proposals of a lost leadership: their outcome is open. */
+/* Fails the pending proposals of a lost leadership: they may or may not be
+ * committed later. */
 static void drop_proposals(struct group *g)
 {
 	GQueue old = g->proposals;
--- a/src/daemon/group.h
+++ b/src/daemon/group.h
@@ -39,8 +39,8 @@
  * listener is open. */
 void group_set_addr(struct group *g, const char *addr);
 
-/* Handles a message between control VMs; returns false if it is of another
- * kind. */
+/* Handles a message between control VMs; returns false for all other
+ * messages. */
 bool group_message(struct group *g, struct conn *c, struct frame *f);
 void group_conn_closed(struct group *g, struct conn *c);
 
@@ -55,7 +55,8 @@
 
 const struct ss_state *group_state(const struct group *g);
 const struct ss_raft *group_raft(const struct group *g);
-/* Whether this member leads and has applied the first entry of its own term. */
+/* Returns true if this member is the leader and has applied the first entry of
+ * its own term. */
 bool group_leads(const struct group *g);
 uint64_t group_id(const struct group *g);
 /* The leader's address; NULL if unknown. */
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -5,10 +5,10 @@
  * leader through the addresses in its settings and through members, which
  * announce themselves to it.
  *
- * Every front VM runs a relay, so that a frozen VM costs an operator one try in
- * many. Hundreds of connections with their heartbeats would cost the leader
- * more than all calls of operators, so an unused relay keeps no connection to
- * it.
+ * Every front VM runs a relay, so that with a frozen VM only one of an
+ * operator's many addresses fails. Hundreds of connections with their
+ * heartbeats would cost the leader more than all calls of operators, so an
+ * unused relay keeps no connection to it.
  */
 #include "../../platform/platform.h"
 #include "../operator/routing_http.h"
@@ -60,7 +60,7 @@
 	g_array_unref(addrs);
 }
 
-/* Sends the leader's address to all who connected before it was known. */
+/* Sends the leader's address to peers that connected before it was known. */
 static void send_leader_to_all(struct relay_role *r)
 {
 	GHashTableIter it;
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -33,11 +33,12 @@
 	uint64_t fence_sent;
 	bool registered;     /* committed, for this connection */
 	bool listed;	     /* has been on the VM list */
-	int64_t unlisted_ms; /* when it left it; SS_NEVER if listed */
+	int64_t unlisted_ms; /* when the VM list first lacked it; SS_NEVER if
+				listed */
 	uint64_t config;
 };
 
-/* One entry's interest in one model. */
+/* One entry's subscription to the routes of one model. */
 struct leader_watch {
 	struct conn *conn;
 	uint64_t waiting;
@@ -62,7 +63,7 @@
 struct leader_peer {
 	struct conn *conn;
 	bool entry;
-	uint64_t config_sent, config; /* sent, and acknowledged */
+	uint64_t config_sent, config; /* versions sent and acknowledged */
 	bool confirmed;		      /* may get the configuration */
 };
 
@@ -99,21 +100,22 @@
 void leader_tables_init(struct replica_leader *l);
 void leader_tables_clear(struct replica_leader *l);
 /*
- * Whether the leadership that proposed a change continues, given the change's
- * error. Otherwise its state may be freed and the callback must not use it.
+ * Returns true if the leadership that proposed a change continues, given the
+ * change's error. Otherwise the leader's state may be freed and the callback
+ * must not use it.
  */
 bool leader_still_valid(const GError *error);
 
 struct leader_node *leader_node_for(struct replica_leader *l, const char *name);
 struct leader_model *leader_model_for(struct replica_leader *l,
 				      const char *name);
-/* Whether calls may be sent to the node of this record. */
+/* Returns true if calls may be sent to the node of this record. */
 bool leader_node_usable(const struct replica_leader *l,
 			const struct node_rec *rec);
-/* A replica as its node reported it; NULL if it isn't in the report. */
+/* Returns a replica as its node reported it; NULL if the report lacks it. */
 const struct leader_held *leader_held_of(const struct replica_leader *l,
 					 const struct replica_rec *r);
-/* Finds the model of a name: a model's own, or "base:adapter". */
+/* Finds a model by its name or by "base:adapter". */
 const struct model_rec *leader_resolve(const struct replica_leader *l,
 				       const char *name);
 
--- a/src/daemon/replica_leader_plan.c
+++ b/src/daemon/replica_leader_plan.c
@@ -87,7 +87,7 @@
 		if (at == 0)
 			continue;
 		r.node = at - 1;
-		/* Without a report it doesn't count as idle. */
+		/* A replica without a report doesn't count as idle. */
 		if (h) {
 			r.active = h->active;
 			r.failed = h->state == HELD_FAILED;
--- a/src/daemon/routing_fetch.h
+++ b/src/daemon/routing_fetch.h
@@ -1,7 +1,6 @@
 /*
- * Fetches the routing in force for an entry or agent. It comes from a control
- * VM on a separate connection, so that no message of the leader is delayed by
- * it.
+ * Fetches the routing in force for an entry or agent, from a control VM and on
+ * a separate connection, so that the transfer delays no message of the leader.
  */
 #ifndef SS_ROUTING_FETCH_H
 #define SS_ROUTING_FETCH_H
@@ -14,8 +13,7 @@
 struct routing_fetch_options {
 	struct daemon *daemon;
 	bool services_only; /* fetch no routes: the process uses none */
-	/* A newer version is in force in the table, which is always the same
-	 * one. */
+	/* A newer version is in force; r is the same table in all calls. */
 	void (*applied)(void *arg, struct routing *r);
 	void *arg;
 };
@@ -26,7 +24,7 @@
 /* The leader has reported this version on this link. */
 void routing_fetch_want(struct routing_fetch *r, struct link *link,
 			uint64_t version);
-/* To be called at each tick of the process. */
+/* Called at each tick of the process. */
 void routing_fetch_tick(struct routing_fetch *r);
 
 #endif
--- a/src/daemon/routing_follow.h
+++ b/src/daemon/routing_follow.h
@@ -23,9 +23,9 @@
 routing_follow_new(const struct routing_follow_options *o);
 void routing_follow_free(struct routing_follow *f);
 
-/* The table; its version is 0 until a first change is in force. */
+/* Returns the table; its version is 0 until a first change is in force. */
 struct routing *routing_follow_table(const struct routing_follow *f);
-/* Add a packed change; false if it can't be applied. */
+/* Adds a packed change; returns false if it can't be applied. */
 bool routing_follow_add(struct routing_follow *f, struct ss_str packed);
 
 #endif
