--- a/src/caller/caller.c
+++ b/src/caller/caller.c
@@ -28,8 +28,8 @@
 struct caller_conn {
 	struct caller *c;
 	evhtp_connection_t *conn;
-	struct caller_req *req;	  /* the one that is being answered */
-	int64_t receive_start_ms; /* of a request that is incomplete */
+	struct caller_req *req;	  /* request in progress */
+	int64_t receive_start_ms; /* start of an incomplete request */
 	bool receiving;
 	GList link;
 };
@@ -155,7 +155,8 @@
 	cc->c = c;
 	cc->conn = conn;
 	cc->link.data = cc;
-	/* So that the sweep also closes a connection that stays silent. */
+	/* The sweep closes only connections that are receiving; a connection
+	 * that sends nothing must be among them. */
 	cc->receiving = true;
 	cc->receive_start_ms = ss_clock_now(c->o.clock);
 	g_queue_push_tail_link(&c->conns, &cc->link);
