--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -26,11 +26,12 @@
 	char *addr;
 	struct event *poll_timer, *retry_timer;
 	struct ss_clock clock;
-	struct fleet_list list; /* of the pages so far */
+	struct fleet_list list; /* items of the pages read so far */
 	char *page; /* token of the requested page; NULL: the first */
-	unsigned int pages, rate_limited; /* counts of this poll */
+	/* Pages read and requests refused in this poll. */
+	unsigned int pages, rate_limited;
 	bool enabled, in_progress, freed;
-	bool failed;	   /* the last poll; logged once */
+	bool failed;	   /* the last poll failed, which is logged once */
 	int64_t logged_ms; /* last log of unreadable entries; 0: never */
 	uint64_t *n_unreadable, *n_incomplete;
 };
