--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -64,7 +64,8 @@
 	WIRE_TYPE(struct record, record_fields);
 
 /* Syncs a file and logs a slow sync. The whole process blocks on the disk, and
- * its peers can't tell a blocked process from a frozen or crashed one. */
+ * its peers can't distinguish a blocked process from a frozen or crashed
+ * one. */
 static int timed_sync(int fd)
 {
 	struct ss_clock clock;
@@ -314,11 +315,11 @@
 }
 
 /*
- * Returns whether a record after a bad one proves that the entry at the bad
+ * Returns true if a record after a bad one proves that the entry at the bad
  * record was durable. After a power loss each write since the last sync is
  * independently present, missing or torn, so a hole may be followed by complete
  * records. These were never acknowledged and may be truncated; truncating a
- * durable entry would break a promise of this VM to the group.
+ * durable entry would revoke what this VM acknowledged to the group.
  */
 static bool was_durable(const GString *s, size_t from, uint64_t index)
 {
@@ -383,7 +384,7 @@
 	d->end = at;
 	if (st->cut_bytes && ftruncate(d->log_fd, (off_t)at))
 		return io_error(error, "cut", "log");
-	/* What was read may be in the page cache only. */
+	/* The data that was read may be in the page cache only. */
 	if (s->len && d->io.fdatasync(d->log_fd))
 		return io_error(error, "sync", "log");
 	d->synced = next_index(d, st) - 1;
