--- a/src/engine/endpoint.h
+++ b/src/engine/endpoint.h
@@ -47,13 +47,13 @@
 	void (*unload)(struct endpoint *e, const struct ledger_replica *r,
 		       uint64_t fence, void (*done)(void *arg, bool ok),
 		       void *arg);
-	/* Read the state; done gets NULL if there is no answer. */
+	/* Reads the state; done gets NULL if there is no answer. */
 	void (*read)(struct endpoint *e,
 		     void (*done)(void *arg, const struct endpoint_state *s),
 		     void *arg);
 	struct endpoint_call *(*call)(struct endpoint *e,
 				      const struct endpoint_call_options *o);
-	/* Cancel a call; piece isn't called any more. */
+	/* Cancels a call; piece isn't called any more. */
 	void (*cancel)(struct endpoint_call *c);
 };
 
--- a/src/engine/endpoint_http.h
+++ b/src/engine/endpoint_http.h
@@ -1,4 +1,4 @@
-/* What all endpoints that are reached over HTTP have in common. */
+/* Common state and functions of endpoints that are reached over HTTP. */
 #ifndef SS_ENDPOINT_HTTP_H
 #define SS_ENDPOINT_HTTP_H
 
