--- a/src/core/crash_log.h
+++ b/src/core/crash_log.h
@@ -22,7 +22,7 @@
 struct run_outcome {
 	struct fingerprint fingerprint;
 	enum run_outcome_kind kind;
-	uint64_t incarnation_no; /* of the endpoint that crashed */
+	uint64_t incarnation_hash; /* of the endpoint that crashed */
 	int64_t at_ms;
 };
 
--- a/src/core/failure_rate.c
+++ b/src/core/failure_rate.c
@@ -29,7 +29,8 @@
 	*f = (struct failure_rate){ rate, now };
 }
 
-void failing_told(struct failure_rate *f, int64_t permille, int64_t now)
+void failure_rate_received(struct failure_rate *f, int64_t permille,
+			   int64_t now)
 {
 	if (permille > 0)
 		*f = (struct failure_rate){ (double)MIN(permille,
--- a/src/core/failure_rate.h
+++ b/src/core/failure_rate.h
@@ -27,7 +27,8 @@
 double failure_rate_at(const struct failure_rate *f, int64_t now);
 /* Adopts the rate that another process reports. Ignores 0 and less: the process
  * has no rate to report. */
-void failing_told(struct failure_rate *f, int64_t permille, int64_t now);
+void failure_rate_received(struct failure_rate *f, int64_t permille,
+			   int64_t now);
 /* Returns the decayed rate in permille, as it is reported. */
 int64_t failure_rate_permille(const struct failure_rate *f, int64_t now);
 
--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -395,7 +395,7 @@
 	F(1, WIRE_UINT, run_outcome_item, fingerprint_hi),
 	F(2, WIRE_UINT, run_outcome_item, fingerprint_lo),
 	F(3, WIRE_INT, run_outcome_item, kind),
-	F(4, WIRE_UINT, run_outcome_item, incarnation_no),
+	F(4, WIRE_UINT, run_outcome_item, incarnation_hash),
 	F(5, WIRE_INT, run_outcome_item, age_ms),
 };
 static const struct wire_type run_outcome_type =
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -458,7 +458,7 @@
 struct run_outcome_item {
 	uint64_t fingerprint_hi, fingerprint_lo;
 	int64_t kind; /* enum run_outcome_kind */
-	uint64_t incarnation_no;
+	uint64_t incarnation_hash;
 	int64_t age_ms;
 };
 
--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -164,12 +164,12 @@
 	return periods[MIN(x->failed_trials, G_N_ELEMENTS(periods) - 1)];
 }
 
-static bool has_crash(const struct suspect *x, uint64_t incarnation_no)
+static bool has_crash(const struct suspect *x, uint64_t incarnation_hash)
 {
 	for (unsigned int i = 0; i < x->n_crashes; i++)
-		if (x->crashes[i] == incarnation_no)
+		if (x->crashes[i] == incarnation_hash)
 			return true;
-	return x->n_crashes && x->last_crash == incarnation_no;
+	return x->n_crashes && x->last_crash == incarnation_hash;
 }
 
 static bool are_tied(const struct suspect *x, const struct suspect *y)
@@ -227,10 +227,10 @@
 	note_change(s, x);
 }
 
-static void remove_crash(struct suspect *x, uint64_t incarnation_no)
+static void remove_crash(struct suspect *x, uint64_t incarnation_hash)
 {
 	for (unsigned int i = x->n_crashes; i-- > 0;)
-		if (x->crashes[i] == incarnation_no)
+		if (x->crashes[i] == incarnation_hash)
 			x->crashes[i] = x->crashes[--x->n_crashes];
 }
 
@@ -276,7 +276,7 @@
 
 unsigned int suspects_add_crash(struct suspects *s,
 				const struct fingerprint *fp,
-				uint64_t incarnation_no, int64_t now)
+				uint64_t incarnation_hash, int64_t now)
 {
 	struct suspect *x = find_or_add(s, fp);
 
@@ -284,12 +284,12 @@
 		x->cleared = false;
 		x->n_crashes = 0;
 	}
-	if (has_crash(x, incarnation_no))
+	if (has_crash(x, incarnation_hash))
 		return x->n_crashes;
-	x->last_crash = incarnation_no;
+	x->last_crash = incarnation_hash;
 	x->last_ms = now;
 	if (x->n_crashes < SUSPECT_CRASH_THRESHOLD)
-		x->crashes[x->n_crashes++] = incarnation_no;
+		x->crashes[x->n_crashes++] = incarnation_hash;
 	if (x->quarantined)
 		extend(s, x, now);
 	else if (x->n_crashes == SUSPECT_CRASH_THRESHOLD)
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -55,7 +55,7 @@
  */
 unsigned int suspects_add_crash(struct suspects *s,
 				const struct fingerprint *fp,
-				uint64_t incarnation_no, int64_t now);
+				uint64_t incarnation_hash, int64_t now);
 /* Clears a request that was answered completely. Returns false if it wasn't
  * suspected. */
 bool suspects_answered(struct suspects *s, const struct fingerprint *fp,
--- a/src/daemon/fleet_leader.c
+++ b/src/daemon/fleet_leader.c
@@ -83,7 +83,7 @@
 		fleet_apply_entry_report(l, c, &f->u.demand);
 		break;
 	case MSG_RUN_OUTCOMES:
-		fleet_suspects_apply(l, &f->u.ends);
+		fleet_suspects_apply(l, &f->u.run_outcomes);
 		break;
 	case MSG_TRIAL:
 		fleet_suspects_request(l, c, &f->u.trial);
@@ -92,7 +92,7 @@
 		fleet_streams_apply(l, &f->u.streams);
 		break;
 	case MSG_STREAM_REQUEST:
-		fleet_streams_request(l, c, &f->u.stream_ask);
+		fleet_streams_request(l, c, &f->u.stream_request);
 		break;
 	case MSG_QUOTA_REQUEST:
 		fleet_quota_request(l, c, &f->u.quota_request);
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -54,7 +54,7 @@
 	char text[FINGERPRINT_TEXT_SIZE];
 	unsigned int n;
 
-	n = suspects_add_crash(l->suspects, &fp, x->incarnation_no, now);
+	n = suspects_add_crash(l->suspects, &fp, x->incarnation_hash, now);
 	/* A single crash isn't logged: every request that ran on the endpoint
 	 * is reported for it. */
 	if (n > 1)
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -57,13 +57,13 @@
 		struct msg_term term;
 		struct msg_fetch fetch;
 		struct msg_remote remote;
-		struct msg_run_outcomes ends;
+		struct msg_run_outcomes run_outcomes;
 		struct msg_quarantine quarantine;
 		struct msg_trial trial;
 		struct msg_quota_request quota_request;
 		struct msg_quota_reply quota_reply;
 		struct msg_streams streams;
-		struct msg_stream_request stream_ask;
+		struct msg_stream_request stream_request;
 		struct msg_stream_reply stream_reply;
 	} u;
 };
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -225,7 +225,7 @@
 {
 	if (!ep->failed &&
 	    !(ep->answered &&
-	      failure_rate_permille(&ep->reported_failing, gate_now(g)))) {
+	      failure_rate_permille(&ep->reported_failure_rate, gate_now(g)))) {
 		ep->answered = MIN(ep->answered, ANSWERED_KEPT);
 		return false;
 	}
@@ -433,7 +433,7 @@
 	g->counts_by_customer =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->quota_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-						quota_queue_free);
+						quota_queues_free);
 	g->streams = stream_log_new(STREAMS_MAX);
 	g->refused_slots = return_slots_new();
 	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -79,8 +79,8 @@
 	n->sent_since = fresh ? ep->sent_since : 0;
 	n->own_calls = ep->own_calls;
 	n->unreported = fresh ? unreported_calls(g, f, ep, now) : 0;
-	n->failure_rate =
-		MAX(ep->failing, failure_rate_at(&ep->reported_failing, now));
+	n->failure_rate = MAX(ep->failure_rate,
+			      failure_rate_at(&ep->reported_failure_rate, now));
 	n->affinity = affinity_of(f, ep);
 }
 
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -102,13 +102,14 @@
 	ep->slowness = ep->own_slowness = 0;
 	ep->slowness_observed = (struct slowness_observed){ 0 };
 	ep->slowness_received = (struct slowness_received){ 0 };
-	ep->failing = 0;
+	ep->failure_rate = 0;
 	memset(&ep->breaker, 0, sizeof(ep->breaker));
 	ep->unreachable_until_ms = 0;
 	gate_signals_reset(g, ep);
 	gate_starts_reset(ep);
 	memset(&ep->timing, 0, sizeof(ep->timing));
-	memset(&ep->reported_failing, 0, sizeof(ep->reported_failing));
+	memset(&ep->reported_failure_rate, 0,
+	       sizeof(ep->reported_failure_rate));
 	ep->answered = ep->failed = 0;
 	ep->own_calls = ep->reported_calls = ep->sent_since = ep->reported_ms =
 		0;
@@ -179,13 +180,13 @@
 static void take_failing(struct gate *g, struct gate_ep *ep, int64_t of_whole)
 {
 	int64_t now = gate_now(g);
-	int64_t before = failure_rate_permille(&ep->reported_failing, now);
+	int64_t before = failure_rate_permille(&ep->reported_failure_rate, now);
 
-	failing_told(&ep->reported_failing, of_whole, now);
+	failure_rate_received(&ep->reported_failure_rate, of_whole, now);
 	if (of_whole >= before + FAILING_LOG_STEP)
 		log_info("endpoint_fails",
 			 "addr=%s id=%s failing=%" PRId64 " own=%.2f", ep->addr,
-			 ep->self.id, of_whole, ep->failing);
+			 ep->self.id, of_whole, ep->failure_rate);
 }
 
 static void take_endpoint(struct gate *g, const struct fleet_endpoint *e)
@@ -466,12 +467,12 @@
 {
 	bool open = ss_breaker_allows(&ep->breaker, gate_now(g));
 
-	balance_record_result(&ep->failing, failed);
+	balance_record_result(&ep->failure_rate, failed);
 	ss_breaker_result(&ep->breaker, !failed, gate_now(g));
 	if (open && !ss_breaker_allows(&ep->breaker, gate_now(g)))
 		log_warn("endpoint_rests",
 			 "addr=%s id=%s failures=%u failing=%.2f", ep->addr,
-			 ep->self.id, ep->breaker.failures, ep->failing);
+			 ep->self.id, ep->breaker.failures, ep->failure_rate);
 }
 
 void gate_ep_update_load(struct gate *g, struct gate_ep *ep,
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -66,10 +66,10 @@
 	int64_t own_calls; /* open calls of this gate, all models */
 	int64_t reported_calls, sent_since; /* as in struct balance_node */
 	int64_t reported_ms;
-	double failing; /* failure share seen by this gate */
+	double failure_rate; /* failure share seen by this gate */
 	struct failure_rate
-		reported_failing;  /* failure share seen by all entries */
-	uint64_t answered, failed; /* since the last report */
+		reported_failure_rate; /* failure share seen by all entries */
+	uint64_t answered, failed;     /* since the last report */
 	struct ss_breaker breaker;
 	int64_t unreachable_until_ms; /* no connects before, as one failed */
 	struct gate_signals signals;
@@ -437,7 +437,7 @@
 
 /* gate_quota.c: customers' limits */
 /* Frees a customer's queue of requests that wait for grants. */
-void quota_queue_free(void *queues);
+void quota_queues_free(void *queues);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
 /* Whether the request's customer has a limit. */
 bool quota_limits(const struct forward *f);
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -24,7 +24,7 @@
 	GQueue classes[QUOTA_CLASSES]; /* struct forward, by objective */
 };
 
-void quota_queue_free(void *queues)
+void quota_queues_free(void *queues)
 {
 	struct quota_queues *l = queues;
 
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -244,7 +244,7 @@
 	for (size_t i = 0; i < n; i++) {
 		struct run_outcome_item x = { e[i].fingerprint.hi,
 					      e[i].fingerprint.lo, e[i].kind,
-					      e[i].incarnation_no,
+					      e[i].incarnation_hash,
 					      gate_now(g) - e[i].at_ms };
 
 		g_array_append_val(r->crashes, x);
--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -184,7 +184,7 @@
 	void receive(const run_outcome &x)
 	{
 		if (x.kind == OUTCOME_CRASHED)
-			suspects_add_crash(leader, &x.fingerprint, x.incarnation_no, now);
+			suspects_add_crash(leader, &x.fingerprint, x.incarnation_hash, now);
 		else if (x.kind == OUTCOME_ANSWERED)
 			suspects_answered(leader, &x.fingerprint, now);
 		else
--- a/test/test_failure_rate.c
+++ b/test/test_failure_rate.c
@@ -55,15 +55,15 @@
 	struct failure_rate f = { 0 };
 
 	(void)state;
-	failing_told(&f, 400, 1000);
+	failure_rate_received(&f, 400, 1000);
 	assert_int_equal(failure_rate_permille(&f, 1000), 400);
-	failing_told(&f, 0, 1000);
+	failure_rate_received(&f, 0, 1000);
 	assert_int_equal(failure_rate_permille(&f, 1000), 400);
-	failing_told(&f, 100, 1000);
+	failure_rate_received(&f, 100, 1000);
 	assert_int_equal(failure_rate_permille(&f, 1000), 100);
-	failing_told(&f, INT64_MAX, 1000);
+	failure_rate_received(&f, INT64_MAX, 1000);
 	assert_int_equal(failure_rate_permille(&f, 1000), FAILURE_RATE_SCALE);
-	failing_told(&f, -5, 1000);
+	failure_rate_received(&f, -5, 1000);
 	assert_int_equal(failure_rate_permille(&f, 1000), FAILURE_RATE_SCALE);
 }
 
