--- a/include/sapphireshift/raft.h
+++ b/include/sapphireshift/raft.h
@@ -123,14 +123,14 @@
 	void (*apply)(void *arg, const struct ss_raft_entry *e);
 	/* Replaces the state by a snapshot; false if it is corrupt. */
 	bool (*restore)(void *arg, struct ss_str data);
-	/* The role, the term or the leader (0: unknown) changed. */
+	/* Called when the role, the term or the leader has changed. */
 	void (*changed)(void *arg);
 	/*
 	 * Completes ss_raft_read(). ok: a majority has answered since the
 	 * call, so the state holds everything committed before it.
 	 */
 	void (*read_done)(void *arg, uint64_t ctx, bool ok);
-	/* Storage is no longer reliable: the process must stop. */
+	/* Called when storage is no longer reliable: the process must stop. */
 	void (*failed)(void *arg, const GError *error);
 };
 
@@ -138,8 +138,10 @@
 	uint64_t self;
 	const struct ss_raft_ops *ops;
 	void *arg;
-	int64_t election_ms;  /* minimum election timeout; 0: 600 */
-	int64_t first_ms;     /* the first one after start; 0: election_ms */
+	int64_t election_ms; /* minimum election timeout; 0: 600 */
+	/* Minimum of the first election timeout after a start, when no leader
+	 * has been known; 0: election_ms. */
+	int64_t first_ms;
 	int64_t heartbeat_ms; /* 0: 100 */
 	size_t batch_bytes;   /* limit of one APPEND; 0: 256 KiB */
 	uint64_t seed;	      /* of the election timeouts' random part */
@@ -165,7 +167,7 @@
 void ss_raft_flush(struct ss_raft *r, int64_t now);
 
 /*
- * Appends to the log; only for the leader. The entry is committed once apply
+ * Appends to the log, on the leader only. The entry is committed once apply
  * gets it at the returned index. If apply gets an entry of another term at
  * that index, this one was lost.
  * Errors: SS_ERROR_NOT_LEADER, SS_ERROR_DISK_FULL, SS_ERROR_IO.
@@ -180,11 +182,15 @@
 bool ss_raft_read(struct ss_raft *r, int64_t now, uint64_t ctx, GError **error);
 
 /*
- * Add a learner, promote one, or remove a member. Fail with
- * SS_ERROR_CONFLICT while an earlier change isn't committed.
+ * Adds a member or, as to promote a learner, replaces the one with its id.
+ * Fails with SS_ERROR_NOT_LEADER, with the errors of storage, and with
+ * SS_ERROR_CONFLICT while an earlier change of members, or the leader's first
+ * entry, isn't committed.
  */
 bool ss_raft_set_member(struct ss_raft *r, const struct ss_raft_member *m,
 			GError **error);
+/* Removes a member. Fails as above, and with SS_ERROR_NOT_FOUND for an unknown
+ * member and for the last voter. */
 bool ss_raft_remove_member(struct ss_raft *r, uint64_t id, GError **error);
 
 /* Replaces the log up to the applied index by a snapshot of the state. */
@@ -198,15 +204,18 @@
 
 enum ss_raft_role ss_raft_role(const struct ss_raft *r);
 uint64_t ss_raft_term(const struct ss_raft *r);
+/* Returns the id of the leader; 0: unknown. */
 uint64_t ss_raft_leader(const struct ss_raft *r);
 uint64_t ss_raft_last(const struct ss_raft *r);
 uint64_t ss_raft_commit(const struct ss_raft *r);
 uint64_t ss_raft_applied(const struct ss_raft *r);
+/* Returns the index of the first entry after the snapshot. */
 uint64_t ss_raft_first(const struct ss_raft *r);
 const struct ss_raft_members *ss_raft_members(const struct ss_raft *r);
 const struct ss_raft_member *ss_raft_member(const struct ss_raft *r,
 					    uint64_t id);
-/* On the leader: ms since the member's last reply; 0 for itself. */
+/* On the leader: ms since the member's last reply. 0 for itself, and on other
+ * members. */
 int64_t ss_raft_quiet_ms(const struct ss_raft *r, uint64_t id);
 /* On the leader: the highest index known to be durable on the member. */
 uint64_t ss_raft_match(const struct ss_raft *r, uint64_t id);
--- a/src/core/raft.c
+++ b/src/core/raft.c
@@ -20,7 +20,8 @@
 	return p->id == r->o.self || r->now - p->contact_ms < r->o.election_ms;
 }
 
-/* Applies Raft's term rules; false if the message must not be handled. */
+/* Applies Raft's term rules; returns false if the message must not be handled.
+ */
 static bool check_term(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	bool from_leader = m->kind == SS_RAFT_APPEND ||
@@ -104,7 +105,7 @@
 		raft_become_follower(r, r->term, 0);
 		return;
 	}
-	if (r->now - r->heartbeat_ms >= r->o.heartbeat_ms) {
+	if (r->now - r->last_heartbeat_ms >= r->o.heartbeat_ms) {
 		r->round++;
 		raft_broadcast(r);
 	}
--- a/src/core/raft_append.c
+++ b/src/core/raft_append.c
@@ -28,7 +28,7 @@
 	}
 }
 
-/* Sends the next chunk to a member that needs entries already compacted. */
+/* Sends the next snapshot chunk to a member that needs compacted entries. */
 static void send_snapshot(struct ss_raft *r, struct peer *p)
 {
 	const struct ss_raft_snapshot *s = &r->log.snapshot;
@@ -84,7 +84,7 @@
 	for (guint i = 0; i < r->peers->len; i++)
 		if (raft_peer_at(r, i)->id != r->o.self)
 			raft_send_append(r, raft_peer_at(r, i));
-	r->heartbeat_ms = r->now;
+	r->last_heartbeat_ms = r->now;
 }
 
 bool raft_append_local(struct ss_raft *r, int64_t kind, struct ss_str data,
@@ -127,14 +127,14 @@
 }
 
 /*
- * Appends the missing entries and removes conflicting ones. False if the
- * message must not be acknowledged.
+ * Appends the missing entries and removes conflicting ones. Returns false if
+ * the message must not be acknowledged.
  */
 static bool append_entries(struct ss_raft *r, const struct ss_raft_msg *m)
 {
 	GError *error = NULL;
 	size_t skip = 0;
-	bool members = false;
+	bool members_changed = false;
 
 	while (skip < m->n_entries &&
 	       (m->entries[skip].index <= r->log.snapshot.index ||
@@ -160,21 +160,21 @@
 		}
 		raft_log_truncate(&r->log, m->entries[skip].index);
 		r->durable = MIN(r->durable, raft_log_last(&r->log));
-		members = true;
+		members_changed = true;
 	}
 	if (!r->o.ops->append(r->o.arg, m->entries + skip, m->n_entries - skip,
 			      &error)) {
 		g_clear_error(&error);
-		if (members)
+		if (members_changed)
 			raft_reload_members(r);
 		return false;
 	}
 	r->dirty = true;
 	for (size_t i = skip; i < m->n_entries; i++) {
 		raft_log_append(&r->log, &m->entries[i]);
-		members |= m->entries[i].kind == SS_RAFT_MEMBERS;
+		members_changed |= m->entries[i].kind == SS_RAFT_MEMBERS;
 	}
-	if (members)
+	if (members_changed)
 		raft_reload_members(r);
 	return true;
 }
--- a/src/core/raft_base.c
+++ b/src/core/raft_base.c
@@ -1,6 +1,9 @@
 /* Raft: members, term and role, the base of the other raft_*.c files. */
 #include "raft_int.h"
 
+/* Limit of voters that a majority is computed from. */
+#define VOTERS_MAX 64
+
 struct peer *raft_peer_at(struct ss_raft *r, guint i)
 {
 	return &g_array_index(r->peers, struct peer, i);
@@ -122,7 +125,7 @@
 			     uint64_t (*value)(struct ss_raft *r,
 					       const struct peer *p))
 {
-	uint64_t v[64];
+	uint64_t v[VOTERS_MAX];
 	size_t n = 0;
 
 	for (guint i = 0; i < r->peers->len && n < G_N_ELEMENTS(v); i++) {
--- a/src/core/raft_int.h
+++ b/src/core/raft_int.h
@@ -38,10 +38,10 @@
 	int64_t now;
 	int64_t leader_contact_ms; /* time of the leader's last message */
 	int64_t deadline_ms;	   /* time of the next campaign */
-	int64_t heartbeat_ms;	   /* time of the last heartbeat */
+	int64_t last_heartbeat_ms; /* time of the last heartbeat */
 	uint64_t round;		   /* current heartbeat round */
 	GArray *reads;		   /* struct pending_read, oldest first */
-	bool reads_new;		   /* a read needs a new round */
+	bool reads_new;		   /* the next flush starts a round for reads */
 	bool dirty;		   /* entries appended since the last sync */
 	bool ack;		   /* the next flush acknowledges an APPEND */
 	uint64_t ack_to, ack_index, ack_round;
@@ -62,14 +62,16 @@
 bool raft_is_voter(struct ss_raft *r);
 /* Stops all work after a storage failure. Takes ownership of the error. */
 void raft_fail(struct ss_raft *r, GError *error);
-/* Updates peers to the members in force; keeps the state of known peers. */
+/* Reads the members from the log and updates peers; keeps the state of known
+ * peers. */
 void raft_reload_members(struct ss_raft *r);
-/* Stores term and vote durably; false if that fails. */
+/* Stores term and vote durably; returns false if that fails. */
 bool raft_save_vote(struct ss_raft *r, uint64_t term, uint64_t vote);
 /* Schedules the next campaign after a random min_ms to 2 * min_ms. */
 void raft_set_deadline(struct ss_raft *r, int64_t min_ms);
 void raft_reset_deadline(struct ss_raft *r);
-/* False if the term can't be stored; the message must be ignored then. */
+/* Returns false if the term can't be stored; the message must be ignored then.
+ */
 bool raft_become_follower(struct ss_raft *r, uint64_t term, uint64_t leader);
 void raft_send(struct ss_raft *r, struct ss_raft_msg *m, uint64_t to);
 /* Returns the largest value that a majority of the voters has reached. */
@@ -84,19 +86,21 @@
  * working leader.
  */
 void raft_campaign(struct ss_raft *r, bool pre);
-/* True if the leader was active within the minimum election timeout. */
+/* Returns whether this member leads, or has had a message from the leader
+ * within the minimum election timeout. */
 bool raft_has_live_leader(const struct ss_raft *r);
 void raft_handle_vote(struct ss_raft *r, const struct ss_raft_msg *m);
 void raft_handle_vote_reply(struct ss_raft *r, const struct ss_raft_msg *m);
 void raft_handle_timeout_now(struct ss_raft *r);
 
 /* raft_append.c */
-/* Sends the next batch to a member, or a heartbeat if there is none. */
+/* Sends the next batch to a member, an empty one as a heartbeat; or a chunk of
+ * the snapshot if the member needs compacted entries. */
 void raft_send_append(struct ss_raft *r, struct peer *p);
 void raft_broadcast(struct ss_raft *r);
 bool raft_append_local(struct ss_raft *r, int64_t kind, struct ss_str data,
 		       uint64_t *index, GError **error);
-/* Makes the next flush acknowledge up to index, once that is synced. */
+/* Makes the next flush acknowledge m up to index, after the sync. */
 void raft_ack_later(struct ss_raft *r, const struct ss_raft_msg *m,
 		    uint64_t index);
 /* Follows the sender of m as leader and restarts the election timeout. */
--- a/src/core/raft_log.h
+++ b/src/core/raft_log.h
@@ -13,9 +13,9 @@
 void raft_log_clear(struct raft_log *l);
 
 uint64_t raft_log_last(const struct raft_log *l);
-/* Term of an entry; 0 if it is compacted or not yet in the log. */
+/* Returns the term of an entry; 0 if it is compacted or not yet in the log. */
 uint64_t raft_log_term(const struct raft_log *l, uint64_t index);
-/* NULL if the entry is compacted or not yet in the log. */
+/* Returns an entry; NULL if it is compacted or not yet in the log. */
 const struct ss_raft_entry *raft_log_get(const struct raft_log *l,
 					 uint64_t index);
 void raft_log_append(struct raft_log *l, const struct ss_raft_entry *e);
--- a/src/core/raft_snapshot.c
+++ b/src/core/raft_snapshot.c
@@ -1,4 +1,4 @@
-/* Raft: installing snapshots, their replies, and compaction. */
+/* Raft: installation of snapshots, replies to them, and compaction. */
 #include "raft_int.h"
 
 static void install_snapshot(struct ss_raft *r, const struct ss_raft_msg *m)
