--- a/include/sapphireshift/keep.h
+++ b/include/sapphireshift/keep.h
@@ -23,12 +23,12 @@
 struct ss_arrivals {
 	int64_t last_ms;	  /* wall time of the last arrival; 0: none */
 	float gaps[SS_KEEP_GAPS]; /* histogram of gaps, decayed */
-	float total;		  /* sum of gaps */
+	float total;		  /* sum of the counts in gaps */
 	/* Smoothed share of the days on which a slot had an arrival. */
 	float slots[2][SS_KEEP_SLOTS];
 	/* Smoothed time from a slot's start to its first arrival, in ms. */
 	float offsets[2][SS_KEEP_SLOTS];
-	uint16_t days[2];  /* days counted, by kind */
+	uint16_t days[2];  /* days counted; 0: workdays, 1: weekends */
 	int32_t slot_day;  /* day and slot of the last counted arrival */
 	int32_t first_day; /* day of the first arrival */
 };
@@ -37,7 +37,7 @@
 struct ss_keep_costs {
 	double cold_weight; /* of cold starts against idle memory, 0 to 1 */
 	int64_t load_ms;    /* duration of a cold start */
-	double share;	    /* of an accelerator's memory, used by the model */
+	double share;	    /* of an accelerator's memory that the model uses */
 	int64_t min_ms, max_ms; /* bounds of ss_keep_ms() */
 };
 
--- a/include/sapphireshift/limit.h
+++ b/include/sapphireshift/limit.h
@@ -15,12 +15,12 @@
  * they add.
  */
 struct ss_budget {
-	int64_t percent; /* retries allowed per 100 fresh calls */
-	int64_t centi;	 /* balance, in hundredths of a retry */
-	int64_t most;	 /* maximum balance, in retries */
+	int64_t percent;       /* retries allowed per 100 fresh calls */
+	int64_t balance_centi; /* balance, in hundredths of a retry */
+	int64_t max_retries;   /* maximum balance, in retries */
 };
 
-void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t most);
+void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t max_retries);
 /* Adds the share of one fresh call to the balance. */
 void ss_budget_fresh(struct ss_budget *b);
 /* Takes one retry from the balance; false if there is none left. */
@@ -33,8 +33,8 @@
 struct ss_breaker {
 	unsigned int failures; /* consecutive */
 	int64_t until_ms;      /* the breaker is open until then */
-	int64_t pause_ms;
-	bool trial; /* the probe is in flight */
+	int64_t pause_ms;      /* last pause; 0: not open since a success */
+	bool probing;	       /* the probe is in flight */
 };
 
 /* Consecutive failures that open a breaker. A single failure may be an
@@ -48,6 +48,7 @@
 #define SS_BREAKER_PAUSE_MS 500
 #define SS_BREAKER_PAUSE_MAX_MS 15000
 
+/* Returns whether a call may be sent to the endpoint. */
 bool ss_breaker_allows(const struct ss_breaker *b, int64_t now);
 /* Records that a call was sent; while the breaker is half open, that call is
  * the probe. */
--- a/src/core/keep.c
+++ b/src/core/keep.c
@@ -7,8 +7,8 @@
 #define GAP_MIN_MS 1000.0
 #define GAP_STEPS 4 /* buckets per doubling */
 /*
- * Decay of old gaps at each arrival, so that a changed pattern of use shows
- * within some days.
+ * Factor on the counts of old gaps at each arrival, so that a changed pattern
+ * of use shows within some days.
  */
 #define GAP_DECAY 0.98f
 /* Weight of the gaps of all models, in arrivals. */
@@ -21,7 +21,8 @@
 #define EPOCH_WEEKDAY 3
 #define WORKDAYS 5	/* Monday to Friday */
 #define SLOT_ALPHA 0.3f /* weight of the newest day */
-/* Time between the end of a preload and the expected arrival. */
+/* A preload may start once it would end at most twice this time before the
+ * expected arrival. */
 #define PRELOAD_MARGIN_MS 60000
 /* Time after the earliest start of a preload in which it may still start. */
 #define PRELOAD_WINDOW_MS (4 * PRELOAD_MARGIN_MS)
@@ -116,7 +117,7 @@
 		   const struct ss_keep_costs *c)
 {
 	double p[SS_KEEP_GAPS];
-	double sum = 0, beyond, held = 0, best_cost;
+	double sum = 0, beyond, occupied = 0, best_cost;
 	double idle_rate = (1 - c->cold_weight) * c->share;
 	double cold = c->cold_weight * COLD_START_COST * (double)c->load_ms;
 	double best = 0, from = 0, top = GAP_MIN_MS;
@@ -142,9 +143,9 @@
 		double here = p[i] / sum;
 		double cost;
 
-		held += here * (from + top) / 2;
+		occupied += here * (from + top) / 2;
 		beyond -= here;
-		cost = idle_rate * (held + beyond * top) + cold * beyond;
+		cost = idle_rate * (occupied + beyond * top) + cold * beyond;
 		if (cost < best_cost) {
 			best_cost = cost;
 			best = top;
@@ -159,7 +160,7 @@
 bool ss_wake_ahead(const struct ss_arrivals *a, struct ss_wall now,
 		   const struct ss_keep_costs *c)
 {
-	/* A change of the UTC offset before then counts once it is made. */
+	/* Uses the current UTC offset; a later call sees a change of it. */
 	struct ss_wall at = { now.ms + c->load_ms + PRELOAD_MARGIN_MS,
 			      now.utc_offset_ms };
 	struct slot s = slot_at(at);
--- a/src/core/limit.c
+++ b/src/core/limit.c
@@ -5,23 +5,24 @@
  * are integers. */
 #define RETRY_CENTI 100
 
-void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t most)
+void ss_budget_init(struct ss_budget *b, int64_t percent, int64_t max_retries)
 {
 	b->percent = percent;
-	b->most = most;
-	b->centi = most * RETRY_CENTI;
+	b->max_retries = max_retries;
+	b->balance_centi = max_retries * RETRY_CENTI;
 }
 
 void ss_budget_fresh(struct ss_budget *b)
 {
-	b->centi = MIN(b->centi + b->percent, b->most * RETRY_CENTI);
+	b->balance_centi = MIN(b->balance_centi + b->percent,
+			       b->max_retries * RETRY_CENTI);
 }
 
 bool ss_budget_retry(struct ss_budget *b)
 {
-	if (b->centi < RETRY_CENTI)
+	if (b->balance_centi < RETRY_CENTI)
 		return false;
-	b->centi -= RETRY_CENTI;
+	b->balance_centi -= RETRY_CENTI;
 	return true;
 }
 
@@ -29,18 +30,18 @@
 {
 	if (b->failures < SS_BREAKER_FAILURES)
 		return true;
-	return now >= b->until_ms && !b->trial;
+	return now >= b->until_ms && !b->probing;
 }
 
 void ss_breaker_sent(struct ss_breaker *b)
 {
 	if (b->failures >= SS_BREAKER_FAILURES)
-		b->trial = true;
+		b->probing = true;
 }
 
 void ss_breaker_result(struct ss_breaker *b, bool ok, int64_t now)
 {
-	b->trial = false;
+	b->probing = false;
 	if (ok) {
 		b->failures = 0;
 		b->pause_ms = 0;
