--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -1,6 +1,9 @@
 /* An agent's ledger of replicas and accelerator memory. */
 #include "ledger.h"
 
+/* Limit of doublings of LEDGER_RETRY_MS. */
+#define RETRY_DOUBLINGS_MAX 8
+
 struct ledger {
 	struct ledger_options o;
 	uint64_t bytes;
@@ -45,20 +48,21 @@
 	l->bytes = bytes;
 }
 
-static struct ledger_replica *at(const struct ledger *l, guint i)
+static struct ledger_replica *replica_at(const struct ledger *l, guint i)
 {
 	return l->replicas->pdata[i];
 }
 
-static struct ledger_replica *find(const struct ledger *l, struct ss_str model)
+static struct ledger_replica *find_replica(const struct ledger *l,
+					   struct ss_str model)
 {
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (ss_str_eq(ss_str(at(l, i)->model), model))
-			return at(l, i);
+		if (ss_str_eq(ss_str(replica_at(l, i)->model), model))
+			return replica_at(l, i);
 	return NULL;
 }
 
-static struct ledger_replica *add(struct ledger *l, struct ss_str model)
+static struct ledger_replica *add_replica(struct ledger *l, struct ss_str model)
 {
 	struct ledger_replica *r = g_new0(struct ledger_replica, 1);
 
@@ -73,8 +77,8 @@
 	uint64_t sum = 0;
 
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (at(l, i)->state != LEDGER_UNLOADED)
-			sum += at(l, i)->bytes;
+		if (replica_at(l, i)->state != LEDGER_UNLOADED)
+			sum += replica_at(l, i)->bytes;
 	return sum;
 }
 
@@ -84,15 +88,15 @@
 
 	if (!*r->base)
 		return true;
-	base = find(l, ss_str(r->base));
+	base = find_replica(l, ss_str(r->base));
 	return base && base->state == LEDGER_READY && !base->unload;
 }
 
 static bool has_adapters(const struct ledger *l, const struct ledger_replica *r)
 {
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (!strcmp(at(l, i)->base, r->model) &&
-		    at(l, i)->state != LEDGER_UNLOADED)
+		if (!strcmp(replica_at(l, i)->base, r->model) &&
+		    replica_at(l, i)->state != LEDGER_UNLOADED)
 			return true;
 	return false;
 }
@@ -108,7 +112,7 @@
 	if (now - l->leader_ms > LEDGER_LEASE_MS)
 		return false;
 	return l->read_done && !r->unload && r->assigned && !r->order_pending &&
-	       r->state == LEDGER_UNLOADED && now >= r->retry_ms &&
+	       r->state == LEDGER_UNLOADED && now >= r->next_retry_ms &&
 	       r->failures < LEDGER_FAILURES_MAX && base_ready(l, r) &&
 	       ledger_bytes(l) + r->bytes <= l->bytes;
 }
@@ -123,7 +127,7 @@
 void ledger_tick(struct ledger *l, int64_t now)
 {
 	for (guint i = 0; i < l->replicas->len; i++) {
-		struct ledger_replica *r = at(l, i);
+		struct ledger_replica *r = replica_at(l, i);
 
 		if (may_unload(l, r)) {
 			r->state = LEDGER_UNLOADING;
@@ -147,7 +151,7 @@
 static void remove_unused(struct ledger *l)
 {
 	for (guint i = l->replicas->len; i-- > 0;) {
-		struct ledger_replica *r = at(l, i);
+		struct ledger_replica *r = replica_at(l, i);
 
 		if (!r->assigned && r->state == LEDGER_UNLOADED &&
 		    !r->order_pending && r->active == 0)
@@ -157,10 +161,10 @@
 
 static void apply_order(struct ledger *l, const struct order *o)
 {
-	struct ledger_replica *r = find(l, o->model);
+	struct ledger_replica *r = find_replica(l, o->model);
 
 	if (!r)
-		r = add(l, o->model);
+		r = add_replica(l, o->model);
 	if (r->id != o->replica)
 		r->failures = 0;
 	r->id = o->replica;
@@ -194,8 +198,8 @@
 	if (l->o.service)
 		return true;
 	for (guint i = 0; i < l->replicas->len; i++) {
-		at(l, i)->assigned = false;
-		at(l, i)->unload = true;
+		replica_at(l, i)->assigned = false;
+		replica_at(l, i)->unload = true;
 	}
 	for (size_t i = 0; i < a->orders.n; i++)
 		apply_order(l, &o[i]);
@@ -212,7 +216,8 @@
 static void load_failed(struct ledger *l, struct ledger_replica *r, int64_t now)
 {
 	r->state = LEDGER_UNLOADED;
-	r->retry_ms = now + (LEDGER_RETRY_MS << MIN(r->failures, 8));
+	r->next_retry_ms = now + (LEDGER_RETRY_MS
+				  << MIN(r->failures, RETRY_DOUBLINGS_MAX));
 	r->failures++;
 	l->o.ops->changed(l->o.arg);
 }
@@ -225,13 +230,13 @@
 		[HELD_READY] = LEDGER_READY,
 		[HELD_UNLOADING] = LEDGER_UNLOADING,
 	};
-	struct ledger_replica *r = find(l, h->model);
+	struct ledger_replica *r = find_replica(l, h->model);
 	enum ledger_state before;
 
 	if (h->state < HELD_LOADING || h->state > HELD_UNLOADING)
 		return;
 	if (!r) {
-		r = add(l, h->model);
+		r = add_replica(l, h->model);
 		/* Not assigned: unloaded if an assignment has arrived. */
 		r->unload = l->fence > 0;
 	}
@@ -242,7 +247,7 @@
 		return;
 	if (r->state == LEDGER_READY) {
 		r->failures = 0;
-		r->idle_ms = now;
+		r->idle_since_ms = now;
 		if (before == LEDGER_LOADING)
 			r->load_ms = now - r->load_start_ms;
 	}
@@ -264,13 +269,13 @@
 	if (l->o.service)
 		return;
 	for (size_t i = 0; i < n; i++) {
-		struct ledger_replica *r = find(l, held[i].model);
+		struct ledger_replica *r = find_replica(l, held[i].model);
 
 		if (!r || (!r->order_pending && read > r->order_seq))
 			apply_held(l, &held[i], now);
 	}
 	for (guint i = 0; i < l->replicas->len; i++) {
-		struct ledger_replica *r = at(l, i);
+		struct ledger_replica *r = replica_at(l, i);
 
 		if (r->order_pending || read <= r->order_seq ||
 		    r->state == LEDGER_UNLOADED || is_listed(held, n, r->model))
@@ -288,7 +293,7 @@
 
 void ledger_answered(struct ledger *l, const char *model, bool ok, int64_t now)
 {
-	struct ledger_replica *r = find(l, ss_str(model));
+	struct ledger_replica *r = find_replica(l, ss_str(model));
 
 	if (!r || !r->order_pending)
 		return;
@@ -314,9 +319,9 @@
 			    "the endpoint is leaving");
 		return NULL;
 	}
-	r = find(l, model);
+	r = find_replica(l, model);
 	if (l->o.service && !r) {
-		r = add(l, model);
+		r = add_replica(l, model);
 		r->assigned = true;
 		r->slots = MAX(l->o.slots, 1);
 		r->state = LEDGER_READY;
@@ -341,7 +346,7 @@
 {
 	r->active--;
 	l->active--;
-	r->idle_ms = now;
+	r->idle_since_ms = now;
 	if (r->unload && r->active == 0)
 		ledger_tick(l, now);
 }
@@ -369,9 +374,9 @@
 bool ledger_busy(const struct ledger *l)
 {
 	for (guint i = 0; i < l->replicas->len; i++)
-		if (at(l, i)->order_pending ||
-		    at(l, i)->state == LEDGER_LOADING ||
-		    at(l, i)->state == LEDGER_UNLOADING)
+		if (replica_at(l, i)->order_pending ||
+		    replica_at(l, i)->state == LEDGER_LOADING ||
+		    replica_at(l, i)->state == LEDGER_UNLOADING)
 			return true;
 	return !l->read_done;
 }
@@ -399,7 +404,7 @@
 
 	/* Before the first read it isn't known what the endpoint holds. */
 	for (guint i = 0; l->read_done && i < l->replicas->len; i++) {
-		const struct ledger_replica *r = at(l, i);
+		const struct ledger_replica *r = replica_at(l, i);
 		struct held h = { .replica = r->id,
 				  .model = ss_str(r->model),
 				  .bytes = r->bytes,
@@ -408,7 +413,7 @@
 				  .active = r->active,
 				  .served = r->served };
 
-		h.idle_ms = r->active ? 0 : now - r->idle_ms;
+		h.idle_ms = r->active ? 0 : now - r->idle_since_ms;
 		g_array_append_val(out, h);
 	}
 	return out;
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -11,9 +11,10 @@
 
 /* No load starts if the leader's last message is older than this. */
 #define LEDGER_LEASE_MS 5000
-/* Delay before a failed load is retried; doubled for each failure. */
+/* Delay before a failed load is retried; doubled for each further failure. */
 #define LEDGER_RETRY_MS 500
-/* Failures after which the load is reported as failed to the leader. */
+/* Failures after which a load isn't retried but reported to the leader as
+ * failed, so that the leader decides again. */
 #define LEDGER_FAILURES_MAX 3
 
 /* State of a replica at the endpoint. */
@@ -37,10 +38,11 @@
 	enum ledger_state state;
 	uint64_t order_seq; /* reads up to this number are out of date */
 	unsigned int failures;
-	int64_t retry_ms;
-	int64_t load_start_ms, load_ms;
+	int64_t next_retry_ms; /* no load starts before this time */
+	int64_t load_start_ms; /* time of the last load's order */
+	int64_t load_ms;       /* duration of the last load */
 	uint64_t active, served;
-	int64_t idle_ms; /* time of the last call's end, or of becoming ready */
+	int64_t idle_since_ms; /* the last call's end, or becoming ready */
 };
 
 struct ledger_ops {
@@ -48,7 +50,8 @@
 	void (*load)(void *arg, const struct ledger_replica *r, uint64_t fence);
 	void (*unload)(void *arg, const struct ledger_replica *r,
 		       uint64_t fence);
-	/* The state has changed in a way to report to the leader. */
+	/* Called when the state has changed in a way to report to the leader.
+	 */
 	void (*changed)(void *arg);
 };
 
@@ -79,16 +82,17 @@
 /* Records that a message of the leader has arrived. */
 void ledger_leader_contact(struct ledger *l, int64_t now);
 
+/* Returns the number of a read of the models that the endpoint holds, when it
+ * is requested. */
+uint64_t ledger_read_begin(struct ledger *l);
 /*
- * Reads of the models that the endpoint holds. A read gets its number when it
- * is requested. For a replica that was ordered since, its result is out of
- * date and ignored.
+ * Applies the result of a read. For a replica with an order that is pending, or
+ * was answered after the read was requested, it is out of date and ignored.
  */
-uint64_t ledger_read_begin(struct ledger *l);
 void ledger_read_done(struct ledger *l, uint64_t read, const struct held *held,
 		      size_t n, int64_t now);
 
-/* The endpoint has answered an order; ok: it accepted the order. */
+/* Records the endpoint's answer to an order; ok: it accepted the order. */
 void ledger_answered(struct ledger *l, const char *model, bool ok, int64_t now);
 
 /*
@@ -109,7 +113,8 @@
 
 uint64_t ledger_fence(const struct ledger *l);
 uint64_t ledger_active(const struct ledger *l);
-/* Memory of all replicas not known to be unloaded, assigned or not. */
+/* Returns the memory of all replicas not known to be unloaded, assigned or not.
+ */
 uint64_t ledger_bytes(const struct ledger *l);
 /* Returns whether a load or unload is in progress, or no read is done yet. */
 bool ledger_busy(const struct ledger *l);
