--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -425,7 +425,7 @@
 	F(5, WIRE_INT, msg_trial, wait_ms),
 };
 
-static const struct wire_field quota_part_fields[] = {
+static const struct wire_field quota_class_fields[] = {
 	F(1, WIRE_INT, quota_class_item, class_id),
 	F(2, WIRE_INT, quota_class_item, demand),
 	F(3, WIRE_INT, quota_class_item, served),
@@ -434,8 +434,8 @@
 	F(6, WIRE_INT, quota_class_item, grant),
 	F(7, WIRE_INT, quota_class_item, retry_after_ms),
 };
-static const struct wire_type quota_part_type =
-	T(quota_class_item, quota_part_fields);
+static const struct wire_type quota_class_type =
+	T(quota_class_item, quota_class_fields);
 static const struct wire_field quota_request_item_fields[] = {
 	F(1, WIRE_STR, quota_request, customer),
 	F(2, WIRE_UINT, quota_request, number),
@@ -449,7 +449,7 @@
 	F(10, WIRE_INT, quota_request, mean_cost),
 	F(11, WIRE_INT, quota_request, overdraft),
 	F(12, WIRE_INT, quota_request, refused),
-	L(13, quota_request, classes, quota_part_type),
+	L(13, quota_request, classes, quota_class_type),
 };
 static const struct wire_type quota_request_type =
 	T(quota_request, quota_request_item_fields);
@@ -460,7 +460,7 @@
 	F(4, WIRE_INT, quota_reply, disconnected_rate),
 	F(5, WIRE_INT, quota_reply, retry_after_ms),
 	F(6, WIRE_INT, quota_reply, overdraft),
-	L(7, quota_reply, classes, quota_part_type),
+	L(7, quota_reply, classes, quota_class_type),
 };
 static const struct wire_type quota_reply_type =
 	T(quota_reply, quota_reply_item_fields);
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -43,13 +43,15 @@
 	MSG_REMOTE, /* leader to control: engines to run agents for */
 	MSG_RUN_OUTCOMES, /* entry to leader: outcomes of suspected requests */
 	MSG_QUARANTINE,	  /* leader to entry: requests that must not run */
-	MSG_TRIAL,	  /* both ways: trial run of a request, and the reply */
+	MSG_TRIAL, /* entry to leader: asks to run a suspected request; and the
+		      reply */
 	MSG_QUOTA_REQUEST,  /* entry to leader: grants that customers need */
 	MSG_QUOTA_REPLY,    /* reply to MSG_QUOTA_REQUEST */
-	MSG_LIMIT_REQUEST,  /* entry to leader: grants of endpoints' rate limits
-			     */
+	MSG_LIMIT_REQUEST,  /* entry to leader: grants within the rate limits
+			       of endpoints */
 	MSG_LIMIT_REPLY,    /* reply to MSG_LIMIT_REQUEST */
-	MSG_STREAMS,	    /* entry to leader to members: origins of streams */
+	MSG_STREAMS,	    /* entry to leader and leader to members: origins of
+			       streams */
 	MSG_STREAM_REQUEST, /* entry to leader: asks which version began a
 			       stream */
 	MSG_STREAM_REPLY,   /* reply to MSG_STREAM_REQUEST */
@@ -71,7 +73,7 @@
 	struct ss_str name;
 	struct ss_str domain;
 	uint64_t incarnation; /* a new one on each start */
-	uint64_t config;      /* version of the preset in force here */
+	uint64_t config;      /* version of the preset that it applies */
 };
 
 /* Sent by a control VM that has no group yet. */
@@ -257,7 +259,7 @@
 	int64_t code;	 /* enum ss_error */
 	int64_t outcome; /* enum outcome; set with code */
 	struct ss_str text;
-	uint64_t active; /* calls on the replica, for balancing */
+	uint64_t active; /* calls in flight on the replica, for balancing */
 };
 
 struct msg_cancel {
@@ -268,7 +270,7 @@
 	uint64_t sub;
 	uint64_t entry, seq;
 	uint64_t incarnation;
-	uint64_t have; /* pieces received already */
+	uint64_t have; /* number of pieces received */
 };
 
 /* An item of a list of names. */
@@ -289,7 +291,7 @@
 	bool reachable;
 	bool busy, draining;
 	int64_t remaining_ms; /* until the VM is taken away; 0: unknown */
-	uint64_t orders;      /* accepted since its start */
+	uint64_t orders;      /* number accepted since its start */
 	int64_t running, waiting;
 	int64_t tokens_used, tokens_total;
 	struct wire_list held;	    /* struct held_model */
@@ -313,7 +315,7 @@
 	uint64_t fence, step;
 	int64_t code; /* 0, or an enum ss_error */
 	struct ss_str text;
-	int64_t took_ms; /* since the first order */
+	int64_t took_ms; /* duration since the first order */
 };
 
 struct fleet_endpoint {
@@ -330,8 +332,8 @@
 	int64_t started_ms; /* as in struct fleet_incarnation */
 	/* Failure rate over all entries, in parts of FAILURE_RATE_SCALE. */
 	int64_t failure_rate;
-	/* The endpoint's rate limit, as of endpoint_limit_wire(), and the age
-	 * of its signal. */
+	/* The endpoint's rate limit and the age of its signal, as of
+	 * endpoint_limit_wire() and endpoint_limit_wire_age(). */
 	int64_t limit, limit_age;
 	struct ss_str version; /* as in struct fleet_incarnation */
 	bool draining;	       /* about to stop for good */
@@ -360,7 +362,7 @@
 	bool full;		    /* endpoints not listed no longer exist */
 	struct wire_list endpoints; /* struct fleet_endpoint */
 	struct wire_list etas;	    /* struct fleet_eta */
-	uint64_t entries;	    /* connected to the leader */
+	uint64_t entries;	    /* number connected to the leader */
 	struct wire_list loads;	    /* struct fleet_load */
 };
 
@@ -379,9 +381,9 @@
 };
 
 /*
- * Results of an endpoint's calls since the last message. Counts are sent for
- * endpoints that failed some, durations for those that are slower or faster
- * than the others of their service.
+ * Results of an endpoint's calls since the last message. Counts are sent only
+ * if some calls failed, durations only if the endpoint is slower or faster than
+ * the others of its service.
  */
 struct endpoint_results {
 	struct ss_str addr;
@@ -396,8 +398,8 @@
 	struct ss_str addr, id;
 	int64_t started_ms;	  /* as in struct endpoint_calls */
 	int64_t limit, limit_age; /* as in struct fleet_endpoint */
-	int64_t backoff_ms; /* left of the backoff that it asked an entry for */
-	bool draining;	    /* it is about to stop */
+	int64_t backoff_ms;	  /* remaining backoff that it asked for */
+	bool draining;		  /* it is about to stop */
 };
 
 struct msg_demand {
@@ -413,22 +415,24 @@
  * message only acknowledges). */
 struct msg_fetch {
 	uint64_t have, want;
-	bool services; /* without routes; versions are those of services */
+	/* Wants no routes; the versions are those of the services. */
+	bool services;
 };
 
 struct routing_bytes {
 	struct ss_str packed; /* struct document_change, packed */
 };
 
-/* Reply to msg_fetch, once the control VM holds the wanted version. A reply
- * without changes states that they follow, after those to other peers. */
+/* Reply to MSG_FETCH, once the control VM holds the wanted version. A reply
+ * without changes announces that they follow once other peers are served. */
 struct msg_routing {
 	uint64_t version;
-	uint64_t base;		  /* version that they apply to; 0: full copy */
+	uint64_t base; /* version that the changes apply to; 0: full copy */
 	struct wire_list changes; /* struct routing_bytes, in order */
 };
 
-/* A majority has confirmed this leadership since the connection was opened. */
+/* States that a majority has confirmed this leadership since the connection was
+ * opened. */
 struct msg_term {
 	uint64_t fence;
 	uint64_t routing; /* current version */
