--- a/src/core/delayed_orders.c
+++ b/src/core/delayed_orders.c
@@ -3,7 +3,7 @@
 
 struct delayed_order {
 	char *model, *adapter; /* adapter NULL: the model itself */
-	uint64_t expect;
+	uint64_t expect;       /* count of orders at which it is accepted */
 	double mb;
 	int64_t until_ms;
 	bool prior_incarnation; /* sent to an earlier incarnation */
@@ -95,8 +95,8 @@
 	       o->expect > r->orders && !same && !is_held(r, o);
 }
 
-/* Whether another order that expects the same count needs at least as much
- * memory: only one of them can be carried out. */
+/* Returns whether another order that expects the same count needs at least as
+ * much memory: only one of them can be carried out. */
 static bool is_covered(const struct delayed_orders *l, guint i,
 		       const struct fleet_report *r, const char *model,
 		       const char *adapter, int64_t now)
--- a/src/core/delayed_orders.h
+++ b/src/core/delayed_orders.h
@@ -1,14 +1,14 @@
 /*
  * Orders that an engine may still carry out after a restart.
  *
- * An order without an answer may be carried out seconds later. Within one
- * incarnation of the engine, the order count that it expects keeps it from
- * being accepted after newer orders. An engine that restarts under the same id
- * counts from 0 again and forgets fences: an order sent before the restart is
- * accepted once the new count reaches the one it expects. If memory was filled
- * in the meantime, the engine is made to load more than fits, and crashes. So
- * the memory that such an order needs is kept free until the order can no
- * longer be carried out.
+ * An order without an answer may be carried out seconds later. An order states
+ * the count of orders that it expects the engine to have accepted, so within
+ * one incarnation of the engine it isn't accepted after newer orders. An engine
+ * that restarts under the same id counts from 0 again and forgets fences: an
+ * order sent before the restart is accepted once the new count reaches the one
+ * it expects. If memory was filled in the meantime, the engine is made to load
+ * more than fits, and crashes. So the memory that such an order needs is kept
+ * free until the order can no longer be carried out.
  */
 #ifndef SS_DELAYED_ORDERS_H
 #define SS_DELAYED_ORDERS_H
@@ -24,8 +24,8 @@
 struct delayed_orders *delayed_orders_new(void);
 void delayed_orders_free(struct delayed_orders *l);
 
-/* Adds a load that got no clear answer. prior_incarnation: the engine has
- * restarted since it was sent. */
+/* Adds a load order that got no clear answer. prior_incarnation: the engine has
+ * restarted since the order was sent. */
 void delayed_orders_add(struct delayed_orders *l, const struct fleet_order *o,
 			double mb, bool prior_incarnation, int64_t now);
 /* Records that the engine has restarted under the same id. */
@@ -41,12 +41,12 @@
 };
 
 /*
- * The room for delayed orders that may be carried out after the next order,
- * which loads the model or adapter. A delayed order that expects the current
- * count is carried out instead of the next order, never in addition. One whose
- * model or adapter the engine holds, or which loads the same as the next order,
- * needs no room of its own. Of several that expect the same count only one is
- * accepted.
+ * Returns the room for delayed orders that may be carried out after the next
+ * order, which loads the given model or adapter. A delayed order that expects
+ * the current count is carried out instead of the next order, never in
+ * addition. One whose model or adapter the engine holds, or which loads the
+ * same as the next order, needs no room of its own. Of several that expect the
+ * same count only one is accepted.
  */
 struct delayed_room delayed_orders_room(const struct delayed_orders *l,
 					const struct fleet_report *r,
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -42,7 +42,8 @@
 	OWNER_DENIED,	/* the lease of another owner hasn't ended */
 };
 
-/* engine_ms: how long the engine holds to one owner. */
+/* Initializes the state of an engine without an owner. engine_ms: how long the
+ * engine holds to one owner. */
 void owner_init(struct owner *o, int64_t engine_ms, int64_t now);
 void owner_clear(struct owner *o);
 
@@ -50,10 +51,10 @@
  * engine. */
 enum owner_claim owner_acquire(struct owner *o, const char *name, bool remote,
 			       int64_t now);
-/* Whether orders of the owner may still be in transit. */
+/* Returns whether orders of the owner may still be in transit. */
 bool owner_is_leased(const struct owner *o, int64_t now);
-/* Whether a control VM has to run the agent, as the one on the engine's VM has
- * sent no reports for a lease. */
+/* Returns whether a control VM has to run the agent, as the one on the engine's
+ * VM has sent no reports for a lease. */
 bool owner_is_missing(const struct owner *o, int64_t now);
 
 /* Chooses the control VM that runs a missing agent, by rendezvous hashing, so
--- a/src/core/preset.c
+++ b/src/core/preset.c
@@ -143,10 +143,10 @@
 						 struct ss_str name)
 {
 	for (guint i = 0; i < p->customers->len; i++) {
-		const struct preset_customer *t = p->customers->pdata[i];
+		const struct preset_customer *c = p->customers->pdata[i];
 
-		if (ss_str_eq(ss_str(t->name), name))
-			return t;
+		if (ss_str_eq(ss_str(c->name), name))
+			return c;
 	}
 	return NULL;
 }
--- a/src/core/preset.h
+++ b/src/core/preset.h
@@ -12,7 +12,7 @@
 	char *name;
 	int64_t deadline_ms; /* of requests without one */
 	int64_t priority;
-	int64_t reserve_percent; /* of slots, closed to lower classes */
+	int64_t reserve_percent; /* of slots, closed to lower priorities */
 };
 
 struct preset_customer {
@@ -25,14 +25,14 @@
 	/* Weight of cold starts against idle accelerator time, in percent: 0
 	 * counts only idle time, 100 only cold starts. */
 	int64_t cold_weight;
-	/* Bounds of a model's idle time before it is unloaded. */
+	/* Bounds of the idle time after which a model is unloaded. */
 	int64_t keep_min_ms, keep_max_ms;
-	/* Preload models that past arrivals predict for the next hour. */
+	/* Whether to load models before their next predicted arrival. */
 	bool wake_ahead;
 	int64_t max_replicas; /* of one model */
 	int64_t store_per_minute, store_parallel;
-	int64_t retry_percent;
-	int64_t customer_max_waiting; /* of customers without one */
+	int64_t retry_percent;	      /* retries allowed per 100 fresh calls */
+	int64_t customer_max_waiting; /* of customers that aren't listed */
 	char *default_class;
 	GPtrArray *classes;   /* struct preset_class */
 	GPtrArray *customers; /* struct preset_customer */
@@ -46,13 +46,14 @@
 		  GError **error);
 void preset_clear(struct preset *p);
 
-/* The class of that name, or the default class; never NULL for a preset that
- * preset_parse() has accepted. */
+/* Returns the class of that name, or the default class; never NULL for a preset
+ * that preset_parse() has accepted. */
 const struct preset_class *preset_class_of(const struct preset *p,
 					   struct ss_str name);
-/* NULL for a customer that the preset doesn't list. */
+/* Returns NULL for a customer that the preset doesn't list. */
 const struct preset_customer *preset_customer_of(const struct preset *p,
 						 struct ss_str name);
+/* Returns whether a model is never unloaded. */
 bool preset_pins(const struct preset *p, struct ss_str model);
 
 /* The preset in force until operators switch to another. */
