--- a/src/core/document.h
+++ b/src/core/document.h
@@ -52,11 +52,11 @@
 struct document *document_new(void);
 void document_free(struct document *d);
 
-/* The version; 0 while the document is empty. */
+/* Returns the version; 0 while the document is empty. */
 uint64_t document_version(const struct document *d);
-/* The version in which a service was last added, changed or removed. */
+/* Returns the version in which a service was last added, changed or removed. */
 uint64_t document_services_version(const struct document *d);
-/* The text as operators sent it; free with g_string_free(). */
+/* Returns the text as operators sent it; free with g_string_free(). */
 GString *document_text(const struct document *d);
 
 /*
@@ -80,8 +80,8 @@
 /* Serializes and compresses a change. */
 GString *document_pack(const struct document_change *c);
 /*
- * Reverses document_pack(). NULL with SS_ERROR_FRAME if the bytes are
- * truncated, corrupt or larger than what operators may send.
+ * Reverses document_pack(). Returns NULL with SS_ERROR_FRAME if the bytes are
+ * truncated, corrupt or unpack to more than any permitted change.
  */
 struct document_patch *document_unpack(struct ss_str packed, GError **error);
 void document_patch_free(struct document_patch *n);
@@ -113,7 +113,7 @@
 void document_pieces_init(struct document_pieces *p);
 void document_pieces_clear(struct document_pieces *p,
 			   const struct document_piece_ops *s);
-/* Whether all edits of a change are within range and in ascending order. */
+/* Returns whether all edits of a change are within range and ascending. */
 bool document_pieces_fit(const struct document_pieces *p,
 			 const struct document_change *c);
 /*
--- a/src/core/document_compare.c
+++ b/src/core/document_compare.c
@@ -6,7 +6,8 @@
 
 #include <xxhash.h>
 
-/* Old pieces searched for a new item, to detect removed or replaced ones. */
+/* Number of old pieces searched for an item, to detect removed or replaced
+ * ones. */
 #define LOOK_AHEAD_PIECES 16
 /* Consecutive misses before a hash table of the old pieces is built. */
 #define LOOK_AHEAD_MISSES_MAX 16
@@ -142,6 +143,10 @@
 	return ss_str_eq(document_piece_at(x->d, at), text);
 }
 
+/*
+ * Ends a piece of other text that began at from: keeps the next old piece of
+ * that part if its text is the same, and otherwise replaces it.
+ */
 static void add_other(struct compare *x, const char *from)
 {
 	struct document_piece p = { DOCUMENT_OTHER,
@@ -177,7 +182,7 @@
 	return x->part == y->part && ss_str_eq(x->text, y->text);
 }
 
-static void index_old(struct compare *x)
+static void index_old_pieces(struct compare *x)
 {
 	guint n = x->d->pieces.items->len;
 
@@ -213,7 +218,7 @@
 	    x->misses++ < LOOK_AHEAD_MISSES_MAX)
 		return false;
 	if (!x->by_text)
-		index_old(x);
+		index_old_pieces(x);
 	if (!g_hash_table_lookup_extended(x->by_text, p, NULL, &at))
 		return false;
 	*out = GPOINTER_TO_UINT(at);
@@ -221,9 +226,9 @@
 }
 
 /*
- * Keeps the next old piece if the text goes on with it, which is the common
- * case and saves scanning the item. No value continues behind its last brace,
- * so what matches is a whole item.
+ * Keeps the next old piece if the text continues with it, which is the common
+ * case and saves scanning the item. An object ends at its closing brace, so an
+ * old piece that ends with one matches a whole item.
  */
 static bool skip_kept(struct compare *x, int64_t part)
 {
--- a/src/core/state.c
+++ b/src/core/state.c
@@ -28,7 +28,7 @@
 	r->text = text;
 }
 
-/* The record of a list that holds exactly one; otherwise NULL. */
+/* Returns the record of a list that holds exactly one; otherwise NULL. */
 static void *single_record(const struct wire_list *l)
 {
 	return l->n == 1 ? l->items : NULL;
@@ -406,7 +406,8 @@
 	return buf;
 }
 
-/* The stored result of a change id that was applied before. */
+/* Answers a resent change with its stored result; returns false if the id is
+ * new. */
 static bool answer_resend(struct ss_state *s, const struct command_wire *c,
 			  struct command_result *r)
 {
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -2,8 +2,8 @@
  * The replicated state machine: presets and the one in force, models, nodes,
  * replicas, the routing, and claims on calls that may run at most once.
  *
- * It changes only by ss_state_apply() with the entries of the replicated log,
- * in order, so that it is the same on every control VM. Records own their
+ * The state changes only by ss_state_apply() with the entries of the replicated
+ * log, in order, so that it is the same on every control VM. Records own their
  * strings; pointers to records are valid until the next apply or restore.
  */
 #ifndef SS_STATE_H
@@ -11,7 +11,8 @@
 
 #include <sapphireshift/base.h>
 
-/* Results of changes that are kept, so that a resend gets the same answer. */
+/* Number of changes whose results are kept, so that a resend gets the same
+ * answer. */
 #define STATE_CHANGES_MAX 4096
 /* Claims are dropped beyond this count or age, the oldest first. */
 #define STATE_CLAIMS_MAX 200000
@@ -89,7 +90,7 @@
 	struct ss_str key;    /* hash of customer and idempotency key */
 	uint64_t fingerprint; /* of the request */
 	uint64_t entry, seq;  /* id of the call that may run */
-	struct ss_str node;   /* where it runs */
+	struct ss_str node;   /* node that runs the call */
 	uint64_t incarnation;
 	int64_t at_ms;
 };
@@ -139,7 +140,7 @@
 
 struct command_result {
 	int64_t code;	  /* 0, or an enum ss_error */
-	uint64_t version; /* made by the change, or that it conflicts with */
+	uint64_t version; /* made by the change, or the one it conflicts with */
 	const char *text; /* static or owned by the state */
 	bool resend;	  /* the result of an earlier change of this id */
 	struct claim_rec claim; /* COMMAND_CLAIM: the claim now held */
@@ -157,9 +158,10 @@
 void ss_state_apply(struct ss_state *s, uint64_t index, struct ss_str bytes,
 		    struct command_result *result);
 
+/* Returns the serialized state. */
 GString *ss_state_snapshot(const struct ss_state *s);
-/* False if the bytes can't be decoded, with the state unchanged, or if the
- * routing in them can't. */
+/* Replaces the state by a snapshot. Returns false if the bytes can't be
+ * decoded, with the state unchanged, or if the routing in them can't. */
 bool ss_state_restore(struct ss_state *s, struct ss_str bytes);
 
 /* The preset in force; NULL before the first switch. */
@@ -176,8 +178,8 @@
 const struct replica_rec *ss_state_replica(const struct ss_state *s,
 					   uint64_t id);
 
-/* Bytes of a node's memory that are reserved for replicas: until an unload is
- * confirmed. */
+/* Returns the bytes of a node's memory that are reserved for replicas; those of
+ * a replica stay reserved until its unload is confirmed. */
 uint64_t ss_state_reserved(const struct ss_state *s, const char *node);
 
 /* The current routing as operators sent it; empty before the first one. */
--- a/src/core/state_store.c
+++ b/src/core/state_store.c
@@ -267,7 +267,7 @@
 	return ok;
 }
 
-/* The records as an array, for encoding; items are shallow copies. */
+/* Copies the records to an array, for encoding; the copies are shallow. */
 static struct wire_list collect(GList *recs, const struct wire_type *t)
 {
 	struct wire_list l = { 0 };
