--- a/test/prop_raft.cc
+++ b/test/prop_raft.cc
@@ -57,7 +57,7 @@
 struct World {
 	std::vector<std::unique_ptr<Node>> nodes;
 	std::deque<Msg> net;
-	std::set<std::pair<int, int>> cut; /* links (from, to) that drop all */
+	std::set<std::pair<int, int>> cut; /* links (from, to) that are down */
 	int64_t now = 1000;
 	uint64_t next_id = 1, next_value = 1;
 	std::map<uint64_t, uint64_t> leader_of_term;
@@ -322,7 +322,7 @@
 	ss_raft_clear_members(&x.m.members);
 }
 
-/* Repairs membership as the daemon does: one add, promotion or removal. */
+/* Repairs membership as the daemon does, by one add, promotion or removal. */
 void repair_members(World &w)
 {
 	Node *l = leader(w);
@@ -359,7 +359,11 @@
 	}
 }
 
-/* A disk may be wiped while all nodes are voters and all is committed. */
+/*
+ * Returns whether a disk may be wiped: all nodes are voters, so an earlier loss
+ * has been repaired, and all entries are committed. A second loss before the
+ * repair could destroy committed entries.
+ */
 bool can_wipe(World &w)
 {
 	Node *l = leader(w);
@@ -413,7 +417,7 @@
 		ss_raft_compact(n->raft, str(s), nullptr);
 }
 
-/* Runs without new faults; one node may be suspended meanwhile. */
+/* Runs some rounds of 40 ms without new faults; one node may be suspended. */
 void run_network(World &w, int rounds, const Node *suspended)
 {
 	for (int round = 0; round < rounds; round++) {
--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -198,7 +198,7 @@
 }
 
 /* An unload waits for the model's calls; new calls are refused. */
-static void unload_cuts_no_call(void **state)
+static void unload_waits_for_calls(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct held h = HELD("a", GB, HELD_READY);
@@ -226,7 +226,7 @@
 }
 
 /* Calls are refused when all slots are taken and while draining. */
-static void slots_and_draining_refuse(void **state)
+static void calls_beyond_slots_or_draining_are_refused(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct held h = HELD("a", GB, HELD_READY);
@@ -252,7 +252,7 @@
 }
 
 /* A load that fails repeatedly is reported and not retried forever. */
-static void failing_load_is_given_up(void **state)
+static void failing_load_is_reported(void **state)
 {
 	struct order a = ORDER(5, "a", GB);
 	struct fixture b = fixture_new();
@@ -279,7 +279,7 @@
 
 /* Tests of the table of calls. */
 
-/* Records runs, cancellations and replies, in order. */
+/* Records starts, cancellations and replies, in order. */
 struct log {
 	GString *events;
 	struct call *last;
@@ -401,7 +401,7 @@
  * entry gives up a connection and attaches on a new one; then the call arrives
  * on the old one. The agent must remember that it has answered for this id.
  */
-static void never_seen_can_never_run(void **state)
+static void call_answered_not_run_never_runs(void **state)
 {
 	struct table x = table_new();
 
@@ -413,8 +413,9 @@
 	table_free(&x);
 }
 
-/* A refused call that is sent again doesn't run. */
-static void refused_stays_refused(void **state)
+/* Guards against running a call that was refused: the entry may have sent it to
+ * another agent since. */
+static void refused_call_never_runs(void **state)
 {
 	GError *full = g_error_new(SS_ERROR, SS_ERROR_OVERLOAD, "full");
 	struct msg_call m = {
@@ -431,7 +432,8 @@
 	table_free(&x);
 }
 
-/* An evicted call has an unknown outcome; it doesn't count as never seen. */
+/* Guards against running a call twice: an evicted call, which did run, must not
+ * be answered as one never seen. */
 static void evicted_call_is_unknown(void **state)
 {
 	struct table x = table_new();
@@ -476,12 +478,12 @@
 		cmocka_unit_test(restarted_agent_reads_before_it_acts),
 		cmocka_unit_test(unanswered_load_stays_counted),
 		cmocka_unit_test(suspended_agent_waits_for_leader_before_load),
-		cmocka_unit_test(unload_cuts_no_call),
-		cmocka_unit_test(slots_and_draining_refuse),
-		cmocka_unit_test(failing_load_is_given_up),
+		cmocka_unit_test(unload_waits_for_calls),
+		cmocka_unit_test(calls_beyond_slots_or_draining_are_refused),
+		cmocka_unit_test(failing_load_is_reported),
 		cmocka_unit_test(same_id_runs_once),
-		cmocka_unit_test(never_seen_can_never_run),
-		cmocka_unit_test(refused_stays_refused),
+		cmocka_unit_test(call_answered_not_run_never_runs),
+		cmocka_unit_test(refused_call_never_runs),
 		cmocka_unit_test(evicted_call_is_unknown),
 		cmocka_unit_test(call_without_subscriber_is_cancelled),
 	};
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -126,6 +126,7 @@
 	{ "missing colon", "{\"routes\"[]}" },
 };
 
+/* Fails if a text is accepted that isn't one whole JSON object. */
 static void corrupt_texts_are_refused(void **state)
 {
 	struct document *d = document_new();
@@ -234,7 +235,7 @@
 	}
 }
 
-/* A text with random variants of 60 routes and 2 services. */
+/* A text with random variants of up to 60 routes and 2 services. */
 static GString *random_text(uint64_t *seed, uint64_t version)
 {
 	GString *s = g_string_new(NULL);
@@ -280,13 +281,13 @@
 
 		for (uint64_t v = 1; v <= 20; v++) {
 			GString *text = random_text(&random, v);
-			struct routing *whole = routing_read(
+			struct routing *expected = routing_read(
 				users_platform.routing, ss_str_gs(text), NULL);
 
-			assert_non_null(whole);
+			assert_non_null(expected);
 			assert_true(follow_text(w, d, text->str, v, NULL));
-			assert_same_table(routing_follower_table(w), whole);
-			routing_unref(whole);
+			assert_same_table(routing_follower_table(w), expected);
+			routing_unref(expected);
 			g_string_free(text, TRUE);
 		}
 		routing_follower_free(w);
@@ -415,19 +416,19 @@
 {
 	struct document *d = document_new();
 	struct document_patch *n;
-	GString *whole;
+	GString *full;
 
 	(void)state;
 	g_string_free(update_document(d, KEYED("1", CUSTOMER("a", "\"k1\"")),
 				      1),
 		      TRUE);
-	whole = document_pack_full(d, false);
-	n = document_unpack(ss_str_gs(whole), NULL);
+	full = document_pack_full(d, false);
+	n = document_unpack(ss_str_gs(full), NULL);
 	assert_non_null(n);
 	assert_null(
 		g_strstr_len(n->unpacked->str, (gssize)n->unpacked->len, "k1"));
 	document_patch_free(n);
-	g_string_free(whole, TRUE);
+	g_string_free(full, TRUE);
 	document_free(d);
 }
 
@@ -604,7 +605,10 @@
 	g_string_free(held, TRUE);
 }
 
-/* Of two changes with the same base version, the second is refused. */
+/*
+ * Guards against a document that no operator sent: of two changes with the same
+ * base version, the second must not be applied to the result of the first.
+ */
 static void conflicting_change_is_refused(void **state)
 {
 	struct ss_state *s = ss_state_new();
@@ -626,7 +630,8 @@
 	ss_state_free(s);
 }
 
-/* Full texts, as stored in old logs, and changes based on them. */
+/* Fails if the full text of a record in an old log isn't applied, or a change
+ * can't be based on it. */
 static void full_texts_of_old_logs_are_applied(void **state)
 {
 	static const char old[] = TEXT("4", ROUTE("a", "s1"));
@@ -635,21 +640,21 @@
 	struct routing_follower *w =
 		routing_follower_new(users_platform.routing);
 	uint64_t version;
-	GString *whole;
+	GString *full;
 
 	(void)state;
 	assert_int_equal(apply(s, &rec, &version), 0);
 	assert_int_equal(version, 4);
 	assert_text(s, old);
-	whole = document_pack_full(ss_state_routing(s), true);
-	assert_true(routing_follower_add(w, ss_str_gs(whole), NULL));
+	full = document_pack_full(ss_state_routing(s), true);
+	assert_true(routing_follower_add(w, ss_str_gs(full), NULL));
 	while (routing_follower_busy(w))
 		routing_follower_step(w, NULL);
 	assert_int_equal(routing_follower_table(w)->route_count, 1);
 	assert_int_equal(apply_text(s, TEXT("5", ROUTE("b", "s1")), 5, NULL),
 			 0);
 	assert_text(s, TEXT("5", ROUTE("b", "s1")));
-	g_string_free(whole, TRUE);
+	g_string_free(full, TRUE);
 	routing_follower_free(w);
 	ss_state_free(s);
 }
@@ -663,7 +668,7 @@
 	static const char last[] =
 		TEXT("3", ROUTE("a", "s1") "," ROUTE("b", "s1"));
 	struct ss_state *s = ss_state_new(), *copy = ss_state_new();
-	GString *image;
+	GString *snapshot;
 
 	(void)state;
 	assert_int_equal(apply_text(s, TEXT("1", ""), 1, NULL), 0);
@@ -671,12 +676,12 @@
 			 0);
 	assert_int_equal(apply_text(s, last, 3, NULL), 0);
 	assert_int_equal(document_services_version(ss_state_routing(s)), 1);
-	image = ss_state_snapshot(s);
-	assert_true(ss_state_restore(copy, ss_str_gs(image)));
+	snapshot = ss_state_snapshot(s);
+	assert_true(ss_state_restore(copy, ss_str_gs(snapshot)));
 	assert_text(copy, last);
 	assert_int_equal(document_version(ss_state_routing(copy)), 3);
 	assert_int_equal(document_services_version(ss_state_routing(copy)), 1);
-	g_string_free(image, TRUE);
+	g_string_free(snapshot, TRUE);
 	ss_state_free(s);
 	ss_state_free(copy);
 }
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -3,7 +3,8 @@
 
 #include "../src/core/owner.h"
 
-#define T0 100000
+/* Time at which the leader first knew the engine. */
+#define T0_MS 100000
 #define ENGINE_MS 3000
 #define LEASE_MS (ENGINE_MS + OWNER_LEASE_MARGIN_MS)
 
@@ -67,9 +68,9 @@
 		const struct owner_case *c = &owner_cases[i];
 		struct owner o;
 
-		owner_init(&o, ENGINE_MS, T0);
+		owner_init(&o, ENGINE_MS, T0_MS);
 		for (const struct report_row *r = c->reports; r->at_ms; r++) {
-			int64_t now = T0 + r->at_ms;
+			int64_t now = T0_MS + r->at_ms;
 			enum owner_claim got =
 				owner_acquire(&o, agents[r->agent].name,
 					      agents[r->agent].remote, now);
@@ -93,10 +94,10 @@
 	struct owner o;
 
 	(void)state;
-	owner_init(&o, ENGINE_MS, T0);
-	assert_false(owner_is_missing(&o, T0));
-	assert_false(owner_is_missing(&o, T0 + LEASE_MS - 1));
-	assert_true(owner_is_missing(&o, T0 + LEASE_MS));
+	owner_init(&o, ENGINE_MS, T0_MS);
+	assert_false(owner_is_missing(&o, T0_MS));
+	assert_false(owner_is_missing(&o, T0_MS + LEASE_MS - 1));
+	assert_true(owner_is_missing(&o, T0_MS + LEASE_MS));
 }
 
 /* The setting states how long engines hold to one owner. */
@@ -112,10 +113,10 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
 		struct owner o;
 
-		owner_init(&o, rows[i].engine_ms, T0);
-		owner_acquire(&o, "side-1", false, T0);
-		assert_true(owner_is_leased(&o, T0 + rows[i].lease_ms - 1));
-		assert_false(owner_is_leased(&o, T0 + rows[i].lease_ms));
+		owner_init(&o, rows[i].engine_ms, T0_MS);
+		owner_acquire(&o, "side-1", false, T0_MS);
+		assert_true(owner_is_leased(&o, T0_MS + rows[i].lease_ms - 1));
+		assert_false(owner_is_leased(&o, T0_MS + rows[i].lease_ms));
 		owner_clear(&o);
 	}
 }
--- a/test/test_raft.c
+++ b/test/test_raft.c
@@ -245,6 +245,10 @@
 	ss_raft_free(f.r);
 }
 
+/*
+ * Guards against stale reads: a partitioned leader that doesn't step down would
+ * serve its old state after the others have elected a new leader.
+ */
 static void partitioned_leader_steps_down(void **state)
 {
 	struct fake f;
--- a/test/test_state.c
+++ b/test/test_state.c
@@ -136,6 +136,7 @@
 	ss_state_free(s);
 }
 
+/* Guards against a control group whose preset in force no longer exists. */
 static void preset_in_force_is_not_deleted(void **state)
 {
 	struct preset_rec p = { .name = SS_LIT("a") };
@@ -161,7 +162,7 @@
 	int64_t code;
 };
 
-/* Each with model "m" of 6 GB on node n1; every node has 10 GB. */
+/* Node n1 holds model "m" of 6 GB, n3 is draining; every node has 10 GB. */
 static const struct add_case adds[] = {
 	{ "fits beside it", "x", "", "n1", 4 * GB, 0, 0 },
 	{ "a byte too many", "x", "", "n1", 4 * GB + 1, 0, SS_ERROR_MEMORY },
@@ -224,7 +225,7 @@
 }
 
 /* A state of an old VM doesn't apply to a new VM of the same name. */
-static void incarnations_are_told_apart(void **state)
+static void state_of_old_incarnation_is_refused(void **state)
 {
 	struct node_rec n = { .name = SS_LIT("n1"),
 			      .state = NODE_GONE,
@@ -260,11 +261,12 @@
 	  10 },
 	{ "another request under the key", 2, 21, 0, 0, 6, SS_ERROR_BAD_REQUEST,
 	  0 },
-	{ "taken over once the first is dead", 2, 20, 1, 10, 5, 0, 20 },
+	{ "taken over once the holder is dead", 2, 20, 1, 10, 5, 0, 20 },
 	{ "a predecessor is replaced only once", 3, 30, 1, 10, 5,
 	  SS_ERROR_CONFLICT, 20 },
 };
 
+/* Guards against a claim with two holders, whose calls would both run. */
 static void claims_have_one_holder(void **state)
 {
 	struct ss_state *s = ss_state_new();
@@ -334,7 +336,7 @@
 		cmocka_unit_test(preset_in_force_is_not_deleted),
 		cmocka_unit_test(replicas_respect_memory_and_count),
 		cmocka_unit_test(memory_is_freed_after_the_unload),
-		cmocka_unit_test(incarnations_are_told_apart),
+		cmocka_unit_test(state_of_old_incarnation_is_refused),
 		cmocka_unit_test(claims_have_one_holder),
 		cmocka_unit_test(empty_key_in_a_snapshot_is_read),
 		cmocka_unit_test(garbage_is_refused),
