--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -42,7 +42,8 @@
 	bool order_pending;
 	struct pending_order pending; /* while order_pending */
 	bool report_stale;	      /* report is older than the last order */
-	/* No order before: the last one may still be accepted. */
+	/* No order is sent before this time, as the last one may still be
+	 * accepted. */
 	int64_t hold_until_ms;
 	/* Order count of a report that includes the last accepted order, and
 	 * until when a report with a lower count is ignored. */
@@ -51,14 +52,14 @@
 	/* The current step. */
 	bool step_active;
 	uint64_t step_fence, step;
-	GPtrArray *unload; /* char *, models still to unload */
-	char *load;	   /* NULL: nothing */
-	bool load_accepted;
+	GPtrArray *unload;  /* char *, models still to unload */
+	char *load;	    /* NULL: nothing */
+	bool load_accepted; /* the engine has accepted the step's load */
 	/* Start of the incarnation that the step is for; 0: any. */
 	int64_t step_started_ms;
-	int64_t begun_ms, progress_ms;
-	GArray *requests; /* struct adapter_request */
-	GArray *uses;	  /* struct adapter_use */
+	int64_t begun_ms, progress_ms; /* when it began, and last progressed */
+	GArray *requests;	       /* struct adapter_request */
+	GArray *uses;		       /* struct adapter_use */
 };
 
 static void adapter_request_clear(void *p)
@@ -186,7 +187,8 @@
 	return n;
 }
 
-/* Size of a model, or of one of its adapters; 0 if the model is unknown. */
+/* Returns the size of a model, or of one of its adapters if adapter is set; 0
+ * if the model is unknown. */
 static double size_mb(const struct engine *e, const char *model,
 		      const char *adapter)
 {
@@ -198,8 +200,8 @@
 }
 
 /*
- * Memory in use according to the report. Negative if a size is unknown: then
- * nothing can be loaded safely.
+ * Returns the memory in use according to the report, or a negative value if a
+ * size is unknown: then nothing can be loaded safely.
  */
 static double used_mb(const struct engine *e)
 {
@@ -228,8 +230,8 @@
 	return sum;
 }
 
-/* Whether there is memory for a model or adapter beside what is held and what
- * delayed orders may still load. */
+/* Returns whether a model or adapter fits beside what is held and what delayed
+ * orders may still load. */
 static bool fits(const struct engine *e, const char *model, const char *adapter,
 		 int64_t now)
 {
@@ -356,8 +358,9 @@
 	return false;
 }
 
-/* Unloads the least recently used adapter that no call waits for. */
-static bool unload_oldest_adapter(struct engine *e)
+/* Unloads the least recently used adapter that no call waits for. Returns false
+ * if there is none. */
+static bool unload_lru_adapter(struct engine *e)
 {
 	const char *model = NULL, *adapter = NULL;
 	int64_t oldest = INT64_MAX;
@@ -392,7 +395,8 @@
 	e->o.ops->adapter_done(e->o.arg, ticket, code, text);
 }
 
-/* Ends a request that succeeded, expired or can't succeed; true if it ended. */
+/* Ends a request that has succeeded, expired or can't succeed. Returns whether
+ * it ended. */
 static bool finish_request(struct engine *e, guint i, int64_t now)
 {
 	const struct adapter_request *r =
@@ -419,7 +423,7 @@
 						NULL);
 }
 
-/* True if an order was sent. */
+/* Returns whether an order was sent. */
 static bool advance_request(struct engine *e, const struct adapter_request *r,
 			    int64_t now)
 {
@@ -427,7 +431,7 @@
 	    is_adapter_loading(e, r->model, r->adapter))
 		return false;
 	if (!fits(e, r->model, r->adapter, now))
-		return unload_oldest_adapter(e);
+		return unload_lru_adapter(e);
 	send_order(e, true, r->model, r->adapter);
 	return true;
 }
@@ -510,8 +514,9 @@
 	advance(e, now);
 }
 
-/* Whether the leader planned the step for an earlier incarnation. A step for
- * one that hasn't reported here yet is accepted and waits for its report. */
+/* Returns whether the leader planned the step for an earlier incarnation. A
+ * step for one that hasn't reported here yet is accepted and waits for its
+ * report. */
 static bool is_for_earlier_start(const struct engine *e,
 				 const struct engine_step *s)
 {
@@ -587,8 +592,8 @@
 void engine_order_answered(struct engine *e, enum fleet_order_answer a,
 			   int64_t now)
 {
-	bool load = e->pending.load && !e->pending.adapter &&
-		    !e->pending.prior_incarnation;
+	bool model_load = e->pending.load && !e->pending.adapter &&
+			  !e->pending.prior_incarnation;
 
 	e->order_pending = false;
 	e->report_stale = true;
@@ -600,7 +605,7 @@
 	case FLEET_ORDER_ACCEPTED:
 	case FLEET_ORDER_UNCHANGED:
 		e->progress_ms = now;
-		e->load_accepted |= load && a == FLEET_ORDER_ACCEPTED;
+		e->load_accepted |= model_load && a == FLEET_ORDER_ACCEPTED;
 		break;
 	case FLEET_ORDER_FENCED:
 		/* The engine would refuse any order with this fence. */
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -2,8 +2,8 @@
  * Orders to one model engine: the agent beside it carries out the leader's
  * steps and loads the adapters that calls need. A state machine without I/O.
  *
- * Only the engine's own reports state what it holds. One order is outstanding
- * at a time. Each order names the number of orders that the engine had accepted
+ * Only the engine's own reports state what it holds. One order is pending at a
+ * time. Each order names the number of orders that the engine had accepted
  * when the order was decided, so the engine refuses one that is delayed past
  * newer ones. A load is ordered only if the memory in the last report can hold
  * it, together with delayed orders to an earlier incarnation that the engine
@@ -16,14 +16,16 @@
 #include "routing.h"
 
 /* Wait after an order without an answer, which may still be accepted: the
- * first report after it shows whether it was. Reports lag by up to 100 ms. */
+ * first report after the wait shows whether it was. Reports lag by up to
+ * 100 ms. */
 #define ENGINE_SETTLE_MS 250
-/* For how long after an order was accepted a report that doesn't count it is
- * ignored as one made before: reports lag by some hundred ms. */
+/* For this long after an order was accepted, a report that doesn't count it is
+ * taken for one made before: reports lag by some hundred ms. */
 #define ENGINE_REPORT_LAG_MS 1000
-/* A leader's step without progress for longer is aborted. */
+/* A step without progress for longer is aborted. */
 #define ENGINE_STEP_STALL_MS 20000
 
+/* A step of the leader: unloads models, then loads one. */
 struct engine_step {
 	uint64_t fence, step;
 	const struct ss_str *unload;
@@ -44,7 +46,7 @@
 };
 
 struct engine_options {
-	const char *holder; /* this VM's name, on every order */
+	const char *holder; /* this VM's name, sent with every order */
 	const struct engine_ops *ops;
 	void *arg;
 };
@@ -76,8 +78,8 @@
 void engine_report_received(struct engine *e, const struct fleet_report *r,
 			    int64_t now);
 
-/* Records that the engine can't be read: its state is unknown, and it may have
- * restarted. */
+/* Records that the engine can't be read, and aborts the step: the engine's
+ * state is unknown, and it may have restarted. */
 void engine_unavailable(struct engine *e, int64_t now);
 
 /* Starts a step. A refusal is passed to step_done: SS_ERROR_UNAVAILABLE,
@@ -89,14 +91,16 @@
 			    struct ss_str model, struct ss_str adapter,
 			    int64_t until_ms, int64_t now);
 
+/* Handles the answer to the pending order. */
 void engine_order_answered(struct engine *e, enum fleet_order_answer a,
 			   int64_t now);
 void engine_tick(struct engine *e, int64_t now);
 
-/* Whether work is in progress: the engine should be read often. */
+/* Returns whether work is in progress, so that the engine should be read
+ * often. */
 bool engine_busy(const struct engine *e);
-/* Whether an order is outstanding, so that a report may be older than its
- * effect. */
+/* Returns whether an order is pending, so that a report may be older than the
+ * order's effect. */
 bool engine_order_pending(const struct engine *e);
 
 #endif
