--- a/src/core/choose.h
+++ b/src/core/choose.h
@@ -14,7 +14,7 @@
 struct target {
 	uint64_t slots;
 	uint64_t own_calls;	 /* running calls of this entry */
-	uint64_t reported_calls; /* running calls by its last reply */
+	uint64_t reported_calls; /* running calls as of its last reply */
 	uint64_t sent_since;	 /* calls of this entry sent after that reply */
 	int64_t age_ms;		 /* time since it became ready */
 	bool same_domain;
@@ -22,14 +22,14 @@
 	bool usable;	    /* connected, and its breaker allows a call */
 };
 
-/* Estimated running calls: the report corrected by what was sent since, and at
- * least the entry's own. */
+/* Returns the estimated running calls: the reported ones and those sent since,
+ * and at least the entry's own. */
 uint64_t target_load(const struct target *t);
-/* Calls that it can take now. */
+/* Returns the number of calls that the replica can accept now. */
 uint64_t target_free_slots(const struct target *t);
 
-/* Index of the best candidate with a free slot, or -1. The scan starts at tie
- * modulo n, which spreads calls over equal candidates. */
+/* Returns the index of the best candidate with a free slot, or -1. The scan
+ * starts at tie modulo n, which spreads calls over equal candidates. */
 int choose_target(const struct target *t, size_t n, uint64_t tie);
 
 #endif
--- a/src/core/discovery.c
+++ b/src/core/discovery.c
@@ -1,14 +1,15 @@
 /* Discovery of the control group's leader. */
 #include "discovery.h"
 
+/* The last query to an address, kept to limit the rate of queries. */
 struct query {
 	char *addr;
 	bool open;
-	int64_t at_ms;
+	int64_t at_ms; /* when it was sent */
 };
 
 struct discovery {
-	const GPtrArray *settings;
+	const GPtrArray *configured;
 	GPtrArray *known;    /* char *, most recently reported last */
 	char *leader_hint;   /* reported leader, not queried yet; or NULL */
 	GHashTable *queries; /* addr -> struct query */
@@ -23,11 +24,11 @@
 	g_free(q);
 }
 
-struct discovery *discovery_new(const GPtrArray *settings, uint64_t seed)
+struct discovery *discovery_new(const GPtrArray *configured, uint64_t seed)
 {
 	struct discovery *s = g_new0(struct discovery, 1);
 
-	s->settings = settings;
+	s->configured = configured;
 	s->seed = seed;
 	s->known = g_ptr_array_new_with_free_func(g_free);
 	s->queries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -97,7 +98,7 @@
 	return q->addr;
 }
 
-/* Time of the last query; INT64_MIN: none. */
+/* Returns the time of the last query; INT64_MIN: none. */
 static int64_t last_query_ms(const struct discovery *s, const char *addr)
 {
 	const struct query *q = g_hash_table_lookup(s->queries, addr);
@@ -106,7 +107,8 @@
 }
 
 /*
- * Returns the least recently queried address. The random start keeps processes
+ * Returns the least recently queried address, or NULL if every one has an open
+ * or a recent query. The random start keeps processes
  * that start together from all querying the same one.
  */
 static const char *least_recent(struct discovery *s, const GPtrArray *list,
@@ -128,19 +130,21 @@
 	return best;
 }
 
-/* True for a queried address that is in neither list any more. */
+/* Returns true for an address that is in neither list any more and has no open
+ * query. */
 static gboolean is_obsolete(gpointer key, gpointer value, gpointer arg)
 {
 	const struct discovery *s = arg;
 	const struct query *q = value;
 
 	return !q->open && !contains(s->known, key, NULL) &&
-	       !contains(s->settings, key, NULL);
+	       !contains(s->configured, key, NULL);
 }
 
 /*
  * Takes the leader hint if it may be queried now; keeps it if it was queried
- * too recently. The result is the copy in known, which outlives the hint.
+ * too recently, and drops it if it has an open query. The result is the copy in
+ * known, which outlives the hint.
  */
 static const char *take_leader_hint(struct discovery *s, int64_t now)
 {
@@ -164,7 +168,7 @@
 	addr = take_leader_hint(s, now);
 	if (addr)
 		return begin_query(s, addr, now);
-	addr = least_recent(s, s->settings, now);
+	addr = least_recent(s, s->configured, now);
 	known = least_recent(s, s->known, now);
 	if (!addr ||
 	    (known && last_query_ms(s, known) < last_query_ms(s, addr)))
--- a/src/core/discovery.h
+++ b/src/core/discovery.h
@@ -29,14 +29,16 @@
 
 struct discovery;
 
-/* settings: the configured addresses (char *), which may change any time. */
-struct discovery *discovery_new(const GPtrArray *settings, uint64_t seed);
+/* configured: the configured addresses (char *). The array is borrowed, and its
+ * content may change at any time. */
+struct discovery *discovery_new(const GPtrArray *configured, uint64_t seed);
 void discovery_free(struct discovery *s);
 
 /*
  * Records what a process reported in its answer or announcement: the leader
  * (empty: unknown) and a member (empty: none). The report may be outdated, so
- * it only makes an address be queried earlier and never replaces another one.
+ * it isn't trusted: the reported addresses are only queried, the leader's
+ * first.
  */
 void discovery_received(struct discovery *s, struct ss_str leader,
 			struct ss_str member);
@@ -49,7 +51,8 @@
 const char *discovery_next(struct discovery *s, int64_t now);
 void discovery_query_done(struct discovery *s, const char *addr);
 
-/* Received addresses (char *), oldest first, to be passed on. */
+/* Returns the received addresses (char *), to be passed on: the one reported
+ * least recently is first. */
 const GPtrArray *discovery_known(const struct discovery *s);
 
 #endif
--- a/src/core/fetch.c
+++ b/src/core/fetch.c
@@ -53,7 +53,8 @@
 	return (x->rank > y->rank) - (x->rank < y->rank);
 }
 
-/* Address of the control VM to ask at an attempt; NULL: none is known. */
+/* Returns the address of the control VM to ask at an attempt; NULL if none is
+ * known. */
 static char *source_at(const struct fetch *f, guint attempt)
 {
 	GPtrArray *addrs = g_ptr_array_new_with_free_func(g_free);
@@ -130,6 +131,7 @@
 
 	if (!f->request_pending || m->version <= f->have)
 		return;
+	/* A notice that the answer is queued. */
 	if (!m->changes.n) {
 		f->next_attempt_ms = now + FETCH_QUEUED_TIMEOUT_MS;
 		return;
--- a/src/core/fetch.h
+++ b/src/core/fetch.h
@@ -35,7 +35,8 @@
 	/* Acknowledges the answer to the control VM that was asked last. */
 	void (*acknowledge)(void *arg, const struct msg_fetch *m);
 	/* Applies changes up to a newer version; false if they are unusable.
-	 * They may be parsed later, and errors passed to fetch_require_full().
+	 * They may be parsed later: an error then leads to a call of
+	 * fetch_require_full().
 	 */
 	bool (*apply)(void *arg, const struct msg_routing *m);
 };
@@ -50,9 +51,10 @@
 struct fetch *fetch_new(const struct fetch_options *o);
 void fetch_free(struct fetch *f);
 
-/* The version in force, as reported by the leader. */
+/* Sets the version in force, as reported by the leader. One that isn't newer
+ * than the last is ignored. */
 void fetch_want(struct fetch *f, uint64_t version, int64_t now);
-/* The newest version that was received; 0: none. */
+/* Returns the newest version that was received; 0: none. */
 uint64_t fetch_version(const struct fetch *f);
 /* Requests a full copy, as the changes after the version "have" can't be read.
  */
--- a/src/core/mirror.c
+++ b/src/core/mirror.c
@@ -95,7 +95,8 @@
 	return &g_array_index(m->changes, struct change, i);
 }
 
-/* Number of changes since a version; 0 if they are no longer all kept. */
+/* Returns the number of changes since a version; 0 if they are no longer all
+ * kept. */
 static guint count_changes_since(const struct mirror *m, uint64_t version)
 {
 	for (guint i = 0; version && i < m->changes->len; i++)
@@ -104,7 +105,8 @@
 	return 0;
 }
 
-/* Packed once per version, for all processes that need it. */
+/* Returns the full copy, which is packed once per version for all processes
+ * that need it. */
 static GString *full_copy(struct mirror *m, bool routes)
 {
 	if (!m->full[routes])
@@ -112,13 +114,15 @@
 	return m->full[routes];
 }
 
+/* Returns the newest version of what a process fetches: the routing, or only
+ * its services. */
 static uint64_t newest_for(const struct mirror *m, const struct fetcher *f)
 {
 	return f->services_only ? m->services_version : m->version;
 }
 
-/* The changes (struct routing_bytes) that a process lacks since version *base,
- * or a full copy with *base 0. */
+/* Returns the changes (struct routing_bytes) that a process lacks since version
+ * *base, or a full copy with *base 0. */
 static GArray *missing_changes(struct mirror *m, const struct fetcher *f,
 			       uint64_t *base)
 {
@@ -138,7 +142,7 @@
 	return out;
 }
 
-/* False if the send window is full. */
+/* Sends a process what it lacks. Returns false if the send window is full. */
 static bool send_missing(struct mirror *m, struct fetcher *f, int64_t now)
 {
 	struct msg_routing r = { .version = newest_for(m, f) };
@@ -171,6 +175,8 @@
 		f->notified = m->o.ops->send(m->o.arg, f->peer, &r);
 }
 
+/* Answers waiting requests, in order, while the send window is open, and
+ * notifies the others that their answer is queued. */
 static void dispatch(struct mirror *m, int64_t now)
 {
 	bool open = true;
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -1,7 +1,7 @@
 /*
  * Each control VM's copy of the routing, which all processes fetch from.
  *
- * The leader sends everybody only the number of the version in force. The
+ * The leader sends all processes only the number of the version in force. The
  * changes come from any member that has applied them, as they stand in the log.
  * So what the leader sends doesn't grow with the number of processes, and no
  * routing is sent over the link that carries its heartbeats. A process that
@@ -26,9 +26,9 @@
 struct mirror;
 
 struct mirror_ops {
-	/* False if the peer's connection accepts no more data now. */
+	/* Returns false if the peer's connection accepts no more data now. */
 	bool (*send)(void *arg, void *peer, const struct msg_routing *m);
-	/* A full copy of the newest version, with or without routes, packed. */
+	/* Packs a full copy of the newest version, with or without routes. */
 	GString *(*pack_full)(void *arg, bool routes);
 };
 
@@ -52,6 +52,7 @@
 /* Adds a version; one that isn't newer is ignored. */
 void mirror_add_version(struct mirror *m, const struct mirror_version *v,
 			int64_t now);
+/* Returns the newest version. */
 uint64_t mirror_version(const struct mirror *m);
 
 /* Handles a request, with the versions that the peer holds and wants. The
@@ -62,9 +63,9 @@
 void mirror_peer_closed(struct mirror *m, void *peer, int64_t now);
 void mirror_tick(struct mirror *m, int64_t now);
 
-/* Memory used by changes and full copies, in bytes. */
+/* Returns the memory used by changes and full copies, in bytes. */
 size_t mirror_bytes(const struct mirror *m);
-/* Bytes sent and not yet acknowledged. */
+/* Returns the number of bytes sent and not yet acknowledged. */
 size_t mirror_in_flight(const struct mirror *m);
 
 #endif
