--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -22,8 +22,8 @@
  * engine wait: at ten starts a second, streaming clients see unacceptable
  * pauses although few slots are in use. */
 #define REPLICA_STARTS_PER_S 4.0
-/* If the mean start rate of the engines is higher than that, a replica may
- * start this multiple of the mean: all engines are busy then, and an even
+/* A replica may start at least this multiple of the engines' mean start rate:
+ * if that is more than the limit above, all engines are busy, and an even
  * distribution is the best that can be reached. */
 #define STARTS_OVER_MEAN 1.25
 /* Costs of a placement are in ms of waiting. This is the cost of unloading a
@@ -42,8 +42,8 @@
  * ten times as long as one from disk: loading from it for callers who are about
  * to be late occupies engines that others need. */
 #define COPY_WAIT_SHARE 0.4
-/* Least time until a step makes a model ready: a load from disk. Callers with
- * less slack will be late in any case, so those with more go first. */
+/* Callers with less slack than this, the duration of a load from disk, are
+ * expected to be late in any case, so those with more go first. */
 #define LOAD_MIN_MS 500
 /* Cost of a load from the store for each model of which the engine has the
  * only copy: the load occupies the engine for seconds, in which these can't be
@@ -85,8 +85,8 @@
 	}
 	for (size_t m = 0; m < s->v->n_models; m++)
 		s->tally[m].copies += n->tier[m] != TIER_REMOTE;
-	/* An order of another leader that is still running is taken for a
-	 * load from the store: one from disk ends quickly. */
+	/* A running order of another leader is taken for a load from the
+	 * store: one from disk ends quickly. */
 	s->store_loads += n->foreign_order;
 	if (n->loading < 0)
 		return;
@@ -97,7 +97,7 @@
 	s->store_loads += n->loading_tier == TIER_REMOTE;
 }
 
-/* Calls that one replica runs before the model gets another. */
+/* Returns how many calls a replica runs before the model gets another one. */
 static uint32_t replica_calls_max(const struct pass *s)
 {
 	return MIN(REPLICA_CALLS_MAX,
@@ -128,7 +128,8 @@
 	return false;
 }
 
-/* Cost of unloading a replica, in ms of waiting; negative if it must stay. */
+/* Returns the cost of unloading a replica, in ms of waiting; negative if the
+ * replica must stay. */
 static double unload_cost(const struct pass *s, const struct fleet_node *n,
 			  const struct fleet_replica *p)
 {
@@ -276,7 +277,7 @@
 	return s->store_loads < s->v->store_parallel && s->v->store_tokens >= 1;
 }
 
-/* Whether the store has capacity for a preload. */
+/* Returns whether the store has capacity for a preload. */
 static bool store_allows_preload(const struct pass *s)
 {
 	size_t max = s->v->store_parallel;
@@ -316,9 +317,9 @@
 }
 
 /*
- * Whether an engine that has a copy will soon be able to load the model: it
- * carries out a short step, or waits for calls to end. A load from the store
- * would take longer and use store capacity.
+ * Returns whether an engine that has a copy will soon be able to load the
+ * model: it carries out a short step, or waits for calls to end. A load from
+ * the store would take longer and use store capacity.
  */
 static bool copy_available_soon(const struct pass *s,
 				const struct replica_need *need)
@@ -443,8 +444,8 @@
 
 /*
  * Returns why a model needs another replica; NULL if it doesn't. A replica on a
- * suspended engine can't serve callers who wait now, but isn't lost: while
- * nobody waits, it is counted and not replaced.
+ * suspended engine can't serve callers who wait now, but isn't lost: while no
+ * caller waits, it is counted and not replaced.
  */
 static const char *replica_reason(const struct pass *s, uint32_t model)
 {
@@ -561,7 +562,8 @@
 		place_copies(s, PRELOAD_COPIES, "one engine has the only copy");
 }
 
-/* Calls per second that a replica may start before the model gets another. */
+/* Returns how many calls per second a replica may start before the model gets
+ * another one. */
 static double max_starts_per_replica(const struct fleet_view *v)
 {
 	double total = 0;
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -48,6 +48,7 @@
 	int64_t eta_ms;	  /* out: as in struct fleet_model */
 };
 
+/* An engine of the service. */
 struct fleet_node {
 	const char *domain;
 	const char *version; /* of its software; NULL: not reported */
@@ -65,6 +66,7 @@
 	const uint8_t *tier; /* enum ss_tier of each model */
 };
 
+/* A step for one engine: it unloads the victims, then loads a model. */
 struct fleet_step {
 	uint32_t node;
 	int load; /* index of the model */
@@ -72,7 +74,7 @@
 	uint32_t victims[FLEET_VICTIMS_MAX]; /* models to unload first */
 	size_t n_victims;
 	int64_t expected_ms;
-	const char *why;
+	const char *why; /* static text */
 };
 
 struct fleet_view {
@@ -92,7 +94,7 @@
 /* Why a model that callers wait for can't be loaded now: counts of the usable
  * engines by what prevents it. */
 struct fleet_blocked {
-	uint32_t waiting; /* callers */
+	uint32_t waiting; /* callers that wait */
 	int64_t slack_ms;
 	const char *version;	   /* that the callers need; NULL: any */
 	uint32_t copies;	   /* engines that have a copy */
@@ -110,8 +112,8 @@
 			const struct fleet_blocked *b);
 };
 
-/* Plans the steps of one pass. Each node gets at most one step; the estimates
- * (eta_ms) are set in the view. */
+/* Plans the steps of one pass: at most one for each node. Sets the estimates
+ * (eta_ms) in the view. */
 void fleet_plan(struct fleet_view *v, const struct fleet_plan_ops *ops,
 		void *arg);
 
@@ -152,7 +154,9 @@
 	int64_t at_ms; /* 0: nothing counted yet */
 };
 
+/* Counts events that arrived now. */
 void fleet_rate_add(struct fleet_rate *r, uint64_t arrivals, int64_t now);
+/* Returns the rate per second. */
 double fleet_rate_at(const struct fleet_rate *r, int64_t now);
 
 #endif
--- a/src/core/fleet_eta.c
+++ b/src/core/fleet_eta.c
@@ -32,9 +32,9 @@
 	return t;
 }
 
-/* Remaining time of each running load from the store, in no order; padded with
- * zeros up to the store's parallel loads. An order of another leader counts as
- * a load that has just begun. */
+/* Returns the remaining time in ms of each running load from the store, in no
+ * order, padded with zeros up to the store's parallel loads. An order of
+ * another leader counts as a load that has just begun. */
 static GArray *store_load_ends(const struct pass *s, int64_t load_ms)
 {
 	GArray *ends = g_array_new(FALSE, TRUE, sizeof(int64_t));
@@ -65,9 +65,9 @@
 
 /*
  * Sets the estimates of requested models of which no engine has a copy. The
- * store loads them one after the other, so their times are known in advance. A
- * caller who can't wait that long gets a retry time at once, instead of being
- * held for seconds first.
+ * store loads them by priority, a limited number at a time, so their times are
+ * known in advance. A caller who can't wait that long gets a retry time at
+ * once, instead of being held for seconds first.
  */
 static void set_store_etas(struct pass *s)
 {
--- a/src/core/fleet_int.h
+++ b/src/core/fleet_int.h
@@ -53,6 +53,8 @@
 };
 
 /* fleet_eta.c */
+
+/* Counts the replicas and loads of a pin's model. */
 struct pin_tally fleet_count_pinned(const struct pass *s,
 				    const struct fleet_pin *pin);
 /* Sets the eta_ms of all models and pins in the view. */
--- a/src/core/fleet_list.h
+++ b/src/core/fleet_list.h
@@ -24,7 +24,7 @@
 	GArray *unreadable; /* struct fleet_unreadable */
 	/* False if pages are missing: they may list further endpoints. */
 	bool complete;
-	/* A fragment couldn't be read that may hold any number of entries. */
+	/* A fragment that may hold any number of entries couldn't be read. */
 	bool torn;
 };
 
@@ -42,9 +42,9 @@
  */
 void fleet_list_drop_conflicts(struct fleet_list *l, const struct routing *r);
 
-/* Whether the list moves an endpoint from a service of the routing to one that
- * isn't in the routing. Such an entry counts as corrupt and proves nothing
- * about the endpoint. */
+/* Returns whether the list moves an endpoint from a service of the routing to
+ * one that isn't in the routing. Such an entry counts as corrupt and proves
+ * nothing about the endpoint. */
 bool fleet_service_corrupt(const struct routing *r, const char *known,
 			   const char *listed);
 
--- a/src/core/fleet_measure.c
+++ b/src/core/fleet_measure.c
@@ -1,11 +1,11 @@
-/* Measurements of a fleet's leader: the store's parallelism, call rates, and
- * the pauses between passes of its own work. */
+/* Measurements by the leader of a fleet: the store's parallelism, call rates,
+ * and the pauses between passes of the leader's own work. */
 #include "fleet.h"
 
 #include <math.h>
 
-/* Initial number of parallel loads from the store. The bound doubles each time
- * that as many loads were as fast as a single one. */
+/* Initial bound on parallel loads from the store. It doubles each time that as
+ * many loads were as fast as a single one. */
 #define STORE_INITIAL_LOADS 2
 /* A load that takes this multiple of the time that it takes alone was slowed
  * down by others. The factor is above the delay that orders and reports add,
--- a/src/core/fleet_slowness.c
+++ b/src/core/fleet_slowness.c
@@ -8,18 +8,19 @@
 /* Half-life of an answer, in ms: the same as in the estimate of a single entry
  * (speed.c). */
 #define HALF_LIFE_MS 3000.0
-/* The maximum of answers that count per report: those that an entry gets of one
- * endpoint between two reports, so that a wrong number doesn't outweigh all
- * other entries. */
+/* Maximum number of answers that count per report: as many as an entry gets
+ * from one endpoint between two reports. A wrong number in a report then
+ * doesn't outweigh all other entries. */
 #define REPORT_ANSWERS_MAX 8
 /* The mean ratio of a report is clamped to this factor in either direction: a
  * call may wait for seconds where others take some 50 ms. */
 #define RATIO_MAX 100.0
-/* The least weight for a result. Fewer answers may be a few long prompts, as
+/* Minimum weight for a result, in answers. Fewer may be a few long prompts, as
  * entries only report endpoints that differ from their median. The probes of
  * all entries after their ejections add more. */
 #define WEIGHT_MIN 5.0
-/* Weight of the assumption that the endpoint is as fast as the median. */
+/* Weight, in answers, of the assumption that the endpoint is as fast as the
+ * median. */
 #define PRIOR_WEIGHT 1.0
 /* A change of the ratio by less than this factor would move few calls. */
 #define SIGNIFICANT_CHANGE 1.2
@@ -28,8 +29,8 @@
 #define RESEND_MS 1000
 /* An entry uses a ratio from the leader for this time, in ms. */
 #define VALID_MS 3000
-/* The initial weight of a ratio from the leader, equal to the maximum in an
- * entry's own estimate, and its half-life in ms. */
+/* The initial weight of a ratio from the leader, in answers, equal to the
+ * maximum in an entry's own estimate, and its half-life in ms. */
 #define RECEIVED_WEIGHT 16.0
 #define RECEIVED_HALF_LIFE_MS 1000.0
 
--- a/src/core/fleet_slowness.h
+++ b/src/core/fleet_slowness.h
@@ -19,7 +19,7 @@
 
 /* At an entry: the answers since its last report. All zero: none. */
 struct slowness_observed {
-	double sum_ln; /* of the logarithms of their ratios to the median */
+	double sum_ln; /* sum of the logarithms of their ratios to the median */
 	uint64_t n;
 };
 
@@ -42,18 +42,18 @@
 /* Adds an answer that took ratio times the median. Ignored unless ratio is a
  * number above 0. */
 void slowness_observed_add(struct slowness_observed *s, double ratio);
-/* The sum for the report, scaled by SLOWNESS_SCALE. */
+/* Returns the sum for the report, scaled by SLOWNESS_SCALE. */
 int64_t slowness_observed_sum(const struct slowness_observed *s);
 
 /* Adds the report of an entry about n answers. Values out of range count as the
  * largest that calls of an endpoint can show. */
 void fleet_slowness_add(struct fleet_slowness *p, int64_t sum_ln, uint64_t n,
 			int64_t now);
-/* The ratio to send, scaled by SLOWNESS_SCALE. 0: none, as there are too few
- * answers, or the speed is usual and entries hold no other ratio. */
+/* Returns the ratio to send, scaled by SLOWNESS_SCALE. 0: none, as there are
+ * too few answers, or the speed is usual and entries hold no other ratio. */
 int64_t fleet_slowness_ratio(const struct fleet_slowness *p, int64_t now);
-/* Whether the ratio is to be sent: it has changed enough to matter, or entries
- * would drop it. */
+/* Returns whether the ratio is to be sent: it has changed enough to matter, or
+ * entries would drop it. */
 bool fleet_slowness_is_due(const struct fleet_slowness *p, int64_t now);
 /* Records that the ratio is sent now. */
 void fleet_slowness_sent(struct fleet_slowness *p, int64_t now);
@@ -62,10 +62,11 @@
  * above 0. */
 void slowness_received_set(struct slowness_received *t, int64_t ratio,
 			   int64_t now);
-/* The ratio last received; 0: none is valid. */
+/* Returns the ratio last received; 0: none is valid. */
 double slowness_received_ratio(const struct slowness_received *t, int64_t now);
-/* The ratio that an entry uses: that of the leader or its own, whichever has
- * the larger weight. own: 0 if unknown; weight: that of own, in answers. */
+/* Returns the ratio that an entry uses: that of the leader or its own,
+ * whichever has the larger weight. own: 0 if unknown; weight: that of own, in
+ * answers. */
 double slowness_effective(const struct slowness_received *t, double own,
 			  double weight, int64_t now);
 
--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -36,7 +36,7 @@
 			  const struct fleet_incarnation *reported);
 /* Returns the version; an empty string if it isn't known. */
 const char *fleet_version(const struct fleet_incarnation *i);
-/* Whether both ids are known and differ. */
+/* Returns whether both ids are known and differ. */
 bool fleet_id_differs(const struct fleet_incarnation *known,
 		      const struct fleet_incarnation *reported);
 /*
@@ -87,9 +87,9 @@
 struct fleet_report {
 	/* The engine reports its start; its agent adds the id. */
 	struct fleet_incarnation self;
-	bool busy;	 /* runs an order */
-	uint64_t orders; /* accepted since its start */
-	int64_t running, waiting;
+	bool busy;		  /* runs an order */
+	uint64_t orders;	  /* accepted since its start */
+	int64_t running, waiting; /* calls */
 	int64_t tokens_used, tokens_total;
 	bool draining;
 	int64_t remaining_ms;	     /* until it is removed; -1: not reported */
@@ -110,8 +110,8 @@
 					 uint64_t orders,
 					 const struct fleet_report *r);
 
-/* Whether two lists have the same names (char *) in the same order; false if a
- * list is NULL. The two functions below compare lists likewise. */
+/* Returns whether two lists have the same names (char *) in the same order;
+ * false if a list is NULL. The two functions below compare lists likewise. */
 bool fleet_same_names(const GPtrArray *a, const GPtrArray *b);
 /* Compares models and adapters (struct fleet_held_model). */
 bool fleet_same_held(const GArray *a, const GArray *b);
