--- a/src/core/freshness.c
+++ b/src/core/freshness.c
@@ -15,7 +15,7 @@
 	uint64_t newest = f->n_pending ? f->pending[f->n_pending - 1].version :
 					 f->held;
 
-	f->on = true;
+	f->announced = true;
 	f->leader_lost_ms = SS_NEVER;
 	if (version <= newest)
 		return;
@@ -59,7 +59,7 @@
 				     int64_t *until)
 {
 	*until = now;
-	if (!f->on)
+	if (!f->announced)
 		return FRESHNESS_CURRENT;
 	/* The loop runs again after a stall and has not reached its tick
 	 * yet. */
@@ -72,9 +72,9 @@
 		return FRESHNESS_STALE;
 	}
 	if (f->n_pending) {
-		*until = f->pending[0].ms + FRESHNESS_APPLY_MS +
+		*until = f->pending[0].at_ms + FRESHNESS_APPLY_MS +
 			 FRESHNESS_HOLD_MS;
-		return now - f->pending[0].ms < FRESHNESS_APPLY_MS ?
+		return now - f->pending[0].at_ms < FRESHNESS_APPLY_MS ?
 			       FRESHNESS_UNCERTAIN :
 			       FRESHNESS_STALE;
 	}
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -18,15 +18,17 @@
 #define FRESHNESS_APPLY_MS 1000
 /* A lost leader is found again or replaced within this time, in ms. */
 #define FRESHNESS_LEADER_LOST_MS 300
-/* An event loop that was stalled for at least this time, in ms, ... */
+/* An event loop without an iteration for this time, in ms, counts as stalled.
+ */
 #define FRESHNESS_STALL_MS 500
-/* ... first reads the messages that arrived meanwhile, for this time, in ms. */
+/* Time after a stall, in ms, in which the loop first reads the messages that
+ * arrived meanwhile. */
 #define FRESHNESS_CATCH_UP_MS 200
 /* How much longer requests are held, in ms, by a process that is still behind
  * after FRESHNESS_APPLY_MS or has no leader after FRESHNESS_LEADER_LOST_MS. */
 #define FRESHNESS_HOLD_MS 500
-/* The maximum of announced versions that are not held yet. Further ones count
- * as announced together with the last of them. */
+/* Maximum number of announced versions that are stored until they are held.
+ * Further ones count as announced together with the last of them. */
 #define FRESHNESS_PENDING_MAX 8
 
 enum freshness_level {
@@ -37,11 +39,11 @@
 
 struct announced_version {
 	uint64_t version;
-	int64_t ms;
+	int64_t at_ms;
 };
 
 struct freshness {
-	bool on; /* a leader has announced a version */
+	bool announced; /* a leader has announced a version */
 	uint64_t held;
 	/* Announced and not held yet, in ascending order. */
 	struct announced_version pending[FRESHNESS_PENDING_MAX];
@@ -52,18 +54,19 @@
 };
 
 void freshness_init(struct freshness *f, int64_t now);
-/* A confirmed leader has announced the version in force. */
+/* Records that a confirmed leader has announced the version in force. */
 void freshness_received(struct freshness *f, uint64_t version, int64_t now);
+/* Records that this process holds a version now. */
 void freshness_applied(struct freshness *f, uint64_t version);
 void freshness_leader_lost(struct freshness *f, int64_t now);
-/* To be called in each iteration of the event loop. */
+/* Records an iteration of the event loop; to be called in each. */
 void freshness_tick(struct freshness *f, int64_t now);
 
-/* The time without a leader; 0 if one is connected. */
+/* Returns the time without a leader, in ms; 0 if one is connected. */
 int64_t freshness_disconnected_ms(const struct freshness *f, int64_t now);
 
 /* Returns the level, and in *until the time until which a request may wait for
- * a better one; not later than now: it may not wait. */
+ * a better one. If that isn't later than now, the request may not wait. */
 enum freshness_level freshness_level(const struct freshness *f, int64_t now,
 				     int64_t *until);
 
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -22,7 +22,7 @@
 #define EVICT_AGE_MIN_MS 2000
 /* Idle time after which evicting a replica costs half of its load time. */
 #define EVICT_COST_HALF_MS 600000
-/* A load is expected to take at least its age times this in all. */
+/* A load is expected to take at least its age times this factor in all. */
 #define OVERDUE_FACTOR 1.5
 /* Placement cost of each replica in the same failure domain, in load times. */
 #define SAME_DOMAIN_COST 0.5
@@ -102,11 +102,11 @@
 
 /* Counts of a model's replicas in the view. */
 struct tally {
-	size_t all;	/* in any state and on any node */
-	size_t serving; /* ready on a usable node */
-	size_t loading; /* on a usable node, and not failed */
-	uint64_t slots; /* of both */
-	int64_t oldest_load_ms;
+	size_t all;		/* in any state and on any node */
+	size_t serving;		/* ready on a usable node */
+	size_t loading;		/* on a usable node, and not failed */
+	uint64_t slots;		/* of both */
+	int64_t oldest_load_ms; /* age of the oldest load */
 };
 
 static struct tally count_replicas(const struct plan_view *v, const char *model)
@@ -177,9 +177,9 @@
 }
 
 /*
- * Cost of unloading a replica now, in ms: the time of its next load, weighed
- * lower the longer the replica has been idle, as it is less likely to be
- * needed.
+ * Returns the cost of unloading a replica now, in ms: the time of its next
+ * load, weighed lower the longer the replica has been idle, as it is less
+ * likely to be needed.
  */
 static double evict_cost(const struct pass *s, const struct plan_replica *r)
 {
@@ -189,7 +189,7 @@
 	       (double)(r->idle_ms + EVICT_COST_HALF_MS);
 }
 
-/* Bytes on a node that unloads in progress will free. */
+/* Returns the bytes on a node that unloads in progress will free. */
 static uint64_t bytes_being_freed(const struct pass *s, int node)
 {
 	uint64_t sum = 0;
@@ -254,8 +254,8 @@
 	return out;
 }
 
-static unsigned int same_domain(const struct plan_view *v, const GArray *with,
-				int node)
+static unsigned int count_same_domain(const struct plan_view *v,
+				      const GArray *with, int node)
 {
 	unsigned int n = 0;
 
@@ -275,16 +275,18 @@
 	       (!*d->base || node_has(s, d->base, i, true));
 }
 
+/* Returns the cost of a new replica on a node, in ms. evictions: the part of it
+ * that the replica's victims cause. */
 static double placement_cost(const struct pass *s, const struct plan_demand *d,
-			     const GArray *with, int i, double evict)
+			     const GArray *with, int i, double evictions)
 {
 	const struct plan_node *n = &s->v->nodes[i];
 	enum ss_tier tier = s->v->tier(s->v->arg, d->model, n->name);
 	double cost = (double)load_ms_of(s->p, d, tier) *
-		      (1 + SAME_DOMAIN_COST * same_domain(s->v, with, i) +
+		      (1 + SAME_DOMAIN_COST * count_same_domain(s->v, with, i) +
 		       BUSY_NODE_COST * n->loading);
 
-	return cost + evict +
+	return cost + evictions +
 	       FREE_MS_PER_BYTE * (double)(n->bytes - MIN(n->used, n->bytes));
 }
 
@@ -301,14 +303,14 @@
 	int best = -1;
 
 	for (int i = 0; i < (int)s->v->n_nodes; i++) {
-		double evict, cost;
+		double evictions, cost;
 
 		if (!can_host(s, d, with, i))
 			continue;
-		evict = choose_victims(s, i, d->bytes, out);
-		if (evict < 0)
+		evictions = choose_victims(s, i, d->bytes, out);
+		if (evictions < 0)
 			continue;
-		cost = placement_cost(s, d, with, i, evict);
+		cost = placement_cost(s, d, with, i, evictions);
 		if (best >= 0 && cost >= best_cost)
 			continue;
 		best = i;
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -1,8 +1,9 @@
 /*
  * The leader's planning of replicas: which model to load on which node, which
  * replica to unload, and in which order models are read from the weight store.
- * The plan is a pure function of a view of the system and the pacer. Decisions
- * are committed to the replicated log before they are carried out.
+ * The plan depends only on a view of the system and the pacer, and updates both
+ * by its decisions. Decisions are committed to the replicated log before they
+ * are carried out.
  */
 #ifndef SS_PLAN_H
 #define SS_PLAN_H
@@ -39,19 +40,20 @@
 	bool failed;	/* the agent reported the load as failed */
 };
 
+/* Demand for a model: calls that wait, or that are predicted. */
 struct plan_demand {
 	const char *model;
 	const char *base;
 	const char *pool;
 	uint64_t bytes;
-	uint64_t slots;
+	uint64_t slots;	  /* of one replica */
 	uint64_t waiting; /* queued calls */
 	int64_t slack_ms; /* to the earliest deadline */
 	int priority;
 	bool preload;	 /* no call waits; history predicts one */
 	int64_t load_ms; /* expected from the store; 0: unknown */
 	int64_t eta_ms;	 /* out: until a replica is ready; -1: unknown */
-	const char *why; /* out: static text */
+	const char *why; /* out: reason of the decision, static text */
 };
 
 struct plan_view {
--- a/src/core/repair.c
+++ b/src/core/repair.c
@@ -13,8 +13,9 @@
 }
 
 /*
- * True if a later member has the same name or address: this one lost its disk.
- * by_voter: only a later voter counts.
+ * Returns true if a later member has the same name or address: this one lost
+ * its disk. The leader itself is never replaced. by_voter: only a later voter
+ * counts.
  */
 static bool is_replaced(const struct repair_member *m, size_t n, size_t i,
 			bool by_voter)
--- a/src/core/repair.h
+++ b/src/core/repair.h
@@ -35,7 +35,8 @@
 	size_t member; /* index into the members */
 };
 
-/* Takes members in the order they joined and the index of the last entry. */
+/* Returns the next step. The members are in the order in which they joined;
+ * last is the index of the leader's last log entry. */
 struct repair_step repair_next(const struct repair_member *m, size_t n,
 			       uint64_t last);
 
--- a/src/core/speed.c
+++ b/src/core/speed.c
@@ -12,13 +12,14 @@
 /* An answer that differs by more than this factor from the mean shows a change:
  * the endpoint has slowed down or recovered. */
 #define CHANGE_FACTOR 3.0
-/* Weight of the earlier answers after such a change: one fast answer ends an
- * ejection. */
+/* Maximum weight of the earlier answers after such a change, in answers: one
+ * fast answer ends an ejection. */
 #define CHANGED_WEIGHT 0.5
-/* Maximum weight of the estimate, so that a few answers can change it. */
+/* Maximum weight of the estimate, in answers, so that a few more can change
+ * it. */
 #define WEIGHT_MAX 16.0
-/* Weight of the assumption that the endpoint is as fast as the median: one
- * prompt may wait behind another. */
+/* Weight, in answers, of the assumption that the endpoint is as fast as the
+ * median: one prompt may wait behind another. */
 #define PRIOR_WEIGHT 1.0
 /* An estimate of less weight is ignored. */
 #define WEIGHT_MIN 0.1
@@ -53,8 +54,8 @@
 	return s->weight * exp2(-age / (double)s->half_life_ms);
 }
 
-/* The half-life doubles at most once per half-life while answers agree, and is
- * reset when one doesn't. */
+/* Doubles the half-life, at most once per half-life, while answers agree, and
+ * resets it when one doesn't. */
 static void set_half_life(struct speed *s, bool agrees, int64_t now)
 {
 	if (agrees && now - s->half_life_set_ms < s->half_life_ms)
@@ -88,7 +89,7 @@
 	s->n++;
 }
 
-/* A call without an answer counts only if it has taken longer than this; 0: it
+/* Returns the time that a call without an answer has to exceed to count; 0: it
  * never counts. */
 static double threshold_ms(const struct speed *s, double median, int64_t now)
 {
@@ -138,7 +139,7 @@
 	return now - s->work_ms <= WORK_VALID_MS ? s->work : 0;
 }
 
-/* The mean logarithm, including calls in flight, and its weight. */
+/* Returns the mean logarithm, including calls in flight, and its weight. */
 static double estimate(const struct speed *s, int64_t now, double *weight)
 {
 	double w = weight_at(s, now);
@@ -218,7 +219,8 @@
 	       (r->probe_ms && now - r->probe_ms < PROBE_TIMEOUT_MS);
 }
 
-/* Whether the last ejection ended so long ago that it no longer counts. */
+/* Returns whether the last ejection ended so long ago that it no longer counts.
+ */
 static bool is_expired(const struct ejection *r, int64_t now)
 {
 	return now - r->until_ms >= EJECTION_MAX_MS;
--- a/src/core/speed.h
+++ b/src/core/speed.h
@@ -47,34 +47,35 @@
 /* Records the work time that the endpoint reports, in percent of the usual.
  * Ignored if out of range or not reported (0). */
 void speed_work_received(struct speed *s, int64_t percent, int64_t now);
-/* The reported work time as a ratio; 0: none or too old. */
+/* Returns the reported work time as a ratio; 0: none or too old. */
 double speed_work_ratio(const struct speed *s, int64_t now);
 
-/* The present weight of the estimate, in answers. */
+/* Returns the present weight of the estimate, in answers. */
 double speed_sample_weight(const struct speed *s, int64_t now);
-/* The present estimate of the response time, in ms; 0: unknown. */
+/* Returns the present estimate of the response time, in ms; 0: unknown. */
 double speed_ms(const struct speed *s, int64_t now);
-/* The median of n times, the lower one of two; sorts them. 0 for fewer than
- * two, as there is nothing to compare. */
+/* Sorts n times and returns their median, the lower one of two. Returns 0 for
+ * fewer than two, as there is nothing to compare. */
 double speed_median(double *ms, size_t n);
-/* The response time as a ratio to the median, near 1 while there are few calls;
- * 0: unknown. */
+/* Returns the response time as a ratio to the median, near 1 while there are
+ * few calls; 0: unknown. */
 double speed_ratio(const struct speed *s, double median, int64_t now);
-/* The ratio as a factor of load: 1 within the usual variation between calls; 0
- * stays 0. */
+/* Returns the ratio as a factor of load: 1 within the usual variation between
+ * calls; 0 stays 0. */
 double speed_load_factor(double ratio);
 
-/* Slow start: the part of its calls, from above 0 to 1, that an endpoint gets
- * at this age and after that many answers. */
+/* Slow start: returns the part of its calls, from above 0 to 1, that an
+ * endpoint gets at this age and after that many answers. */
 double speed_slow_start(int64_t age_ms, uint64_t answers);
 
-/* Whether an endpoint is to be ejected: it is too slow, and its next caller
- * would miss the latency objective. */
+/* Returns whether an endpoint is to be ejected: it is too slow, and its next
+ * caller would miss the latency objective (0: none). */
 bool ejection_is_needed(double ratio, double first_ms, int64_t objective_ms);
-/* Whether no call may be sent, as it is ejected or its probe is in flight. */
+/* Returns whether no call may be sent, because the endpoint is ejected or its
+ * probe is in flight. */
 bool ejection_is_active(const struct ejection *r, int64_t now);
-/* Whether a slow endpoint is to be ejected: it wasn't recently, or its probe
- * has timed out. */
+/* Returns whether a slow endpoint is to be ejected: it wasn't recently, or its
+ * probe has timed out. */
 bool ejection_is_due(const struct ejection *r, int64_t now);
 /* Starts an ejection. It lasts longer than one that ended shortly before. */
 void ejection_begin(struct ejection *r, int64_t now);
