--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -19,6 +19,7 @@
 namespace
 {
 
+/* Memory of the engine, in bytes. */
 const uint64_t kMemory = 10;
 const int kModels = 6;
 
--- a/test/prop_discovery.cc
+++ b/test/prop_discovery.cc
@@ -1,6 +1,6 @@
 /*
  * Property: every process finds the leader, whatever order of changed
- * settings, replaced members, crashes and restarts came before.
+ * configured addresses, replaced members, crashes and restarts came before.
  *
  * The decisions are those of core/discovery.c. The test models what the
  * programs do with them: query the next address every 100 ms, pass on known
@@ -59,7 +59,8 @@
 	std::vector<Proc> procs;
 	std::vector<std::string> members; /* according to the newest log */
 	std::vector<std::string> seeds;	  /* the configured addresses */
-	GPtrArray *settings = g_ptr_array_new_with_free_func(g_free);
+	/* The same as an array (char *), for discovery_new(). */
+	GPtrArray *seed_array = g_ptr_array_new_with_free_func(g_free);
 	int64_t now = 0;
 	int addrs = 0;
 
@@ -67,7 +68,7 @@
 	{
 		for (auto &p : procs)
 			discovery_free(p.s);
-		g_ptr_array_unref(settings);
+		g_ptr_array_unref(seed_array);
 	}
 
 	std::string new_addr()
@@ -103,18 +104,19 @@
 	void set_seeds(const std::vector<std::string> &new_seeds)
 	{
 		seeds = new_seeds;
-		g_ptr_array_set_size(settings, 0);
+		g_ptr_array_set_size(seed_array, 0);
 		for (auto &a : seeds)
-			g_ptr_array_add(settings, g_strdup(a.c_str()));
+			g_ptr_array_add(seed_array, g_strdup(a.c_str()));
 	}
 
-	/* A restart keeps only the settings and, on a member, the log. */
+	/* A restart keeps only the seeds and, on a member, the log. */
 	void start(Proc &p)
 	{
 		discovery_free(p.s);
 		p.s = p.kind == MEMBER ?
 			      nullptr :
-			      discovery_new(settings, (uint64_t)now + procs.size());
+			      discovery_new(seed_array,
+					    (uint64_t)now + procs.size());
 		p.up = true;
 		p.found = false;
 		p.hint.clear();
@@ -183,15 +185,16 @@
 	{
 		std::vector<Query> left;
 
-		for (auto &o : p.queries) {
-			Proc *q = at(o.addr);
+		for (auto &query : p.queries) {
+			Proc *q = at(query.addr);
 
 			if (q && q->kind != CLIENT && q != &p)
 				answer(*q, p);
-			if (q || now - o.since < kConnectTimeoutMs)
-				left.push_back(o);
+			if (q || now - query.since < kConnectTimeoutMs)
+				left.push_back(query);
 			else
-				discovery_query_done(p.s, o.addr.c_str());
+				discovery_query_done(p.s,
+						     query.addr.c_str());
 		}
 		p.queries = left;
 	}
@@ -251,7 +254,7 @@
 	}
 }
 
-std::vector<std::string> random_settings(World &w)
+std::vector<std::string> random_seeds(World &w)
 {
 	std::vector<std::string> all, out;
 
@@ -305,7 +308,7 @@
 
 	switch (*rc::gen::inRange(0, 6)) {
 	case 0:
-		w.set_seeds(random_settings(w));
+		w.set_seeds(random_seeds(w));
 		break;
 	case 1:
 		w.procs[i].up = false;
@@ -390,16 +393,16 @@
 	});
 
 	ok &= rc::check("no address has two open queries", [] {
-		GPtrArray *settings = g_ptr_array_new();
+		GPtrArray *configured = g_ptr_array_new();
 		discovery *s;
 		std::set<std::string> open;
 		int64_t now = 0;
 
 		for (int i = 0; i < 3; i++)
-			g_ptr_array_add(settings,
+			g_ptr_array_add(configured,
 					(char *)(i == 0 ? "a" :
 						 i == 1 ? "b" : "c"));
-		s = discovery_new(settings, 1);
+		s = discovery_new(configured, 1);
 		for (int i = 0; i < 100; i++) {
 			int what = *rc::gen::inRange(0, 3);
 			std::string any(1, (char)('a' + *rc::gen::inRange(
@@ -421,7 +424,7 @@
 			RC_ASSERT(discovery_known(s)->len <= DISCOVERY_MAX_KNOWN);
 		}
 		discovery_free(s);
-		g_ptr_array_unref(settings);
+		g_ptr_array_unref(configured);
 	});
 	return ok ? 0 : 1;
 }
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -11,7 +11,7 @@
 
 struct held_row {
 	int model, calls;
-	bool closing;
+	bool unloading;
 };
 
 struct node_row {
@@ -20,7 +20,8 @@
 	int n_held;
 	const char *tiers; /* by model: s(tore), d(isk), m(emory) */
 	int unusable;	   /* 1: draining or down; 2: suspended */
-	int engaged;	   /* runs an order of 1: this leader; 2: another */
+	/* Whose order it runs; 0: none; 1: this leader's; 2: another's. */
+	int order_from;
 	int running;
 };
 
@@ -35,7 +36,7 @@
 	struct node_row nodes[4];
 	size_t n_nodes;
 	struct demand_row demand[MODELS];
-	bool ahead;
+	bool preload;
 	double tokens;
 	const char *steps; /* "node:load<tier>-victim..." */
 };
@@ -470,11 +471,11 @@
 	*n = (struct fleet_node){ .domain = row->domain,
 				  .usable = !row->unusable,
 				  .suspended = row->unusable == 2,
-				  .accepts_step = !row->engaged,
+				  .accepts_step = !row->order_from,
 				  .loading = -1,
 				  .free_mb = 80,
 				  .running = row->running,
-				  .foreign_order = row->engaged == 2,
+				  .foreign_order = row->order_from == 2,
 				  .slots = 10,
 				  .tier = tiers };
 	n->replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
@@ -482,7 +483,7 @@
 		struct fleet_replica p = {
 			.model = (uint32_t)row->held[i].model,
 			.calls = (uint32_t)row->held[i].calls,
-			.unloading = row->held[i].closing
+			.unloading = row->held[i].unloading
 		};
 
 		g_array_append_val(n->replicas, p);
@@ -509,7 +510,7 @@
 					.slots = 10,
 					.store_parallel = 4,
 					.store_tokens = pc->tokens,
-					.preload = pc->ahead };
+					.preload = pc->preload };
 		GString *out = g_string_new(NULL);
 
 		for (int m = 0; m < MODELS; m++)
@@ -571,9 +572,9 @@
 
 /*
  * Guards against callers of a model without a copy being held for six seconds
- * and then refused. This happens if the store loads two models at a time, in
- * 6 s each, five are requested, and those queued behind the others get no
- * estimate, though it follows from the store's queue.
+ * and then refused. The store loads two models at a time, in 6 s each, and five
+ * are requested. Those queued behind the others have to get an estimate, which
+ * follows from the store's queue.
  */
 static void eta_follows_the_store_queue(void **state)
 {
@@ -604,22 +605,22 @@
 
 	(void)state;
 	make_specs();
-	for (int known = 0; known < 2; known++) {
+	for (int reported = 0; reported < 2; reported++) {
 		for (int m = 0; m < MODELS; m++)
 			models[m] = (struct fleet_model){ .spec = &specs[m] };
 		models[2].waiting = 3;
 		models[3].waiting = 2;
 		models[4].rate = 1; /* its callers are to retry later */
 		models[5].waiting = 1;
-		v.all_reported = known;
+		v.all_reported = reported;
 		for (int i = 0; i < 2; i++)
 			nodes[i].replicas = g_array_new(
 				FALSE, FALSE, sizeof(struct fleet_replica));
 		fleet_plan(&v, &ops, out);
 		assert_int_equal(models[0].eta_ms, 1000);
-		assert_int_equal(models[2].eta_ms, known ? 7000 : -1);
-		assert_int_equal(models[3].eta_ms, known ? 10000 : -1);
-		assert_int_equal(models[4].eta_ms, known ? 13000 : -1);
+		assert_int_equal(models[2].eta_ms, reported ? 7000 : -1);
+		assert_int_equal(models[3].eta_ms, reported ? 10000 : -1);
+		assert_int_equal(models[4].eta_ms, reported ? 13000 : -1);
 		/* An engine has a copy, but when it is free is unknown. */
 		assert_int_equal(models[5].eta_ms, -1);
 		for (int i = 0; i < 2; i++)
@@ -686,7 +687,7 @@
 	size_t n;
 	int64_t took_ms; /* 1000 ms for a single load */
 	bool done;
-	size_t most; /* expected bound afterwards */
+	size_t max_loads; /* expected bound afterwards */
 };
 
 struct store_case {
@@ -731,7 +732,7 @@
 		for (const struct store_row *r = c->rows; r->n; r++) {
 			fleet_store_observe(&s, r->n, r->took_ms, 1000,
 					    r->done);
-			if (fleet_store_max_loads(&s, c->limit) != r->most)
+			if (fleet_store_max_loads(&s, c->limit) != r->max_loads)
 				fail_msg("%s: row %d: %zu", c->label,
 					 (int)(r - c->rows),
 					 fleet_store_max_loads(&s, c->limit));
@@ -740,7 +741,7 @@
 }
 
 static const struct {
-	int64_t took_ms, part, least_ms, most_ms, pause_ms;
+	int64_t took_ms, ratio, min_ms, max_ms, pause_ms;
 } pauses[] = {
 	{ 0, 10, 20, 100, 20 },	 { 1, 10, 20, 100, 20 },
 	{ 5, 10, 20, 100, 50 },	 { 80, 10, 20, 100, 100 },
@@ -748,14 +749,15 @@
 	{ 9, 50, 50, 500, 450 },
 };
 
-/* Guards against passes over a large fleet taking all of the leader's time. */
+/* Guards against passes over a large fleet that take all of the leader's
+ * time. */
 static void pause_is_proportional_to_duration(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(pauses); i++)
 		assert_int_equal(
-			fleet_pause_ms(pauses[i].took_ms, pauses[i].part,
-				       pauses[i].least_ms, pauses[i].most_ms),
+			fleet_pause_ms(pauses[i].took_ms, pauses[i].ratio,
+				       pauses[i].min_ms, pauses[i].max_ms),
 			pauses[i].pause_ms);
 }
 
--- a/test/test_fleet_report.c
+++ b/test/test_fleet_report.c
@@ -125,10 +125,10 @@
 };
 
 /*
- * Guards against orders, calls and state that refer to an earlier incarnation
- * of an engine. This happens if the id alone identifies the incarnation: an
- * engine restarts with the same id while messages about its earlier incarnation
- * are still in transit.
+ * Guards against orders, calls and state of an earlier incarnation of an engine
+ * that are applied to a later one. This happens if the id alone identifies the
+ * incarnation: an engine restarts with the same id while messages about its
+ * earlier incarnation are still in transit.
  */
 static const struct incarnation_case incarnation_cases[] = {
 	{ "equal",
--- a/test/test_fleet_slowness.c
+++ b/test/test_fleet_slowness.c
@@ -30,7 +30,7 @@
 	return now;
 }
 
-struct pool_case {
+struct aggregate_case {
 	const char *label;
 	int n;
 	double ratio;
@@ -38,7 +38,7 @@
 	int64_t min, max; /* limits of the ratio to send */
 };
 
-static const struct pool_case pools[] = {
+static const struct aggregate_case aggregate_cases[] = {
 	{ "no answers", 0, 1, 0, 0, 0 },
 	{ "four long prompts", 4, 6, 0, 0, 0 },
 	{ "even", 30, 1.2, 0, 0, 0 },
@@ -58,8 +58,8 @@
 	int64_t now;
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(pools); i++) {
-		const struct pool_case *c = &pools[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(aggregate_cases); i++) {
+		const struct aggregate_case *c = &aggregate_cases[i];
 		struct fleet_slowness x = { 0 };
 		int64_t got, at = add_reports(&x, c->n, c->ratio, 5000) +
 				  c->later_ms;
@@ -99,6 +99,7 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(false_reports); i++) {
 		struct fleet_slowness p = { 0 };
+		/* At most 8 answers of a report count, beside 9 others. */
 		double share = false_reports[i].n > 1 ? 8.0 / 17 : 0.1;
 		int64_t now = 5000;
 
@@ -153,17 +154,18 @@
 	struct fleet_load x = { .addr = SS_LIT("a"), .running = 1 };
 	struct msg_demand d = { .results = { &e, 1 } };
 	struct msg_fleet m = { .loads = { &x, 1 } };
-	size_t ends = bytes_of(MSG_DEMAND, &d), loads = bytes_of(MSG_FLEET, &m);
+	size_t demand_bytes = bytes_of(MSG_DEMAND, &d),
+	       fleet_bytes = bytes_of(MSG_FLEET, &m);
 	struct fleet_slowness p = { 0 };
 	int64_t now = add_reports(&p, 50, 1, 5000);
 
 	(void)state;
 	x.slowness = fleet_slowness_ratio(&p, now);
-	assert_int_equal(bytes_of(MSG_FLEET, &m), loads);
+	assert_int_equal(bytes_of(MSG_FLEET, &m), fleet_bytes);
 	x.slowness = x.failure_rate = e.answered = 1;
 	e.slowness_count = e.slowness_ln = 1;
-	assert_int_equal(bytes_of(MSG_FLEET, &m), loads + 4);
-	assert_int_equal(bytes_of(MSG_DEMAND, &d), ends + 6);
+	assert_int_equal(bytes_of(MSG_FLEET, &m), fleet_bytes + 4);
+	assert_int_equal(bytes_of(MSG_DEMAND, &d), demand_bytes + 6);
 }
 
 #define ENTRIES 33
--- a/test/test_freshness.c
+++ b/test/test_freshness.c
@@ -1,4 +1,4 @@
-/* Tests when a process takes its routing to be outdated. */
+/* Tests when a process considers its routing outdated. */
 #include "unit.h"
 
 #include "../src/core/freshness.h"
@@ -163,7 +163,8 @@
 	}
 }
 
-/* A stall is detected in the first iteration after it, also before the tick. */
+/* Guards against requests that are answered by outdated routing in the first
+ * iteration after a stall, before its tick. */
 static void stale_at_once_after_a_stall(void **state)
 {
 	struct freshness f;
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -256,7 +256,7 @@
 							"services",
 							"customers" };
 
-/* The packed change from a document to a version. */
+/* Returns the packed change from a document to a version. */
 static GString *change_to(const struct world *w, const struct document *d,
 			  uint64_t version)
 {
@@ -324,7 +324,7 @@
 	g_free(w);
 }
 
-/* Update a document to a version; returns the packed change. */
+/* Updates a document to a version and returns the packed change. */
 static GString *advance_document(const struct world *w, struct document *d,
 				 uint64_t version)
 {
@@ -336,7 +336,7 @@
 	return packed;
 }
 
-/* Apply a version at one member. */
+/* Applies a version at one member. */
 static void apply_at(struct world *w, int member, uint64_t version)
 {
 	struct member *m = &w->m[member];
@@ -356,6 +356,7 @@
 		g_string_free(packed, TRUE);
 }
 
+/* Applies a version at all members. */
 static void apply(struct world *w, uint64_t version)
 {
 	for (int i = 0; i < w->members; i++)
@@ -434,7 +435,8 @@
 	return n;
 }
 
-/* Milliseconds until all processes hold a version; SS_NEVER after max_ms. */
+/* Runs until all processes hold a version and returns the time that it took, in
+ * ms; SS_NEVER if it takes longer than max_ms. */
 static int64_t time_until_all_hold(struct world *w, uint64_t version,
 				   int64_t max_ms)
 {
@@ -492,7 +494,7 @@
 				fail_msg("%s: a heartbeat waited for %" PRId64
 					 " ms",
 					 c->label, w->m[k].max_link_queue_ms);
-		/* The leader, with heartbeats to send, serves nobody. */
+		/* The leader, with heartbeats to send, serves no process. */
 		if (c->members > 1)
 			assert_int_equal(w->m[w->leader].served, 0);
 		for (int k = 0; k < PROCESSES; k++)
@@ -522,7 +524,8 @@
 	}
 }
 
-/* A change must not take effect later where many routes are held already. */
+/* Guards against changes that take effect later the more routes a process
+ * holds. */
 static void growing_routing_is_in_force_within_a_second(void **state)
 {
 	struct world *w = world_new(MEMBERS, 100, 100);
@@ -819,7 +822,7 @@
 	world_free(w);
 }
 
-/* A process that hangs or disconnects doesn't block the others. */
+/* Guards against processes that hang or disconnect and block the others. */
 static void silent_processes_do_not_block_others(void **state)
 {
 	struct world *w = world_new(1, 100, 10);
@@ -861,7 +864,7 @@
 
 			queue -= out;
 			carried += out;
-			/* They were sent before the queue that is left. */
+			/* These bytes were sent before those still queued. */
 			send_window_acked(&w, (size_t)out,
 					  now - (int64_t)(queue / rate) - 1);
 			while (send_window_allows(&w, 1000)) {
--- a/test/test_plan.c
+++ b/test/test_plan.c
@@ -255,7 +255,7 @@
 }
 
 /* Returns n arrivals at equal gaps. */
-static struct ss_arrivals every(int64_t gap, int n)
+static struct ss_arrivals arrivals_every(int64_t gap, int n)
 {
 	struct ss_arrivals a = { 0 };
 
@@ -272,7 +272,7 @@
 	int64_t least, most; /* bounds of the keep-alive time */
 };
 
-static const struct keep_case keeps[] = {
+static const struct keep_case keep_cases[] = {
 	{ "used every minute: kept for longer than the gap", 60000, 50, 0.5,
 	  60000, 120000 },
 	{ "used once a day, idle memory weighs most: unloaded at once", DAY_MS,
@@ -287,9 +287,9 @@
 static void idle_time_follows_history(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(keeps); i++) {
-		const struct keep_case *k = &keeps[i];
-		struct ss_arrivals a = every(k->gap, k->n);
+	for (size_t i = 0; i < G_N_ELEMENTS(keep_cases); i++) {
+		const struct keep_case *k = &keep_cases[i];
+		struct ss_arrivals a = arrivals_every(k->gap, k->n);
 		struct ss_keep_costs c = { .cold_weight = k->weight,
 					   .load_ms = 8000,
 					   .share = 0.2,
@@ -369,7 +369,7 @@
 	bool preloaded;
 };
 
-static const struct local_case locals[] = {
+static const struct local_case local_cases[] = {
 	{ "east, 08:00 local is 06:00 UTC: preloaded at 06:00", 2, 2, 6, true },
 	{ "east, 08:00 UTC is 10:00 local: not preloaded", 2, 2, 8, false },
 	{ "west, 08:00 local is 13:00 UTC: preloaded at 13:00", -5, -5, 13,
@@ -395,8 +395,8 @@
 				   .share = 0.2 };
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(locals); i++) {
-		const struct local_case *k = &locals[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(local_cases); i++) {
+		const struct local_case *k = &local_cases[i];
 		int64_t before = k->before_h * HOUR_MS;
 		struct ss_arrivals a = { 0 };
 		struct ss_wall at = { .utc_offset_ms = before };
--- a/test/test_repair.c
+++ b/test/test_repair.c
@@ -16,10 +16,10 @@
 		.name = SS_LIT(who), .addr = SS_LIT(who), .voter = true,       \
 		.quiet_ms = (quiet), .match = 100                              \
 	}
-#define LEARNER(who, quiet, has)                                               \
+#define LEARNER(who, quiet, index)                                             \
 	{                                                                      \
 		.name = SS_LIT(who), .addr = SS_LIT(who), .quiet_ms = (quiet), \
-		.match = (has)                                                 \
+		.match = (index)                                               \
 	}
 #define DEAD (REPAIR_DEAD_MS + 1)
 
--- a/test/test_speed.c
+++ b/test/test_speed.c
@@ -165,9 +165,9 @@
 	int64_t gap_ms; /* interval between calls */
 	bool weighted;	/* balance_choose_weighted() instead of balance_choose()
 			 */
-	bool all;
-	bool whole;  /* the whole call is slower, not only its first event */
-	double slow; /* factor; 0: they stall */
+	bool all;	/* all engines are slower, not only the first */
+	bool whole;	/* the whole call is slower, not only its first event */
+	double slow;	/* factor; 0: they stall */
 	int64_t to_ms;
 	int least, most; /* limits of the calls to the first one while it is
 			    slow, in percent of an equal share, without the
@@ -309,7 +309,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(sim_cases); i++) {
 		const struct sim_case *c = &sim_cases[i];
 		struct sim *p = g_new0(struct sim, 1);
-		int part, after, late, none;
+		int share, after, late, ignored;
 
 		p->c = c;
 		p->seed = 11;
@@ -320,14 +320,14 @@
 			if (now % c->gap_ms == 0)
 				sim_send(p, sim_choose(p), now);
 		}
-		part = sim_share(p, SLOW_FROM_MS + 1000, c->to_ms, &late);
-		after = c->to_ms < SIM_MS ?
-				sim_share(p, c->to_ms + 3000, SIM_MS, &none) :
-				100;
-		if (part < c->least || part > c->most || late > c->late ||
+		share = sim_share(p, SLOW_FROM_MS + 1000, c->to_ms, &late);
+		after = c->to_ms < SIM_MS ? sim_share(p, c->to_ms + 3000,
+						      SIM_MS, &ignored) :
+					    100;
+		if (share < c->least || share > c->most || late > c->late ||
 		    after < 80)
 			fail_msg("%s: %d %%, %d %% late, %d %% after", c->label,
-				 part, late, after);
+				 share, late, after);
 		g_free(p);
 	}
 }
