--- a/src/core/choose.c
+++ b/src/core/choose.c
@@ -12,7 +12,7 @@
 	return MAX(t->own_calls, t->reported_calls + t->sent_since);
 }
 
-/* The usable slots grow linearly during slow start, from one. */
+/* Returns the usable slots, which grow linearly from one during slow start. */
 static uint64_t slow_start_slots(const struct target *t)
 {
 	uint64_t n;
@@ -31,7 +31,7 @@
 	return t->usable && load < slots ? slots - load : 0;
 }
 
-/* The lowest score wins. */
+/* Returns the score of a candidate; the lowest one wins. */
 static double score(const struct target *t)
 {
 	double load = (double)target_load(t) / (double)MAX(t->slots, 1);
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -455,9 +455,9 @@
 }
 
 /*
- * Orders accepted before the restart had no lasting effect, and the state that
- * the step was planned on is gone. Orders that may still be carried out are
- * kept as delayed orders.
+ * Handles a restart of the engine. Orders accepted before it had no lasting
+ * effect, and the state that the step was planned on is gone. Orders that may
+ * still be carried out are kept as delayed orders.
  */
 static void handle_restart(struct engine *e, const struct fleet_report *r,
 			   int64_t now)
@@ -576,7 +576,7 @@
 	advance(e, now);
 }
 
-/* A load without a clear answer may still be carried out. */
+/* Records that a load without a clear answer may still be carried out. */
 static void record_delayed(struct engine *e, int64_t now)
 {
 	const struct pending_order *p = &e->pending;
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -424,7 +424,7 @@
 
 /*
  * Sorts by the number of waiting callers, descending. Most models have one
- * each: of these, callers who can still be served in time go first, the least
+ * each. Of these, callers who can still be served in time go first, the least
  * slack first, followed by those who are late, in order of arrival.
  */
 static gint compare_needs(gconstpointer a, gconstpointer b)
@@ -456,7 +456,7 @@
 	if (replicas == 0 && x->waiting)
 		return "callers wait and no engine has it";
 	if (replicas == 0 && t->copies == 0 && x->rate >= REQUESTED_PER_S)
-		return "callers were told to come back";
+		return "callers will retry and no engine has a copy";
 	if (replicas == 0)
 		return NULL;
 	if (!x->waiting)
@@ -466,7 +466,7 @@
 	return NULL;
 }
 
-/* As replica_reason(), for callers who need one engine version. */
+/* Does the same as replica_reason() for callers who need one engine version. */
 static const char *pin_replica_reason(const struct pass *s,
 				      const struct fleet_pin *pin)
 {
--- a/src/core/fleet_int.h
+++ b/src/core/fleet_int.h
@@ -54,7 +54,7 @@
 
 /* fleet_eta.c */
 
-/* Counts the replicas and loads of a pin's model. */
+/* Counts the replicas and loads of a pin's model on engines of its version. */
 struct pin_tally fleet_count_pinned(const struct pass *s,
 				    const struct fleet_pin *pin);
 /* Sets the eta_ms of all models and pins in the view. */
--- a/src/core/fleet_slowness.h
+++ b/src/core/fleet_slowness.h
@@ -25,7 +25,7 @@
 
 /* At the leader: the aggregate of an endpoint. All zero: no answers. */
 struct fleet_slowness {
-	double weight;	/* of the answers at at_ms, in answers */
+	double weight;	/* of the answers at the time at_ms, in answers */
 	double mean_ln; /* mean logarithm of their ratios */
 	int64_t at_ms;
 	/* Last ratio sent to entries; 0: none, or that of the usual speed. */
--- a/src/core/plan.c
+++ b/src/core/plan.c
@@ -79,6 +79,8 @@
 	bool *evicted;	/* by replica: unloaded in this pass */
 };
 
+/* Returns whether a node has a replica of the model. ready: only ready replicas
+ * count. */
 static bool node_has(const struct pass *s, const char *model, int node,
 		     bool ready)
 {
@@ -326,15 +328,15 @@
 static bool needs_more(const struct plan_view *v, const struct plan_demand *d,
 		       const struct tally *t)
 {
-	int64_t need;
+	int64_t need_ms;
 
 	if (t->serving + t->loading == 0)
 		return true;
 	if (t->all >= (size_t)v->preset->max_replicas || d->preload)
 		return false;
-	need = (int64_t)(d->waiting / MAX(t->slots, 1)) * SERVICE_MS;
+	need_ms = (int64_t)(d->waiting / MAX(t->slots, 1)) * SERVICE_MS;
 	return d->waiting > t->slots &&
-	       need > (int64_t)((double)d->slack_ms * SCALE_SLACK_SHARE);
+	       need_ms > (int64_t)((double)d->slack_ms * SCALE_SLACK_SHARE);
 }
 
 static gint by_urgency(gconstpointer a, gconstpointer b)
@@ -354,14 +356,14 @@
 static int64_t load_left_ms(const struct pacer *p, const struct plan_demand *d,
 			    const struct tally *t)
 {
-	int64_t whole = load_ms_of(p, d, TIER_REMOTE);
+	int64_t expected = load_ms_of(p, d, TIER_REMOTE);
 	int64_t overdue = (int64_t)((double)t->oldest_load_ms * OVERDUE_FACTOR);
 
 	/*
 	 * A load slower than expected, as from a slow store, has no known
 	 * end: the estimate grows with its age.
 	 */
-	return MAX(whole, overdue) - t->oldest_load_ms;
+	return MAX(expected, overdue) - t->oldest_load_ms;
 }
 
 static size_t count_loading(const struct plan_view *v)
--- a/src/core/repair.c
+++ b/src/core/repair.c
@@ -28,7 +28,7 @@
 	return false;
 }
 
-/* A voter that won't return, or only under a new id. */
+/* Returns true for a voter that won't return, or only under a new id. */
 static bool is_lost(const struct repair_member *m, size_t n, size_t i)
 {
 	return m[i].voter && (is_dead(&m[i]) || is_replaced(m, n, i, false));
--- a/src/core/speed.h
+++ b/src/core/speed.h
@@ -14,7 +14,7 @@
 
 /* Response times of one endpoint, in ms. All zero: no answers. */
 struct speed {
-	double weight;	/* of its answers at at_ms, in answers */
+	double weight;	/* of its answers at the time at_ms, in answers */
 	double mean_ln; /* mean logarithm of their times */
 	int64_t at_ms;
 	int64_t half_life_ms;	  /* half-life of the weight */
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -512,24 +512,25 @@
 	const char *id;	    /* after the restart */
 	int64_t elapsed_ms; /* since the restart, beyond ENGINE_SETTLE_MS */
 	uint64_t orders;
-	const char *held, *load, *want;
+	const char *held, *load; /* reported, and loaded next */
+	const char *want;
 };
 
 static const struct delayed_case delayed_cases[] = {
-	{ "it may still be carried out", "small", "i-1", 0, 1, "big", "other",
-	  "step 2 no_memory;" },
-	{ "its time has expired", "small", "i-1", ORDER_DELAY_MAX_MS, 1, "big",
+	{ "the delayed load may still be carried out", "small", "i-1", 0, 1,
+	  "big", "other", "step 2 no_memory;" },
+	{ "the time of the delayed load has expired", "small", "i-1",
+	  ORDER_DELAY_MAX_MS, 1, "big", "other", "load other @1 #7;" },
+	{ "the delayed load names another id", "small", "i-2", 0, 1, "big",
 	  "other", "load other @1 #7;" },
-	{ "it names another id", "small", "i-2", 0, 1, "big", "other",
-	  "load other @1 #7;" },
-	{ "its count has passed", "small", "i-1", 0, 4, "big", "other",
-	  "load other @4 #7;" },
+	{ "the count that the delayed load expects has passed", "small", "i-1",
+	  0, 4, "big", "other", "load other @4 #7;" },
 	{ "only one of both can be accepted now", "small", "i-1", 0, 3, "big",
 	  "other", "load other @3 #7;" },
-	{ "it loads the same model", "other", "i-1", 0, 1, "big", "other",
+	{ "both load the same model", "other", "i-1", 0, 1, "big", "other",
 	  "load other @1 #7;" },
-	{ "its model is held already", "other", "i-1", 0, 2, "other", "big",
-	  "load big @2 #7;" },
+	{ "the model of the delayed load is held already", "other", "i-1", 0, 2,
+	  "other", "big", "load big @2 #7;" },
 	{ "both fit", "small", "i-1", 0, 1, "big", "small",
 	  "load small @1 #7;" },
 };
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -128,7 +128,8 @@
 	  false,
 	  4,
 	  "2:0d " },
-	{ "a replica on a suspended engine isn't replaced while nobody waits",
+	{ "a replica on a suspended engine isn't replaced while no caller "
+	  "waits",
 	  { { "a", { { 0, 1, false } }, 1, "dddddd", false, false, 0 },
 	    { "b", { { 0, 1, false } }, 1, "dddddd", 2, false, 0 },
 	    { "b", { { 0 } }, 0, "dddddd", false, false, 0 } },
@@ -213,7 +214,7 @@
 	 * running calls to end. This happens if a caller who is slightly late
 	 * is a reason not to wait for the copy.
 	 */
-	{ "also late callers wait for a copy on an engine that is in use",
+	{ "late callers also wait for a copy on an engine that is in use",
 	  { { "a",
 	      { { 0, 2, false }, { 1, 2, false } },
 	      2,
@@ -533,8 +534,8 @@
 }
 
 /*
- * The estimate that callers get: zero if a replica accepts calls, the remaining
- * time if the model is being loaded, none otherwise.
+ * Guards against wrong retry times: the estimate is zero if a replica accepts
+ * calls, the remaining time if the model is being loaded, none otherwise.
  */
 static void eta_of_each_model_is_set(void **state)
 {
@@ -642,8 +643,8 @@
 	assert_true(fleet_rate_at(&r, 100000) < 0.1);
 }
 
-/* The log shows an operator why callers wait: how many engines can't load the
- * model, by cause. */
+/* Guards against a log that doesn't show an operator why callers wait: it
+ * counts the engines that can't load the model, by cause. */
 static void blocked_model_is_reported(void **state)
 {
 	static const struct node_row rows[3] = {
--- a/test/test_fleet_report.c
+++ b/test/test_fleet_report.c
@@ -66,7 +66,8 @@
 	assert_false(fleet_same_names(NULL, NULL));
 }
 
-/* The leader plans with exactly what the agent has read from the engine. */
+/* Guards against a leader that plans with something else than what the agent
+ * has read from the engine. */
 static void report_is_encoded_unchanged(void **state)
 {
 	struct fleet_report r = { .held = g_array_new(
--- a/test/test_fleet_slowness.c
+++ b/test/test_fleet_slowness.c
@@ -41,7 +41,7 @@
 static const struct aggregate_case aggregate_cases[] = {
 	{ "no answers", 0, 1, 0, 0, 0 },
 	{ "four long prompts", 4, 6, 0, 0, 0 },
-	{ "even", 30, 1.2, 0, 0, 0 },
+	{ "usual speed", 30, 1.2, 0, 0, 0 },
 	{ "five times slower", 30, 5, 0, 4000, 5000 },
 	{ "twice as fast", 30, 0.5, 0, 500, 600 },
 	{ "slow some seconds ago", 20, 5, 3000, 3000, 5000 },
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -539,7 +539,7 @@
 		apply(w, v);
 		announce(w, v);
 		took = time_until_all_hold(w, v, 10000);
-		/* It is in force once the process has read it. */
+		/* A version is in force once the process has read it. */
 		for (int i = 0; i < w->processes; i++)
 			took = MAX(took, w->p[i].busy_until_ms - from);
 		if (took > 1000)
@@ -685,14 +685,14 @@
 	uint64_t from; /* version its change applies to; 0: full copy */
 	bool truncated, requested, applied;
 } answers[] = {
-	{ "whole", 2, 0, 0, false, true, true },
+	{ "a full copy", 2, 0, 0, false, true, true },
 	{ "the change from the held version", 2, 1, 1, false, true, true },
 	{ "newer than wanted", 3, 1, 1, false, true, true },
 	{ "a change from a version that isn't held", 2, SHIFTED_VERSION,
 	  SHIFTED_VERSION, false, true, false },
 	{ "a change from another version than stated", 2, 1, SHIFTED_VERSION,
 	  false, true, false },
-	{ "cut", 2, 0, 0, true, true, false },
+	{ "a truncated full copy", 2, 0, 0, true, true, false },
 	{ "the held version", 1, 0, 0, false, true, false },
 	{ "an answer without a request", 2, 0, 0, false, false, false },
 };
@@ -740,7 +740,8 @@
 	}
 }
 
-/* Changes beyond the limits on number and bytes are dropped. */
+/* Guards against memory that grows with each version: changes beyond the limits
+ * on number and bytes are dropped. */
 static void old_versions_are_dropped(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
@@ -773,8 +774,8 @@
 	world_free(w);
 }
 
-/* After a snapshot, the kept changes may not be consecutive. They must not be
- * sent as if they were. */
+/* Guards against changes that are sent as consecutive though a version between
+ * them came in a snapshot, without a change. */
 static void gaps_are_answered_with_a_full_copy(void **state)
 {
 	struct world *w = world_new(1, 1, 100);
--- a/test/test_speed.c
+++ b/test/test_speed.c
@@ -176,7 +176,7 @@
 };
 
 static const struct sim_case sim_cases[] = {
-	{ "even", 20, false, false, false, 1, SIM_MS, 90, 110, 0 },
+	{ "equally fast", 20, false, false, false, 1, SIM_MS, 90, 110, 0 },
 	{ "few calls per engine", 100, false, false, false, 5, SIM_MS, 10, 35,
 	  3 },
 	{ "some calls per engine", 20, false, false, false, 5, SIM_MS, 10, 35,
