--- a/test/test_fleet_report.c
+++ b/test/test_fleet_report.c
@@ -66,7 +66,8 @@
 	assert_false(fleet_same_names(NULL, NULL));
 }
 
-/* The leader plans with exactly what the agent has read from the engine. */
+/* Guards against a leader that plans with something else than what the agent
+ * has read from the engine. */
 static void report_is_encoded_unchanged(void **state)
 {
 	struct fleet_report r = { .held = g_array_new(
@@ -125,10 +126,10 @@
 };
 
 /*
- * Guards against orders, calls and state that refer to an earlier incarnation
- * of an engine. This happens if the id alone identifies the incarnation: an
- * engine restarts with the same id while messages about its earlier incarnation
- * are still in transit.
+ * Guards against orders, calls and state of an earlier incarnation of an engine
+ * that are applied to a later one. This happens if the id alone identifies the
+ * incarnation: an engine restarts with the same id while messages about its
+ * earlier incarnation are still in transit.
  */
 static const struct incarnation_case incarnation_cases[] = {
 	{ "equal",
--- a/test/test_freshness.c
+++ b/test/test_freshness.c
@@ -1,4 +1,4 @@
-/* Tests when a process takes its routing to be outdated. */
+/* Tests when a process considers its routing outdated. */
 #include "unit.h"
 
 #include "../src/core/freshness.h"
@@ -23,7 +23,7 @@
 	  9000,
 	  FRESHNESS_CURRENT,
 	  0 },
-	{ "it holds the announced version",
+	{ "the announced version is held",
 	  { { APPLIED, 10, 3 }, { RECEIVED, 20, 3 }, { END, 0, 0 } },
 	  9000,
 	  FRESHNESS_CURRENT,
@@ -38,7 +38,7 @@
 	  1020,
 	  FRESHNESS_STALE,
 	  1520 },
-	{ "it has applied the newer version",
+	{ "the newer version was applied",
 	  { { APPLIED, 10, 3 },
 	    { RECEIVED, 20, 4 },
 	    { APPLIED, 900, 4 },
@@ -163,7 +163,8 @@
 	}
 }
 
-/* A stall is detected in the first iteration after it, also before the tick. */
+/* Guards against requests that are answered by outdated routing in the first
+ * iteration after a stall, before its tick. */
 static void stale_at_once_after_a_stall(void **state)
 {
 	struct freshness f;
