--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -3,14 +3,14 @@
 
 /* Dispatches between two guaranteed ones. */
 #define UNRESERVED_PER_ROUND (ADMISSION_ROUND - 1)
-/* Weight of the newest interval in the mean: engines answer in bursts, so the
- * mean covers two rounds. */
+/* Weight of the newest interval between dispatches in the mean: engines answer
+ * in bursts, so the mean covers two rounds. */
 #define INTERVAL_WEIGHT (1.0 / (2 * ADMISSION_ROUND))
 /* Virtual time charged for a dispatch to a customer with a share of 1. */
 #define VIRTUAL_TIME_UNIT 1000000000
 /*
- * Customers remembered for a priority. Beyond that, those at the least virtual
- * time, who used no more than their share, are forgotten; all, if that isn't
+ * Customers remembered for a priority. Beyond that, those at virtual_now or
+ * below, who used no more than their share, are forgotten; all, if that isn't
  * enough.
  */
 #define CUSTOMERS_MAX 256
@@ -123,8 +123,8 @@
 	return best;
 }
 
-/* The request of lower priority with the earliest latest start that can still
- * be met. */
+/* Returns the request of lower priority with the earliest latest start that can
+ * still be met. */
 static int earliest_below(const struct admission_head *heads, size_t n,
 			  int priority, int64_t now)
 {
@@ -149,8 +149,8 @@
 	return (UNRESERVED_PER_ROUND - a->credit) * MAX(a->interval_ms, since);
 }
 
-/* Whether the next guaranteed dispatch would be too late, and none was taken in
- * advance yet. */
+/* Returns whether a request with this latest start would be too late for the
+ * next guaranteed dispatch, and none was taken in advance yet. */
 static bool must_raise(const struct admission *a, int64_t latest_ms,
 		       int64_t now)
 {
@@ -194,7 +194,7 @@
 					 unsigned int share, int64_t now)
 {
 	/* Guaranteed and raised dispatches aren't charged: a customer who had
-	 * many of them would wait as long for the ones by shares. */
+	 * many of them would wait that much longer for dispatches by order. */
 	if (a->rule == ADMISSION_ORDER)
 		charge(a, h, customer, share);
 	if (a->rule != ADMISSION_NONE)
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -52,15 +52,19 @@
 	/* Dispatches of higher priority since the last guaranteed one; below 0
 	 * after a guaranteed dispatch was taken in advance. */
 	int credit;
-	double interval_ms; /* mean interval while several priorities wait */
-	/* Time of the last dispatch, or since when several priorities wait; 0:
-	 * fewer than two wait. */
+	/* Mean time between dispatches while several priorities wait. */
+	double interval_ms;
+	/* Time of the last dispatch, or when a second priority began to wait;
+	 * 0: fewer than two priorities wait. */
 	int64_t last_ms;
-	/* Customer -> virtual time, and the least that any customer has. */
+	/* Customer -> virtual time, and the lower bound that applies to all
+	 * customers: the virtual time of the last one dispatched. */
 	GHashTable *virtual_time[SS_QUEUE_PRIORITIES];
 	uint64_t virtual_now[SS_QUEUE_PRIORITIES];
-	enum admission_rule rule; /* that selected the last request */
-	bool contended; /* a lower priority could have been selected */
+	/* Of the last selection: its rule, and whether a request of lower
+	 * priority could have been selected. */
+	enum admission_rule rule;
+	bool contended;
 };
 
 void admission_init(struct admission *a);
@@ -71,7 +75,8 @@
 void admission_enter(struct admission *a, int priority, int64_t now);
 void admission_leave(struct admission *a, int priority);
 
-/* Virtual time of a customer, for use in a head: the lowest goes first. */
+/* Returns the virtual time of a customer, for use in a head: the lowest goes
+ * first. */
 uint64_t admission_virtual_time(const struct admission *a, int priority,
 				const char *customer);
 
@@ -79,18 +84,20 @@
 int admission_next(struct admission *a, const struct admission_head *heads,
 		   size_t n, int64_t now);
 
-/* The head that was selected last was sent: charges its customer, who has this
- * share, and counts the dispatch. Returns the rule that selected the head. */
+/* Records that the head that was selected last was sent: charges its customer,
+ * who has this share, and counts the dispatch. Returns the rule that selected
+ * the head. */
 enum admission_rule admission_dispatched(struct admission *a,
 					 const struct admission_head *h,
 					 const char *customer,
 					 unsigned int share, int64_t now);
+
 /*
- * The head that was selected last, at index at, can't be sent now. If it was
- * selected by order, all heads of its model queue are removed; otherwise its
- * model queue keeps only those that may be selected by order: a request of
- * lower priority that can't be sent doesn't block higher priorities. Returns
- * how many heads are left.
+ * Removes heads from the array, as the one that was selected last, at index at,
+ * can't be sent now. If it was selected by order, all heads of its model queue
+ * are removed; otherwise its model queue keeps those that may be selected by
+ * order: a request of lower priority that can't be sent doesn't block higher
+ * priorities. Returns how many heads are left.
  */
 size_t admission_skipped(const struct admission *a,
 			 struct admission_head *heads, size_t n, size_t at);
