--- a/src/core/balance.c
+++ b/src/core/balance.c
@@ -11,8 +11,8 @@
 /* An engine takes calls up to this multiple of the mean load: all of its calls
  * are replaced once while as many new ones arrive. */
 #define ROOM_PER_MEAN_LOAD 2.0
-/* The distance penalty shrinks once the nearby nodes need this part of the
- * latency objective. */
+/* The distance penalty shrinks once the fastest nearby node needs more than
+ * this part of the latency objective. */
 #define FAR_DISCOUNT_FROM 0.5
 /* Weight of the newest call in the moving average of failures. */
 #define FAILURE_ALPHA 0.15
@@ -30,10 +30,11 @@
 /* Values common to all candidates of one choice. */
 struct choice_context {
 	uint64_t max_affinity;
-	double far_penalty; /* penalty of a far node, in calls */
+	double far_penalty; /* distance penalty of a far node, in calls */
 };
 
-/* The penalty of a node against another with the same load, in calls. */
+/* Returns the penalty of a node against another with the same load, in calls.
+ */
 static double penalty(const struct balance_node *n,
 		      const struct choice_context *c)
 {
@@ -56,8 +57,8 @@
 }
 
 /*
- * The load of a node in calls of a node of usual speed. The call to be sent is
- * included for a slow node, so that idle nodes that are faster come first. If
+ * Returns the load of a node in calls of a node of usual speed. The call to be
+ * sent is included for a slow node, so that faster idle nodes come first. If
  * the comparison starts with a slow node, that node is treated as one of usual
  * speed with probability 1/slowness: without any calls its recovery would not
  * be noticed.
@@ -73,11 +74,11 @@
 }
 
 /*
- * Load plus penalty plus a random term. If all entries chose the least loaded
- * node by reports of the same age, a hundred calls would go to one node before
- * the next report. An entry doesn't know how many calls the others have sent
- * since then, or where. It draws that number at random up to the expected one,
- * and nodes that differ by less share the calls.
+ * Returns load plus penalty plus a random term. If all entries chose the least
+ * loaded node by reports of the same age, a hundred calls would go to one node
+ * before the next report. An entry doesn't know how many calls the others have
+ * sent since the last report, or where. It draws that number at random up to
+ * the expected one, and nodes that differ by less share the calls.
  */
 static double score(const struct balance_node *n,
 		    const struct choice_context *c, bool is_first,
@@ -103,8 +104,8 @@
 	return (double)balance_load(n) >= (double)MAX(n->slots, 1) * fill;
 }
 
-/* The distance penalty. A call is better served far away than late, so the
- * penalty falls to 0 as the fastest nearby node with room approaches the
+/* Returns the distance penalty. A call is better served far away than late, so
+ * the penalty falls to 0 as the fastest nearby node with room approaches the
  * latency objective. */
 static double far_penalty_of(const struct balance_node *n, size_t count,
 			     double fill)
@@ -164,7 +165,7 @@
 	return best;
 }
 
-/* The mean load of the nodes that have room; 0 if none has. */
+/* Returns the mean load of the nodes that have room; 0 if none has. */
 static double mean_load(const struct balance_node *n, size_t count, double fill)
 {
 	double sum = 0;
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -23,10 +23,10 @@
 	double unreported;   /* calls that other entries may have sent since */
 	double failure_rate; /* recent failure rate, a moving average */
 	uint64_t affinity;   /* higher: its prompt cache is more likely warm */
-	/* Response time / that of others; 0: unknown, counts as 1. */
+	/* Response time / that of other nodes; 0: unknown, counts as 1. */
 	double slowness;
-	double objective_used; /* part of the latency objective that passes
-			until it answers; 0: unknown */
+	/* Expected time to its answer / latency objective; 0: unknown. */
+	double objective_used;
 };
 
 /* The reason why no endpoint was chosen. */
@@ -45,27 +45,28 @@
 		   uint64_t tie);
 
 /*
- * The same for a model with a high call rate. An engine's calls wait during the
- * prefill of another prompt. An engine that has just loaded the model has the
- * lowest reported load until its next report. If all entries chose it, it would
- * get dozens of prompts at once, and the streams of all its calls would pause.
+ * Does the same for a model with a high call rate. An engine's calls wait
+ * during the prefill of another prompt. An engine that has just loaded the
+ * model has the lowest reported load until its next report. If all entries
+ * chose it, it would get dozens of prompts at once, and the streams of all its
+ * calls would pause.
  *
- * So the node is drawn at random, weighted by the room below twice the mean
- * load. A node with less load gets more calls and fills up within the duration
- * of a call or two. If no calls run, the best node is chosen. The room of a
- * slow node is divided by its slowness. Its load isn't weighted in addition:
- * its calls run for longer and so count for longer.
+ * So the node is drawn at random, weighted by its room: what its load is below
+ * twice the mean load. A node with less load gets more calls and fills up
+ * within the duration of a call or two. If no calls run, the best node is
+ * chosen. The room of a slow node is divided by its slowness. Its load isn't
+ * weighted in addition: its calls run for longer and so count for longer.
  */
 int balance_choose_weighted(const struct balance_node *n, size_t count,
 			    double fill, uint64_t tie);
 
-/* Whether the node has room for another call. */
+/* Returns whether the node has room for another call. */
 bool balance_has_room(const struct balance_node *n, double fill);
 
-/* The number of calls at a node, by the entry's estimate. */
+/* Returns the number of calls at a node, by the entry's estimate. */
 int64_t balance_load(const struct balance_node *n);
 
-/* A random number from 0 to below 1. */
+/* Returns a random number from 0 to below 1. */
 double balance_random(uint64_t *seed);
 
 /* Adds the result of a call to a moving average of failures. */
