--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -24,7 +24,8 @@
 	GPtrArray *pieces; /* struct piece */
 	GArray *subs;	   /* struct subscriber */
 	size_t bytes;
-	int64_t orphaned_ms; /* when the last subscriber left, or SS_NEVER */
+	int64_t orphaned_ms; /* when the last subscriber's connection was lost,
+				or SS_NEVER */
 	int64_t until_ms;    /* eviction time of a finished call */
 	GList link;	     /* in one of the table's queues */
 	GQueue *queue;
@@ -364,12 +365,14 @@
 		move_to_queue(c, &t->done, now + CALLS_KEEP_MS);
 }
 
-static void evict_old(struct calls *t, GQueue *q, int64_t now, size_t bytes)
+/* Evicts calls from the head of a queue: expired ones, and others while the
+ * stored replies exceed max_bytes or the table has too many calls. */
+static void evict_old(struct calls *t, GQueue *q, int64_t now, size_t max_bytes)
 {
 	struct call *c;
 
 	while ((c = g_queue_peek_head(q)) &&
-	       (c->until_ms <= now || t->bytes > bytes ||
+	       (c->until_ms <= now || t->bytes > max_bytes ||
 		g_hash_table_size(t->by_id) > CALLS_COUNT_MAX))
 		evict(t, c);
 }
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -8,16 +8,18 @@
 
 #include "msg.h"
 
-/* How long a finished call is kept that must not run twice. */
+/* How long a finished call that must not run twice is kept. */
 #define CALLS_KEEP_ONCE_MS 600000
 /* How long any other finished call is kept. */
 #define CALLS_KEEP_MS 5000
 /* How long a refused id is kept, so that it stays refused. */
 #define CALLS_KEEP_REFUSED_MS 600000
-/* Limits of stored replies and calls; the oldest finished ones are evicted. */
+/* Limits of the stored replies and of the number of calls; the oldest finished
+ * calls are evicted. */
 #define CALLS_BYTES_MAX (64u * 1024 * 1024)
 #define CALLS_COUNT_MAX 200000
-/* A repeatable call without a subscriber is cancelled after this time. */
+/* A call that may run twice is cancelled if the connection of its last
+ * subscriber was lost this long ago. */
 #define CALLS_ORPHAN_MS 5000
 
 struct call;
@@ -45,8 +47,9 @@
 /*
  * Takes a call from a peer. A new id starts with the given data if refusal is
  * NULL; otherwise it is recorded as refused, so that a repeated call with this
- * id can't run and OUTCOME_NOT_RUN stays true. A known id is answered as by
- * calls_attach(), from its first piece.
+ * id can't run and OUTCOME_NOT_RUN stays true. An id that is known, evicted or
+ * of another incarnation is answered as by calls_attach(), from the first
+ * piece.
  */
 void calls_submit(struct calls *t, void *peer, const struct msg_call *m,
 		  const GError *refusal, void *data, int64_t now);
@@ -63,9 +66,10 @@
 void calls_attach(struct calls *t, void *peer, const struct msg_attach *m,
 		  int64_t now);
 
-/* Removes a subscription; a call without subscribers is cancelled. */
+/* Removes a subscription, and cancels the call if it was the last one. */
 void calls_cancel(struct calls *t, void *peer, uint64_t sub, int64_t now);
-/* Removes all subscriptions of a disconnected peer. */
+/* Removes all subscriptions of a disconnected peer. A call that is left without
+ * one is cancelled after CALLS_ORPHAN_MS, unless it must not run twice. */
 void calls_peer_gone(struct calls *t, void *peer, int64_t now);
 
 /* Stores and forwards a piece of the endpoint's reply; the last has end set. */
@@ -75,15 +79,15 @@
 /* Evicts expired calls and cancels orphaned ones. */
 void calls_tick(struct calls *t, int64_t now);
 
-/* The data given to calls_submit(); NULL once the call has finished. */
+/* Returns the data given to calls_submit(); NULL once the call has finished. */
 void *call_data(const struct call *c);
 uint64_t call_entry(const struct call *c);
 uint64_t call_seq(const struct call *c);
-/* Number of pieces stored so far. */
+/* Returns the number of pieces stored so far. */
 size_t call_pieces(const struct call *c);
 
 size_t calls_running(const struct calls *t);
-/* Number of calls in any state, refused ones included. */
+/* Returns the number of calls in any state, refused ones included. */
 size_t calls_count(const struct calls *t);
 
 #endif
