--- a/src/core/crash_log.h
+++ b/src/core/crash_log.h
@@ -28,20 +28,19 @@
 
 struct crash_log {
 	GArray *outcomes;  /* struct run_outcome, oldest first */
-	size_t n_reported; /* the first ones, which the leader has */
-	size_t capacity;
+	size_t n_reported; /* outcomes at the front that the leader has */
+	size_t capacity;   /* in outcomes */
 };
 
 void crash_log_init(struct crash_log *l, size_t capacity);
 void crash_log_clear(struct crash_log *l);
 
-/* Appends an outcome. Any outcome but a crash replaces the request's crashes.
- */
+/* Appends an outcome. One that isn't a crash replaces the request's crashes. */
 void crash_log_add(struct crash_log *l, const struct run_outcome *e);
 /* Removes the crashes of a request that was cleared. */
 void crash_log_drop(struct crash_log *l, const struct fingerprint *fp);
-/* Starts over for a new leader, which has received no reports: crashes are
- * reported again, other outcomes that the last leader has are removed. */
+/* Starts over for a new leader, which has received no reports: all crashes are
+ * reported again; other outcomes that the last leader has are removed. */
 void crash_log_rewind(struct crash_log *l);
 /* Returns the next unreported outcomes, *n of them and at most max; NULL if
  * all are reported. */
--- a/src/core/failure_rate.c
+++ b/src/core/failure_rate.c
@@ -6,8 +6,8 @@
 /* Weight of one call in the moving average; the same as that of an entry's own
  * average in balance.c. */
 #define CALL_WEIGHT 0.15
-/* A rate of nearly a half decays to a tenth within twenty seconds, at which an
- * endpoint gets some of its calls again. */
+/* Half-life of a rate without calls, in ms: nearly a half decays to a tenth
+ * within twenty seconds, and then an endpoint gets some of its calls again. */
 #define HALF_LIFE_MS 10000.0
 
 double failure_rate_at(const struct failure_rate *f, int64_t now)
--- a/src/core/failure_rate.h
+++ b/src/core/failure_rate.h
@@ -11,13 +11,13 @@
 extern "C" {
 #endif
 
-/* Processes exchange failure rates in permille: this is a rate of 1. */
+/* A rate of 1 in permille, the unit in which processes exchange rates. */
 #define FAILURE_RATE_SCALE 1000
 
 /* Zero-initialized: no call has failed. */
 struct failure_rate {
-	double rate; /* at at_ms, 0 to 1 */
-	int64_t at_ms;
+	double rate;   /* at the time at_ms, 0 to 1 */
+	int64_t at_ms; /* time of the last update */
 };
 
 /* Adds the calls that finished since the last update. */
--- a/src/core/fingerprint.c
+++ b/src/core/fingerprint.c
@@ -7,8 +7,8 @@
 				  struct ss_str target, struct ss_str body)
 {
 	const struct ss_str parts[] = { method, host, target, body };
-	/* Each part is hashed on its own, so that moving a byte from one part
-	 * to the next changes the fingerprint. */
+	/* Hashes of the parts: each is hashed on its own, so that moving a byte
+	 * from one part to the next changes the fingerprint. */
 	XXH128_hash_t sums[G_N_ELEMENTS(parts)];
 	XXH128_hash_t all;
 
--- a/src/core/fingerprint.h
+++ b/src/core/fingerprint.h
@@ -17,13 +17,13 @@
 struct fingerprint fingerprint_of(struct ss_str method, struct ss_str host,
 				  struct ss_str target, struct ss_str body);
 
-/* For GHashTable; keys are struct fingerprint. */
+/* Functions for a GHashTable whose keys are struct fingerprint. */
 guint fingerprint_hash(const void *f);
 gboolean fingerprint_equal(const void *a, const void *b);
 
 /* Size of a fingerprint in hexadecimal with its terminating null, in bytes. */
 #define FINGERPRINT_TEXT_SIZE 33
-/* Writes a fingerprint into text and returns text. */
+/* Writes a fingerprint in hexadecimal into text, for logs, and returns text. */
 const char *fingerprint_text(const struct fingerprint *f,
 			     char text[FINGERPRINT_TEXT_SIZE]);
 
