--- a/src/core/endpoint_limit.c
+++ b/src/core/endpoint_limit.c
@@ -4,19 +4,20 @@
 #include <math.h>
 
 /* In any window of WINDOW_S seconds an endpoint gets at most one and a half
- * times what its limit allows, and five requests. */
+ * times what its limit allows, plus OVERAGE_REQUESTS. */
 #define WINDOW_S 4
 #define OVERAGE_RATIO 0.5
 #define OVERAGE_REQUESTS 5
-/* Requests that may come at once, as a request is granted whole. They are taken
- * out of the five, with their overage. */
+/* Requests that may be sent at once, as a request can't be granted in parts.
+ * They count towards OVERAGE_REQUESTS, with their own overage. */
 #define BURST 1
 /* Least limit that can be shared out, in requests per second. */
 #define PER_S_MIN 0.001
 /* Typical time for which a call holds a slot of an engine, in s. */
 #define SLOT_HOLD_S 2
-/* Part of the limit that the agent's polls may use beside callers. With longer
- * intervals than this maximum, in ms, the endpoint would count as lost. */
+/* Part of the limit that the agent's polls may use beside callers, and longest
+ * interval between polls, in ms: with a longer one the endpoint would count as
+ * lost. */
 #define POLL_SHARE 0.25
 #define POLL_MAX_MS 2000
 /* A signal older than this, in ms, no longer keeps the planner from loading
@@ -38,7 +39,8 @@
 	return to_wire(l->per_s);
 }
 
-/* Rates with the same wire value are equal. */
+/* Rates with the same wire value count as equal, so that forwarding a rate
+ * doesn't change it. */
 bool endpoint_limit_update(struct endpoint_limit *l, double per_s,
 			   int64_t at_ms)
 {
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -21,7 +21,7 @@
 	b->start = b->newest = o->start_ms / b->slice_ms;
 }
 
-/* Index of a slice in the arrays. */
+/* Returns the index of a slice in the arrays. */
 static size_t slice_index(int64_t slice)
 {
 	return (size_t)(slice % RETRY_SLICES_HELD);
@@ -39,8 +39,8 @@
 	}
 }
 
-/* First slice of the last window, of which only a part lies within the
- * window. */
+/* Returns the oldest slice of the last window; only a part of it lies within
+ * the window. */
 static int64_t oldest_slice(const struct retry_budget *b)
 {
 	return MAX(b->newest - RETRY_SLICES, b->start);
@@ -63,8 +63,9 @@
 }
 
 /*
- * Retries allowed in the span that begins with a slice. The slice one window
- * before it lies only partly in the window before the span, and isn't counted.
+ * Returns the retries allowed in the span from a slice until now. The slice one
+ * window before it lies only partly in the window before the span, and isn't
+ * counted.
  */
 static double allowed_since(const struct retry_budget *b, int64_t slice,
 			    int64_t slack)
--- a/src/core/return_slots.c
+++ b/src/core/return_slots.c
@@ -12,8 +12,8 @@
 /* A cause that serves nothing for longer, in ms, has an outage rather than a
  * low rate: its former rate holds. */
 #define OUTAGE_MS 2000
-/* Observation time from which on a rate is known, in ms: about two grants, or a
- * few calls of a plain service. */
+/* A rate is known once its cause was observed for this time, in ms: about two
+ * grants, or a few calls of a plain service. */
 #define RATE_MIN_MS 500
 /* Decay time of the rate, in ms: an added or lost engine shows within some
  * seconds. */
@@ -116,7 +116,7 @@
 	return c;
 }
 
-/* Adds a served cost, and the time since the last one. */
+/* Adds a served cost, and the time since the last one was served. */
 static void add_served(struct cause *c, double cost, int64_t now)
 {
 	int64_t ms = now - c->observed_until_ms;
@@ -129,7 +129,7 @@
 	c->observed_ms = c->observed_ms * fade + RATE_DECAY_MS * (1 - fade);
 }
 
-/* Rate served, in units per second; 0: unknown. */
+/* Returns the rate served, in units per second and at most max; 0: unknown. */
 static double rate_of(const struct cause *c, double max)
 {
 	double per_s;
@@ -171,7 +171,7 @@
 	c->first_slot += MAX(passed, 0);
 }
 
-/* Part of a slot that is reserved for higher priorities. */
+/* Returns the part of a slot that is reserved for higher priorities. */
 static double urgent_share(const struct cause *c, int priority)
 {
 	double urgent = 0, total = 0;
--- a/src/core/return_slots.h
+++ b/src/core/return_slots.h
@@ -25,12 +25,12 @@
 /* Slots are assigned this far ahead, in ms: a third of what the most patient
  * callers have left, some 40 s. */
 #define RETURN_HORIZON_MS 12800
-/* Causes that are tracked, some 700 bytes each. */
+/* Most causes that are tracked; each takes some 700 bytes. */
 #define RETURN_CAUSES_MAX 1024
 
 struct return_slots;
 
-/* A refused caller. */
+/* A refused caller. Times are from now. */
 struct return_request {
 	uint64_t key; /* identifies the cause */
 	int priority; /* 0 is the highest */
