--- a/src/core/route.h
+++ b/src/core/route.h
@@ -27,7 +27,9 @@
 	int64_t ready_ms;
 	int64_t backoff_until_ms; /* no calls before then */
 	unsigned int refusals;	  /* in a row */
-	bool gone; /* refused by its agent; cleared by the next route */
+	/* Its agent doesn't hold it, or is draining it. Cleared by the next
+	 * message of the leader. */
+	bool gone;
 };
 
 struct route {
@@ -50,6 +52,7 @@
 			int64_t now);
 void route_free(void *route);
 
+/* Finds the view of a replica, or NULL. */
 struct replica_view *route_view(struct route *rt, uint64_t replica);
 
 /* Replaces the replicas by those of the leader's message, keeping the state of
@@ -59,17 +62,18 @@
 					    const struct route_replica *r),
 		  void *arg, int64_t now);
 
-/* The best replica for a call; NULL if none has a free slot. */
+/* Chooses the best replica for a call; NULL if none has a free slot.
+ * prefix_replica: the replica that last got the call's prompt prefix, or 0. */
 struct replica_view *route_choose(struct route *rt, const char *domain,
 				  uint64_t prefix_replica, uint64_t tie,
 				  int64_t now);
 
-/* Total and free slots of the connected replicas. */
+/* Counts the slots of the connected replicas, in total and free ones. */
 void route_slots(struct route *rt, int64_t now, uint64_t *slots,
 		 uint64_t *free_slots);
 
-/* Estimated time until a call starts that has ahead others before it; 0 if
- * there are no replicas and none is known to be coming. */
+/* Returns the estimated time until a call starts, with that many calls ahead of
+ * it; 0 if there are no replicas and none is known to be coming. */
 int64_t route_wait_ms(struct route *rt, size_t ahead, int64_t now);
 
 #endif
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,8 +1,8 @@
 /* Router: admission, dispatch from the queues, routes, deadlines and timers. */
 #include "router_int.h"
 
-/* Retries that the budget may accumulate: bounds the burst of retries if all
- * agents fail at once. */
+/* Most retries that the budget may accumulate: bounds the burst of retries if
+ * all agents fail at once. */
 #define RETRY_BUDGET_MAX 20
 /* Interval at which an unanswered claim is sent again. */
 #define CLAIM_RETRY_MS 200
@@ -116,8 +116,8 @@
 	r->o.ops->watch(r->o.arg, &w);
 }
 
-/* The lowest priority that may start a call now: lower ones leave the free
- * slots to the reserves of the classes above them. */
+/* Returns the lowest priority that may start a call now: lower ones leave the
+ * free slots to the reserves of the classes above them. */
 static int min_priority(const struct router *r, struct route *rt, int64_t now)
 {
 	uint64_t slots, free_slots;
@@ -266,8 +266,8 @@
 	return a;
 }
 
-/* The queued calls of a route, as a list: the queue may change while it is
- * traversed. */
+/* Returns a copy of the list of a route's queued calls: the queue may change
+ * while it is traversed. */
 static GPtrArray *queued_calls(struct router *r, struct route *rt)
 {
 	GPtrArray *list = g_ptr_array_new();
@@ -282,8 +282,8 @@
 	return list;
 }
 
-/* Refuses queued calls whose deadline is before the expected load time, and all
- * if the model doesn't exist. */
+/* Refuses queued calls whose deadline is before the time when a replica is
+ * expected, and all if the model doesn't exist. */
 static void refuse_infeasible(struct router *r, struct route *rt, int64_t now)
 {
 	GPtrArray *list;
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -43,17 +43,18 @@
 struct router_ops {
 	/* Starts connecting to the agent unless that is under way. */
 	void (*connect)(void *arg, const char *node, const char *addr);
-	/* False if the agent isn't connected: nothing was sent. */
+	/* Sends a message to an agent. Returns false if the agent isn't
+	 * connected: nothing was sent. */
 	bool (*send)(void *arg, const char *node, enum msg_kind kind,
 		     const void *msg);
 	/* Sends a route's demand to the leader. */
 	void (*watch)(void *arg, const struct msg_watch *w);
-	/* Sends a claim to the leader. False if none is known; the router sends
-	 * the claim again later. */
+	/* Sends a claim to the leader. Returns false if no leader is known; the
+	 * router sends the claim again later. */
 	bool (*claim)(void *arg, const struct msg_claim *c);
-	/* The next piece of the answer. */
+	/* Passes on the next piece of the answer. */
 	void (*deliver)(void *arg, struct rcall *c, const struct msg_reply *m);
-	/* The call has ended; c is freed on return. */
+	/* Passes on the result of a call; c is freed on return. */
 	void (*finish)(void *arg, struct rcall *c,
 		       const struct router_result *e);
 };
@@ -74,7 +75,7 @@
 	const struct header *headers;
 	size_t n_headers;
 	struct ss_str body;
-	int64_t deadline_ms; /* absolute, on the clock of now */
+	int64_t deadline_ms; /* absolute, on the clock of the now parameters */
 	int priority;
 	bool once;	   /* must not run twice */
 	struct ss_str key; /* idempotency key's hash; empty: none */
@@ -92,7 +93,7 @@
  * replaced. */
 void router_set_preset(struct router *r, const struct preset *p);
 
-/* Accepts a call. NULL if it has already ended through finish(). */
+/* Accepts a call. Returns NULL if it has already ended through finish(). */
 struct rcall *router_submit(struct router *r, const struct router_call *c,
 			    int64_t now);
 /* Ends a call whose caller has disconnected, without finish(). */
@@ -112,9 +113,9 @@
 void router_leader_changed(struct router *r, int64_t now);
 
 void *rcall_data(const struct rcall *c);
-/* For logs: the id of the latest attempt; zero before the first. */
+/* Gets the id of the latest attempt, for logs; zero before the first. */
 void rcall_id(const struct rcall *c, uint64_t *entry, uint64_t *seq);
-/* Calls in any state, and those in a queue. */
+/* Return the number of calls in any state, and of those in a queue. */
 size_t router_calls(const struct router *r);
 size_t router_waiting(const struct router *r);
 
--- a/src/core/router_attempt.c
+++ b/src/core/router_attempt.c
@@ -1,7 +1,7 @@
 /* Router: attempts on agents, their replies, retries and recovery. */
 #include "router_int.h"
 
-/* Bounds the load that one call can cause. */
+/* Most attempts of a call: bounds the load that one call can cause. */
 #define ATTEMPTS_MAX 8
 /* Weight of the newest call in a route's mean duration: about the last ten
  * calls count. */
@@ -34,7 +34,7 @@
 		c->state = RCALL_SENT;
 }
 
-/* Attaches to an attempt again, now or once its agent is reachable. */
+/* Attaches to an attempt again, at once or when its agent is reachable. */
 static void recover_attempt(struct router *r, struct rcall *c, int64_t now)
 {
 	c->state = RCALL_RECOVERING;
@@ -194,7 +194,7 @@
 	recover_attempt(r, c, now);
 }
 
-/* Calls that were sent to an agent or recover an attempt there. */
+/* Returns the calls that were sent to an agent or recover an attempt there. */
 static GPtrArray *agent_calls(struct router *r, const struct agent *a)
 {
 	GPtrArray *list = g_ptr_array_new();
@@ -271,10 +271,10 @@
 	v->refusals++;
 }
 
-/* Handles the end of an attempt with an error: refused, failed, or of unknown
- * outcome. It is the last reply with this handle. */
-static void handle_refusal(struct router *r, struct rcall *c,
-			   const struct msg_reply *m, int64_t now)
+/* Handles the end of an attempt with an error: it was refused, has failed, or
+ * its outcome is unknown. The reply is the last one with this handle. */
+static void handle_error_reply(struct router *r, struct rcall *c,
+			       const struct msg_reply *m, int64_t now)
 {
 	struct route *rt = c->route;
 	struct replica_view *v = route_view(rt, c->replica);
@@ -334,7 +334,7 @@
 		return;
 	}
 	if (m->end && m->code) {
-		handle_refusal(r, c, m, now);
+		handle_error_reply(r, c, m, now);
 		return;
 	}
 	if (m->seq < c->next) {
--- a/src/core/router_int.h
+++ b/src/core/router_int.h
@@ -27,15 +27,15 @@
 	uint64_t sub;	      /* handle of the current attempt; 0: none */
 	uint64_t entry, seq;  /* id of that attempt */
 	uint64_t incarnation; /* of the agent */
-	uint64_t dead_entry,
-		dead_seq; /* an attempt known not to run, for claims */
-	uint64_t next;	  /* expected piece of the answer */
+	/* Id of an attempt that is known not to run, for claims. */
+	uint64_t dead_entry, dead_seq;
+	uint64_t next; /* expected piece of the answer */
 	unsigned int attempts;
 	bool claimed;
-	bool counted;	/* in the replica's own and sent_since counts */
+	bool counted;	/* in own_calls and sent_since of the replica */
 	bool maybe_ran; /* an attempt ended with an unknown outcome */
 	int64_t sent_ms;
-	int64_t query_ms; /* last claim, or start of the recovery */
+	int64_t query_ms; /* time of the last claim, or start of the recovery */
 	GSequenceIter *deadline;
 	struct msg_call m; /* strings owned */
 	struct ss_str key;
@@ -59,7 +59,8 @@
 	} prefixes[PREFIX_TABLE_SIZE]; /* by hash; a collision replaces */
 	struct router_stats stats;
 	size_t waiting;
-	struct rcall *submitting; /* NULL if it ended meanwhile */
+	/* The call in router_submit(); NULL: none, or it has ended. */
+	struct rcall *submitting;
 };
 
 /* router.c */
@@ -70,6 +71,7 @@
 void router_send_watch(struct router *r, struct route *rt, int64_t now);
 /* Starts queued calls while a replica has a free slot. */
 void router_dispatch_queue(struct router *r, struct route *rt, int64_t now);
+/* Does so for all routes. */
 void router_dispatch_all(struct router *r, int64_t now);
 
 /* router_call.c */
