--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -43,8 +43,8 @@
 	GArray *models;	     /* struct routing_model */
 	GHashTable *by_name; /* name -> struct routing_model */
 	/* State of the table that holds it. */
-	guint route_shares;   /* shares of routes that name it */
-	guint shares_removed; /* those removed by the change under check */
+	guint route_shares;   /* number of shares of routes that name it */
+	guint shares_removed; /* of these, removed by the change under check */
 	bool removing;	      /* the change under check removes it */
 };
 
@@ -88,8 +88,8 @@
 	/* Names of the members that hold the items of each part. */
 	const char *lists[DOCUMENT_PARTS];
 	/*
-	 * Parse an item. NULL with SS_ERROR_BAD_REQUEST; the message names the
-	 * item by its path in the document.
+	 * Parse an item. Return NULL with SS_ERROR_BAD_REQUEST on failure; the
+	 * message names the item by its path in the document.
 	 */
 	struct routing_route *(*read_route)(struct ss_str text,
 					    const char *path, GError **error);
@@ -114,7 +114,8 @@
 	struct customers customers;
 	GHashTable *routes_by_key; /* lookup_key -> struct routing_route */
 	size_t longest_prefix;	   /* in bytes, of any route so far */
-	/* By piece of the document: its route, service, customer or text. */
+	/* The pieces of the document, each with its route, service, customer or
+	 * text. */
 	struct document_pieces pieces;
 };
 
@@ -136,14 +137,15 @@
 void routing_service_unref(struct routing_service *s);
 /* Appends a zeroed model. The service owns the strings that are set in it. */
 struct routing_model *routing_add_model(struct routing_service *s);
+/* Does the same for a service. */
 bool routing_service_finish(struct routing_service *s, GError **error);
 
-/* Whether the route sends a share of its requests to the service. */
+/* Returns whether the route sends a share of its requests to the service. */
 bool routing_route_targets(const struct routing_route *rt, const char *service);
 
 /*
- * Builds a table from a full text. NULL with SS_ERROR_BAD_REQUEST; the message
- * names the invalid item by its path.
+ * Builds a table from a full text. Returns NULL with SS_ERROR_BAD_REQUEST on
+ * failure; the message names the invalid item by its path.
  */
 struct routing *routing_read(const struct routing_format *f, struct ss_str text,
 			     GError **error);
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -60,13 +60,15 @@
 
 /* Parsing. */
 
-/* The path of an item for error messages: n is its index in the new list. */
+/* Returns the path of an item for error messages. n: its index in the new
+ * list. */
 static char *format_path(const struct routing_update *u, int64_t part, guint n)
 {
 	return g_strdup_printf("%s[%u]", u->f->lists[part], n);
 }
 
-/* The path of the item at an index of u->parsed, or of the one being parsed. */
+/* Returns the path of the item at an index of u->parsed, or of the one being
+ * parsed. */
 static char *item_path(const struct routing_update *u, guint at)
 {
 	const struct document_change *c = &u->patch->change;
@@ -88,7 +90,7 @@
 	return g_strdup("");
 }
 
-/* An item's text without the comma and the space before it. */
+/* Returns an item's text without the comma and the space before it. */
 static struct ss_str item_text(struct ss_str s)
 {
 	size_t i = 0;
@@ -303,7 +305,8 @@
 	return true;
 }
 
-/* The parsed items of a part; appends their indices in u->parsed to at. */
+/* Returns the parsed items of a part; appends their indices in u->parsed to
+ * at. */
 static GPtrArray *items_of_part(const struct routing_update *u, guint8 part,
 				GArray *at)
 {
@@ -317,7 +320,7 @@
 	return out;
 }
 
-/* The path of a customer that the change keeps. */
+/* Returns the path of a customer that the change keeps. */
 static char *kept_customer_path(const struct routing_update *u,
 				const struct customer *c)
 {
@@ -339,7 +342,7 @@
 	return format_path(u, DOCUMENT_CUSTOMER, n);
 }
 
-/* The path of a parsed or a kept customer. */
+/* Returns the path of a parsed or a kept customer. */
 static char *customer_path(const struct routing_update *u,
 			   const struct customer *c)
 {
@@ -349,7 +352,8 @@
 	return kept_customer_path(u, c);
 }
 
-/* Error messages name the customers, and never the key. */
+/* Checks that no two customers share a name or a key. Error messages name the
+ * customers, and never the key. */
 static bool check_customers(const struct routing_update *u, GError **error)
 {
 	GArray *at = g_array_new(FALSE, FALSE, sizeof(guint));
@@ -567,65 +571,66 @@
 
 /*
  * Splits a full text that is stored as one piece, as document_set_text() does
- * for old logs, into the pieces of its items. Takes the patch; returns it as it
- * is if it's divided already.
+ * for old logs, into the pieces of its items. Takes ownership of the patch, and
+ * returns it unchanged if it is already split.
  */
 static struct document_patch *split_text(const struct routing_follower *w,
-					 struct document_patch *n,
+					 struct document_patch *patch,
 					 GError **error)
 {
-	const struct document_edit *e = n->change.edits.items;
+	const struct document_edit *e = patch->change.edits.items;
 	const struct document_piece *p;
 	struct document *empty;
 	struct document_patch *out;
 
-	if (n->change.base || n->change.edits.n != 1 || e->pieces.n != 1)
-		return n;
+	if (patch->change.base || patch->change.edits.n != 1 ||
+	    e->pieces.n != 1)
+		return patch;
 	p = e->pieces.items;
 	empty = document_new();
 	out = document_compare(empty, p->text, w->f->lists, error);
 	document_free(empty);
 	if (out) {
 		/* The new pieces point into the unpacked bytes. */
-		out->unpacked = n->unpacked;
-		out->buf = n->buf;
-		n->unpacked = NULL;
-		out->change.version = n->change.version;
+		out->unpacked = patch->unpacked;
+		out->buf = patch->buf;
+		patch->unpacked = NULL;
+		out->change.version = patch->change.version;
 	}
-	document_patch_free(n);
+	document_patch_free(patch);
 	return out;
 }
 
 bool routing_follower_add(struct routing_follower *w, struct ss_str packed,
 			  GError **error)
 {
-	struct document_patch *n = document_unpack(packed, error);
+	struct document_patch *patch = document_unpack(packed, error);
 
-	if (n && n->change.base && n->change.base != w->version) {
+	if (patch && patch->change.base && patch->change.base != w->version) {
 		g_set_error(error, SS_ERROR, SS_ERROR_FRAME,
 			    "a change of version %" PRIu64 ", but %" PRIu64
 			    " is held",
-			    n->change.base, w->version);
-		document_patch_free(n);
+			    patch->change.base, w->version);
+		document_patch_free(patch);
 		return false;
 	}
-	if (n)
-		n = split_text(w, n, error);
-	if (!n)
+	if (patch)
+		patch = split_text(w, patch, error);
+	if (!patch)
 		return false;
-	w->version = n->change.version;
-	g_queue_push_tail(&w->patches, n);
+	w->version = patch->change.version;
+	g_queue_push_tail(&w->patches, patch);
 	return true;
 }
 
 static bool begin_next(struct routing_follower *w)
 {
-	struct document_patch *n = g_queue_pop_head(&w->patches);
+	struct document_patch *patch = g_queue_pop_head(&w->patches);
 
-	if (!n)
+	if (!patch)
 		return false;
-	w->next_version = n->change.version;
-	w->u = routing_update_new(w->r, w->f, n);
+	w->next_version = patch->change.version;
+	w->u = routing_update_new(w->r, w->f, patch);
 	return true;
 }
 
--- a/src/core/routing_update.h
+++ b/src/core/routing_update.h
@@ -26,7 +26,7 @@
 void routing_update_free(struct routing_update *u);
 
 enum routing_step {
-	ROUTING_MORE,	 /* call again */
+	ROUTING_MORE,	 /* not finished: call again */
 	ROUTING_VALID,	 /* parsed and checked; may be committed */
 	ROUTING_INVALID, /* error is set */
 };
@@ -40,7 +40,7 @@
  */
 enum routing_step routing_update_step(struct routing_update *u, GError **error);
 
-/* The change; its version is set once the step returned ROUTING_VALID. */
+/* Returns the change; its version is set once a step returned ROUTING_VALID. */
 const struct document_change *routing_update_change(struct routing_update *u);
 
 /* Applies a checked change to the table. */
@@ -51,20 +51,21 @@
 
 struct routing_follower *routing_follower_new(const struct routing_format *f);
 void routing_follower_free(struct routing_follower *f);
-/* The table; its version is 0 until the first change is committed. */
+/* Returns the table; its version is 0 until the first change is committed. */
 struct routing *routing_follower_table(const struct routing_follower *f);
 
-/* Queues a packed change. False if it can't be unpacked or its base isn't the
- * last version queued: the follower then needs the full document. */
+/* Queues a packed change. Returns false if it can't be unpacked or its base
+ * isn't the last version queued: the follower then needs the full document. */
 bool routing_follower_add(struct routing_follower *f, struct ss_str packed,
 			  GError **error);
-/* The version of the last change queued; after an error, of the table. */
+/* Returns the version of the last change queued; after an error, of the
+ * table. */
 uint64_t routing_follower_version(const struct routing_follower *f);
 
-/* Runs one step; true if it committed a version. If a change is invalid, sets
- * the error and discards all queued changes. */
+/* Runs one step. Returns true if it committed a version. If a change is
+ * invalid, sets the error and discards all queued changes. */
 bool routing_follower_step(struct routing_follower *f, GError **error);
-/* Whether changes are queued or being processed. */
+/* Returns whether changes are queued or being processed. */
 bool routing_follower_busy(const struct routing_follower *f);
 
 #endif
