--- a/src/core/send_window.c
+++ b/src/core/send_window.c
@@ -55,7 +55,9 @@
 {
 	int64_t age = now - w->round_start_ms;
 
-	/* Earlier arrivals were sent under the previous window. */
+	/* A round in which a send was blocked lasts until data sent in it is
+	 * acknowledged: acknowledgements before that are of data sent under the
+	 * previous window. */
 	if (age < SEND_WINDOW_TRANSIT_MS ||
 	    (w->blocked && !w->current_acked && age < SEND_WINDOW_TIMEOUT_MS))
 		return;
--- a/src/core/send_window.h
+++ b/src/core/send_window.h
@@ -2,9 +2,9 @@
  * Limits the bulk data that a process has in flight, over all of its
  * connections, to what its link carries in half a heartbeat interval.
  *
- * Data that the kernel has accepted counts as sent, but is queued before
+ * Data that the kernel has accepted counts as written, but is queued before
  * everything that is written later: heartbeats, votes, orders. A leader that
- * sends more than its link carries is taken for dead while it works. Bulk
+ * sends more than its link carries is taken for dead while it works. Bulk data
  * therefore counts as in flight until the receiver acknowledges it.
  *
  * If the arrival rate doesn't change with the window, the link is saturated,
@@ -27,12 +27,13 @@
 #define SEND_WINDOW_MIN_BYTES (32u * 1024)
 /* The largest window, in bytes: what 1,000 Mbit/s carry in that time. */
 #define SEND_WINDOW_MAX_BYTES (6u * 1024 * 1024)
-/* Bulk that is not acknowledged within this time, in ms, went to a receiver
- * that is stalled or has a slower link. It no longer counts, so that it doesn't
- * block the others. */
+/* Bulk data that isn't acknowledged within this time, in ms, went to a receiver
+ * that is stalled or has a slower link. It no longer counts as in flight, so
+ * that it doesn't block the other receivers. */
 #define SEND_WINDOW_TIMEOUT_MS 250
 
-/* The rate counts as changed with the window if it changed by this factor. */
+/* If the rate of arrival rose or fell by this factor from one round to the
+ * next, the window is taken to be the limit, not the link. */
 #define SEND_WINDOW_RATE_CHANGE 1.6
 /* The factor by which the window grows: more than the rate may appear to change
  * when sends are few and large. */
@@ -53,13 +54,13 @@
 
 void send_window_init(struct send_window *w, int64_t now);
 
-/* Whether that many bytes may be sent now. Always true if nothing is in
+/* Returns whether that many bytes may be sent now; always true if nothing is in
  * flight. */
 bool send_window_allows(struct send_window *w, size_t bytes);
 void send_window_sent(struct send_window *w, size_t bytes);
-/* sent_ms: when the bytes were sent. */
+/* Records an acknowledgement. sent_ms: when the bytes were sent. */
 void send_window_acked(struct send_window *w, size_t bytes, int64_t sent_ms);
-/* The bytes no longer count: their receiver is gone or silent. */
+/* Stops counting bytes as in flight: their receiver is gone or silent. */
 void send_window_lost(struct send_window *w, size_t bytes);
 
 /* Ends a round if it is due and adapts the window. To be called at least every
--- a/src/core/start_limit.c
+++ b/src/core/start_limit.c
@@ -2,12 +2,13 @@
 #include "start_limit.h"
 
 /* Part of the limit that a decrease leaves. Entries that see the same pause all
- * decrease at once, so the engine's prompts fall by the same part. */
+ * decrease at once, so the number of prompts on the engine falls by the same
+ * factor. */
 #define DECREASE_FACTOR 0.5
 /*
- * A pause of at least this part of what its route allows is high, and the limit
- * doesn't increase: each entry may add a prompt before any of them sees the
- * result.
+ * A pause of at least this part of what its route allows is high, and keeps the
+ * limit from increasing: each entry may add a prompt before any of them sees
+ * the result.
  */
 #define HIGH_PAUSE_PART 0.5
 /* Weight of the newest time to a first event in the mean. */
--- a/src/core/start_limit.h
+++ b/src/core/start_limit.h
@@ -23,10 +23,10 @@
 	int64_t peak, last_peak, period_start_ms;
 };
 
-/* Initializes without a limit and without measurements. */
+/* Initializes a state without a limit and without measurements. */
 void start_limit_init(struct start_limit *l);
 
-/* Whether another prompt may be sent while in_flight are. */
+/* Returns whether another prompt may be sent while in_flight are in flight. */
 bool start_limit_allows(const struct start_limit *l, int64_t in_flight);
 
 /* Records that a prompt was sent; in_flight includes it. */
@@ -34,16 +34,17 @@
 
 /*
  * Records a first event, ms after its prompt was sent. One later than the
- * objective lowers the limit if there is one. True if the limit was lowered. A
- * time that is 0, negative or above an hour is ignored.
+ * objective lowers the limit if there is one. Returns whether the limit was
+ * lowered. A time that is 0, negative or above an hour is ignored.
  */
 bool start_limit_first_event(struct start_limit *l, int64_t ms,
 			     int64_t objective_ms, int64_t now);
 
 /*
  * Records a pause between two events of a stream. One above what its route
- * allows lowers the limit, or sets one if there is none; true in both cases.
- * The same times are ignored.
+ * allows lowers the limit, or sets one if there is none. Returns whether the
+ * limit was lowered or set. A pause that is 0, negative or above an hour is
+ * ignored.
  */
 bool start_limit_pause(struct start_limit *l, int64_t pause_ms,
 		       int64_t allowed_ms, int64_t now);
