--- a/src/core/stream_log.c
+++ b/src/core/stream_log.c
@@ -1,4 +1,4 @@
-/* Log of the software versions that began streams. */
+/* Log of the software version that began each stream. */
 #include "stream_log.h"
 
 #include <xxhash.h>
@@ -146,7 +146,7 @@
 
 	if (r && !strcmp(r->service, x->service) &&
 	    !strcmp(r->version, x->version)) {
-		/* Another process reports the same: not a change. */
+		/* A repeated report, of another process, isn't a change. */
 		r->until_ms = MAX(r->until_ms, until);
 		return;
 	}
--- a/src/core/stream_log.h
+++ b/src/core/stream_log.h
@@ -1,12 +1,13 @@
 /*
- * Log of the software versions that began streams, for those who resume them.
+ * Log of the software version that began each stream: an entry that resumes the
+ * stream has to use the same one.
  *
  * A caller whose stream breaks off resumes it at any entry, and names the
  * request that began it. The outputs of two versions of an endpoint don't fit
- * together, so each resumable stream is logged where it is sent, by a hash
- * of its request's id, and reported to the leader and its followers. The log
- * also keeps which versions served recently: a stream that isn't in any log was
- * begun by the only version that served, if there was just one.
+ * together, so each resumable stream is logged by the process that sends it,
+ * under a hash of its request's id, and reported to the leader and its
+ * followers. The log also keeps which versions served recently: if only one
+ * did, it began the streams that aren't in any log.
  *
  * The log is bounded and drops its oldest streams. It does no I/O and reads no
  * clock; callers pass the time.
@@ -19,14 +20,14 @@
 /* Time for which a stream can be resumed after it began, in ms: longer than any
  * caller waits. */
 #define STREAM_LIFETIME_MAX_MS 60000
-/* Streams that a process keeps: those of a minute at 1000 per second, some 6
- * MB.
- */
+/* Streams that a process keeps: those of a minute at 1000 per second. They take
+ * some 6 MB. */
 #define STREAM_LOG_CAPACITY 65536
 
 struct stream_log;
 
-/* A stream and the version that began it; with key 0, a version that serves. */
+/* A stream and the version that began it; with key 0, a version that serves
+ * now. */
 struct stream_item {
 	uint64_t key;
 	const char *service, *version; /* valid until the log changes */
@@ -65,14 +66,14 @@
  */
 uint64_t stream_log_changes(const struct stream_log *l, uint64_t mark,
 			    size_t max, int64_t now, GArray *out);
-/* True if there is no change after a mark. */
+/* Returns whether there is no change after a mark. */
 bool stream_log_is_reported(const struct stream_log *l, uint64_t mark);
 
-/* Drops what has expired. */
+/* Drops expired streams and versions. */
 void stream_log_expire(struct stream_log *l, int64_t now);
 /* Returns the number of streams. */
 size_t stream_log_length(const struct stream_log *l);
-/* Memory of one stream with its share of the tables, in bytes. */
+/* Returns the memory of one stream with its share of the tables, in bytes. */
 size_t stream_log_record_bytes(void);
 
 #endif
--- a/src/core/stream_timing.c
+++ b/src/core/stream_timing.c
@@ -16,10 +16,10 @@
  * within half a second. A shorter stream doesn't show the events per token,
  * as its last event holds all remaining tokens. */
 #define EVENTS_PER_SAMPLE 8
-/* Samples from which on an estimate is used alone: the weight of the first one
- * has fallen to a third by then. With fewer samples the slowest of the whole
- * service counts too: the mean of a service is that of its most used models,
- * and large models take twice as long. */
+/* Number of samples from which on an estimate is used alone: the weight of the
+ * first one has fallen to a third by then. With fewer samples the slowest of
+ * the whole service counts too: the mean of a service is that of its most used
+ * models, and large models take twice as long. */
 #define TRUSTED_SAMPLES 8
 /* The number of plain answers of a route, or of complete streams of a service,
  * from which on the next one is predicted: by then two of a kind that makes up
@@ -138,7 +138,7 @@
 	return (double)(now - m->ms) / EVENTS_PER_SAMPLE;
 }
 
-/* The bound for one part of a service; negative: unknown. */
+/* Returns the bound for one part of a service; negative: unknown. */
 static double first_bound(const struct stream_timing *p,
 			  const struct stream_timing *service)
 {
@@ -161,7 +161,8 @@
 	return p->event.n ? MAX(own, slowest) : slowest * UNKNOWN_MODEL_FACTOR;
 }
 
-/* With few streams the maximum comes from short ones. */
+/* Returns the events per token. The maximum isn't used while few streams are
+ * complete: the first ones to end are the short ones. */
 static double events_per_token(const struct stream_timing *service)
 {
 	const struct timing_max *m = &service->events_per_token;
--- a/src/core/stream_timing.h
+++ b/src/core/stream_timing.h
@@ -39,7 +39,7 @@
 	uint64_t events;
 };
 
-/* Lower bounds from answers in flight that are still awaited. */
+/* Lower bounds from answers in flight, whose first or next event is awaited. */
 struct timing_pending {
 	double first_ms, event_ms;
 };
@@ -54,11 +54,12 @@
 };
 
 void timing_estimate_add(struct timing_estimate *e, double ms);
-/* A duration that few samples exceed; negative if there are no samples. */
+/* Returns a duration that few samples exceed; negative without samples. */
 double timing_estimate_bound(const struct timing_estimate *e);
 
 void timing_max_add(struct timing_max *m, double x);
-double timing_max(const struct timing_max *m); /* 0: no samples */
+/* Returns the maximum; 0 without samples. */
+double timing_max(const struct timing_max *m);
 
 void timing_record_first(struct stream_timing *p, double ms);
 void timing_record_event(struct stream_timing *p, double ms);
@@ -81,23 +82,24 @@
 void timing_raise_length(struct stream_timing *p, uint64_t events,
 			 int64_t tokens);
 
-/* A duration that most answers exceed before they start. Taken from the model,
- * or from its service if the model has no samples; negative if neither has
- * any. */
+/* Returns a duration that most answers exceed before they start. It is taken
+ * from the model, or from its service if the model has no samples; negative if
+ * neither has any. */
 double timing_low_first_ms(const struct stream_timing *model,
 			   const struct stream_timing *service);
 
-/* To be called when an event arrives; events: the number that the answer has so
- * far. Returns true once there are enough since the mark to measure the mean
- * gap, and moves the mark. */
+/* Measures the mean gap between events, to be called when one arrives. events:
+ * how many the answer has so far. Returns false if there are too few since the
+ * mark; otherwise moves the mark. */
 bool timing_measure_gap(struct timing_mark *m, uint64_t events, int64_t now,
 			double *gap_ms);
-/* A lower bound of the mean gap of the current, incomplete sample. */
+/* Returns a lower bound of the mean gap of the current, incomplete sample. */
 double timing_pending_event_ms(const struct timing_mark *m, int64_t now);
 
 /*
- * The longest expected duration of an answer that starts now, in ms; SS_NEVER
- * if it can't be predicted.
+ * Return the longest expected duration of an answer that starts now, in ms;
+ * SS_NEVER if it can't be predicted. timing_stream_ms() is for streams,
+ * timing_plain_ms() for other answers.
  */
 int64_t timing_stream_ms(const struct timing_request *a);
 int64_t timing_plain_ms(const struct stream_timing *route,
