--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -15,13 +15,13 @@
 				   60 * 60 * 1000LL, 6 * 60 * 60 * 1000LL,
 				   24 * 60 * 60 * 1000LL };
 /* First quarantine period of tied requests, in ms: long enough for endpoints to
- * restart. Requests are tied if they share most of their crashes; most of them
+ * restart. Requests are tied if they share TIED_CRASHES crashes; most of them
  * are harmless, and their callers wait. */
 #define TIED_PERIOD_MS 3000
-/* Crashes that two requests share by more than chance. */
+/* Number of shared crashes that is more than chance. */
 #define TIED_CRASHES 2
-/* A quarantined request that nobody sends is dropped this long after its
- * period, in ms. */
+/* A quarantined request that isn't sent again is dropped this long after its
+ * quarantine period, in ms. */
 #define QUARANTINE_KEEP_MS (24 * 60 * 60 * 1000LL)
 /* A cleared request is kept this long, in ms, to report it to processes that
  * missed it. */
@@ -37,11 +37,11 @@
 
 struct suspect {
 	struct fingerprint fp;
-	uint64_t crashes[SUSPECT_CRASH_THRESHOLD]; /* incarnation numbers of
-						      endpoints */
+	/* Hashes that identify the incarnations of the crashed endpoints. */
+	uint64_t crashes[SUSPECT_CRASH_THRESHOLD];
 	unsigned int n_crashes;
 	uint64_t last_crash; /* the newest, also beyond those in crashes */
-	int64_t last_ms;
+	int64_t last_ms;     /* time of the last crash, report or clearing */
 	bool cleared, quarantined;
 	int64_t until_ms; /* end of the quarantine period */
 	uint64_t failed_trials;
@@ -187,7 +187,8 @@
 	note_change(s, x);
 }
 
-/* Only trial runs tell tied requests apart, so they are allowed soon. */
+/* Allows trial runs of tied requests soon: only these show which of the
+ * requests is the poison one. */
 static void advance_tied_trials(struct suspects *s, struct suspect *x,
 				int64_t now)
 {
@@ -234,8 +235,9 @@
 			x->crashes[i] = x->crashes[--x->n_crashes];
 }
 
-/* A failed trial run shows which request is the poison one: its crashes no
- * longer count against others. */
+/* Removes the crashes of a poison request from the other requests, except those
+ * whose own trial runs failed: a failed trial run shows which request is the
+ * poison one. */
 static void discount_crashes(struct suspects *s, const struct suspect *poison,
 			     int64_t now)
 {
@@ -260,8 +262,9 @@
 	}
 }
 
-/* Extends a quarantine after another crash. It is a failed trial run, unless
- * the request was already running when it was quarantined. */
+/* Extends a quarantine after another crash. The crash is a failed trial run if
+ * one is open or the period is over; otherwise the request was already running
+ * when it was quarantined. */
 static void extend(struct suspects *s, struct suspect *x, int64_t now)
 {
 	if (x->trial_ms || now >= x->until_ms) {
@@ -311,45 +314,46 @@
 	return true;
 }
 
-void suspects_apply(struct suspects *s, const struct suspect_state *w,
+void suspects_apply(struct suspects *s, const struct suspect_state *st,
 		    int64_t now)
 {
-	struct suspect *x = find(s, &w->fingerprint);
+	struct suspect *x = find(s, &st->fingerprint);
 
-	if (w->cleared) {
+	if (st->cleared) {
 		if (x)
 			drop(s, x);
 		return;
 	}
-	x = find_or_add(s, &w->fingerprint);
+	x = find_or_add(s, &st->fingerprint);
 	set_quarantined(s, x, true);
 	x->cleared = false;
-	x->until_ms = now + MAX(w->remaining_ms, 0);
-	x->failed_trials = w->failed_trials;
+	x->until_ms = now + MAX(st->remaining_ms, 0);
+	x->failed_trials = st->failed_trials;
 	x->last_ms = MAX(x->last_ms, now);
 	note_change(s, x);
 }
 
-void suspects_merge(struct suspects *s, const struct suspect_state *w,
+void suspects_merge(struct suspects *s, const struct suspect_state *st,
 		    int64_t now)
 {
-	int64_t until = now + MAX(w->remaining_ms, 0);
-	struct suspect *x = find(s, &w->fingerprint);
+	int64_t until = now + MAX(st->remaining_ms, 0);
+	struct suspect *x = find(s, &st->fingerprint);
 
-	/* Stays cleared: processes that still remember a quarantine get this
-	 * change. */
-	if (w->cleared || (x && x->cleared))
+	/* A cleared request stays cleared: processes that still hold its
+	 * quarantine receive the clearing as a change. */
+	if (st->cleared || (x && x->cleared))
 		return;
-	x = find_or_add(s, &w->fingerprint);
-	if (!x->quarantined || w->failed_trials > x->failed_trials) {
+	x = find_or_add(s, &st->fingerprint);
+	if (!x->quarantined || st->failed_trials > x->failed_trials) {
 		set_quarantined(s, x, true);
-		x->failed_trials = w->failed_trials;
+		x->failed_trials = st->failed_trials;
 		x->until_ms = until;
 		x->last_ms = now;
 		note_change(s, x);
 	}
-	/* Not a change: hundreds of processes may report the same. */
-	if (w->failed_trials == x->failed_trials)
+	/* A later end isn't a change to report: hundreds of processes may merge
+	 * the same quarantine. */
+	if (st->failed_trials == x->failed_trials)
 		x->until_ms = MAX(x->until_ms, until);
 }
 
@@ -458,17 +462,17 @@
 	g_ptr_array_sort(all, by_mark);
 	for (guint i = 0; i < all->len; i++) {
 		const struct suspect *x = all->pdata[i];
-		struct suspect_state w = { .fingerprint = x->fp,
-					   .cleared = x->cleared,
-					   .remaining_ms =
-						   MAX(x->until_ms - now, 0),
-					   .failed_trials = x->failed_trials };
+		struct suspect_state st = { .fingerprint = x->fp,
+					    .cleared = x->cleared,
+					    .remaining_ms =
+						    MAX(x->until_ms - now, 0),
+					    .failed_trials = x->failed_trials };
 
 		if (x->changed <= mark || !(x->quarantined || x->cleared))
 			continue;
 		if (out->len == max)
 			break;
-		g_array_append_val(out, w);
+		g_array_append_val(out, st);
 		end = out->len == max ? x->changed : s->mark;
 	}
 	g_ptr_array_unref(all);
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -49,9 +49,9 @@
 };
 
 /*
- * Adds a crash of an endpoint, by the endpoint's incarnation number, to a
- * request that it was running. Returns the request's number of crashes, at most
- * SUSPECT_CRASH_THRESHOLD.
+ * Adds a crash of an endpoint, by a hash that identifies the endpoint's
+ * incarnation, to a request that it was running. Returns the request's number
+ * of crashes, at most SUSPECT_CRASH_THRESHOLD.
  */
 unsigned int suspects_add_crash(struct suspects *s,
 				const struct fingerprint *fp,
@@ -61,22 +61,25 @@
 bool suspects_answered(struct suspects *s, const struct fingerprint *fp,
 		       int64_t now);
 /* Replaces a request's state by what the leader reports. */
-void suspects_apply(struct suspects *s, const struct suspect_state *w,
+void suspects_apply(struct suspects *s, const struct suspect_state *st,
 		    int64_t now);
-/* Merges the state that another process holds; the later end of the
- * quarantine period counts. */
-void suspects_merge(struct suspects *s, const struct suspect_state *w,
+/* Merges the state that another process holds. The state with more failed trial
+ * runs counts; at the same number, the later end of the quarantine period. A
+ * request that is cleared here stays cleared. */
+void suspects_merge(struct suspects *s, const struct suspect_state *st,
 		    int64_t now);
 
 /* Returns the rest of a request's quarantine period in ms, 0 if it may ask for
  * a trial run, and -1 if it isn't quarantined. */
 int64_t suspects_remaining_ms(const struct suspects *s,
 			      const struct fingerprint *fp, int64_t now);
-/* True if any request is in the table, or quarantined. */
+/* Returns whether any request is in the table. */
 bool suspects_any(const struct suspects *s);
+/* Returns whether any request is quarantined. */
 bool suspects_any_quarantined(const struct suspects *s);
-/* Numbers of requests in the table, and of quarantined ones. */
+/* Returns the number of requests in the table. */
 size_t suspects_count(const struct suspects *s);
+/* Returns the number of quarantined requests. */
 size_t suspects_quarantined(const struct suspects *s);
 
 enum suspect_admission {
@@ -104,7 +107,8 @@
 /* Returns the mark of the last change. */
 uint64_t suspects_mark(const struct suspects *s);
 
-/* Drops requests that are too old. */
+/* Drops requests whose last crash, quarantine or clearing is too long ago. To
+ * be called regularly. */
 void suspects_tick(struct suspects *s, int64_t now);
 
 #ifdef __cplusplus
