--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -4,7 +4,7 @@
 #include "../src/core/admission.h"
 
 #define DISPATCHES 4000
-#define INTERVAL_MS 10
+#define INTERVAL_MS 10 /* between two dispatches */
 
 static struct admission_head head(int priority, int64_t latest_ms,
 				  const void *model_queue)
@@ -17,11 +17,12 @@
 }
 
 /* Requests of one class, of which one always waits, in a model queue of its
- * own. With a patience above 0, none may miss its latest start. */
+ * own. If patience_ms is above 0, none may miss its latest start. */
 struct class
 {
 	int priority;
-	int64_t patience_ms; /* until its latest start */
+	int64_t patience_ms; /* from the arrival of a request to its latest
+				start */
 	const char *customer;
 	unsigned int share;
 	int min_dispatches, max_dispatches; /* accepted number of dispatches */
@@ -101,7 +102,8 @@
 }
 
 struct raise_case {
-	int64_t interval_ms, left_ms;
+	int64_t interval_ms; /* between two dispatches */
+	int64_t left_ms; /* to the latest start of the less urgent request */
 	int urgent_dispatches; /* dispatches of priority 0 before */
 	enum admission_rule want;
 };
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -264,12 +264,12 @@
 	ss_state_free(copy);
 }
 
-/* Entries that choose by reports of the same time. */
+/* Calls of entries that choose by reports of the same time. */
 struct stale_report_case {
 	const char *label;
 	int64_t loads[3]; /* in the report */
-	double unseen;
-	int least, most; /* limits of the calls to the first node, of 300 */
+	double unreported;
+	int min, max; /* accepted calls to the first node, of 300 */
 };
 
 static const struct stale_report_case stale_report_cases[] = {
@@ -306,12 +306,12 @@
 			for (int k = 0; k < 3; k++) {
 				n[k].slots = 64;
 				n[k].reported = c->loads[k];
-				n[k].unreported = c->unseen;
+				n[k].unreported = c->unreported;
 			}
 			first += balance_choose(n, 3, 1.0, ss_random(&seed)) ==
 				 0;
 		}
-		if (first < c->least || first > c->most)
+		if (first < c->min || first > c->max)
 			fail_msg("%s: %d of 300", c->label, first);
 	}
 }
@@ -320,7 +320,7 @@
 	const char *label;
 	struct balance_node nodes[5];
 	size_t n;
-	int least[5], most[5]; /* limits, of a hundred calls */
+	int min[5], max[5]; /* accepted calls to each node, of a hundred */
 };
 
 static const struct weighted_case weighted_cases[] = {
@@ -384,13 +384,14 @@
 			got[node]++;
 		}
 		for (size_t k = 0; k < c.n; k++)
-			if (got[k] < c.least[k] || got[k] > c.most[k])
+			if (got[k] < c.min[k] || got[k] > c.max[k])
 				fail_msg("%s: %d of 100 to %zu", c.label,
 					 got[k], k);
 	}
 }
 
-/* Reports why no node was chosen, as balance_choose() does. */
+/* balance_choose_weighted() returns why no node was chosen, as balance_choose()
+ * does. */
 static void reason_for_no_choice_is_returned(void **state)
 {
 	struct balance_node n[2] = { NODE(.reported = 8),
@@ -405,9 +406,9 @@
 			 BALANCE_NO_ENDPOINT);
 }
 
-/* Guards against a change in the choices between engines of equal speed, by one
- * more random number or by rounding. The fingerprint is that of the choices
- * between nodes of unknown speed. */
+/* Guards against other choices between engines of equal speed than between ones
+ * of unknown speed, due to one more random number or to rounding. The
+ * fingerprint is that of the choices between nodes of unknown speed. */
 static void equal_speeds_change_no_choice(void **state)
 {
 	uint64_t seed = 5, fingerprint = 0;
@@ -436,8 +437,9 @@
 
 struct far_case {
 	const char *label;
-	double late[2]; /* of the near nodes; the far one is idle */
-	double failing; /* of the near nodes: less than the distance penalty */
+	/* Of the near nodes; the far one is idle. */
+	double objective_used[2];
+	double failure_rate; /* its penalty is below the distance penalty */
 	bool far;
 };
 
@@ -462,8 +464,8 @@
 
 		for (int k = 0; k < 2; k++) {
 			n[k].near = true;
-			n[k].objective_used = c->late[k];
-			n[k].failure_rate = c->failing;
+			n[k].objective_used = c->objective_used[k];
+			n[k].failure_rate = c->failure_rate;
 		}
 		if ((balance_choose(n, 3, 1.0, 0) == 2) != c->far)
 			fail_msg("%s", c->label);
