--- a/test/prop_retry_budget.cc
+++ b/test/prop_retry_budget.cc
@@ -14,8 +14,8 @@
 constexpr int64_t kWindowMs = 10000;
 constexpr int64_t kStepMs = 20;
 constexpr int64_t kRunMs = 45000;
-constexpr double kRatio = 0.2;
-constexpr int64_t kSlack = 100;
+constexpr double kRatio = 0.2; // retries per request
+constexpr int64_t kSlack = 100; // retries, of all entries
 constexpr int kEntriesMax = 40;
 
 struct Sent {
@@ -48,8 +48,8 @@
 	};
 	size_t n = 1 + draw(kEntriesMax);
 	int64_t slack = retry_slack(kSlack, n);
-	// One entry is replaced in one step of kill_odds, all in one of
-	// kill_all_odds.
+	// In each step one entry is replaced with probability 1 / kill_odds, and
+	// all entries with probability 1 / kill_all_odds.
 	uint64_t kill_odds = 1 + draw(200), kill_all_odds = 20 + draw(1000);
 	std::vector<retry_budget> entries(n, NewBudget(0));
 	uint64_t load = 0;
--- a/test/test_endpoint_limit.c
+++ b/test/test_endpoint_limit.c
@@ -230,7 +230,7 @@
 	}
 }
 
-/* The rate is sent with the age of the signal, as clocks differ. */
+/* The limit is sent with the age of the signal, as clocks differ. */
 static void limit_is_sent_with_its_age(void **state)
 {
 	static const double rates[] = { ENDPOINT_LIMIT_NONE, 0, 0.5, 1.25,
--- a/test/test_failure_rate.c
+++ b/test/test_failure_rate.c
@@ -1,4 +1,4 @@
-/* Failure rates of endpoints, as entries and the leader compute them. */
+/* Tests of the failure rates that entries and the leader keep of endpoints. */
 #include "unit.h"
 
 #include "../src/core/failure_rate.h"
@@ -48,8 +48,8 @@
 	assert_int_equal(failure_rate_permille(&f, 40000), 0);
 }
 
-/* A reported rate replaces the own one, and is capped; a rate of 0, as a new
- * leader reports it, changes nothing. */
+/* A reported rate replaces that of the process, and is capped; a rate of 0, as
+ * a new leader reports it, changes nothing. */
 static void reported_rate_is_adopted(void **state)
 {
 	struct failure_rate f = { 0 };
--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -17,8 +17,8 @@
 	const char *label;
 	int entries;
 	uint64_t reported_entries; /* number of entries, as reported to each */
-	int64_t slack;		   /* shared by all entries */
-	double per_s;		   /* requests of each entry */
+	int64_t slack;		   /* retries, shared by all entries */
+	double per_s;		   /* requests per second of each entry */
 	/*
 	 * Entries are replaced by processes without any counts, one after the
 	 * other from restart_ms on, stagger_ms apart; each again every
@@ -27,6 +27,7 @@
 	int64_t restart_ms, stagger_ms, repeat_ms, restart_end_ms;
 	double restarted_per_s; /* per_s from restart_ms on; 0: unchanged */
 };
+
 #define FLEET(n, total_slack, rate)                                            \
 	.entries = (n), .reported_entries = (n), .slack = (total_slack),       \
 	.per_s = (rate)
@@ -168,7 +169,8 @@
 	return share;
 }
 
-/* Guards against a budget window that is shorter than the one of the bound. */
+/* Guards against a budget that counts retries over a shorter window than the
+ * bound does: a long outage shows it. */
 static void long_outage_keeps_to_the_bound(void **state)
 {
 	static const struct load loads[] = {
@@ -183,18 +185,18 @@
 		run_fleet(&loads[i]);
 }
 
-/* A process that has run for long. */
+/* A process that has run for long: it started at 0. */
 static const struct retry_options long_running = { .window_ms = WINDOW_MS,
 						   .ratio = RATIO };
-/* Its part of the slack, in retries. */
+/* Part of the slack of that process, in retries. */
 #define SLACK_PART 3
 
 struct window_case {
-	int64_t first_ms, second_ms;
-	int allowed; /* of three */
+	int64_t first_ms, second_ms; /* when three retries are taken each */
+	int allowed;		     /* retries granted at second_ms */
 };
 
-/* Guards against retries that are forgotten before their window is over. */
+/* Guards against retries that stop counting before their window is over. */
 static void retries_count_for_a_whole_window(void **state)
 {
 	static const struct window_case cases[] = {
@@ -316,14 +318,14 @@
 }
 
 struct slack_case {
-	uint64_t entries; /* that share the slack */
-	uint64_t reported;
+	uint64_t entries;  /* number of entries that share the slack */
+	uint64_t reported; /* the number that each of them knows */
 };
 
 /*
  * Guards against more retries of all entries together than the bound allows, in
- * a fleet with more entries than each of them counts on. A fixed number of
- * entries has this effect.
+ * a fleet with more entries than each of them counts on. Dividing the slack by
+ * a constant number of entries has this effect.
  */
 static void entries_share_the_slack(void **state)
 {
--- a/test/test_return_slots.c
+++ b/test/test_return_slots.c
@@ -26,12 +26,12 @@
 
 struct burst {
 	int returning[SECONDS]; /* callers by the second of their return */
-	double urgent_ms, patient_ms; /* mean delays */
+	double urgent_ms, patient_ms; /* mean delays of priorities 0 and 1 */
 	int too_late;
 };
 
-/* 500 callers are refused within a second, one in ten of them urgent; 100 more
- * are served. */
+/* Refuses 500 callers within a second, one in ten of them urgent, and serves
+ * 100 more. */
 static void run_burst(struct return_slots *t, int64_t now, struct burst *b)
 {
 	struct return_request a = {
@@ -100,8 +100,8 @@
 	int served_per_s;   /* before the refusals */
 	int refused_before; /* callers refused at the same moment */
 	double per_s;
-	int64_t least_ms, most_ms; /* of the caller */
-	int64_t from_ms, to_ms;	   /* accepted start of the slot */
+	int64_t min_ms, max_ms; /* of the caller's request */
+	int64_t from_ms, to_ms; /* accepted start of the slot */
 };
 
 static const struct slot_case slot_cases[] = {
@@ -127,17 +127,17 @@
 		struct return_request a = { .key = KEY,
 					    .cost = 1,
 					    .per_s = c->per_s,
-					    .min_ms = c->least_ms,
+					    .min_ms = c->min_ms,
 					    .max_ms = 20000 };
 		struct return_slot slot;
 
 		for (int k = 0; k < c->refused_before; k++)
 			return_slots_assign(t, &a, now);
-		a.max_ms = c->most_ms;
+		a.max_ms = c->max_ms;
 		slot = return_slots_assign(t, &a, now);
 		if (slot.delay_ms < c->from_ms || slot.delay_ms > c->to_ms ||
 		    slot.reserved !=
-			    (c->served_per_s && c->from_ms <= c->most_ms) ||
+			    (c->served_per_s && c->from_ms <= c->max_ms) ||
 		    (slot.width_ms > 0) != (c->served_per_s > 0))
 			fail_msg("%s: %" PRId64 " ms, reserved=%d", c->label,
 				 slot.delay_ms, slot.reserved);
@@ -145,7 +145,8 @@
 	}
 }
 
-/* Guards against slots blocked by callers for whom they are too late. */
+/* Guards against slots that are reserved for callers for whom they are too
+ * late. */
 static void unreserved_slot_stays_free(void **state)
 {
 	struct return_slots *t = return_slots_new();
@@ -160,8 +161,8 @@
 	return_slots_free(t);
 }
 
-/* Guards against a rate that is measured while nobody is refused: a burst of
- * refusals after few calls would wait for seconds. */
+/* Guards against a rate that is measured while no caller is refused: after few
+ * calls the callers of a burst would be sent away for seconds. */
 static void calls_before_refusals_set_no_rate(void **state)
 {
 	struct return_slots *t = return_slots_new();
--- a/test/test_send_window.c
+++ b/test/test_send_window.c
@@ -1,5 +1,5 @@
-/* Tests bulk transfers to hundreds of receivers: their duration, and the delay
- * of what is queued behind them on the link of the sender. */
+/* Tests of bulk transfers to hundreds of receivers: their duration, and the
+ * delay of what is queued behind them on the link of the sender. */
 #include "unit.h"
 
 #include "../src/core/send_window.h"
@@ -55,6 +55,8 @@
 	}
 }
 
+/* Guards against bulk data that delays the heartbeats queued behind it, and
+ * against a window so small that the last receiver gets its data late. */
 static void bulk_arrives_without_delaying_heartbeats(void **state)
 {
 	static struct receiver all[RECEIVERS_MAX];
--- a/test/test_start_limit.c
+++ b/test/test_start_limit.c
@@ -4,24 +4,25 @@
 
 #include "../src/core/start_limit.h"
 
-#define ALLOWED_MS 250
-#define OBJECTIVE_MS 1000
+#define ALLOWED_MS 250	  /* longest allowed pause between two events */
+#define OBJECTIVE_MS 1000 /* latest first event */
 
 /*
- * Simulates entries that send bursts of prompts to an engine. In one step the
+ * Simulation: entries send bursts of prompts to an engine. In one step the
  * engine reads all prompts that have arrived; each of its streams gets an event
  * at the end of the step.
  */
 #define ENTRIES 4
-#define STEP_MS 20
-#define PROMPT_MS 30
+#define STEP_MS 20   /* a step without prompts */
+#define PROMPT_MS 30 /* reading one prompt */
 #define RUN_MS 60000
-#define WARMUP_MS 5000
+#define WARMUP_MS 5000 /* not measured */
 
 struct load {
 	const char *label;
-	int burst, interval_ms;
-	bool overloads; /* more prompts than the engine can read */
+	int burst;	 /* prompts in a burst */
+	int interval_ms; /* between two bursts of an entry */
+	bool overloads;	 /* more prompts than the engine can read */
 };
 
 struct simulation {
