--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -351,8 +351,8 @@
 		x->last_ms = now;
 		note_change(s, x);
 	}
-	/* A later end isn't a change to report: hundreds of processes may merge
-	 * the same quarantine. */
+	/* A later end isn't a change to pass on: hundreds of processes may
+	 * report the same quarantine. */
 	if (st->failed_trials == x->failed_trials)
 		x->until_ms = MAX(x->until_ms, until);
 }
--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -21,7 +21,7 @@
 {
 
 const int64_t kStepMs = 50;
-/* Time from the threshold crash until all connected entries know. */
+/* Time from a request's threshold crash until all connected entries know. */
 const int64_t kSpreadMs = 3000;
 /* Runs of a poison request that are allowed after that. */
 const size_t kMaxLateRuns = 3;
@@ -34,7 +34,7 @@
 	crash_log log;
 	uint64_t reported_to = 0; /* leadership that gets its reports */
 	uint64_t merged = 0; /* mark up to which the leader has its state */
-	int64_t connected_since = 0; /* running, and to the same leader */
+	int64_t connected_since = 0; /* running, with the same leader */
 	int64_t disconnected_until = 0;
 
 	void start(int64_t now)
@@ -68,6 +68,7 @@
 	std::vector<Run> runs;
 };
 
+/* The simulated processes, and what the properties check. Times are in ms. */
 struct World {
 	std::vector<Entry> entries;
 	std::vector<Endpoint> eps;
@@ -328,6 +329,7 @@
 	}
 };
 
+/* A request or a fault. */
 struct Event {
 	int kind, entry;
 	uint64_t choice; /* of requests, endpoints and durations */
@@ -340,8 +342,8 @@
 					 rc::gen::arbitrary<uint64_t>());
 }
 
-/* Faults that lose the state of a process, as far as they may still occur. They
- * are few: what all processes that observed something lost can't be known. */
+/* How many faults that lose the state of a process may still occur. They are
+ * few: a crash that is lost by all processes that observed it can't count. */
 struct Faults {
 	int leaders = 1, restarts = 2;
 };
--- a/test/test_router.c
+++ b/test/test_router.c
@@ -7,10 +7,10 @@
 struct fake {
 	GString *actions; /* of the router, separated by spaces */
 	struct router *r;
-	struct msg_call last; /* its strings aren't valid */
+	struct msg_call last; /* last call sent; its strings aren't valid */
 	struct msg_attach attach;
 	struct msg_claim claim;
-	struct router_result end;
+	struct router_result result;
 	char text[128];
 	bool refuse_send;
 	int64_t now;
@@ -73,7 +73,7 @@
 	struct fake *f = arg;
 
 	(void)c;
-	f->end = *e;
+	f->result = *e;
 	if (e->code)
 		g_string_append_printf(f->actions, "end:%s/%s ",
 				       ss_error_name((enum ss_error)e->code),
@@ -221,7 +221,7 @@
 	submit(&f, 1000, false, "");
 	send_route(&f, 0, 5000, 0);
 	expect(&f, "end:deadline/not_run ");
-	assert_int_equal(f.end.retry_after_ms, 5000);
+	assert_int_equal(f.result.retry_after_ms, 5000);
 	submit(&f, 1000, false, "");
 	expect(&f, "end:deadline/not_run ");
 	assert_non_null(submit(&f, 9000, false, ""));
@@ -424,7 +424,8 @@
 	router_claimed(f->r, &m, f->now);
 }
 
-/* The same key through two entries: one call runs and both get its answer. */
+/* Two entries get calls with the same key: one call runs, and both entries get
+ * its answer. */
 static void claimed_key_attaches_to_other_attempt(void **state)
 {
 	struct fake f;
@@ -444,8 +445,8 @@
 	teardown(&f);
 }
 
-/* The other entry crashed before it sent the call: the claim is taken over once
- * the agent has stated that the attempt didn't run. */
+/* If the entry that holds a claim crashed before it sent the call, the claim is
+ * taken over once the agent has stated that the attempt didn't run. */
 static void dead_claim_is_taken_over(void **state)
 {
 	struct fake f;
@@ -483,7 +484,7 @@
 	advance(&f, 300);
 	expect(&f, "claim ");
 	assert_int_equal(f.claim.seq, seq);
-	/* It was never granted, so the call wasn't sent: not run. */
+	/* The claim was never granted, so the call wasn't sent: not run. */
 	advance(&f, 30000);
 	expect(&f, "end:deadline/not_run ");
 	teardown(&f);
--- a/test/test_stream_log.c
+++ b/test/test_stream_log.c
@@ -1,4 +1,5 @@
-/* Log of the versions that began streams: what it keeps, drops and reports. */
+/* Tests of the log of the versions that began streams: what it keeps, drops and
+ * reports. */
 #include "unit.h"
 
 #include "../src/core/stream_wire.h"
--- a/test/test_stream_timing.c
+++ b/test/test_stream_timing.c
@@ -8,7 +8,7 @@
 	const char *label;
 	int n, then_n;
 	double ms, then_ms;
-	double least, most; /* limits of the bound */
+	double min, max; /* accepted bound */
 };
 
 static const struct bound_case bounds[] = {
@@ -35,7 +35,7 @@
 		for (int k = 0; k < c->then_n; k++)
 			timing_estimate_add(&e, c->then_ms);
 		got = timing_estimate_bound(&e);
-		if (got < c->least || got > c->most)
+		if (got < c->min || got > c->max)
 			fail_msg("%s: %f", c->label, got);
 	}
 }
@@ -307,9 +307,9 @@
 	assert_int_equal(timing_plain_ms(&p, &pending), 90);
 	/*
 	 * Guards against a planned stop that cuts a call for lack of samples:
-	 * one call in five of the route is slow, and a process that is some
-	 * seconds old has seen six quick ones and predicts that the next one is
-	 * quick.
+	 * one call in five of the route is slow, but a process that is some
+	 * seconds old has seen six quick ones only, and would predict that the
+	 * next one is quick.
 	 */
 	p = (struct stream_timing){ 0 };
 	for (int i = 0; i < 19; i++)
--- a/test/test_suspects.c
+++ b/test/test_suspects.c
@@ -1,4 +1,5 @@
-/* Suspected requests: crash counts, quarantine periods, trial runs, bounds. */
+/* Tests of the table of suspected requests: crash counts, quarantine periods,
+ * trial runs, bounds. */
 #include "unit.h"
 
 #include "../src/core/suspects.h"
@@ -103,7 +104,7 @@
 	add_crash(s, 1, 13, 400);
 	assert_int_equal(remaining_ms(s, 1, 400), 10 * MINUTE_MS);
 	assert_int_equal(remaining_ms(s, 2, 400), -1);
-	/* A delayed report of the same crash by another entry changes nothing.
+	/* A delayed report of a known crash by another entry changes nothing.
 	 */
 	add_crash(s, 1, 13, 5000);
 	assert_int_equal(remaining_ms(s, 1, 5000), 10 * MINUTE_MS - 4600);
@@ -276,12 +277,12 @@
 static void reported_quarantine_isnt_discounted(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_state w = { .fingerprint = fingerprint_no(2),
-				   .remaining_ms = HOUR_MS };
+	struct suspect_state st = { .fingerprint = fingerprint_no(2),
+				    .remaining_ms = HOUR_MS };
 	int64_t now = 10 * MINUTE_MS, wait;
 
 	(void)state;
-	suspects_apply(s, &w, 0);
+	suspects_apply(s, &st, 0);
 	add_crash(s, 2, 10, 0);
 	quarantine(s, 1, 10, 0);
 	assert_int_equal(admit(s, 1, now, &wait), SUSPECT_TRIAL);
@@ -290,8 +291,8 @@
 	suspects_free(s);
 }
 
-/* Crashes by copies that already ran when the request was quarantined aren't
- * failed trial runs. */
+/* Crashes by copies of a request that already ran when it was quarantined
+ * aren't failed trial runs. */
 static void crashes_of_earlier_runs_arent_trials(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
@@ -309,12 +310,12 @@
 {
 	struct suspects_options o = { .capacity = 64, .trial_hold_ms = 30000 };
 	struct suspects *s = suspects_new(&o, 1000);
-	struct suspect_state w = { .fingerprint = fingerprint_no(1),
-				   .failed_trials = 1 };
+	struct suspect_state st = { .fingerprint = fingerprint_no(1),
+				    .failed_trials = 1 };
 	int64_t wait;
 
 	(void)state;
-	suspects_merge(s, &w, 2000);
+	suspects_merge(s, &st, 2000);
 	assert_int_equal(admit(s, 1, 2000, &wait), SUSPECT_WAIT);
 	assert_int_equal(wait, 29000);
 	assert_int_equal(admit(s, 1, 31000, &wait), SUSPECT_TRIAL);
@@ -362,21 +363,21 @@
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_state w = { .fingerprint = fingerprint_no(1),
-				   .remaining_ms = 5000 };
+	struct suspect_state st = { .fingerprint = fingerprint_no(1),
+				    .remaining_ms = 5000 };
 	uint64_t mark = 0;
 
 	(void)state;
-	suspects_merge(s, &w, 0);
+	suspects_merge(s, &st, 0);
 	assert_int_equal(changes(s, &mark, 4, out), 1);
 	for (int i = 0; i < 300; i++) {
-		w.remaining_ms = 5000 + i;
-		suspects_merge(s, &w, 0);
+		st.remaining_ms = 5000 + i;
+		suspects_merge(s, &st, 0);
 	}
 	assert_int_equal(changes(s, &mark, 4, out), 0);
 	assert_int_equal(remaining_ms(s, 1, 0), 5299);
 	answered(s, 1, 0);
-	suspects_merge(s, &w, 0);
+	suspects_merge(s, &st, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	suspects_free(s);
 	g_array_unref(out);
@@ -386,18 +387,18 @@
 static void leaders_state_is_applied(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
-	struct suspect_state w = { .fingerprint = fingerprint_no(1),
-				   .remaining_ms = 3000 };
+	struct suspect_state st = { .fingerprint = fingerprint_no(1),
+				    .remaining_ms = 3000 };
 
 	(void)state;
 	quarantine(s, 1, 10, 0);
-	suspects_apply(s, &w, 0);
+	suspects_apply(s, &st, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), 3000);
-	w.remaining_ms = HOUR_MS;
-	suspects_apply(s, &w, 0);
+	st.remaining_ms = HOUR_MS;
+	suspects_apply(s, &st, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), HOUR_MS);
-	w.cleared = true;
-	suspects_apply(s, &w, 0);
+	st.cleared = true;
+	suspects_apply(s, &st, 0);
 	assert_int_equal(remaining_ms(s, 1, 0), -1);
 	assert_false(suspects_any(s));
 	suspects_free(s);
