--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -172,11 +172,11 @@
 		g_array_set_size(states, 0);
 		marks[i] = suspects_changes(leader, marks[i], 1000, now, states);
 		for (guint k = 0; k < states->len; k++) {
-			auto *w = &g_array_index(states, suspect_state, k);
+			auto *st = &g_array_index(states, suspect_state, k);
 
-			suspects_apply(e.s, w, now);
-			if (w->cleared)
-				crash_log_drop(&e.log, &w->fingerprint);
+			suspects_apply(e.s, st, now);
+			if (st->cleared)
+				crash_log_drop(&e.log, &st->fingerprint);
 		}
 		e.merged = suspects_mark(e.s);
 		g_array_unref(states);
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -8,14 +8,15 @@
 #include "../src/proxy/events.h"
 
 /* By default a node is in the failure domain and holds the adapter; far and
- * bare name an exception. */
+ * no_adapter name an exception. */
 struct choose_case {
 	const char *label;
 	struct balance_node nodes[3];
 	size_t n;
 	int want;
-	int far, bare; /* 1 + index of a node in another failure domain, or
-			  without the adapter; 0: none */
+	/* 1 + index of a node in another failure domain, or without the
+	 * adapter; 0: none. */
+	int far, no_adapter;
 };
 
 #define NODE(...)                                                              \
@@ -99,6 +100,7 @@
 	{ "no endpoint at all", { { 0 } }, 0, BALANCE_NO_ENDPOINT, 0, 0 },
 };
 
+/* Of all candidates the one with the least load and penalties is chosen. */
 static void best_node_is_chosen(void **state)
 {
 	(void)state;
@@ -107,7 +109,7 @@
 
 		for (size_t k = 0; k < c->n; k++) {
 			c->nodes[k].near = c->far != (int)k + 1;
-			c->nodes[k].has_adapter = c->bare != (int)k + 1;
+			c->nodes[k].has_adapter = c->no_adapter != (int)k + 1;
 		}
 		for (uint64_t tie = 0; tie < 4; tie++) {
 			int got = balance_choose(c->nodes, c->n, 1.0, tie);
--- a/test/test_router.c
+++ b/test/test_router.c
@@ -191,6 +191,8 @@
 	g_string_truncate(f->actions, 0);
 }
 
+/* A call for a model without a replica waits until one is ready and connected.
+ */
 static void cold_call_waits_for_its_replica(void **state)
 {
 	struct fake f;
@@ -234,6 +236,8 @@
 	teardown(&f);
 }
 
+/* A call ends at its deadline: "not run" while it is queued, unknown after it
+ * was sent. */
 static void waiting_ends_at_the_deadline(void **state)
 {
 	struct fake f;
@@ -275,6 +279,8 @@
 	  OUTCOME_UNKNOWN, "call:n1 " },
 };
 
+/* Whether a refused call is sent again depends on whether it may have run, and
+ * whether it may run twice. */
 static void refusals_are_distinguished(void **state)
 {
 	(void)state;
@@ -392,6 +398,8 @@
 	teardown(&f);
 }
 
+/* A call that couldn't be sent hasn't run: it is sent again, even if it must
+ * not run twice. */
 static void failed_send_is_requeued(void **state)
 {
 	struct fake f;
--- a/test/test_suspects.c
+++ b/test/test_suspects.c
@@ -140,8 +140,8 @@
 
 /*
  * After its quarantine period a request gets one trial run, not one at each
- * entry. Each trial run that crashes an endpoint is followed by another period,
- * which grows: there are three trial runs in the first seven hours.
+ * entry. Each trial run that crashes an endpoint is followed by another period.
+ * The periods grow: there are three trial runs in the first seven hours.
  */
 static void failed_trials_extend_quarantine(void **state)
 {
@@ -166,6 +166,8 @@
 	suspects_free(s);
 }
 
+/* A complete answer clears a request, before its quarantine and in a trial run.
+ */
 static void answer_clears(void **state)
 {
 	struct suspects *s = suspects_new(&options, 0);
