--- a/src/core/router.c
+++ b/src/core/router.c
@@ -52,6 +52,7 @@
 	r->queue.share = customer_share;
 	r->queue.limit = customer_limit;
 	r->queue.arg = r;
+	/* 10 % of the calls may be retried until a preset sets the share. */
 	ss_budget_init(&r->budget, 10, RETRY_BUDGET_MAX);
 	return r;
 }
--- a/test/test_return_slots.c
+++ b/test/test_return_slots.c
@@ -162,7 +162,7 @@
 }
 
 /* Guards against a rate that is measured while no caller is refused: after few
- * calls the callers of a burst would be sent away for seconds. */
+ * calls the callers of a burst would have to wait for seconds. */
 static void calls_before_refusals_set_no_rate(void **state)
 {
 	struct return_slots *t = return_slots_new();
