--- a/include/sapphireshift/queue.h
+++ b/include/sapphireshift/queue.h
@@ -25,16 +25,16 @@
 	int priority;		/* 0 (lowest) to SS_QUEUE_PRIORITIES - 1 */
 	struct ss_str customer; /* must stay valid while the item waits */
 	unsigned int share;	/* weight in fair shares; 0: from the options */
-	/* Used by the queue only. */
+	/* Set by the queue. */
 	GSequenceIter *iter;
-	void *lane;
+	void *lane; /* NULL while the item isn't queued */
 	uint64_t order;
 };
 
 struct ss_queue_options {
 	int64_t raise_ms; /* time left at which an item is promoted; 0: 2000 */
-	/* A customer's weight (1 where NULL) and its maximum of waiting items
-	 * (none where NULL). */
+	/* Return a customer's weight (NULL: 1), and its maximum number of
+	 * waiting items (NULL: no limit). */
 	unsigned int (*share)(void *arg, struct ss_str customer);
 	size_t (*limit)(void *arg, struct ss_str customer);
 	void *arg;
@@ -43,23 +43,25 @@
 struct ss_queue;
 
 struct ss_queue *ss_queue_new(const struct ss_queue_options *o);
-/* Items that are still queued are dropped, not freed. */
+/* Frees the queue, but not the items that it still holds. */
 void ss_queue_free(struct ss_queue *q);
 
-/* Fails with SS_ERROR_OVERLOAD where the customer's limit is reached. */
+/* Adds an item. Fails with SS_ERROR_OVERLOAD where the customer's limit is
+ * reached. */
 bool ss_queue_push(struct ss_queue *q, struct ss_queue_item *i, GError **error);
 
 /* Returns the next item with at least this priority and leaves it in the queue;
  * NULL for none. */
 struct ss_queue_item *ss_queue_peek(const struct ss_queue *q, int64_t now,
 				    int least_priority);
-/* The next item of one priority by fair shares, and the one with the earliest
- * deadline, both without promotion; NULL for none. They stay in the queue. */
+/* Return the next item of one priority by fair shares, and its item with the
+ * earliest deadline, without promotion and without removing the item; NULL for
+ * none. */
 struct ss_queue_item *ss_queue_fairest(const struct ss_queue *q, int priority);
 struct ss_queue_item *ss_queue_earliest(const struct ss_queue *q, int priority);
 /* Removes an item and charges it to its customer's fair share. */
 void ss_queue_take(struct ss_queue *q, struct ss_queue_item *i);
-/* ss_queue_peek() and ss_queue_take() in one call. */
+/* Calls ss_queue_peek(), and ss_queue_take() for the item found. */
 struct ss_queue_item *ss_queue_pop(struct ss_queue *q, int64_t now,
 				   int least_priority);
 /* Removes an item without charging its customer. */
@@ -75,8 +77,8 @@
 int ss_queue_priority(const struct ss_queue *q);
 
 size_t ss_queue_length(const struct ss_queue *q);
-/* Returns how many items would be served before one of this priority and
- * deadline. */
+/* Returns how many items have a higher priority, or the same priority and no
+ * later deadline. Fair shares and promotion may serve others first. */
 size_t ss_queue_ahead(const struct ss_queue *q, int priority,
 		      int64_t deadline_ms);
 
--- a/src/customer/queue.c
+++ b/src/customer/queue.c
@@ -7,8 +7,9 @@
 #define PROMOTE_MS 2000
 /* Virtual time charged per item to a customer with a weight of 1. */
 #define VIRTUAL_TIME_UNIT 1000000000
-/* Number of flows of a priority above which empty ones are removed. */
-#define FLOWS_MAX 64
+/* Number of flows of a priority above which a flow is removed when it becomes
+ * empty. */
+#define PRUNE_MIN_FLOWS 64
 
 /* A customer's items of one priority. */
 struct flow {
@@ -28,11 +29,11 @@
 
 static void flow_free(void *p)
 {
-	struct flow *l = p;
+	struct flow *f = p;
 
-	g_sequence_free(l->items);
-	g_free((char *)l->customer.p);
-	g_free(l);
+	g_sequence_free(f->items);
+	g_free((char *)f->customer.p);
+	g_free(f);
 }
 
 struct ss_queue *ss_queue_new(const struct ss_queue_options *o)
@@ -65,23 +66,24 @@
 	return x->order < y->order ? -1 : x->order > y->order;
 }
 
-static struct ss_queue_item *first_item(const struct flow *l)
+static struct ss_queue_item *first_item(const struct flow *f)
 {
-	GSequenceIter *it = g_sequence_get_begin_iter(l->items);
+	GSequenceIter *it = g_sequence_get_begin_iter(f->items);
 
 	return g_sequence_iter_is_end(it) ? NULL : g_sequence_get(it);
 }
 
-/* Lowest virtual time of all non-empty flows of a priority. */
+/* Returns the lowest virtual time of all non-empty flows of a priority; 0 for
+ * none. */
 static uint64_t lowest_virtual_time(GPtrArray *flows)
 {
 	uint64_t least = UINT64_MAX;
 
 	for (guint i = 0; i < flows->len; i++) {
-		const struct flow *l = flows->pdata[i];
+		const struct flow *f = flows->pdata[i];
 
-		if (first_item(l))
-			least = MIN(least, l->virtual_time);
+		if (first_item(f))
+			least = MIN(least, f->virtual_time);
 	}
 	return least == UINT64_MAX ? 0 : least;
 }
@@ -90,19 +92,19 @@
 				     int priority)
 {
 	GPtrArray *flows = q->flows[priority];
-	struct flow *l;
+	struct flow *f;
 
 	for (guint i = 0; i < flows->len; i++) {
-		l = flows->pdata[i];
-		if (ss_str_eq(l->customer, customer))
-			return l;
+		f = flows->pdata[i];
+		if (ss_str_eq(f->customer, customer))
+			return f;
 	}
-	l = g_new0(struct flow, 1);
-	l->customer = (struct ss_str){ ss_str_dup(customer), customer.n };
-	l->priority = priority;
-	l->items = g_sequence_new(NULL);
-	g_ptr_array_add(flows, l);
-	return l;
+	f = g_new0(struct flow, 1);
+	f->customer = (struct ss_str){ ss_str_dup(customer), customer.n };
+	f->priority = priority;
+	f->items = g_sequence_new(NULL);
+	g_ptr_array_add(flows, f);
+	return f;
 }
 
 static size_t customer_count(const struct ss_queue *q, struct ss_str customer)
@@ -111,10 +113,10 @@
 
 	for (int p = 0; p < SS_QUEUE_PRIORITIES; p++)
 		for (guint i = 0; i < q->flows[p]->len; i++) {
-			const struct flow *l = q->flows[p]->pdata[i];
+			const struct flow *f = q->flows[p]->pdata[i];
 
-			if (ss_str_eq(l->customer, customer))
-				n += (size_t)g_sequence_get_length(l->items);
+			if (ss_str_eq(f->customer, customer))
+				n += (size_t)g_sequence_get_length(f->items);
 		}
 	return n;
 }
@@ -124,22 +126,22 @@
 	int priority = CLAMP(i->priority, 0, SS_QUEUE_PRIORITIES - 1);
 	size_t limit = q->o.limit ? q->o.limit(q->o.arg, i->customer) :
 				    SIZE_MAX;
-	struct flow *l;
+	struct flow *f;
 
 	if (customer_count(q, i->customer) >= limit) {
 		g_set_error(error, SS_ERROR, SS_ERROR_OVERLOAD,
 			    "%zu calls of this customer wait already", limit);
 		return false;
 	}
-	l = find_or_add_flow(q, i->customer, priority);
+	f = find_or_add_flow(q, i->customer, priority);
 	/* An idle customer accumulates no credit. */
-	if (!first_item(l))
-		l->virtual_time = MAX(l->virtual_time,
+	if (!first_item(f))
+		f->virtual_time = MAX(f->virtual_time,
 				      lowest_virtual_time(q->flows[priority]));
 	i->priority = priority;
 	i->order = ++q->order;
-	i->lane = l;
-	i->iter = g_sequence_insert_sorted(l->items, i, by_deadline, NULL);
+	i->lane = f;
+	i->iter = g_sequence_insert_sorted(f->items, i, by_deadline, NULL);
 	q->counts[priority]++;
 	q->length++;
 	return true;
@@ -147,19 +149,19 @@
 
 void ss_queue_remove(struct ss_queue *q, struct ss_queue_item *i)
 {
-	struct flow *l = i->lane;
+	struct flow *f = i->lane;
 
-	if (!l)
+	if (!f)
 		return;
 	g_sequence_remove(i->iter);
 	i->iter = NULL;
 	i->lane = NULL;
-	q->counts[l->priority]--;
+	q->counts[f->priority]--;
 	q->length--;
-	/* Operations scan all flows, empty ones too: remove those once there
-	 * are many. */
-	if (!first_item(l) && q->flows[l->priority]->len > FLOWS_MAX)
-		g_ptr_array_remove_fast(q->flows[l->priority], l);
+	/* Operations scan all flows, including empty ones: remove those once
+	 * there are many. */
+	if (!first_item(f) && q->flows[f->priority]->len > PRUNE_MIN_FLOWS)
+		g_ptr_array_remove_fast(q->flows[f->priority], f);
 }
 
 static struct ss_queue_item *earliest(GPtrArray *flows)
@@ -167,38 +169,38 @@
 	struct ss_queue_item *best = NULL;
 
 	for (guint i = 0; i < flows->len; i++) {
-		struct ss_queue_item *f = first_item(flows->pdata[i]);
+		struct ss_queue_item *item = first_item(flows->pdata[i]);
 
-		if (f && (!best || by_deadline(f, best, NULL) < 0))
-			best = f;
+		if (item && (!best || by_deadline(item, best, NULL) < 0))
+			best = item;
 	}
 	return best;
 }
 
-/* Next item of a priority by fair shares. */
+/* Returns the next item of a priority by fair shares. */
 static struct ss_queue_item *fairest(GPtrArray *flows)
 {
 	struct flow *best = NULL;
 
 	for (guint i = 0; i < flows->len; i++) {
-		struct flow *l = flows->pdata[i];
+		struct flow *f = flows->pdata[i];
 
-		if (first_item(l) &&
-		    (!best || l->virtual_time < best->virtual_time))
-			best = l;
+		if (first_item(f) &&
+		    (!best || f->virtual_time < best->virtual_time))
+			best = f;
 	}
 	return best ? first_item(best) : NULL;
 }
 
 static void charge(struct ss_queue *q, const struct ss_queue_item *i)
 {
-	struct flow *l = i->lane;
+	struct flow *f = i->lane;
 	unsigned int share = i->share;
 
 	if (!share)
-		share = q->o.share ? q->o.share(q->o.arg, l->customer) : 1;
+		share = q->o.share ? q->o.share(q->o.arg, f->customer) : 1;
 
-	l->virtual_time += VIRTUAL_TIME_UNIT / MAX(share, 1);
+	f->virtual_time += VIRTUAL_TIME_UNIT / MAX(share, 1);
 }
 
 struct ss_queue_item *ss_queue_peek(const struct ss_queue *q, int64_t now,
@@ -299,11 +301,11 @@
 	for (int p = priority + 1; p < SS_QUEUE_PRIORITIES; p++)
 		n += q->counts[p];
 	for (guint i = 0; i < q->flows[priority]->len; i++) {
-		const struct flow *l = q->flows[priority]->pdata[i];
+		const struct flow *f = q->flows[priority]->pdata[i];
 		struct ss_queue_item probe = { .deadline_ms = deadline_ms,
 					       .order = UINT64_MAX };
 		GSequenceIter *it =
-			g_sequence_search(l->items, &probe, by_deadline, NULL);
+			g_sequence_search(f->items, &probe, by_deadline, NULL);
 
 		n += (size_t)g_sequence_iter_get_position(it);
 	}
