--- a/src/customer/customer.c
+++ b/src/customer/customer.c
@@ -141,7 +141,8 @@
 		g_hash_table_insert(names, c->name, c);
 		for (guint i = 0; i < c->keys->len && !clash; i++) {
 			*other = key_owner(t, keys, key_at(c, i));
-			/* A customer that lists a key twice is no conflict. */
+			/* A key that one customer lists twice is no conflict.
+			 */
 			if (*other && *other != c)
 				clash = CUSTOMERS_KEY;
 			g_hash_table_insert(keys, key_at(c, i), c);
--- a/src/customer/customer.h
+++ b/src/customer/customer.h
@@ -27,9 +27,10 @@
 	int refs;
 	char *name;
 	GArray *keys;	  /* struct customer_key; empty: no access */
-	int64_t priority; /* of its requests, 0 is highest; -1: the route's */
+	int64_t priority; /* of its requests, 0 is highest; -1: as the route's
+			   */
 	struct customer_limit limit;
-	bool removing; /* removed by the change that is being checked */
+	bool removing; /* the change that is being checked removes it */
 };
 
 struct customer *customer_new(void);
@@ -65,7 +66,7 @@
 				     const struct customer **other);
 
 /* Adds a customer; the table takes over the reference. Customers that are
- * marked as removed have to be removed before. */
+ * marked as removed must be removed first. */
 void customers_add(struct customers *t, struct customer *c);
 void customers_remove(struct customers *t, struct customer *c);
 
