--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -14,8 +14,8 @@
 #include "../base/wire.h"
 #include "customer.h"
 
-/* By how much a customer may exceed its limit within a window. This covers the
- * balances of entries. */
+/* By how much a customer may exceed its limit within a window. The overage
+ * covers the balances that entries hold. */
 struct quota_max_overage {
 	double window_s;
 	double ratio; /* of what the limit allows per window */
@@ -32,7 +32,7 @@
 /* State of an entry's quota client for a customer. */
 struct quota_client_view {
 	double balance;
-	int64_t age_ms;	   /* of the allocator's last reply; -1: none */
+	int64_t age_ms;	   /* since the last request with a reply; -1: none */
 	bool disconnected; /* the allocator is unreachable or silent */
 	/* Fraction of each class's recent demand that was served here; 1 where
 	 * there was none. */
@@ -51,8 +51,8 @@
 /* A request that the limit is to admit. */
 struct quota_need {
 	double cost;
-	bool queued;	 /* it was answered QUOTA_WAIT before */
-	int64_t hold_ms; /* longest expected wait that it accepts */
+	bool queued;	 /* QUOTA_WAIT was returned for it before */
+	int64_t hold_ms; /* longest expected wait that the caller accepts */
 };
 
 /*
@@ -141,23 +141,23 @@
 	void (*clients_free)(void *clients);
 	/* Sets the number of entries that share the limits; 0: unknown. */
 	void (*clients_set_entries)(void *clients, uint64_t n);
-	/* A customer's allocator became reachable or unreachable; customer
-	 * NULL: the allocator of all customers. */
+	/* Records that a customer's allocator became reachable or unreachable;
+	 * customer NULL: the allocator of all customers. */
 	void (*clients_link)(void *clients, const char *customer, bool up,
 			     int64_t now);
 	/*
 	 * Decides whether a request may run. With QUOTA_ADMIT its cost is
-	 * spent. With QUOTA_WAIT it is to be tried again. With QUOTA_REFUSE,
-	 * *retry_after_ms is the time until a retry may succeed.
+	 * spent. With QUOTA_WAIT the caller queues it and tries again. With
+	 * QUOTA_REFUSE, *retry_after_ms is the time until a retry may succeed.
 	 */
 	enum quota_decision (*take)(void *clients, const struct customer *c,
 				    const struct quota_need *n, int64_t now,
 				    int64_t *retry_after_ms);
 	/*
 	 * The same for a request with a rank. Callers first try the first
-	 * request of each class, in the order of ranks, and then those whose
-	 * hold_ms have passed: these are admitted as soon as there is enough
-	 * for them.
+	 * request of each class, in the order of ranks, and then the requests
+	 * whose hold_ms have passed: these are admitted as soon as there is
+	 * enough for them.
 	 */
 	enum quota_decision (*take_ranked)(void *clients,
 					   const struct customer *c,
@@ -165,18 +165,19 @@
 					   const struct quota_rank *r,
 					   int64_t now,
 					   int64_t *retry_after_ms);
-	/* A waiting request was cancelled. */
+	/* Removes a waiting request that its caller cancelled. */
 	void (*cancel)(void *clients, const struct customer *c, double cost);
 	void (*cancel_ranked)(void *clients, const struct customer *c,
 			      double cost, const struct quota_rank *r);
-	/* Refunds a request that was admitted but wasn't run. */
+	/* Refunds the cost of a request that was admitted but wasn't run. */
 	void (*refund)(void *clients, const struct customer *c, double cost,
 		       const struct quota_rank *r, int64_t now);
 	/* Appends the requests to the allocator that are due, as struct
 	 * quota_request; their strings are valid until the entry's next call.
 	 */
 	void (*clients_requests)(void *clients, int64_t now, GArray *out);
-	void (*clients_reply)(void *clients, const struct quota_reply *w,
+	/* Handles an allocator's reply. */
+	void (*clients_reply)(void *clients, const struct quota_reply *reply,
 			      int64_t now);
 	/* Returns the state for a customer, for monitoring. */
 	struct quota_client_view (*clients_view)(const void *clients,
@@ -190,15 +191,17 @@
 	 * entry's incarnation. Returns false where no reply is to be sent. */
 	bool (*allocator_request)(void *allocator, uint64_t holder,
 				  const struct customer *c,
-				  const struct quota_request *a, int64_t now,
+				  const struct quota_request *req, int64_t now,
 				  struct quota_reply *out);
+	/* Records that an entry is disconnected. */
 	void (*allocator_client_lost)(void *allocator, uint64_t holder,
 				      int64_t now);
-	/* Returns false where no entry has requested anything for that
-	 * customer. */
+	/* Fills in the account of a customer, for monitoring. Returns false
+	 * where there is none. */
 	bool (*allocator_view)(void *allocator, const char *customer,
 			       int64_t now, struct quota_account_view *out);
-	/* Drops accounts that no longer matter; to be called periodically. */
+	/* Drops accounts that a new one would equal; to be called
+	 * periodically. */
 	void (*allocator_prune)(void *allocator, int64_t now);
 };
 
--- a/src/customer/quota_allocator.c
+++ b/src/customer/quota_allocator.c
@@ -2,8 +2,8 @@
 #include "quota_classes.h"
 #include "quota_lease.h"
 
-/* The allocator extends leases by this for differences between clocks, in
- * ms. */
+/* Time by which the allocator extends leases, for differences between clocks,
+ * in ms. */
 #define LEASE_MARGIN_MS 500
 /* Fractions of the permitted overage that entries may hold as balances, and may
  * overdraw. The rest is for entries that haven't reported to a new allocator,
@@ -24,7 +24,7 @@
 /* Fraction of a limit that all disconnected entries together may spend. */
 #define DISCONNECTED_SHARE 0.4
 /* Entries with a shortfall request again in turn, spaced by this, in ms: an
- * allocator answers some hundred requests per second for a customer, whatever
+ * allocator answers a few hundred requests per second for a customer, whatever
  * the number of entries. */
 #define REQUEST_SPACING_MS 2
 
@@ -35,17 +35,17 @@
 	double demand;
 	double demands[QUOTA_CLASSES], served[QUOTA_CLASSES]; /* by class */
 	double rate, overdraft; /* permitted while disconnected */
-	int64_t until_ms;	/* when both expire */
-	bool lost;		/* disconnected */
-	int64_t lost_ms;
-	double charged; /* charged to the bucket in its absence */
+	int64_t until_ms;	/* when balance, rate and overdraft expire */
+	bool lost;		/* disconnected, ... */
+	int64_t lost_ms;	/* ... since then */
+	double charged;		/* charged to the bucket in its absence */
 };
 
 struct account {
 	char *name;
 	struct customer_limit limit;
-	double level;
-	int64_t ms; /* time up to which the level is updated */
+	double level; /* of the bucket */
+	int64_t ms;   /* time up to which the level is updated */
 	GArray *holders;
 	double granted, refused;     /* since it was created */
 	struct quota_classes shares; /* division of the level */
@@ -93,7 +93,7 @@
 	return ms > 0 ? (double)ms / 1000 : 0;
 }
 
-/* By how much a limit may be exceeded in a window. */
+/* Returns by how much a limit may be exceeded in a window. */
 static double overage_of(const struct allocator *p,
 			 const struct customer_limit *l)
 {
@@ -101,7 +101,7 @@
 	       p->overage.extra;
 }
 
-/* Maximum of all entries' balances. */
+/* Returns the maximum of the entries' balances together. */
 static double max_outstanding(const struct allocator *p,
 			      const struct customer_limit *l)
 {
@@ -109,8 +109,9 @@
 		   OUTSTANDING_BURST * l->burst);
 }
 
-/* Size of the bucket: part of the burst. The remainder is added to the refill
- * rate, so that a window's grants add up to what the limit allows. */
+/* Returns the size of the bucket: part of the burst. The remainder is added to
+ * the refill rate, so that a window's grants add up to what the limit allows.
+ */
 static double bucket_size(const struct allocator *p,
 			  const struct customer_limit *l)
 {
@@ -133,8 +134,8 @@
 	return now - p->started_ms < QUOTA_LEASE_MS + LEASE_MARGIN_MS;
 }
 
-/* Rate at which entries that haven't reported may be spending by replies of the
- * previous allocator. */
+/* Returns the rate at which entries that haven't reported may be spending by
+ * replies of the previous allocator. */
 static double unreported_rate(const struct allocator *p,
 			      const struct account *a, int64_t now)
 {
@@ -235,9 +236,9 @@
 	return NULL;
 }
 
-/* Updates the demand by class. Without a list all of it is of the first class.
- * Each class retains the shortfall of its first request, however rare its
- * requests are. */
+/* Updates the demand by class. In a request without a list of classes, all of
+ * it is of the first class. Each class retains the shortfall of its first
+ * request, however rare its requests are. */
 static void update_demands(struct account *a, struct holder *h,
 			   const struct quota_request *req)
 {
@@ -322,15 +323,15 @@
 	return o;
 }
 
-/* Divides an amount by demand. */
+/* Returns an entry's part of an amount that is divided by demand. */
 static double divide_by_demand(double all, const struct holder *h,
 			       const struct others *o)
 {
 	return o->demand > 0 ? all * h->demand / o->demand : 0;
 }
 
-/* Rate at which an entry may spend while disconnected, within what the others
- * leave. */
+/* Returns the rate at which an entry may spend while disconnected, within what
+ * the others leave. */
 static double disconnected_rate(const struct allocator *p,
 				const struct account *a, const struct holder *h,
 				const struct others *o, int64_t now)
@@ -342,27 +343,29 @@
 }
 
 /*
- * How far a disconnected entry may overdraw its balance: part of the permitted
- * overage, and of the bucket's level, which the next allocator won't have. So a
- * customer far below its limit is served while the allocator is being replaced,
- * and one at its limit spends no more. The share is at least the cost of a
- * request, as less would be of no use.
+ * Returns how far a disconnected entry may overdraw its balance: part of the
+ * permitted overage, and of the bucket's level, which the next allocator won't
+ * have. So a customer far below its limit is served while the allocator is
+ * being replaced, and one at its limit spends no more. The overdraft is at
+ * least the mean cost of a request where the others leave that much, as less
+ * would be of no use.
  */
 static double max_overdraft(const struct allocator *p, const struct account *a,
 			    const struct holder *h, const struct others *o,
-			    double usual)
+			    double mean_cost)
 {
 	double all =
 		OVERDRAFT_SHARE * overage_of(p, &a->limit) + MAX(a->level, 0);
 
-	return MAX(MIN(MAX(divide_by_demand(all, h, o), usual),
+	return MAX(MIN(MAX(divide_by_demand(all, h, o), mean_cost),
 		       all - o->overdraft),
 		   0);
 }
 
-/* Returns how much is missing for a request of that cost. */
-static double shortfall(const struct allocator *p, const struct account *a,
-			double cost, double level)
+/* Returns how much a level lacks for a request of that cost; for a request
+ * larger than the bucket, a full bucket is enough. */
+static double shortfall_of(const struct allocator *p, const struct account *a,
+			   double cost, double level)
 {
 	return MIN(cost, bucket_size(p, &a->limit)) - level;
 }
@@ -378,43 +381,43 @@
 	return room;
 }
 
-/* Time until a shortfall is covered, at a rate per second; entries with a
- * shortfall request again in turn. */
-static int64_t retry_ms(const struct account *a, double lack, double per_s)
+/* Returns the time until a shortfall is covered, at a rate per second, but no
+ * less than all entries need to request again in turn. */
+static int64_t retry_ms(const struct account *a, double shortfall, double per_s)
 {
-	return MAX(quota_retry_ms(lack, per_s),
+	return MAX(quota_retry_ms(shortfall, per_s),
 		   REQUEST_SPACING_MS * (int64_t)a->holders->len);
 }
 
 /* Returns how much of the level to grant to an entry that wants some and whose
  * first request has a shortfall. */
 static double grant(const struct allocator *p, const struct account *a,
-		    double level, double room, double want, double first)
+		    double level, double room, double want, double shortfall)
 {
 	double n = MAX(MIN(want, MIN(level, room)), 0);
 
 	/* A single request may exceed the burst or the room for balances. */
-	if (n < first && shortfall(p, a, first, level) <= 0)
-		n = first;
+	if (n < shortfall && shortfall_of(p, a, shortfall, level) <= 0)
+		n = shortfall;
 	return n;
 }
 
 /*
- * The same for a class that may have up to level. If that is less than wanted,
- * the entry gets the shortfall of its first request or nothing: a smaller grant
- * would lie unused while requests of other entries are refused for the lack of
- * it.
+ * Returns the grant to a class that may have up to level. If that is less than
+ * wanted, the entry gets the shortfall of its first request or nothing: a
+ * smaller grant would be unused while requests of other entries are refused for
+ * lack of tokens.
  */
 static double class_grant_amount(const struct allocator *p,
 				 const struct account *a, double level,
 				 double room, const struct quota_class_item *x)
 {
 	double want = quota_from_milli(x->want),
-	       first = quota_from_milli(x->shortfall);
+	       shortfall = quota_from_milli(x->shortfall);
 
 	if (level < want)
-		want = first > 0 && level >= first ? first : 0;
-	return grant(p, a, level, room, want, first);
+		want = shortfall > 0 && level >= shortfall ? shortfall : 0;
+	return grant(p, a, level, room, want, shortfall);
 }
 
 /* Grants to one class, after the classes before it in the same reply. */
@@ -424,17 +427,19 @@
 {
 	int class = quota_classes_clamp(x->class_id);
 	double level = a->level - granted,
-	       first = quota_from_milli(x->shortfall);
-	double mine = quota_classes_available(&a->shares, class, level);
-	double n = class_grant_amount(p, a, mine, room - granted, x), per_s;
+	       shortfall = quota_from_milli(x->shortfall);
+	double available = quota_classes_available(&a->shares, class, level);
+	double n = class_grant_amount(p, a, available, room - granted, x),
+	       per_s;
 
 	quota_classes_spend(&a->shares, class, n, level);
 	*out = (struct quota_class_item){ .class_id = class,
 					  .grant = quota_to_milli(n) };
-	if (n >= first)
+	if (n >= shortfall)
 		return n;
 	per_s = a->limit.per_s * quota_classes_next_ratio(&a->shares, class);
-	out->retry_after_ms = retry_ms(a, shortfall(p, a, first, mine), per_s);
+	out->retry_after_ms =
+		retry_ms(a, shortfall_of(p, a, shortfall, available), per_s);
 	return n;
 }
 
@@ -476,14 +481,14 @@
 			      const struct quota_request *req,
 			      struct quota_reply *out)
 {
-	double first = quota_from_milli(req->shortfall);
+	double shortfall = quota_from_milli(req->shortfall);
 	double n = grant(p, a, a->level, outstanding_room(p, a),
-			 quota_from_milli(req->want), first);
+			 quota_from_milli(req->want), shortfall);
 
 	out->grant = quota_to_milli(n);
-	if (n < first)
+	if (n < shortfall)
 		out->retry_after_ms =
-			retry_ms(a, shortfall(p, a, first, a->level - n),
+			retry_ms(a, shortfall_of(p, a, shortfall, a->level - n),
 				 a->limit.per_s);
 	return n;
 }
@@ -568,8 +573,8 @@
 		struct account *a = v;
 
 		update_level(p, a, now);
-		/* A full bucket needs no account: a new one fills up to the
-		 * same. */
+		/* A full bucket needs no account: a new account's bucket fills
+		 * from the start of the allocator, and is full by then. */
 		if (!a->holders->len && a->level >= bucket_size(p, &a->limit) &&
 		    now - p->started_ms > QUOTA_FORGET_MS)
 			g_hash_table_iter_remove(&it);
--- a/src/customer/quota_lease.h
+++ b/src/customer/quota_lease.h
@@ -22,15 +22,16 @@
  * the request for them, in ms: longer than the replacement of an allocator
  * mostly takes. */
 #define QUOTA_LEASE_MS 5000
-/* An account or quota client without requests for this long, in ms, is dropped:
- * its bucket would be full again. */
+/* A quota client without requests for this long, in ms, is dropped, as the
+ * customer's bucket is full again by then. An allocator drops no account until
+ * this long after its start, when the bucket of a new account would be full. */
 #define QUOTA_FORGET_MS 60000
 /* Minimum retry delay that callers and entries get, in ms. */
 #define QUOTA_RETRY_MIN_MS 100
 /* Retry delay where no rate is known, in ms. */
 #define QUOTA_RETRY_DEFAULT_MS 500
 
-/* Time until an amount has accrued at a rate per second. */
+/* Returns the time until an amount has accrued at a rate per second. */
 static inline int64_t quota_retry_ms(double shortfall, double per_s)
 {
 	if (per_s <= 0)
@@ -38,7 +39,8 @@
 	return MAX((int64_t)(shortfall * 1000 / per_s), QUOTA_RETRY_MIN_MS);
 }
 
-/* Amount as in messages, rounded down so that rounding creates no tokens. */
+/* Converts an amount to the unit of messages. Amounts above 0 are rounded down,
+ * so that no tokens are created. */
 static inline int64_t quota_to_milli(double n)
 {
 	return (int64_t)(n * QUOTA_MILLI);
@@ -66,7 +68,7 @@
 void quota_clients_refund(void *clients, const struct customer *c, double cost,
 			  const struct quota_rank *r, int64_t now);
 void quota_clients_requests(void *clients, int64_t now, GArray *out);
-void quota_clients_reply(void *clients, const struct quota_reply *w,
+void quota_clients_reply(void *clients, const struct quota_reply *reply,
 			 int64_t now);
 struct quota_client_view quota_clients_view(const void *clients,
 					    const char *customer, int64_t now);
