--- a/src/customer/quota_classes.c
+++ b/src/customer/quota_classes.c
@@ -1,9 +1,10 @@
 /* Divides a customer's tokens between classes of requests. */
 #include "quota_classes.h"
 
-/* A class with less than this fraction of the demand isn't in use. */
+/* A class with less than this fraction of the demand, and no waiting request,
+ * isn't in use. */
 #define USED_MIN_RATIO 0.001
-/* A class retains tokens for its requests of this time, in s. */
+/* Each class retains tokens for its demand of this time, in s. */
 #define RETAIN_S 0.4
 /* Lower bound of a class's weight, as a fraction of its demand, however little
  * of the demand of more urgent classes was served. */
@@ -52,8 +53,8 @@
 	return s->demand[class] > 0 ? s->served[class] / s->demand[class] : 1;
 }
 
-/* Weight of a class: its demand, reduced where a larger fraction of it was
- * served than of a more urgent class's. */
+/* Returns the weight of a class: its demand, reduced where a larger fraction of
+ * it was served than of a more urgent class's. */
 static double weight(const struct quota_classes *s, int class, double demand)
 {
 	double ratio = quota_classes_served_ratio(s, class), least = ratio;
@@ -130,9 +131,9 @@
 }
 
 /*
- * A class with a waiting request borrows what classes without one retain.
- * Otherwise a request of a rare class would be refused before the class's own
- * fraction of new tokens adds up to its cost.
+ * Returns how much a class may borrow: with a waiting request, what classes
+ * without one retain. Otherwise a request of a rare class would be refused
+ * before the class's own fraction of new tokens adds up to its cost.
  */
 static double borrowable(const struct quota_classes *s, int class)
 {
@@ -149,11 +150,11 @@
 double quota_classes_available(const struct quota_classes *s, int class,
 			       double total)
 {
-	double free = total - sum(s->balance);
+	double left = total - sum(s->balance);
 
 	if (!quota_classes_several(s) || is_least_served(s, class))
 		return total;
-	return MIN(s->balance[class] + free + borrowable(s, class), total);
+	return MIN(s->balance[class] + left + borrowable(s, class), total);
 }
 
 void quota_classes_spend(struct quota_classes *s, int class, double n,
--- a/src/customer/quota_classes.h
+++ b/src/customer/quota_classes.h
@@ -1,16 +1,16 @@
 /*
- * How a customer's tokens are divided between classes of requests. Both sides
- * of a limit use it: the allocator for its bucket, and a quota client for its
+ * Division of a customer's tokens between classes of requests. Both sides of a
+ * limit use it: the allocator for its bucket, and a quota client for its
  * balance.
  *
- * It matters when a customer sends several times its limit in requests of
- * different priorities. First come, first served would give most tokens to
- * patient requests, as they may wait longest. So new tokens are divided by
- * demand, and a class gets less if a larger fraction of its demand was served
- * than of a more urgent class's. Each class retains its part for its next
- * requests; the surplus goes to the others, the most urgent first. A waiting
- * request borrows what is retained for classes without a waiting request. If
- * one class is in use it gets everything.
+ * The division matters when a customer sends several times its limit in
+ * requests of different priorities. First come, first served would give most
+ * tokens to patient requests, as they may wait longest. So new tokens are
+ * divided by demand, and a class gets less if a larger fraction of its demand
+ * was served than of a more urgent class's. Each class retains its part for its
+ * next requests; the surplus goes to the others, the most urgent first. A
+ * waiting request borrows what is retained for classes without a waiting
+ * request. If one class is in use it gets everything.
  */
 #ifndef SS_QUOTA_CLASSES_H
 #define SS_QUOTA_CLASSES_H
@@ -20,8 +20,9 @@
 struct quota_classes {
 	double demand[QUOTA_CLASSES];  /* recently, per second */
 	double served[QUOTA_CLASSES];  /* served part of the demand */
-	double waiting[QUOTA_CLASSES]; /* cost of waiting requests; a class that
-					  has any lends nothing */
+	double waiting[QUOTA_CLASSES]; /* cost of waiting requests, in an
+					  allocator the shortfall of the first;
+					  a class that has any lends nothing */
 	double balance[QUOTA_CLASSES]; /* of the total; below 0: borrowed */
 };
 
