--- a/src/customer/quota_client.c
+++ b/src/customer/quota_client.c
@@ -23,8 +23,8 @@
 /* An unreachable allocator is mostly replaced within this time, in ms: requests
  * wait for the next one. */
 #define FAILOVER_MS 2000
-/* Within FAILOVER_MS after a reconnect, requests accept this expected wait, in
- * ms: the backlog is served one request after the other. */
+/* Within FAILOVER_MS after a reconnect, requests accept at least this expected
+ * wait, in ms: the backlog is served one request after the other. */
 #define RECONNECT_WAIT_MS 1000
 
 static void client_free(void *p)
@@ -77,7 +77,7 @@
 	if (u)
 		return u;
 	u = g_new0(struct quota_client, 1);
-	u->e = e;
+	u->clients = e;
 	u->name = g_strdup(name);
 	u->connected = e->connected;
 	u->disconnected_ms = e->disconnected_ms;
@@ -89,17 +89,18 @@
 	return u;
 }
 
-/* Time without a reply after which an allocator counts as silent. */
+/* Returns the time without a reply after which an allocator counts as silent,
+ * in ms. */
 static int64_t reply_timeout_ms(const struct quota_client *u)
 {
-	const struct timing_estimate *a = &u->e->reply_times;
+	const struct timing_estimate *a = &u->clients->reply_times;
 
 	return a->n ? CLAMP((int64_t)timing_estimate_bound(a),
 			    REPLY_TIMEOUT_MIN_MS, REPLY_TIMEOUT_MAX_MS) :
 		      REPLY_TIMEOUT_MAX_MS;
 }
 
-/* Whether the allocator is unreachable or silent. */
+/* Returns true if the allocator is unreachable or silent. */
 static bool is_disconnected(const struct quota_client *u, int64_t now)
 {
 	return !u->connected ||
@@ -203,7 +204,7 @@
 	u->used_ms = now;
 }
 
-/* Minimum balance for a demand. */
+/* Returns the balance below which more is requested, for a demand. */
 static double min_balance(double demand, double mean)
 {
 	return MAX(demand * RENEW_S,
@@ -245,7 +246,7 @@
 	u->classes[class].first_cost = 0;
 	u->shares.served[class] += cost * 1000 / DEMAND_WINDOW_MS;
 	if (quota_client_is_low(u))
-		quota_client_make_due(u->e, u);
+		quota_client_make_due(u->clients, u);
 	return QUOTA_ADMIT;
 }
 
@@ -270,8 +271,8 @@
 		k->first_due_ms = INT64_MAX;
 }
 
-/* Recently granted amount per second that a class can expect: its fraction of
- * all grants, or what it got itself. */
+/* Returns the amount per second that a class can expect, from recent grants:
+ * its fraction of all of them, or its own if those were more. */
 static double grant_rate(const struct quota_client *u, int class)
 {
 	double all = 0;
@@ -282,7 +283,7 @@
 		   u->classes[class].grant_rate);
 }
 
-/* Expected time until there is enough for one more request. */
+/* Returns the expected time until there is enough for one more request. */
 static int64_t expected_wait_ms(const struct quota_client *u, int class,
 				int64_t now)
 {
@@ -295,8 +296,8 @@
 			 MAX(grant_rate(u, class), 1));
 }
 
-/* Longest expected wait that a request accepts. Where classes share, that of a
- * waiting request counts from its arrival. */
+/* Returns the longest expected wait that a request accepts. Where classes share
+ * the balance, that of a waiting request counts from its arrival. */
 static int64_t max_wait_ms(const struct quota_client *u,
 			   const struct quota_need *n,
 			   const struct quota_rank *r, int64_t now)
@@ -310,8 +311,8 @@
 	return ms;
 }
 
-/* Returns true if the objective is earlier than that of the first waiting
- * request. While that one is unknown, a new request is not earlier. */
+/* Returns true if a request's objective is earlier than that of the first
+ * waiting request. While the latter is unknown, a new request isn't earlier. */
 static bool is_earlier(const struct quota_client_class *k,
 		       const struct quota_need *n, const struct quota_rank *r)
 {
@@ -353,7 +354,7 @@
 }
 
 /* Returns true if a request that can't be served now is to be refused rather
- * than queued; *retry_after_ms is when it may return. */
+ * than queued; *retry_after_ms is then the time until a retry may succeed. */
 static bool must_refuse(const struct quota_client *u, int class,
 			const struct quota_need *n, const struct quota_rank *r,
 			int64_t now, int64_t *retry_after_ms)
@@ -385,7 +386,7 @@
 
 	update_first(&u->classes[class], n, r, queue_empty);
 	add_waiting(u, class, n->cost);
-	quota_client_make_due(u->e, u);
+	quota_client_make_due(u->clients, u);
 }
 
 enum quota_decision quota_clients_take_ranked(
@@ -400,8 +401,8 @@
 		*retry_after_ms = quota_retry_ms(n->cost, c->limit.per_s);
 		return QUOTA_REFUSE;
 	}
-	/* Divide while it still counts as waiting: its class retains tokens for
-	 * it. */
+	/* Divide while a queued request still counts as waiting, so that its
+	 * class retains tokens for it. */
 	quota_classes_divide(&u->shares, spendable(u, now));
 	if (n->queued)
 		remove_waiting(u, class, n->cost, r);
@@ -417,6 +418,7 @@
 	return QUOTA_WAIT;
 }
 
+/* Rank of all requests of a limit without classes. */
 static const struct quota_rank default_rank;
 
 enum quota_decision quota_clients_take(void *clients, const struct customer *c,
@@ -448,8 +450,8 @@
 	struct quota_client *u = get_client(clients, c->name, now);
 
 	quota_client_update(u, now);
-	/* Don't exceed what would be requested: the surplus would be unused for
-	 * long. */
+	/* Refund no more than would be requested: the surplus would be unused
+	 * for long. */
 	if (u->balance + cost >
 	    MAX(u->demand * GRANT_DEMAND_S, quota_client_min_balance(u)))
 		return;
--- a/src/customer/quota_client_int.h
+++ b/src/customer/quota_client_int.h
@@ -26,40 +26,40 @@
 	double grant_rate; /* recently granted, per second */
 	double first_cost; /* cost of the first waiting request, or of a smaller
 			      overdue one */
-	int64_t first_due_ms; /* its objective */
+	int64_t first_due_ms; /* time of its objective */
 	int64_t retry_at_ms;  /* the allocator has no tokens before */
 };
 
 struct quota_client {
-	struct quota_clients *e; /* the set that it is part of */
+	struct quota_clients *clients; /* the table that holds it */
 	char *name;
 	double balance;
 	int64_t balance_until_ms; /* when the balance expires */
-	/* While disconnected it may spend at this rate per second, and overdraw
-	 * the balance by this amount, until a time. */
+	/* While disconnected, the entry may spend at this rate per second, and
+	 * overdraw the balance by this amount, until rate_until_ms. */
 	double rate, overdraft;
 	int64_t rate_until_ms;
 	double disconnected_spent; /* spent at that rate and not reported */
 	int64_t accrued_ms;	   /* time up to which the rate is accrued */
 	double demand;		   /* per second */
 	int64_t demand_ms;
-	double mean;	/* mean cost of a request */
-	double waiting; /* cost of all waiting requests */
-	double wanted;	/* amount of the last request */
-	double refused; /* since the last request */
-	uint64_t number;
+	double mean;		 /* mean cost of a request */
+	double waiting;		 /* cost of all waiting requests */
+	double wanted;		 /* amount wanted by the last request */
+	double refused;		 /* since the last request */
+	uint64_t number;	 /* of the last request */
 	bool connected;		 /* the allocator is reachable, ... */
 	int64_t disconnected_ms; /* ... or unreachable since then */
-	int64_t connected_ms;	 /* last time that it became reachable */
-	bool reported;		 /* this allocator has got a report */
-	bool pending;		 /* a request is unanswered, ... */
-	int64_t requested_ms;
-	int64_t unanswered_ms;	 /* ... since then */
-	int64_t retry_at_ms;	 /* same for all classes */
+	int64_t connected_ms;	 /* when it last became reachable */
+	bool reported;		 /* to the present allocator */
+	bool pending;		 /* a request is unanswered */
+	int64_t requested_ms;	 /* time of the last request */
+	int64_t unanswered_ms;	 /* time of the first unanswered one */
+	int64_t retry_at_ms;	 /* as in the classes, for all of them */
 	int64_t scarce_until_ms; /* after a partial grant: no request before
 				    then */
-	int64_t used_ms;
-	bool due; /* in the list of clients with a request due */
+	int64_t used_ms;	 /* last request of a caller */
+	bool due;		 /* in the list of clients with a request due */
 	struct quota_classes shares; /* division of the balance */
 	struct quota_client_class classes[QUOTA_CLASSES];
 	struct quota_class_item parts[QUOTA_CLASSES]; /* of the last request */
@@ -71,7 +71,7 @@
 	struct timing_estimate reply_times; /* of allocators */
 	bool connected;
 	int64_t disconnected_ms, connected_ms; /* as in struct quota_client */
-	int64_t sweep_ms;
+	int64_t sweep_ms; /* when idle clients were last checked */
 };
 
 /* Updates balance and demand to the present time. */
--- a/src/customer/quota_client_request.c
+++ b/src/customer/quota_client_request.c
@@ -3,11 +3,11 @@
 
 /* A request without a reply is repeated after this, in ms. */
 #define REQUEST_TIMEOUT_MS 1000
-/* After a partial grant, and with no request waiting, the interval between
- * requests, in ms. */
+/* Minimum interval between requests after a partial grant, while no caller's
+ * request waits, in ms. */
 #define SCARCE_MS 2000
 
-/* Balance to hold if the allocator has enough. */
+/* Returns the balance to hold if the allocator has enough. */
 static double target_balance(const struct quota_client *u, int64_t now)
 {
 	if (now - u->used_ms >= IDLE_MS)
@@ -16,7 +16,7 @@
 	       MAX(u->demand * GRANT_DEMAND_S, quota_client_min_balance(u));
 }
 
-/* Amount that the balance of a class lacks. */
+/* Returns the amount that the balance of a class lacks. */
 static double class_deficit(const struct quota_client *u, int class)
 {
 	double ahead = MAX(u->shares.demand[class] * GRANT_DEMAND_S,
@@ -25,8 +25,8 @@
 	return u->shares.waiting[class] + ahead - u->shares.balance[class];
 }
 
-/* Time before which the allocator has no tokens for any class with waiting
- * requests. */
+/* Returns the time before which the allocator has no tokens for any class with
+ * waiting requests. */
 static int64_t retry_at(const struct quota_client *u)
 {
 	int64_t ms = INT64_MAX;
@@ -46,7 +46,7 @@
 		return true;
 	if (now < retry_at(u))
 		return false;
-	/* Less than one token isn't worth a message. */
+	/* Returning less than one token isn't worth a message. */
 	if (now - u->used_ms >= IDLE_MS)
 		return u->balance >= 1;
 	if (u->waiting > 0)
@@ -54,7 +54,8 @@
 	return now >= u->scarce_until_ms && quota_client_is_low(u);
 }
 
-/* Shortfall of the first waiting request of a class. */
+/* Returns the shortfall of the first waiting request of a class, in thousandths
+ * rounded up. */
 static int64_t class_shortfall(const struct quota_client *u, int class)
 {
 	double has = quota_classes_available(&u->shares, class, u->balance);
@@ -66,8 +67,8 @@
 	       1;
 }
 
-/* With only the first class in use there is no list. */
-static void add_classes(struct quota_client *u, struct quota_request *a)
+/* Lists the classes in use; there is no list if that is only the first. */
+static void add_classes(struct quota_client *u, struct quota_request *req)
 {
 	size_t n = 0;
 
@@ -87,11 +88,12 @@
 		n++;
 	}
 	if (n > 1 || (n == 1 && u->parts[0].class_id))
-		a->classes = (struct wire_list){ u->parts, n };
+		req->classes = (struct wire_list){ u->parts, n };
 }
 
-/* Shortfall of the most urgent class that waits, for one class or for an
- * allocator without classes. */
+/* Returns the shortfall of the most urgent class with a waiting request: the
+ * only one that a request without a list states, or an allocator without
+ * classes reads. */
 static int64_t first_shortfall(const struct quota_client *u)
 {
 	for (int i = 0; i < QUOTA_CLASSES; i++)
@@ -103,7 +105,7 @@
 static void add_request(struct quota_client *u, int64_t now, GArray *out)
 {
 	double want = target_balance(u, now);
-	struct quota_request a = {
+	struct quota_request req = {
 		.customer = ss_str(u->name),
 		.number = ++u->number,
 		.balance = quota_to_milli(u->balance),
@@ -115,17 +117,17 @@
 	};
 
 	if (now < u->rate_until_ms) {
-		a.disconnected_rate = quota_to_milli(u->rate);
-		a.overdraft = quota_to_milli(u->overdraft);
+		req.disconnected_rate = quota_to_milli(u->rate);
+		req.overdraft = quota_to_milli(u->overdraft);
 	}
 	/* The allocator accounts for what was overdrawn. */
 	u->balance = MAX(u->balance, 0);
 	quota_classes_divide(&u->shares, u->balance);
-	a.shortfall = first_shortfall(u);
-	add_classes(u, &a);
-	if (want <= 0 && a.balance > 0) {
-		a.returned = a.balance;
-		a.balance = 0;
+	req.shortfall = first_shortfall(u);
+	add_classes(u, &req);
+	if (want <= 0 && req.balance > 0) {
+		req.returned = req.balance;
+		req.balance = 0;
 		u->balance = 0;
 	}
 	u->disconnected_spent = u->refused = 0;
@@ -133,8 +135,8 @@
 		u->unanswered_ms = now;
 	u->reported = u->pending = true;
 	u->requested_ms = now;
-	u->wanted = quota_from_milli(a.want);
-	g_array_append_val(out, a);
+	u->wanted = quota_from_milli(req.want);
+	g_array_append_val(out, req);
 }
 
 /* Idle clients have no requests that make them due, so all are checked
@@ -182,63 +184,65 @@
 }
 
 /* Credits a grant to classes as the reply states, otherwise by demand. */
-static void credit_classes(struct quota_client *u, const struct quota_reply *w)
+static void credit_classes(struct quota_client *u,
+			   const struct quota_reply *reply)
 {
-	const struct quota_class_item *x = w->classes.items;
+	const struct quota_class_item *x = reply->classes.items;
 
-	for (size_t i = 0; i < w->classes.n; i++) {
+	for (size_t i = 0; i < reply->classes.n; i++) {
 		int class = quota_classes_clamp(x[i].class_id);
 
 		u->shares.balance[class] += quota_from_milli(x[i].grant);
 		u->classes[class].grant_rate +=
 			quota_from_milli(x[i].grant) * 1000 / DEMAND_WINDOW_MS;
 	}
-	for (int i = 0; i < QUOTA_CLASSES && !w->classes.n; i++)
+	for (int i = 0; i < QUOTA_CLASSES && !reply->classes.n; i++)
 		u->classes[i].grant_rate += quota_classes_ratio(&u->shares, i) *
-					    quota_from_milli(w->grant) * 1000 /
-					    DEMAND_WINDOW_MS;
+					    quota_from_milli(reply->grant) *
+					    1000 / DEMAND_WINDOW_MS;
 }
 
 static void update_retry_times(struct quota_client *u,
-			       const struct quota_reply *w, int64_t now)
+			       const struct quota_reply *reply, int64_t now)
 {
-	const struct quota_class_item *x = w->classes.items;
+	const struct quota_class_item *x = reply->classes.items;
 
 	quota_client_clear_waits(u);
-	if (w->retry_after_ms > 0)
-		u->retry_at_ms = now + w->retry_after_ms;
-	for (size_t i = 0; i < w->classes.n; i++)
+	if (reply->retry_after_ms > 0)
+		u->retry_at_ms = now + reply->retry_after_ms;
+	for (size_t i = 0; i < reply->classes.n; i++)
 		if (x[i].retry_after_ms > 0)
 			u->classes[quota_classes_clamp(x[i].class_id)]
 				.retry_at_ms = now + x[i].retry_after_ms;
-	for (int i = 0; i < QUOTA_CLASSES && !w->classes.n; i++)
+	for (int i = 0; i < QUOTA_CLASSES && !reply->classes.n; i++)
 		u->classes[i].retry_at_ms = u->retry_at_ms;
 }
 
-void quota_clients_reply(void *clients, const struct quota_reply *w,
+void quota_clients_reply(void *clients, const struct quota_reply *reply,
 			 int64_t now)
 {
 	struct quota_clients *e = clients;
-	char *name = ss_str_dup(w->customer);
+	char *name = ss_str_dup(reply->customer);
 	struct quota_client *u = g_hash_table_lookup(e->by_name, name);
 
 	g_free(name);
 	if (!u)
 		return;
 	quota_client_update(u, now);
-	u->balance += quota_from_milli(w->grant);
-	credit_classes(u, w);
-	if (w->number != u->number)
+	u->balance += quota_from_milli(reply->grant);
+	credit_classes(u, reply);
+	if (reply->number != u->number)
 		return;
 	timing_estimate_add(&e->reply_times, (double)(now - u->requested_ms));
 	u->pending = false;
 	u->balance_until_ms = u->requested_ms + QUOTA_LEASE_MS;
-	u->rate = quota_from_milli(w->disconnected_rate);
-	u->overdraft = quota_from_milli(w->overdraft);
+	u->rate = quota_from_milli(reply->disconnected_rate);
+	u->overdraft = quota_from_milli(reply->overdraft);
 	u->rate_until_ms = u->requested_ms + QUOTA_LEASE_MS;
-	update_retry_times(u, w, now);
-	u->scarce_until_ms =
-		quota_from_milli(w->grant) < u->wanted ? now + SCARCE_MS : 0;
+	update_retry_times(u, reply, now);
+	u->scarce_until_ms = quota_from_milli(reply->grant) < u->wanted ?
+				     now + SCARCE_MS :
+				     0;
 	u->accrued_ms = now;
 	if (u->waiting > 0)
 		quota_client_make_due(e, u);
