--- a/src/customer/quota_even.c
+++ b/src/customer/quota_even.c
@@ -2,22 +2,23 @@
  * without messages. */
 #include "quota.h"
 
-/* Assumed number of entries until it is known: on the safe side. */
+/* Number of entries that is assumed until it is known; high, as too small a
+ * number would admit more than the limit. */
 #define ENTRIES_DEFAULT 64
 
-struct even {
+struct even_clients {
 	GHashTable *buckets; /* name -> struct bucket */
 	uint64_t entries;
 };
 
 struct bucket {
 	double tokens;
-	int64_t ms;
+	int64_t ms; /* time up to which the bucket is refilled */
 };
 
 static void *even_new(const struct quota_options *o, int64_t now)
 {
-	struct even *e = g_new0(struct even, 1);
+	struct even_clients *e = g_new0(struct even_clients, 1);
 
 	(void)o;
 	(void)now;
@@ -29,17 +30,17 @@
 
 static void even_free(void *clients)
 {
-	struct even *e = clients;
+	struct even_clients *e = clients;
 
 	g_hash_table_unref(e->buckets);
 	g_free(e);
 }
 
-/* The number never decreases: entries that are unreachable may still be
+/* Never decreases the number: entries that are unreachable may still be
  * spending their part. */
 static void even_set_entries(void *clients, uint64_t n)
 {
-	struct even *e = clients;
+	struct even_clients *e = clients;
 
 	if (n && (e->entries == ENTRIES_DEFAULT || n > e->entries))
 		e->entries = n;
@@ -53,8 +54,8 @@
 	(void)now;
 }
 
-static struct bucket *refill_bucket(struct even *e, const struct customer *c,
-				    int64_t now)
+static struct bucket *refill_bucket(struct even_clients *e,
+				    const struct customer *c, int64_t now)
 {
 	struct bucket *b = g_hash_table_lookup(e->buckets, c->name);
 	double fraction = 1.0 / (double)e->entries;
@@ -74,7 +75,7 @@
 				     const struct quota_need *n, int64_t now,
 				     int64_t *retry_after_ms)
 {
-	struct even *e = clients;
+	struct even_clients *e = clients;
 	struct bucket *b = refill_bucket(e, c, now);
 	double fraction = 1.0 / (double)e->entries;
 	double need = MIN(n->cost, c->limit.burst * fraction);
@@ -125,17 +126,18 @@
 	(void)out;
 }
 
-static void even_reply(void *clients, const struct quota_reply *w, int64_t now)
+static void even_reply(void *clients, const struct quota_reply *reply,
+		       int64_t now)
 {
 	(void)clients;
-	(void)w;
+	(void)reply;
 	(void)now;
 }
 
 static struct quota_client_view even_view(const void *clients,
 					  const char *customer, int64_t now)
 {
-	const struct even *e = clients;
+	const struct even_clients *e = clients;
 	const struct bucket *b = g_hash_table_lookup(e->buckets, customer);
 
 	(void)now;
--- a/src/customer/quota_owner.c
+++ b/src/customer/quota_owner.c
@@ -1,7 +1,7 @@
 /*
- * Scheme "owner": grants as in quota_lease, but the allocator of a customer is
- * the entry that its name hashes to, by rendezvous hashing over the reachable
- * entries.
+ * Scheme "owner": grants as in quota_lease, but a customer's allocator is the
+ * entry that the customer's name hashes to, by rendezvous hashing over the
+ * reachable entries.
  */
 #include "quota_lease.h"
 
