--- a/src/customer/customer.c
+++ b/src/customer/customer.c
@@ -125,9 +125,9 @@
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *keys = g_hash_table_new(key_hash, key_equal);
-	enum customers_clash clash = CUSTOMERS_NO_CLASH;
+	enum customers_clash conflict = CUSTOMERS_NO_CONFLICT;
 
-	for (*at = 0; *at < added->len && !clash; ++*at) {
+	for (*at = 0; *at < added->len && !conflict; ++*at) {
 		struct customer *c = added->pdata[*at];
 
 		*other = g_hash_table_lookup(names, c->name);
@@ -137,22 +137,21 @@
 				*other = NULL;
 		}
 		if (*other)
-			clash = CUSTOMERS_NAME;
+			conflict = CUSTOMERS_NAME;
 		g_hash_table_insert(names, c->name, c);
-		for (guint i = 0; i < c->keys->len && !clash; i++) {
+		for (guint i = 0; i < c->keys->len && !conflict; i++) {
 			*other = key_owner(t, keys, key_at(c, i));
-			/* A key that one customer lists twice is no conflict.
-			 */
+			/* Listing a key twice is no conflict. */
 			if (*other && *other != c)
-				clash = CUSTOMERS_KEY;
+				conflict = CUSTOMERS_KEY;
 			g_hash_table_insert(keys, key_at(c, i), c);
 		}
 	}
-	if (clash)
+	if (conflict)
 		--*at;
 	g_hash_table_unref(names);
 	g_hash_table_unref(keys);
-	return clash;
+	return conflict;
 }
 
 void customers_add(struct customers *t, struct customer *c)
--- a/test/test_customer.c
+++ b/test/test_customer.c
@@ -20,7 +20,7 @@
 static void keys_identify_customers(void **state)
 {
 	static const struct {
-		const char *key, *name; /* NULL: nobody */
+		const char *key, *name; /* NULL: no customer */
 	} rows[] = {
 		{ "k1", "a" }, { "k2", "a" },	{ "k3", "b" }, { "K1", NULL },
 		{ "k", NULL }, { "k1 ", NULL }, { "", NULL },  { "a", NULL },
@@ -40,7 +40,7 @@
 	customers_clear(&t);
 }
 
-/* Guards against keys in a process's memory or core dump. */
+/* Guards against plain keys in a process's memory or core dump. */
 static void keys_are_stored_as_digests(void **state)
 {
 	struct customer *c = customer("a", KEYS("a-very-secret-key"));
@@ -59,18 +59,18 @@
 static const struct {
 	const char *label;
 	struct row added[2];
-	enum customers_clash clash;
+	enum customers_clash conflict;
 	guint at;
 	const char *other;
 } changes[] = {
 	{ "a new customer",
 	  { { "c", { "k9" } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "a new customer without keys",
 	  { { "c", { NULL } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "the key of a customer that stays",
@@ -80,12 +80,12 @@
 	  "a" },
 	{ "the key of a removed customer",
 	  { { "c", { "k2" } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "a key moves between two changed customers",
 	  { { "b", { NULL } }, { "c", { "k2" } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "two new customers with one key",
@@ -95,7 +95,7 @@
 	  "c" },
 	{ "a customer that lists a key twice",
 	  { { "c", { "k8", "k8" } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "the name of a customer that stays",
@@ -105,7 +105,7 @@
 	  "a" },
 	{ "the name of a removed customer",
 	  { { "b", { "k9" } } },
-	  CUSTOMERS_NO_CLASH,
+	  CUSTOMERS_NO_CONFLICT,
 	  0,
 	  NULL },
 	{ "two new customers with one name",
@@ -123,7 +123,7 @@
 			(GDestroyNotify)customer_unref);
 		struct customer *b = customer("b", KEYS("k2"));
 		const struct customer *other;
-		enum customers_clash clash;
+		enum customers_clash conflict;
 		struct customers t;
 		guint at;
 
@@ -135,18 +135,20 @@
 			g_ptr_array_add(added,
 					customer(changes[i].added[k].name,
 						 changes[i].added[k].keys));
-		clash = customers_check(&t, added, &at, &other);
-		if (clash != changes[i].clash ||
-		    (clash && (at != changes[i].at ||
-			       strcmp(other->name, changes[i].other))))
-			fail_msg("%s: %d at %u", changes[i].label, clash, at);
+		conflict = customers_check(&t, added, &at, &other);
+		if (conflict != changes[i].conflict ||
+		    (conflict && (at != changes[i].at ||
+				  strcmp(other->name, changes[i].other))))
+			fail_msg("%s: %d at %u", changes[i].label, conflict,
+				 at);
 		g_ptr_array_unref(added);
 		customers_clear(&t);
 	}
 }
 
-/* Guards against a removed customer that takes another's key along with it. */
-static void removed_keys_identify_nobody(void **state)
+/* Guards against a removal that also removes another customer's key, or leaves
+ * one of the removed customer. */
+static void removed_keys_identify_no_customer(void **state)
 {
 	struct customer *a = customer("a", KEYS("k1"));
 	struct customers t;
@@ -187,7 +189,7 @@
 		cmocka_unit_test(keys_identify_customers),
 		cmocka_unit_test(keys_are_stored_as_digests),
 		cmocka_unit_test(conflicts_are_detected),
-		cmocka_unit_test(removed_keys_identify_nobody),
+		cmocka_unit_test(removed_keys_identify_no_customer),
 		cmocka_unit_test(cost_follows_stated_tokens),
 	};
 
