--- a/src/customer/quota.h
+++ b/src/customer/quota.h
@@ -2,9 +2,9 @@
  * A customer's limit, enforced by all entries together.
  *
  * An entry spends from a grant that it holds, without a message per request.
- * Who hands out grants, and what an entry may spend while it is disconnected,
- * depends on the scheme: a table of functions, one file per scheme. All of it
- * is pure: the caller provides time, links and messages.
+ * A scheme decides which process hands out grants, and what an entry may spend
+ * while it is disconnected: a table of functions, one file per scheme. All of
+ * it is pure: the caller provides time, links and messages.
  */
 #ifndef SS_QUOTA_H
 #define SS_QUOTA_H
--- a/src/customer/quota_allocator.c
+++ b/src/customer/quota_allocator.c
@@ -115,10 +115,10 @@
 static double bucket_size(const struct allocator *p,
 			  const struct customer_limit *l)
 {
-	double held = OUTSTANDING_SHARE * overage_of(p, l);
+	double covered = OUTSTANDING_SHARE * overage_of(p, l);
 
 	return l->burst * (1 - SPREAD_SHARE) -
-	       MAX(max_outstanding(p, l) - held, 0);
+	       MAX(max_outstanding(p, l) - covered, 0);
 }
 
 static double refill_rate(const struct allocator *p,
--- a/src/customer/quota_lease.h
+++ b/src/customer/quota_lease.h
@@ -3,15 +3,15 @@
  * two sides share, and the functions of both. Private to this directory.
  *
  * The allocator has a token bucket for each customer and takes grants out of
- * it. Whatever becomes of a grant (lost, spent late, spent by a disconnected
- * entry), never more than the limit is handed out; the balances of entries are
- * bounded by the permitted overage. An entry that loses the allocator continues
- * at the rate of its last reply for the length of a lease, and the allocator
- * takes that out of the bucket until the entry reports what it spent. Entries
- * may also overdraw their balance against the level of the bucket. The next
- * allocator doesn't inherit that level: a new allocator starts with part of the
- * permitted overage, and for the length of a lease it reserves what entries
- * that haven't reported to it may spend.
+ * it. No more than the limit is ever handed out, whatever becomes of a grant
+ * (lost, spent late, spent by a disconnected entry); the balances of entries
+ * are bounded by the permitted overage. An entry that loses the allocator
+ * continues at the rate of its last reply for the length of a lease, and the
+ * allocator takes that out of the bucket until the entry reports what it spent.
+ * Entries may also overdraw their balance against the level of the bucket. The
+ * next allocator doesn't inherit that level: a new allocator starts with part
+ * of the permitted overage, and for the length of a lease it reserves what
+ * entries that haven't reported to it may spend.
  */
 #ifndef SS_QUOTA_LEASE_H
 #define SS_QUOTA_LEASE_H
