--- a/test/test_queue.c
+++ b/test/test_queue.c
@@ -10,15 +10,15 @@
 struct row {
 	const char *name, *customer;
 	int priority;
-	int64_t deadline;
+	int64_t deadline_ms;
 };
 
 struct order_case {
 	const char *label;
 	struct row rows[6];
 	int64_t now;
-	int least;
-	const char *want; /* names in the order in which they leave */
+	int least_priority;
+	const char *want; /* names in the order in which items leave */
 };
 
 static const struct order_case orders[] = {
@@ -99,10 +99,10 @@
 			w[k].name = c->rows[k].name;
 			w[k].item.customer = ss_str(c->rows[k].customer);
 			w[k].item.priority = c->rows[k].priority;
-			w[k].item.deadline_ms = c->rows[k].deadline;
+			w[k].item.deadline_ms = c->rows[k].deadline_ms;
 			assert_true(ss_queue_push(q, &w[k].item, NULL));
 		}
-		while ((x = ss_queue_pop(q, c->now, c->least)))
+		while ((x = ss_queue_pop(q, c->now, c->least_priority)))
 			g_string_append(got, ((struct waiting *)x)->name);
 		if (strcmp(got->str, c->want))
 			fail_msg("%s: %s, not %s", c->label, got->str, c->want);
@@ -112,8 +112,7 @@
 }
 
 /* Request rates and shares of customers, where a server takes 100 requests per
- * second, and the least number of requests that each has served after ten
- * seconds. */
+ * second. */
 static const struct load_case {
 	const char *label;
 	struct {
@@ -143,8 +142,8 @@
 	int customer;
 };
 
-/* Guards against a hot customer that starves small ones, or that gets most as
- * it sends most. */
+/* Guards against a hot customer that starves small ones, or that is served most
+ * because it sends most. */
 static void hot_customer_starves_nobody(void **state)
 {
 	(void)state;
@@ -185,7 +184,7 @@
 	}
 }
 
-static void limits_and_expiry(void **state)
+static void limit_and_expiry_are_enforced(void **state)
 {
 	struct ss_queue_options o = { .limit = limit_of };
 	struct ss_queue *q = ss_queue_new(&o);
@@ -212,7 +211,8 @@
 	ss_queue_free(q);
 }
 
-/* If all requests fail, retries stay at a tenth of the first attempts. */
+/* Guards against retries that multiply the load when all requests fail: they
+ * stay at a tenth of the first attempts. */
 static void budget_bounds_retries(void **state)
 {
 	struct ss_budget b;
@@ -228,6 +228,8 @@
 	assert_in_range(retries, 100, 105);
 }
 
+/* Guards against a breaker that stays closed at failures, lets more than one
+ * probe pass, or doesn't close after a success. */
 static void breaker_opens_and_probes(void **state)
 {
 	struct ss_breaker b = { 0 };
@@ -250,7 +252,7 @@
 struct choose_case {
 	const char *label;
 	struct target t[3];
-	int want;
+	int want; /* index; -1: none */
 };
 
 #define OLD CHOOSE_SLOW_START_MS
@@ -327,7 +329,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(items_leave_in_order),
 		cmocka_unit_test(hot_customer_starves_nobody),
-		cmocka_unit_test(limits_and_expiry),
+		cmocka_unit_test(limit_and_expiry_are_enforced),
 		cmocka_unit_test(budget_bounds_retries),
 		cmocka_unit_test(breaker_opens_and_probes),
 		cmocka_unit_test(replicas_are_chosen),
