--- a/bench/quota.c
+++ b/bench/quota.c
@@ -253,7 +253,7 @@
 
 static void run_classes(void)
 {
-	static const int shared[] = { 12, 24, 105 };
+	static const int entry_counts[] = { 12, 24, 105 };
 
 	if (csv)
 		printf("entries,day,classes,shared,seed,class,objective_ms,"
@@ -262,11 +262,11 @@
 		printf("%-7s %-14s %-6s %-9s %4s %5s %9s %7s %7s %7s %7s\n",
 		       "entries", "day", "mix", "shared", "seed", "class",
 		       "objective", "served", "in time", "window", "asks/s");
-	for (size_t i = 0; i < G_N_ELEMENTS(shared); i++)
-		for (size_t d = 0; d < G_N_ELEMENTS(class_scenarios); d++)
-			if (is_selected_scenario(shared[i],
-						 class_scenarios[d].name))
-				run_mixes(shared[i], d);
+	for (size_t i = 0; i < G_N_ELEMENTS(entry_counts); i++)
+		for (size_t s = 0; s < G_N_ELEMENTS(class_scenarios); s++)
+			if (is_selected_scenario(entry_counts[i],
+						 class_scenarios[s].name))
+				run_mixes(entry_counts[i], s);
 }
 
 static bool is_selected(size_t size, size_t scenario, size_t scheme)
@@ -280,19 +280,18 @@
 int main(int argc, const char **argv)
 {
 	const struct poptOption table[] = {
-		{ "seeds", 's', POPT_ARG_INT, &seeds, 0, "days of each kind",
-		  "N" },
+		{ "seeds", 's', POPT_ARG_INT, &seeds, 0,
+		  "runs of each scenario", "N" },
 		{ "entries", 'e', POPT_ARG_INT, &entries, 0,
-		  "only this size (31, 105, 340)", "N" },
+		  "only this number (31, 105, 340)", "N" },
 		{ "customers", 'c', POPT_ARG_INT, &customers, 0,
-		  "only so many (16, 1000, 10000)", "N" },
+		  "only this number (16, 1000, 10000)", "N" },
 		{ "way", 'w', POPT_ARG_STRING, &only_scheme, 0,
-		  "only this way (even, lease, owner)", "NAME" },
+		  "only this scheme (even, lease, owner)", "NAME" },
 		{ "day", 'd', POPT_ARG_STRING, &only_scenario, 0,
-		  "only days that begin so", "NAME" },
+		  "only scenarios whose names begin with this", "NAME" },
 		{ "classes", 0, POPT_ARG_NONE, &classes, 0,
-		  "only requests of several classes, by how these share",
-		  NULL },
+		  "compare how classes of requests share a limit", NULL },
 		{ "csv", 0, POPT_ARG_NONE, &csv, 0, "as comma-separated values",
 		  NULL },
 		POPT_AUTOHELP POPT_TABLEEND
@@ -313,10 +312,10 @@
 	}
 	print_head();
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++)
-		for (size_t d = 0; d < G_N_ELEMENTS(scenarios); d++)
+		for (size_t s = 0; s < G_N_ELEMENTS(scenarios); s++)
 			for (size_t k = 0; k < G_N_ELEMENTS(schemes); k++)
-				if (is_selected(i, d, k))
-					run_scenario(i, d, schemes[k]);
+				if (is_selected(i, s, k))
+					run_scenario(i, s, schemes[k]);
 	poptFreeContext(ctx);
 	return 0;
 }
--- a/test/prop_quota.cc
+++ b/test/prop_quota.cc
@@ -17,15 +17,16 @@
 {
 	std::vector<world_event> out;
 	int n = 1 + static_cast<int>(ss_random(seed) % 9);
-	auto below = [&](uint64_t most) {
-		return static_cast<int64_t>(ss_random(seed) % most);
+	auto below = [&](uint64_t bound) {
+		return static_cast<int64_t>(ss_random(seed) % bound);
 	};
 
 	for (int i = 0; i < n; i++) {
-		static const world_kind kinds[] = {
-			WORLD_PARTITION,    WORLD_FREEZE, WORLD_RESTART, WORLD_SLOW,
-			WORLD_LEADER_LOSS, WORLD_LEADER_LOSS, WORLD_POWER_LOSS,   WORLD_HOT,
-			WORLD_HOT,    WORLD_LIMIT,  WORLD_JOIN,
+		static const world_event_kind kinds[] = {
+			WORLD_PARTITION,   WORLD_FREEZE,      WORLD_RESTART,
+			WORLD_SLOW,	   WORLD_LEADER_LOSS, WORLD_LEADER_LOSS,
+			WORLD_POWER_LOSS,  WORLD_HOT,	      WORLD_HOT,
+			WORLD_LIMIT,	   WORLD_JOIN,
 		};
 		world_event e = {};
 
@@ -55,14 +56,14 @@
 	return out;
 }
 
-void NoWindowExceeds(const quota_scheme *way, bool classes = false)
+void NoWindowExceeds(const quota_scheme *scheme, bool classes = false)
 {
 	uint64_t seed = *rc::gen::arbitrary<uint32_t>();
 	std::vector<world_event> events = DrawEvents(&seed);
 	world_options o = {};
 	world_result r;
 
-	o.scheme = way;
+	o.scheme = scheme;
 	o.entries = kEntries;
 	o.customers = kCustomers;
 	o.domains = 4;
--- a/test/quota_world.c
+++ b/test/quota_world.c
@@ -7,10 +7,12 @@
 #include <stdio.h>
 #include <time.h>
 
+/* Interval of an entry's event loop, and the factor of that in WORLD_SLOW. */
 #define TICK_MS 10
-/* Requests start once all processes have started, in ms. */
-#define CALLERS_START_MS 7000
 #define SLOWDOWN 5
+/* Callers' requests start at this time, in ms, once all processes have
+ * started. */
+#define CALLERS_START_MS 7000
 /* Time until a silent peer counts as lost, and until a reachable one is
  * connected, in ms. */
 #define PEER_TIMEOUT_MS 900
@@ -19,18 +21,20 @@
 #define SPREAD_MS 200
 /* A request waits no longer than this for a grant, in ms. */
 #define WAIT_MS 2500
-/* It accepts this expected wait for tokens, in ms. */
+/* A request accepts this expected wait for tokens, in ms. */
 #define HOLD_MS 300
 /* After a change of limits, a window is checked against the new one once that
  * has been in force for the length of a window and this time, which a change
  * takes, in ms. */
 #define APPLY_MS 2500
-/* Cost of a request: most are near the mean, some are several times as
- * large. */
+/* Cost of a request, in tokens: most are near the mean, some are several times
+ * as large. */
 #define COST_MEAN 1500
 #define COST_MAX 9000
 /* Number of customers, by size, that may become hot. */
 #define HOT_MAX 16
+/* Exceeds the number of entries in any run. */
+#define ENTRIES_MAX 512
 /* Exceeds the number of customers in any run: queue_key() multiplies classes by
  * it. */
 #define CUSTOMERS_MAX 1000000
@@ -56,7 +60,7 @@
 };
 
 struct node {
-	void *entry;
+	void *clients;
 	void *allocator;   /* unused with quota_lease */
 	GHashTable *owned; /* customer -> its allocator */
 	uint64_t id;	   /* incarnation */
@@ -65,8 +69,8 @@
 	bool link;		 /* connected, in its own view */
 	bool known_to_allocator; /* connected, in the allocator's view */
 	int slowdown;
-	double clock_rate; /* speed relative to the true time */
-	int64_t offset;
+	double clock_rate;  /* speed relative to the true time */
+	int64_t offset;	    /* of the clock, in ms */
 	int64_t busy_us;    /* the allocator is busy until then */
 	GHashTable *queues; /* queue_key() -> GQueue of struct request */
 	int64_t next_ms;
@@ -84,9 +88,10 @@
 	double weight, cumulative; /* of all customers up to this one */
 	double bucket; /* of an ideal limiter that sees all requests */
 	int64_t bucket_ms;
-	double entitled, served, requested;
+	double entitled;	  /* tokens that the ideal limiter admits */
+	double served, requested; /* in tokens */
 	int entry_offset;
-	double hot;
+	double hot; /* factor of the rate; 1: not hot */
 	int hot_domain;
 	GArray *limits; /* struct limit_at */
 };
@@ -117,7 +122,7 @@
 	char *customer;
 	struct quota_request request;
 	struct quota_reply reply;
-	void *parts; /* classes, of either */
+	void *parts; /* classes of the request or the reply */
 };
 
 struct world {
@@ -130,8 +135,8 @@
 	GSequence *actions;
 	uint64_t order, ids, seed;
 	int64_t now;
-	uint64_t messages, bytes, far, allocator_requests, waited, late,
-		requests, served;
+	uint64_t messages, bytes, cross_domain_bytes, allocator_requests,
+		waited, late, requests, served;
 	double waited_ms;
 	GHashTable *requests_by_allocator; /* allocator -> number of requests */
 	double allocator_s;
@@ -162,7 +167,7 @@
 	g_free(a);
 }
 
-/* Copies the list; the action frees the copy. */
+/* Copies a list of classes; the action frees the copy. */
 static struct wire_list copy_parts(struct action *a,
 				   const struct wire_list *parts)
 {
@@ -207,8 +212,8 @@
  * leader; -2: none. */
 static int allocator_index(struct world *w, const struct sim_customer *p)
 {
-	uint64_t ids[512];
-	int at[512];
+	uint64_t ids[ENTRIES_MAX];
+	int at[ENTRIES_MAX];
 	size_t n = 0;
 	uint64_t owner;
 
@@ -217,7 +222,7 @@
 	if (w->o->scheme == &quota_lease)
 		return -1;
 	for (int i = 0; i < w->o->entries; i++)
-		/* Members learn of lost ones within a second. */
+		/* Members learn of lost members within a second. */
 		if (w->n[i].joined && w->n[i].known_to_allocator) {
 			ids[n] = (uint64_t)i + 1;
 			at[n++] = i;
@@ -249,7 +254,7 @@
 }
 
 static void count_message(struct world *w, enum msg_kind kind, const void *one,
-			  bool far)
+			  bool cross_domain)
 {
 	struct wire_list one_of = { (void *)one, 1 };
 	GString *frame = g_string_new(NULL);
@@ -260,7 +265,7 @@
 	g_string_free(frame, TRUE);
 	w->messages++;
 	w->bytes += n;
-	w->far += far ? n : 0;
+	w->cross_domain_bytes += cross_domain ? n : 0;
 }
 
 static double cpu_s(void)
@@ -280,9 +285,9 @@
 	return &w->p[i];
 }
 
-static int64_t delay_us(struct world *w, bool far)
+static int64_t delay_us(struct world *w, bool cross_domain)
 {
-	double ms = far ? w->o->delay_ms : w->o->delay_ms / 4;
+	double ms = cross_domain ? w->o->delay_ms : w->o->delay_ms / 4;
 
 	return (int64_t)(1000 * ms * (1 + draw(w)));
 }
@@ -323,7 +328,7 @@
 	(*count)++;
 	if (!answers)
 		return;
-	/* A request takes some 10 us of a core, of which the allocator has a
+	/* A request takes about 10 us of a core, of which the allocator has a
 	 * fraction. */
 	work_us = (int64_t)(10 / w->o->cpu_share);
 	*busy = MAX(*busy, a->at_us) + work_us;
@@ -358,7 +363,7 @@
 	}
 }
 
-/* Key of a customer's queue of a class. */
+/* Returns the key of a customer's queue of a class. */
 static void *queue_key(int customer, int class)
 {
 	return GINT_TO_POINTER(class * CUSTOMERS_MAX + customer);
@@ -372,7 +377,7 @@
 	struct sim_customer *p = &w->p[q->customer];
 	int64_t retry_after_ms;
 
-	switch (w->o->scheme->take_ranked(n->entry, p->c, &need, &q->rank,
+	switch (w->o->scheme->take_ranked(n->clients, p->c, &need, &q->rank,
 					  clock_of(w, n), &retry_after_ms)) {
 	case QUOTA_ADMIT:
 		admit(w, p, q);
@@ -384,7 +389,7 @@
 	}
 	if (w->now - q->at_ms < WAIT_MS)
 		return true;
-	w->o->scheme->cancel_ranked(n->entry, p->c, q->cost, &q->rank);
+	w->o->scheme->cancel_ranked(n->clients, p->c, q->cost, &q->rank);
 	return false;
 }
 
@@ -460,7 +465,7 @@
 }
 
 /* Draws the kind of a request. */
-static void draw_class(struct world *w, const struct node *n, struct request *q)
+static void draw_kind(struct world *w, const struct node *n, struct request *q)
 {
 	const struct world_class *k = w->o->classes;
 	double at = draw(w);
@@ -495,12 +500,12 @@
 		return;
 	w->requests++;
 	if (w->o->n_classes)
-		draw_class(w, n, &q);
+		draw_kind(w, n, &q);
 	add_entitled(w, p, q.cost);
 	w->shares[q.kind].requested += q.cost;
 	need.cost = q.cost;
 	need.hold_ms = q.hold_ms;
-	switch (w->o->scheme->take_ranked(n->entry, p->c, &need, &q.rank,
+	switch (w->o->scheme->take_ranked(n->clients, p->c, &need, &q.rank,
 					  clock_of(w, n), &retry_after_ms)) {
 	case QUOTA_ADMIT:
 		admit(w, p, &q);
@@ -519,7 +524,7 @@
 
 	if (!is_reachable(n) || n->id != a->id || !n->link)
 		return;
-	w->o->scheme->clients_reply(n->entry, &a->reply, clock_of(w, n));
+	w->o->scheme->clients_reply(n->clients, &a->reply, clock_of(w, n));
 	try_waiting(w, n, (int)(find_customer(w, a->reply.customer) - w->p));
 }
 
@@ -527,14 +532,14 @@
 
 static void set_link(struct world *w, struct node *n, bool up)
 {
-	if (!n->entry || n->link == up)
+	if (!n->clients || n->link == up)
 		return;
 	n->link = up;
-	w->o->scheme->clients_link(n->entry, NULL, up, clock_of(w, n));
+	w->o->scheme->clients_link(n->clients, NULL, up, clock_of(w, n));
 }
 
-/* A node that stops being a customer's allocator starts with a new one if it
- * becomes that again. */
+/* Frees the allocators of customers that a node no longer owns: the node starts
+ * with a new one if it owns the customer again. */
 static void drop_former_allocators(struct world *w)
 {
 	for (int k = 0; k < w->o->entries && w->o->scheme == &quota_owner;
@@ -568,7 +573,7 @@
 			w->o->scheme->allocator_client_lost(
 				allocator, n->id, clock_of(w, &w->n[k]));
 	}
-	/* Its customers have another owner. */
+	/* Customers that the node owned have another owner. */
 	g_hash_table_remove_all(n->owned);
 	drop_former_allocators(w);
 }
@@ -587,8 +592,8 @@
 	n->joined = n->running = true;
 	n->frozen = false;
 	n->link = false;
-	n->entry = w->o->scheme->clients_new(&qo, clock_of(w, n));
-	w->o->scheme->clients_set_entries(n->entry, (uint64_t)w->o->entries);
+	n->clients = w->o->scheme->clients_new(&qo, clock_of(w, n));
+	w->o->scheme->clients_set_entries(n->clients, (uint64_t)w->o->entries);
 	n->next_ms = w->now + (int64_t)(draw(w) * TICK_MS);
 	add(w, plan(w,
 		    (w->now + RECONNECT_MS) * 1000 +
@@ -603,9 +608,9 @@
 	n->running = false;
 	lose_client(w, i);
 	g_hash_table_remove_all(n->queues);
-	if (n->entry)
-		w->o->scheme->clients_free(n->entry);
-	n->entry = NULL;
+	if (n->clients)
+		w->o->scheme->clients_free(n->clients);
+	n->clients = NULL;
 }
 
 static void lose_leader(struct world *w, int64_t for_ms)
@@ -632,7 +637,7 @@
 	add(w, a);
 }
 
-static void on_leader(struct world *w)
+static void start_leader(struct world *w)
 {
 	struct quota_options qo = { w->o->overage };
 
@@ -722,7 +727,7 @@
 			break;
 		case WORLD_FREEZE:
 			n->frozen = false;
-			/* When it resumes, it sees that all peers were
+			/* When the node resumes, it sees that all peers were
 			 * silent. */
 			if (e->for_ms >= PEER_TIMEOUT_MS) {
 				add(w, plan(w, w->now * 1000 + 5000,
@@ -779,7 +784,7 @@
 		}
 		break;
 	case ACTION_NEW_LEADER:
-		on_leader(w);
+		start_leader(w);
 		break;
 	case ACTION_EVENT_START:
 		begin_event(w, a->event);
@@ -804,15 +809,17 @@
 		try_queue(w, n, l->data);
 	g_list_free(waiting);
 	out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
-	w->o->scheme->clients_requests(n->entry, clock_of(w, n), out);
+	w->o->scheme->clients_requests(n->clients, clock_of(w, n), out);
 	for (guint k = 0; k < out->len; k++) {
 		const struct quota_request *q =
 			&g_array_index(out, struct quota_request, k);
 		struct sim_customer *p = find_customer(w, q->customer);
 		int owner = allocator_index(w, p);
-		bool far = owner < 0 || w->n[owner].domain != n->domain;
-		struct action *a = plan(w, w->now * 1000 + delay_us(w, far),
-					ACTION_REQUEST, i);
+		bool cross_domain = owner < 0 ||
+				    w->n[owner].domain != n->domain;
+		struct action *a =
+			plan(w, w->now * 1000 + delay_us(w, cross_domain),
+			     ACTION_REQUEST, i);
 
 		a->request = *q;
 		a->peer = w->leader_id;
@@ -822,7 +829,7 @@
 			a->request.classes = copy_parts(a, &q->classes);
 		else
 			a->request.classes = (struct wire_list){ 0 };
-		count_message(w, MSG_QUOTA_REQUEST, &a->request, far);
+		count_message(w, MSG_QUOTA_REQUEST, &a->request, cross_domain);
 		add(w, a);
 	}
 	g_array_unref(out);
@@ -838,7 +845,8 @@
 	return CLAMP(-log(u) * COST_MEAN, 50, COST_MAX);
 }
 
-/* A customer's requests reach a few entries more often than others. */
+/* Draws the entry for a request. A customer's requests reach a few entries more
+ * often than others. */
 static int entry_for(struct world *w, struct sim_customer *p, bool hot)
 {
 	int n = w->o->entries;
@@ -879,7 +887,7 @@
 	return n;
 }
 
-static void traffic(struct world *w)
+static void generate_traffic(struct world *w)
 {
 	for (int n = arrivals(w, w->o->requests_per_s); n > 0; n--) {
 		int c = customer_for(w);
@@ -899,13 +907,13 @@
 
 /* Results. */
 
+/* Returns the highest limit that may apply to a window that begins at from. */
 static const struct limit_at *limit_for(const struct sim_customer *p,
 					int64_t from, int64_t window)
 {
 	const struct limit_at *best =
 		&g_array_index(p->limits, struct limit_at, 0);
 
-	/* The highest limit that may apply to a window that begins there. */
 	for (guint i = 1; i < p->limits->len; i++) {
 		const struct limit_at *l =
 			&g_array_index(p->limits, struct limit_at, i);
@@ -979,7 +987,7 @@
 	r->waited_ms = w->waited ? w->waited_ms / (double)w->waited : 0;
 	r->messages = (double)w->messages / s;
 	r->bytes = (double)w->bytes / s;
-	r->cross_domain_bytes = (double)w->far / s;
+	r->cross_domain_bytes = (double)w->cross_domain_bytes / s;
 	r->allocator_us =
 		w->allocator_requests ?
 			w->allocator_s * 1e6 / (double)w->allocator_requests :
@@ -1014,6 +1022,7 @@
 
 	w->p = g_new0(struct sim_customer, (gsize)w->o->customers);
 	for (int c = 0; c < w->o->customers; c++) {
+		/* Customers' sizes follow a power law. */
 		w->p[c].weight = 1 / pow(c + 1, 1.1);
 		all += w->p[c].weight;
 		w->p[c].cumulative = all;
@@ -1056,7 +1065,7 @@
 						 w->o->scheme->allocator_free);
 	}
 	if (w->o->scheme == &quota_lease)
-		on_leader(w);
+		start_leader(w);
 	for (int i = 0; i < w->o->entries; i++) {
 		bool later = false;
 
@@ -1074,7 +1083,7 @@
 static void free_world(struct world *w)
 {
 	for (int i = 0; i < w->o->entries; i++)
-		if (w->n[i].entry)
+		if (w->n[i].clients)
 			stop_node(w, i);
 	for (int i = 0; i < w->o->entries; i++) {
 		g_hash_table_unref(w->n[i].owned);
@@ -1141,7 +1150,7 @@
 	for (; w.now < CALLERS_START_MS + o->length_ms; w.now++) {
 		run_due_actions(&w);
 		if (w.now >= CALLERS_START_MS)
-			traffic(&w);
+			generate_traffic(&w);
 		for (int i = 0; i < o->entries; i++)
 			run_entry(&w, i);
 	}
--- a/test/quota_world.h
+++ b/test/quota_world.h
@@ -9,7 +9,7 @@
 
 #include "../src/customer/quota.h"
 
-enum world_kind {
+enum world_event_kind {
 	WORLD_PARTITION,   /* entries are partitioned from all others */
 	WORLD_FREEZE,	   /* entries are suspended */
 	WORLD_RESTART,	   /* entries stop and start again for_ms later */
@@ -23,8 +23,8 @@
 
 struct world_event {
 	int64_t at_ms; /* since the first requests */
-	enum world_kind kind;
-	int64_t for_ms;
+	enum world_event_kind kind;
+	int64_t for_ms;	  /* duration; 0: permanent */
 	int first, count; /* entries; of WORLD_HOT and WORLD_LIMIT: customers */
 	double x;
 };
@@ -47,7 +47,7 @@
 /* How far classes are taken into account. */
 enum world_sharing {
 	WORLD_BY_CLASS, /* requests and grants are by class */
-	WORLD_AT_ENTRY, /* by entries only */
+	WORLD_AT_ENTRY, /* by entries only: the allocator gets no classes */
 	WORLD_FIFO,	/* not at all: first in, first out */
 };
 
@@ -71,11 +71,12 @@
 	enum world_sharing sharing;
 };
 
-/* A request that waited longer than this counts as late, in ms. */
+/* A request that waited longer than this counts as late, in ms: callers of
+ * requests without classes expect an answer within it. */
 #define WORLD_LATE_MS 100
 
 struct world_share {
-	double requested; /* tokens */
+	double requested; /* in tokens */
 	double served;	  /* fraction of the requested tokens */
 	double in_time; /* fraction that waited at most half of its objective */
 };
@@ -85,8 +86,8 @@
 	char worst_at[96]; /* customer and time of that window */
 	double refused; /* fraction of the tokens within the limit that wasn't
 			   admitted */
-	double worst_refused; /* the same of the worst customer with some
-				 traffic */
+	double worst_refused; /* the highest such fraction of a customer with
+				 enough traffic */
 	double served;	      /* fraction of the requests */
 	double waited;	      /* fraction of the requests that waited */
 	double waited_ms;     /* their mean wait */
