--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -5,11 +5,12 @@
 #include "quota_world.h"
 
 /* Highest fraction of the tokens within the limit that may be refused, without
- * faults and with one. */
-#define CALM_REFUSED 0.005
+ * a fault and with one. */
+#define NO_FAULT_REFUSED 0.005
 #define FAULT_REFUSED 0.02
 
-#define LEADERS(at, every)                                                     \
+/* Five losses of the leader, at intervals in ms. */
+#define LEADER_LOSSES(at, every)                                               \
 	{ at, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },                              \
 		{ at + every, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },              \
 		{ at + 2 * every, WORLD_LEADER_LOSS, 1200, 0, 0, 0 },          \
@@ -24,7 +25,7 @@
 	double refused; /* highest fraction of tokens within the limit */
 	struct world_event events[8];
 } faults[] = {
-	{ "no fault", 1.8, CALM_REFUSED, { { 0 } } },
+	{ "no fault", 1.8, NO_FAULT_REFUSED, { { 0 } } },
 	{ "all customers exceed their limits", 0.4, FAULT_REFUSED, { { 0 } } },
 	{ "an entry is cut off",
 	  1.8,
@@ -50,7 +51,7 @@
 	    { 15000, WORLD_RESTART, 300, 0, 12, 0 } } },
 	{ "entries join",
 	  1.8,
-	  CALM_REFUSED,
+	  NO_FAULT_REFUSED,
 	  { { 8000, WORLD_JOIN, 0, 8, 4, 0 } } },
 	{ "entries are five times slower",
 	  1.8,
@@ -60,11 +61,14 @@
 	  1.8,
 	  FAULT_REFUSED,
 	  { { 10000, WORLD_LEADER_LOSS, 1200, 0, 0, 0 } } },
-	{ "the allocator is lost repeatedly", 0.3, 1, { LEADERS(4000, 2000) } },
+	{ "the allocator is lost repeatedly",
+	  0.3,
+	  1,
+	  { LEADER_LOSSES(4000, 2000) } },
 	{ "the allocator is lost in quick succession",
 	  0.3,
 	  1,
-	  { LEADERS(6000, 1400) } },
+	  { LEADER_LOSSES(6000, 1400) } },
 	{ "all lose power, twice",
 	  0.4,
 	  1,
@@ -79,7 +83,7 @@
 	    { 5000, WORLD_LIMIT, 0, 1, 1, 0.05 } } },
 	{ "a customer sends twelve times as much, from one failure domain",
 	  1.8,
-	  CALM_REFUSED,
+	  NO_FAULT_REFUSED,
 	  { { 6000, WORLD_HOT, 12000, 0, 1, 12 } } },
 	{ "the same while the allocator is lost",
 	  1.8,
@@ -88,10 +92,10 @@
 	    { 9000, WORLD_LEADER_LOSS, 2500, 0, 0, 0 } } },
 };
 
-static void run(const struct quota_scheme *way, const struct fault *f,
+static void run(const struct quota_scheme *scheme, const struct fault *f,
 		uint64_t seed, struct world_result *r)
 {
-	struct world_options o = { .scheme = way,
+	struct world_options o = { .scheme = scheme,
 				   .entries = 12,
 				   .customers = 6,
 				   .domains = 4,
@@ -134,7 +138,8 @@
 		}
 }
 
-/* The even scheme keeps each limit, but refuses much of what is within it. */
+/* The even scheme keeps each limit, but refuses much of what is within it, as
+ * customers' requests reach some entries more often than others. */
 static void even_scheme_refuses_within_limits(void **state)
 {
 	struct world_result r;
@@ -142,7 +147,7 @@
 	(void)state;
 	run(&quota_even, &faults[0], 1, &r);
 	assert_true(r.worst <= 1);
-	assert_true(r.refused > 20 * CALM_REFUSED);
+	assert_true(r.refused > 20 * NO_FAULT_REFUSED);
 }
 
 static struct customer *customer(double per_s)
@@ -156,7 +161,7 @@
 
 /* An entry and its allocator, without a network between them. */
 struct pair {
-	void *entry, *allocator;
+	void *clients, *allocator;
 	struct customer *c;
 	int64_t now;
 };
@@ -167,9 +172,9 @@
 
 	p->now = 10000;
 	p->c = customer(per_s);
-	p->entry = quota_lease.clients_new(&o, p->now);
+	p->clients = quota_lease.clients_new(&o, p->now);
 	p->allocator = quota_lease.allocator_new(&o, p->now);
-	quota_lease.clients_link(p->entry, NULL, true, p->now);
+	quota_lease.clients_link(p->clients, NULL, true, p->now);
 	/* After this the allocator no longer reserves for entries that haven't
 	 * reported. */
 	p->now += 6000;
@@ -177,7 +182,7 @@
 
 static void pair_close(struct pair *p)
 {
-	quota_lease.clients_free(p->entry);
+	quota_lease.clients_free(p->clients);
 	quota_lease.allocator_free(p->allocator);
 	customer_unref(p->c);
 }
@@ -187,15 +192,15 @@
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	quota_lease.clients_requests(p->entry, p->now, out);
+	quota_lease.clients_requests(p->clients, p->now, out);
 	for (guint i = 0; i < out->len; i++) {
-		struct quota_reply w;
+		struct quota_reply reply;
 
 		if (quota_lease.allocator_request(
 			    p->allocator, 1, p->c,
 			    &g_array_index(out, struct quota_request, i),
-			    p->now, &w))
-			quota_lease.clients_reply(p->entry, &w, p->now);
+			    p->now, &reply))
+			quota_lease.clients_reply(p->clients, &reply, p->now);
 	}
 	g_array_unref(out);
 }
@@ -205,17 +210,17 @@
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
 
-	quota_lease.clients_requests(p->entry, p->now, out);
+	quota_lease.clients_requests(p->clients, p->now, out);
 	g_array_unref(out);
 }
 
-static enum quota_decision try_request(struct pair *p, double cost, bool waits)
+static enum quota_decision try_request(struct pair *p, double cost, bool queued)
 {
 	int64_t retry_after_ms;
 
-	struct quota_need n = { cost, waits, 300 };
+	struct quota_need n = { cost, queued, 300 };
 
-	return quota_lease.take(p->entry, p->c, &n, p->now, &retry_after_ms);
+	return quota_lease.take(p->clients, p->c, &n, p->now, &retry_after_ms);
 }
 
 /* Guards against requests that wait for the allocator although the entry could
@@ -251,7 +256,7 @@
 	assert_int_equal(try_request(&p, 9000, false), QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(try_request(&p, 9000, true), QUOTA_ADMIT);
-	/* It is charged in full: nothing is left for a while. */
+	/* The request is charged in full: nothing is left for a while. */
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(try_request(&p, 1000, true), QUOTA_REFUSE);
@@ -262,9 +267,9 @@
 	pair_close(&p);
 }
 
-/* Guards against a debt of hours by a request that states millions of
- * tokens. */
-static void oversized_request_blocks_nobody(void **state)
+/* Guards against a request that states millions of tokens and so leaves its
+ * customer with a debt of hours. */
+static void oversized_request_blocks_no_other(void **state)
 {
 	struct pair p;
 
@@ -297,7 +302,7 @@
 	assert_int_equal(try_request(&p, 3000, true), QUOTA_ADMIT);
 	assert_int_equal(try_request(&p, 1000, false), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(quota_lease.take(p.entry, p.c, &need, p.now,
+	assert_int_equal(quota_lease.take(p.clients, p.c, &need, p.now,
 					  &retry_after_ms),
 			 QUOTA_REFUSE);
 	assert_in_range(retry_after_ms, 2500, 3500);
@@ -308,8 +313,8 @@
 	pair_close(&p);
 }
 
-/* Guards against an entry that waits for its lost allocator for ever, or spends
- * without bound. */
+/* Guards against an entry that waits forever for a lost allocator, or spends
+ * without bound in the meantime. */
 static void disconnected_entry_spends_for_its_lease(void **state)
 {
 	double spent = 0;
@@ -325,39 +330,39 @@
 		}
 		exchange(&p);
 	}
-	quota_lease.clients_link(p.entry, NULL, false, p.now);
+	quota_lease.clients_link(p.clients, NULL, false, p.now);
 	for (int i = 0; i < 2000; i++) {
 		p.now += 10;
 		if (try_request(&p, 100, false) == QUOTA_ADMIT)
 			spent += 100;
 		else
-			quota_lease.cancel(p.entry, p.c, 100);
+			quota_lease.cancel(p.clients, p.c, 100);
 	}
-	/* It spends its part of the limit for the length of its lease, and no
-	 * more. */
+	/* The entry spends its part of the limit for the length of its lease,
+	 * and no more. */
 	assert_true(spent > 0.3 * 20000 * 5);
 	assert_true(spent < 20000 * 5);
 	assert_int_equal(try_request(&p, 100, false), QUOTA_REFUSE);
 	pair_close(&p);
 }
 
-/* Requests grants for an entry until the allocator has no more; returns their
- * sum. */
+/* Requests grants for an entry until the allocator grants no more; returns
+ * their sum. */
 static double drain(struct pair *p, uint64_t id)
 {
-	struct quota_request a = { .customer = SS_LIT("a"),
-				   .number = 1,
-				   .want = 2000 * QUOTA_MILLI,
-				   .demand = 20000 * QUOTA_MILLI,
-				   .mean_cost = 1000 * QUOTA_MILLI };
-	struct quota_reply w;
+	struct quota_request req = { .customer = SS_LIT("a"),
+				     .number = 1,
+				     .want = 2000 * QUOTA_MILLI,
+				     .demand = 20000 * QUOTA_MILLI,
+				     .mean_cost = 1000 * QUOTA_MILLI };
+	struct quota_reply reply;
 	double sum = 0;
 
 	do {
-		quota_lease.allocator_request(p->allocator, id, p->c, &a,
-					      p->now, &w);
-		sum += (double)w.grant / QUOTA_MILLI;
-	} while (w.grant > 0);
+		quota_lease.allocator_request(p->allocator, id, p->c, &req,
+					      p->now, &reply);
+		sum += (double)reply.grant / QUOTA_MILLI;
+	} while (reply.grant > 0);
 	return sum;
 }
 
@@ -377,28 +382,28 @@
 	quota_lease.allocator_client_lost(p.allocator, 1, p.now);
 	p.now += 500;
 	assert_true(drain(&p, 2) < 0.9 * all);
-	/* It reconnects, and has spent nothing. */
+	/* The entry reconnects, and has spent nothing. */
 	drain(&p, 1);
 	p.now += 500;
 	assert_true(drain(&p, 2) >= 0.99 * all);
 	pair_close(&p);
 }
 
-/* Guards against a new allocator that grants what the previous one has granted
- * already. */
+/* Guards against a new allocator that grants again what the previous one has
+ * granted. */
 static void new_allocator_starts_with_overage(void **state)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
-	double slack = 0.1 * 9 * 10000 + 1000;
+	double overage = 0.1 * 9 * 10000 + 1000;
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 10000);
 	quota_lease.allocator_free(p.allocator);
 	p.allocator = quota_lease.allocator_new(&o, p.now);
-	assert_true(drain(&p, 1) <= 0.25 * slack);
+	assert_true(drain(&p, 1) <= 0.25 * overage);
 	p.now += 1000;
-	/* Entries that haven't reported may be spending their part. */
+	/* Entries that haven't reported may be spending by earlier replies. */
 	assert_true(drain(&p, 1) < 0.7 * 10000);
 	pair_close(&p);
 }
@@ -408,23 +413,24 @@
 static void disconnected_spending_is_charged(void **state)
 {
 	static const struct {
-		int64_t alone, held;
+		int64_t disconnected_spent, balance;
 	} rows[] = { { 4000, 0 }, { 0, -4000 } };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		struct quota_request a = { .customer = SS_LIT("a"),
-					   .number = 9 };
-		struct quota_reply w;
+		struct quota_request req = { .customer = SS_LIT("a"),
+					     .number = 9 };
+		struct quota_reply reply;
 		struct pair p;
 
 		pair_open(&p, 10000);
 		drain(&p, 1);
 		p.now += 500;
-		a.disconnected_spent = rows[i].alone * QUOTA_MILLI;
-		a.balance = rows[i].held * QUOTA_MILLI;
-		quota_lease.allocator_request(p.allocator, 1, p.c, &a, p.now,
-					      &w);
+		req.disconnected_spent =
+			rows[i].disconnected_spent * QUOTA_MILLI;
+		req.balance = rows[i].balance * QUOTA_MILLI;
+		quota_lease.allocator_request(p.allocator, 1, p.c, &req, p.now,
+					      &reply);
 		assert_true(drain(&p, 1) < 1100);
 		pair_close(&p);
 	}
@@ -446,7 +452,7 @@
 					       .demand = 5000 * QUOTA_MILLI,
 					       .mean_cost =
 						       1000 * QUOTA_MILLI };
-		struct quota_reply w;
+		struct quota_reply reply;
 		struct pair p;
 		int served = 0;
 
@@ -460,10 +466,10 @@
 			}
 			exchange(&p);
 			quota_lease.allocator_request(p.allocator, 2, p.c,
-						      &other, p.now, &w);
+						      &other, p.now, &reply);
 		}
 		if (rows[i].cut)
-			quota_lease.clients_link(p.entry, NULL, false, p.now);
+			quota_lease.clients_link(p.clients, NULL, false, p.now);
 		while (!rows[i].cut &&
 		       try_request(&p, 1000, false) == QUOTA_ADMIT)
 			;
@@ -479,54 +485,54 @@
 	}
 }
 
-/* Guards against an overdraft granted by a lost allocator that counts as a debt
- * at the next one, which starts without the previous level: all would wait
- * until it is paid. */
+/* Guards against an overdraft that a lost allocator granted and that the next
+ * one, which starts without the previous level, counts as a debt: all requests
+ * would wait until it is paid. */
 static void overdraft_is_no_debt_after_failover(void **state)
 {
 	struct quota_options o = { { 8, 0.1, 1000 } };
-	struct quota_request a = { .customer = SS_LIT("a"),
-				   .number = 1,
-				   .balance = -8000 * QUOTA_MILLI };
-	struct quota_reply w;
+	struct quota_request req = { .customer = SS_LIT("a"),
+				     .number = 1,
+				     .balance = -8000 * QUOTA_MILLI };
+	struct quota_reply reply;
 	struct pair p;
-	double fresh;
+	double initial;
 
 	(void)state;
 	pair_open(&p, 10000);
 	quota_lease.allocator_free(p.allocator);
 	p.allocator = quota_lease.allocator_new(&o, p.now);
-	fresh = drain(&p, 1);
+	initial = drain(&p, 1);
 	quota_lease.allocator_free(p.allocator);
 	p.allocator = quota_lease.allocator_new(&o, p.now);
-	quota_lease.allocator_request(p.allocator, 2, p.c, &a, p.now, &w);
-	assert_true(drain(&p, 1) >= 0.99 * fresh);
+	quota_lease.allocator_request(p.allocator, 2, p.c, &req, p.now, &reply);
+	assert_true(drain(&p, 1) >= 0.99 * initial);
 	pair_close(&p);
 }
 
 /* Guards against granting again what a disconnected entry may overdraw. */
 static void overdraft_of_lost_entry_is_charged(void **state)
 {
-	struct quota_request a = { .customer = SS_LIT("a"),
-				   .demand = 5000 * QUOTA_MILLI,
-				   .mean_cost = 1000 * QUOTA_MILLI };
+	struct quota_request req = { .customer = SS_LIT("a"),
+				     .demand = 5000 * QUOTA_MILLI,
+				     .mean_cost = 1000 * QUOTA_MILLI };
 	struct quota_account_view before, after;
-	struct quota_reply w;
+	struct quota_reply reply;
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 10000);
-	quota_lease.allocator_request(p.allocator, 1, p.c, &a, p.now, &w);
+	quota_lease.allocator_request(p.allocator, 1, p.c, &req, p.now, &reply);
 	quota_lease.allocator_view(p.allocator, "a", p.now, &before);
 	quota_lease.allocator_client_lost(p.allocator, 1, p.now);
 	quota_lease.allocator_view(p.allocator, "a", p.now, &after);
-	assert_true(w.overdraft >= 2000 * QUOTA_MILLI);
+	assert_true(reply.overdraft >= 2000 * QUOTA_MILLI);
 	assert_true(after.level <=
-		    before.level - (double)w.overdraft / QUOTA_MILLI + 1);
+		    before.level - (double)reply.overdraft / QUOTA_MILLI + 1);
 	pair_close(&p);
 }
 
-/* What operators see of a customer. */
+/* Guards against wrong amounts in the state that operators monitor. */
 static void views_report_grants_and_refusals(void **state)
 {
 	struct quota_account_view s;
@@ -536,16 +542,16 @@
 	(void)state;
 	pair_open(&p, 1000);
 	assert_false(quota_lease.allocator_view(p.allocator, "a", p.now, &s));
-	assert_int_equal(quota_lease.clients_view(p.entry, "a", p.now).age_ms,
+	assert_int_equal(quota_lease.clients_view(p.clients, "a", p.now).age_ms,
 			 -1);
 	assert_int_equal(try_request(&p, 2000, false), QUOTA_WAIT);
 	exchange(&p);
 	assert_int_equal(try_request(&p, 2000, true), QUOTA_ADMIT);
 	p.now += 50;
-	v = quota_lease.clients_view(p.entry, "a", p.now);
+	v = quota_lease.clients_view(p.clients, "a", p.now);
 	assert_int_equal(v.age_ms, 50);
 	assert_false(v.disconnected);
-	/* Its shortfall is more than it may wait for: refused, and reported. */
+	/* The request would wait for too long: it is refused, and reported. */
 	try_request(&p, 2000, false);
 	exchange(&p);
 	assert_int_equal(try_request(&p, 2000, true), QUOTA_REFUSE);
@@ -559,9 +565,9 @@
 	pair_close(&p);
 }
 
-/* Tolerance by which the served fraction of a class may exceed that of a more
- * urgent one, and the least fraction that each class gets, relative to that of
- * all. */
+/* By how much the served fraction of a class may exceed that of a more urgent
+ * one, and the least served fraction of a class, relative to the limit's part
+ * of the load. */
 #define SHARE_TOLERANCE 0.03
 #define SHARE_MIN 0.5
 
@@ -614,8 +620,8 @@
 }
 
 /* Guards against patient requests, which wait longer, that get the tokens of
- * urgent ones under a limit of a third of the load, and against one class that
- * gets everything. */
+ * urgent ones while customers send three times their limit, and against one
+ * class that gets everything. */
 static void urgent_requests_get_no_smaller_share(void **state)
 {
 	(void)state;
@@ -664,7 +670,8 @@
 	}
 }
 
-/* Highest fraction of requests within a limit that may be refused. */
+/* Highest fraction of the tokens of a kind of requests within a limit that may
+ * be refused. */
 #define WITHIN_REFUSED 0.01
 
 /* Guards against refusing requests of a rare class of a customer that sends
@@ -698,24 +705,24 @@
 	}
 }
 
-static enum quota_decision try_ranked(struct pair *p, double cost, bool waits,
-				      int class_id, int64_t by_ms,
+static enum quota_decision try_ranked(struct pair *p, double cost, bool queued,
+				      int class_id, int64_t due_ms,
 				      int64_t hold_ms)
 {
-	struct quota_need n = { cost, waits, hold_ms };
-	struct quota_rank r = { class_id, by_ms };
+	struct quota_need n = { cost, queued, hold_ms };
+	struct quota_rank r = { class_id, due_ms };
 	int64_t retry_after_ms;
 
-	return quota_lease.take_ranked(p->entry, p->c, &n, &r, p->now,
+	return quota_lease.take_ranked(p->clients, p->c, &n, &r, p->now,
 				       &retry_after_ms);
 }
 
 /* Guards against a large first request of a class that delays a small one for
  * longer than that may wait. */
-static void large_first_request_blocks_nobody_for_long(void **state)
+static void large_first_request_delays_no_overdue_one(void **state)
 {
 	struct pair p;
-	int64_t by;
+	int64_t due_ms;
 
 	(void)state;
 	pair_open(&p, 1000);
@@ -726,16 +733,16 @@
 	assert_int_equal(try_ranked(&p, 1400, true, 2, p.now + 600, 2000),
 			 QUOTA_ADMIT);
 	p.now += 900;
-	by = p.now + 600;
-	assert_int_equal(try_ranked(&p, 250, false, 2, by - 100, 2000),
+	due_ms = p.now + 600;
+	assert_int_equal(try_ranked(&p, 250, false, 2, due_ms - 100, 2000),
 			 QUOTA_WAIT);
-	assert_int_equal(try_ranked(&p, 50, false, 2, by, 300), QUOTA_WAIT);
+	assert_int_equal(try_ranked(&p, 50, false, 2, due_ms, 300), QUOTA_WAIT);
 	exchange(&p);
-	assert_int_equal(try_ranked(&p, 250, true, 2, by - 100, 2000),
+	assert_int_equal(try_ranked(&p, 250, true, 2, due_ms - 100, 2000),
 			 QUOTA_WAIT);
 	/* There is enough for the small request, and it can wait no longer. */
-	p.now = by - 300;
-	assert_int_equal(try_ranked(&p, 50, true, 2, by, 300), QUOTA_ADMIT);
+	p.now = due_ms - 300;
+	assert_int_equal(try_ranked(&p, 50, true, 2, due_ms, 300), QUOTA_ADMIT);
 	pair_close(&p);
 }
 
@@ -759,7 +766,7 @@
 	assert_int_equal(try_ranked(&p, 800, false, 2, rank.due_ms, 300),
 			 QUOTA_WAIT);
 	p.now = rank.due_ms;
-	assert_int_equal(quota_lease.take_ranked(p.entry, p.c, &need, &rank,
+	assert_int_equal(quota_lease.take_ranked(p.clients, p.c, &need, &rank,
 						 p.now, &retry_after_ms),
 			 QUOTA_REFUSE);
 	assert_in_range(retry_after_ms, 1, 4000);
@@ -777,22 +784,23 @@
 		pair_open(&p[k], 4200);
 	for (int i = 0; i < 2000; i++) {
 		double cost = 100 + (double)(i * 7919 % 900);
-		bool waits = i % 3 == 1;
+		bool queued = i % 3 == 1;
 		enum quota_decision a[2];
 
 		p[0].now += 10;
 		p[1].now += 10;
-		a[0] = try_request(&p[0], cost, waits);
-		a[1] = try_ranked(&p[1], cost, waits, 2, 0, 300);
+		a[0] = try_request(&p[0], cost, queued);
+		a[1] = try_ranked(&p[1], cost, queued, 2, 0, 300);
 		assert_int_equal(a[0], a[1]);
 		if (i % 2)
 			exchange(&p[0]);
 		if (i % 2)
 			exchange(&p[1]);
-		assert_true(quota_lease.clients_view(p[0].entry, "a", p[0].now)
-				    .balance ==
-			    quota_lease.clients_view(p[1].entry, "a", p[1].now)
-				    .balance);
+		assert_true(
+			quota_lease.clients_view(p[0].clients, "a", p[0].now)
+				.balance ==
+			quota_lease.clients_view(p[1].clients, "a", p[1].now)
+				.balance);
 	}
 	for (int k = 0; k < 2; k++)
 		pair_close(&p[k]);
@@ -803,15 +811,15 @@
 {
 	struct customer c = { .name = "a",
 			      .limit = { .per_s = 1000, .burst = 1000 } };
-	struct quota_reply w;
+	struct quota_reply reply;
 
 	assert_true(quota_lease.allocator_request(allocator, 1, &c, request,
-						  now, &w));
-	return w.grant;
+						  now, &reply));
+	return reply.grant;
 }
 
-/* Guards against a class without waiting requests for which tokens are still
- * retained at the expense of the others. */
+/* Guards against tokens that are still retained for a class whose waiting
+ * request is gone, at the expense of the other classes. */
 static void idle_class_retains_nothing(void **state)
 {
 	struct quota_options o = { .overage = { 8, 0.1, 4000 } };
@@ -844,19 +852,20 @@
 		quota_lease.allocator_free(allocator[k]);
 }
 
-/* A reply for a customer that nobody here requested a grant for. */
+/* Guards against a reply that adds a balance, or fails, for a customer for
+ * which the entry has requested no grant. */
 static void reply_for_unknown_customer_is_ignored(void **state)
 {
-	struct quota_reply w = { .customer = SS_LIT("nobody"),
-				 .number = 7,
-				 .grant = 5000 * QUOTA_MILLI };
+	struct quota_reply reply = { .customer = SS_LIT("nobody"),
+				     .number = 7,
+				     .grant = 5000 * QUOTA_MILLI };
 	struct pair p;
 
 	(void)state;
 	pair_open(&p, 1000);
-	quota_lease.clients_reply(p.entry, &w, p.now);
+	quota_lease.clients_reply(p.clients, &reply, p.now);
 	assert_true(
-		quota_lease.clients_view(p.entry, "nobody", p.now).balance ==
+		quota_lease.clients_view(p.clients, "nobody", p.now).balance ==
 		0);
 	pair_close(&p);
 }
@@ -868,7 +877,7 @@
 		cmocka_unit_test(even_scheme_refuses_within_limits),
 		cmocka_unit_test(no_request_waits_within_balance),
 		cmocka_unit_test(large_request_is_served),
-		cmocka_unit_test(oversized_request_blocks_nobody),
+		cmocka_unit_test(oversized_request_blocks_no_other),
 		cmocka_unit_test(refusal_states_when_to_retry),
 		cmocka_unit_test(disconnected_entry_spends_for_its_lease),
 		cmocka_unit_test(allocator_charges_lost_entries),
@@ -880,7 +889,7 @@
 		cmocka_unit_test(views_report_grants_and_refusals),
 		cmocka_unit_test(urgent_requests_get_no_smaller_share),
 		cmocka_unit_test(rare_class_within_the_limit_is_served),
-		cmocka_unit_test(large_first_request_blocks_nobody_for_long),
+		cmocka_unit_test(large_first_request_delays_no_overdue_one),
 		cmocka_unit_test(overdue_refusal_states_when_to_retry),
 		cmocka_unit_test(single_class_behaves_as_no_classes),
 		cmocka_unit_test(idle_class_retains_nothing),
