--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -11,7 +11,7 @@
 #define TIDY_MS 200
 #define HEAD_MAX (16u << 10) /* head of an endpoint's answer, bytes */
 
-/* Successful calls kept for the report of the next failure. They keep a single
+/* Successful calls kept for the report of the next failure. They keep a chance
  * failure from looking like many; more of them would hide new failures. */
 #define ANSWERED_KEPT 20u
 /* Suspected requests kept: as many as a fleet of 200 endpoints runs at a time,
@@ -220,8 +220,8 @@
 
 /* Adds call results, unless no entry has seen the endpoint fail; false: nothing
  * added. */
-static bool report_failed(const struct gate *g, struct gate_ep *ep,
-			  struct endpoint_results *e)
+static bool add_call_results(const struct gate *g, struct gate_ep *ep,
+			     struct endpoint_results *e)
 {
 	if (!ep->failed &&
 	    !(ep->answered &&
@@ -240,12 +240,13 @@
 {
 	struct endpoint_results e = { .addr = ss_str(ep->addr),
 				      .started_ms = ep->self.started_ms };
-	bool failed = report_failed(g, ep, &e);
+	bool has_results = add_call_results(g, ep, &e);
 
-	if (gate_speed_report(g, ep, &e) || failed)
+	if (gate_speed_report(g, ep, &e) || has_results)
 		g_array_append_val(r->results, e);
 }
 
+/* Whether the report is worth sending. Keeps a hash of it, for the next one. */
 static bool has_changes(struct gate *g, const struct gate_report *r)
 {
 	GString *bytes = g_string_new(NULL);
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -20,7 +20,7 @@
 	/* Requests an adapter from an agent; false: it can't be reached. */
 	bool (*request_adapter)(void *arg, const char *agent,
 				const struct msg_adapter *m);
-	/* Demand has changed; a report is due soon. */
+	/* Called when demand has changed; a report is due soon. */
 	void (*demand_changed)(void *arg);
 	/* Asks the leader to allow a trial run of a quarantined request; false:
 	 * no leader is known. */
@@ -66,22 +66,24 @@
  * takes a reference. */
 void gate_set_routing(struct gate *g, struct routing *r);
 uint64_t gate_routing_version(const struct gate *g);
-/* A confirmed leader reported the version in force; the leader was lost. The
- * gate derives from these whether its routing may be out of date. */
+/* Called when a confirmed leader has reported the version in force, and when
+ * the leader was lost. The gate derives from these whether its routing may be
+ * out of date. */
 void gate_routing_reported(struct gate *g, uint64_t version);
 void gate_leader_lost(struct gate *g);
 /* Whether its routing is so old that it refuses all requests. */
 bool gate_is_stale(const struct gate *g);
 
-/* The leader's report on endpoints and models. */
+/* Takes the leader's report on endpoints and models. */
 void gate_take_fleet(struct gate *g, const struct msg_fleet *m);
-/* The list of endpoints itself, while no leader is in contact. May drop entries
- * from the list. */
+/* Takes the list of endpoints itself, while no leader is in contact. May drop
+ * entries from the list. */
 void gate_take_list(struct gate *g, struct fleet_list *list);
 bool gate_knows_fleet(const struct gate *g);
 
 void gate_adapter_done(struct gate *g, const struct msg_adapter_done *m);
-/* The connection to an agent is lost, and with it pending replies. */
+/* Called when the connection to an agent is lost, and with it pending
+ * replies. */
 void gate_agent_lost(struct gate *g, const char *agent);
 
 /* Report of demand and open calls. Filled by gate_report(); the caller sends it
@@ -99,7 +101,8 @@
 
 /* Requests on which endpoints crash, and their quarantine. */
 
-/* A new leader was found, which has no reports of this entry yet. */
+/* Called when a new leader was found, which has no reports of this entry
+ * yet. */
 void gate_leader_found(struct gate *g);
 void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m);
 void gate_take_trial(struct gate *g, const struct msg_trial *m);
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -179,7 +179,7 @@
 	return (enum balance_refusal)at;
 }
 
-/* The best endpoint whose limit admits the request; NULL with an enum
+/* Returns the best endpoint whose limit admits the request; NULL with an enum
  * balance_refusal in at. */
 static struct gate_ep *take_best(struct gate *g, struct forward *f,
 				 struct candidates *c, int *at)
@@ -244,8 +244,8 @@
 	}
 }
 
-/* For a request that no other endpoint has room for: it waits for a limited
- * time, then goes to an engine at its start limit. */
+/* Chooses an engine at its start limit for a request that no other endpoint has
+ * room for, once that has waited for a limited time; NULL as above. */
 static struct gate_ep *take_start_limited(struct gate *g, struct forward *f,
 					  struct candidates *c, int *at)
 {
@@ -283,7 +283,8 @@
 		*none = why_none(at, &c);
 		gate_start_blocked(f, *none);
 	}
-	/* A slot becomes free soon: the caller needn't wait for that time. */
+	/* A slot becomes free soon, so a refused caller needn't wait until an
+	 * endpoint admits the request. */
 	if (found || at == BALANCE_FULL || at == BALANCE_START_LIMIT)
 		f->admit_ms = 0;
 	g_array_unref(c.start_limited);
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -6,8 +6,8 @@
 /* Time for the last bytes of an ended incarnation to arrive, ten round trips of
  * a slow link. After that calls that may be repeated are sent elsewhere. */
 #define LAST_BYTES_MS 500
-/* Increase of a failure share that is logged, in thousandths. */
-#define FAILING_LOG_STEP 100
+/* Increase of a failure rate that is logged, in thousandths. */
+#define FAILURE_RATE_LOG_STEP 100
 
 static void model_free(void *p)
 {
@@ -152,7 +152,7 @@
 	return h;
 }
 
-static void take_models(struct gate_ep *ep, const struct wire_list *list)
+static void update_models(struct gate_ep *ep, const struct wire_list *list)
 {
 	const struct held_model *m = list->items;
 
@@ -167,29 +167,29 @@
 }
 
 /* Takes an endpoint's reported number of calls; age_ms: age of the report. */
-static void take_load(struct gate *g, struct gate_ep *ep, int64_t calls,
-		      int64_t age_ms)
+static void update_load(struct gate *g, struct gate_ep *ep, int64_t calls,
+			int64_t age_ms)
 {
 	ep->reported_calls = calls;
 	ep->reported_ms = gate_now(g) - age_ms;
 	ep->sent_since = 0;
 }
 
-/* Takes the failure share seen by all entries, in thousandths; 0: no
- * information. */
-static void take_failing(struct gate *g, struct gate_ep *ep, int64_t of_whole)
+/* Takes the failure rate seen by all entries; 0: no information. */
+static void update_failure_rate(struct gate *g, struct gate_ep *ep,
+				int64_t permille)
 {
 	int64_t now = gate_now(g);
 	int64_t before = failure_rate_permille(&ep->reported_failure_rate, now);
 
-	failure_rate_received(&ep->reported_failure_rate, of_whole, now);
-	if (of_whole >= before + FAILING_LOG_STEP)
+	failure_rate_received(&ep->reported_failure_rate, permille, now);
+	if (permille >= before + FAILURE_RATE_LOG_STEP)
 		log_info("endpoint_fails",
 			 "addr=%s id=%s failing=%" PRId64 " own=%.2f", ep->addr,
-			 ep->self.id, of_whole, ep->failure_rate);
+			 ep->self.id, permille, ep->failure_rate);
 }
 
-static void take_endpoint(struct gate *g, const struct fleet_endpoint *e)
+static void update_endpoint(struct gate *g, const struct fleet_endpoint *e)
 {
 	struct gate_ep *ep = get_or_add_ep(g, e->addr);
 	char *id = ss_str_dup(e->id), *version = ss_str_dup(e->version);
@@ -211,15 +211,15 @@
 	ep->removing = e->draining;
 	ep->unreadable_ms = 0;
 	ep->loading = e->busy;
-	take_failing(g, ep, e->failure_rate);
+	update_failure_rate(g, ep, e->failure_rate);
 	gate_speed_received(g, ep, e->slowness);
 	gate_limit_received(g, ep, e->limit, e->limit_age);
 	if (e->tokens_total)
-		take_load(g, ep, e->running + e->waiting, e->age_ms);
-	take_models(ep, &e->held);
+		update_load(g, ep, e->running + e->waiting, e->age_ms);
+	update_models(ep, &e->held);
 }
 
-static void take_loads(struct gate *g, const struct wire_list *list)
+static void update_loads(struct gate *g, const struct wire_list *list)
 {
 	const struct fleet_load *x = list->items;
 
@@ -230,11 +230,11 @@
 		g_free(addr);
 		if (!ep)
 			continue;
-		take_failing(g, ep, x[i].failure_rate);
+		update_failure_rate(g, ep, x[i].failure_rate);
 		gate_speed_received(g, ep, x[i].slowness);
 		if (x[i].tokens_total)
-			take_load(g, ep, x[i].running + x[i].waiting,
-				  x[i].age_ms);
+			update_load(g, ep, x[i].running + x[i].waiting,
+				    x[i].age_ms);
 	}
 }
 
@@ -267,7 +267,7 @@
 	}
 }
 
-static void take_etas(struct gate *g, const struct wire_list *list)
+static void update_etas(struct gate *g, const struct wire_list *list)
 {
 	const struct fleet_eta *e = list->items;
 	int64_t now = gate_now(g);
@@ -310,10 +310,10 @@
 	if (m->full)
 		unlist_all(g);
 	for (size_t i = 0; i < m->endpoints.n; i++)
-		take_endpoint(g, &e[i]);
+		update_endpoint(g, &e[i]);
 	drop_unlisted(g);
-	take_loads(g, &m->loads);
-	take_etas(g, &m->etas);
+	update_loads(g, &m->loads);
+	update_etas(g, &m->etas);
 	if (m->full)
 		mark_fleet_known(g, "leader");
 	if (m->round > g->round) {
@@ -331,8 +331,8 @@
 	ep->draining = true;
 }
 
-static void take_instance(struct gate *g, struct gate_ep *ep,
-			  const struct fleet_instance *x)
+static void update_instance(struct gate *g, struct gate_ep *ep,
+			    const struct fleet_instance *x)
 {
 	struct fleet_incarnation reported = fleet_instance_incarnation(x);
 	enum fleet_relation how =
@@ -359,9 +359,9 @@
 		add_model(ep, ss_str(x->models->pdata[k]));
 }
 
-/* Takes the list for an endpoint that no readable entry names. */
-static void take_unlisted(struct gate *g, struct gate_ep *ep,
-			  const struct fleet_list *list)
+/* Suspends or drops an endpoint that no readable entry of the list names. */
+static void update_unlisted(struct gate *g, struct gate_ep *ep,
+			    const struct fleet_list *list)
 {
 	int64_t unread_ms =
 		ep->unreadable_ms ? gate_now(g) - ep->unreadable_ms : 0;
@@ -393,7 +393,7 @@
 		const struct fleet_instance *x = p;
 		struct gate_ep *ep = get_or_add_ep(g, ss_str(x->addr));
 
-		take_instance(g, ep, x);
+		update_instance(g, ep, x);
 		g_hash_table_add(seen, ep);
 	}
 	g_hash_table_unref(by_addr);
@@ -401,7 +401,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &p))
 		if (((struct gate_ep *)p)->known &&
 		    !g_hash_table_contains(seen, p))
-			take_unlisted(g, p, list);
+			update_unlisted(g, p, list);
 	g_hash_table_unref(seen);
 	drop_unlisted(g);
 	/* The endpoints of an incomplete list can be called, too. */
@@ -456,7 +456,7 @@
 	else
 		g_hash_table_remove(ep->calls, model);
 	ep->own_calls--;
-	/* The call is counted in one of these. */
+	/* The endpoint's load counts the call in one of these. */
 	if (ep->sent_since > 0)
 		ep->sent_since--;
 	else if (ep->reported_calls > 0)
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -39,7 +39,7 @@
 	int64_t draining_reported_ms; /* reported to the leader; 0: no */
 	int64_t backoff_until_ms;     /* 0: no backoff was requested */
 	bool backoff_reported;	      /* to the leader */
-	int64_t probe_ms; /* first request sent after a backoff; 0: none */
+	int64_t probe_ms; /* when the probe after a backoff was sent; 0: none */
 	struct endpoint_limit limit;
 	/* The limit that the leader knows is out of date or missing. */
 	bool limit_unreported;
@@ -47,7 +47,7 @@
 	int64_t limit_received_ms; /* in an answer here; 0: never */
 	int64_t next_grant_ms;	   /* no grant is available earlier */
 	double reserved; /* grants reserved for a waiting request; 0: none */
-	int64_t reserved_ms; /* reservation last confirmed */
+	int64_t reserved_ms; /* when a request last confirmed it */
 };
 
 /* An endpoint, as this gate knows it. */
@@ -60,16 +60,15 @@
 	bool draining;
 	bool removing;	       /* drains for removal, not for a restart */
 	int64_t unreadable_ms; /* list entry unreadable since; 0: readable */
-	bool loading;	       /* with a model, so it can't load an adapter */
-	GHashTable *models;    /* model -> struct gate_model */
-	GHashTable *calls; /* model -> GINT count of this gate's open calls */
-	int64_t own_calls; /* open calls of this gate, all models */
+	bool loading; /* or unloading a model; can't load an adapter then */
+	GHashTable *models; /* model -> struct gate_model */
+	GHashTable *calls;  /* model -> GINT count of this gate's open calls */
+	int64_t own_calls;  /* open calls of this gate, all models */
 	int64_t reported_calls, sent_since; /* as in struct balance_node */
 	int64_t reported_ms;
-	double failure_rate; /* failure share seen by this gate */
-	struct failure_rate
-		reported_failure_rate; /* failure share seen by all entries */
-	uint64_t answered, failed;     /* since the last report */
+	double failure_rate;			   /* seen by this gate */
+	struct failure_rate reported_failure_rate; /* seen by all entries */
+	uint64_t answered, failed;		   /* since the last report */
 	struct ss_breaker breaker;
 	int64_t unreachable_until_ms; /* no connects before, as one failed */
 	struct gate_signals signals;
@@ -77,9 +76,10 @@
 	struct start_limit start_limit;
 	/* Prompts of this gate's streams there, until their first event. */
 	int64_t open_prompts;
-	int64_t start_logged_ms; /* drop of the start limit; 0: not yet */
+	int64_t start_logged_ms; /* last log line of a cut of it; 0: none */
 	struct timing_pending open_timing;
-	/* First report of this incarnation; 0: it came with the fleet. */
+	/* When this incarnation was first reported; 0: before the fleet was
+	 * known. */
 	int64_t first_reported_ms;
 	struct speed speed;
 	double own_slowness; /* latest own slowness ratio; 0: not known */
@@ -110,7 +110,7 @@
 	struct routing_route *route;
 	struct routing_service *service;
 	struct customer *customer; /* NULL: unknown or not needed */
-	bool keyed;		   /* that routing has customer keys */
+	bool keyed;		   /* that routing version has customer keys */
 	double cost;		   /* against the customer's limit */
 	int64_t charged_ms;	   /* when the cost was spent; -1: not spent */
 	int64_t quota_waited_ms;   /* time spent waiting for a grant */
@@ -131,7 +131,7 @@
 	/* Timing of a stream's service, or of a plain request's route. */
 	struct stream_timing *timing;
 	struct model_queue *queue;     /* NULL: not queued */
-	enum admission_rule sent_rule; /* by which it was sent last */
+	enum admission_rule sent_rule; /* of the last send */
 	/* Sends. */
 	GPtrArray *tried; /* struct fleet_incarnation of endpoints tried */
 	unsigned int sends;
@@ -151,9 +151,10 @@
 	uint64_t resumed_key; /* key of the stream it resumes; 0: not named */
 	/* First and latest lookup of the version of the stream it resumes. */
 	int64_t lookup_first_ms, lookup_last_ms;
-	int64_t leader_reply_ms; /* latest; it may yet learn the version */
-	/* When the request is retried if it may be, as its endpoint is gone;
-	 * 0: its endpoint isn't gone. */
+	/* Latest reply of a leader that may still learn that version. */
+	int64_t leader_reply_ms;
+	/* When a request whose endpoint is gone is retried, if it may be; 0:
+	 * its endpoint isn't gone. */
 	int64_t lost_ms;
 	uint64_t ticket;   /* key of an agent's or the leader's pending reply */
 	bool prompt_open;  /* counts among its endpoint's open prompts */
@@ -174,25 +175,25 @@
 	 * or none possible. */
 	int64_t expected_ms;
 	struct upstream_call *up;
-	bool may_have_run; /* by an earlier send */
-	const char *why;
+	bool may_have_run;	/* an earlier send may have run */
+	const char *why;	/* reason of its end, for a log line */
 	int64_t retry_after_ms; /* retry delay given to the caller; 0: none */
 	/* The answer. */
 	int status;
 	bool is_events, started;
 	bool reading_paused; /* until the caller has caught up */
 	GString *headers;    /* to be passed on */
-	GString *withheld;   /* until the answer is certain */
-	int64_t length;
+	GString *withheld;   /* body bytes not passed on yet */
+	int64_t length;	     /* of the body, as the answer's head states it */
 	struct events events;
 	struct timing_mark event_mark; /* of this send; zeroed: no event yet */
 	/* The newest event, and the longest time between two events. */
 	uint64_t last_event;
 	int64_t last_event_ms, longest_pause_ms;
-	bool caller_delayed; /* since that event */
+	bool caller_delayed; /* since that event the caller read too slowly */
 };
 
-/* Metrics of a customer; all beyond the first hundreds share one set. */
+/* Metrics of a customer; customers beyond a limit share one set. */
 struct customer_counts {
 	uint64_t *requests, *spent, *over;
 };
@@ -209,7 +210,7 @@
 	bool changed;
 	/* Since when requests wait for a start limit; 0: none wait. */
 	int64_t start_wait_ms;
-	int64_t start_first_event_ms; /* expected then, until a first event */
+	int64_t start_first_event_ms; /* estimated time to a first event */
 	struct stream_timing timing;  /* of the model's streams */
 	struct timing_pending open_timing;
 	struct model_queue_group *group;
@@ -244,10 +245,14 @@
 	 * of plain answers, as the many answers of a fast route would hide a
 	 * slow one. */
 	GHashTable *timings;
-	GHashTable *forwards;
+	GHashTable *forwards;	   /* set of struct forward */
 	GHashTable *tickets;	   /* &ticket -> struct forward */
 	GHashTable *latency_hists; /* route name -> struct hist */
-	uint64_t seed, ticket, round, fence, last_incarnation_no;
+	uint64_t seed;
+	uint64_t ticket; /* last one given out */
+	uint64_t round;	 /* of the latest fleet message with this fence */
+	uint64_t fence;	 /* of the newest leader that sent one */
+	uint64_t last_incarnation_no;
 	GArray *startup_hold;	 /* until routing and fleet are known */
 	GPtrArray *crash_checks; /* struct crash_check: suspected crashes */
 	struct suspects *suspects;
@@ -255,7 +260,9 @@
 	uint64_t suspects_mark;	    /* up to which the leader knows them */
 	struct stream_log *streams; /* begun here, and versions seen here */
 	GArray *unnamed;	    /* struct unnamed_stream */
-	uint64_t streams_reported, streams_sent; /* marks */
+	/* Marks in it: up to which the leader knows the streams, and up to
+	 * which the report in progress has them. */
+	uint64_t streams_reported, streams_sent;
 	struct return_slots *refused_slots;
 	uint64_t *n_slots_given, *n_slots_beyond;
 	int64_t since_ms; /* start of this process */
@@ -265,8 +272,8 @@
 	bool fleet_known;
 	/* While a dispatch runs, requests that end don't start another. */
 	bool dispatching;
-	int64_t stop_end_ms; /* end of a planned stop; 0: none */
-	int64_t tidy_ms;
+	int64_t stop_end_ms;  /* end of a planned stop; 0: none */
+	int64_t tidy_ms;      /* last removal of expired state */
 	uint64_t report_hash; /* of the last report */
 	struct gate_speeds *speeds;
 	void *quota_client;		/* of customers' limits */
@@ -300,12 +307,13 @@
 			 const char *adapter);
 void gate_ep_add_adapter(struct gate_ep *ep, const char *model,
 			 const char *adapter);
-/* The endpoint reported that it lacks a model, or an adapter of it. */
+/* Removes a model that the endpoint reports as missing, or only an adapter of
+ * it. */
 void gate_ep_remove_model(struct gate_ep *ep, const char *model,
 			  const char *adapter);
 void gate_ep_begin_call(struct gate_ep *ep, const char *model);
 void gate_ep_end_call(struct gate_ep *ep, const char *model);
-/* Updates the failure share and the breaker. */
+/* Updates the failure rate and the breaker. */
 void gate_ep_note_result(struct gate *g, struct gate_ep *ep, bool failed);
 /* Takes the load that an answer reports. */
 void gate_ep_update_load(struct gate *g, struct gate_ep *ep,
@@ -328,10 +336,11 @@
 /* Called for the first event or a plain answer, before f->timing includes it.
  */
 void gate_speed_answered(struct forward *f);
-/* The request leaves its endpoint; counts if gate_speed_answered() wasn't
- * called. */
+/* Records the age of a request that leaves its endpoint before
+ * gate_speed_answered() was called for it. */
 void gate_speed_left(struct forward *f);
-/* The leader reported a slowness ratio, in thousandths; 0: no information. */
+/* Takes a slowness ratio that the leader reported, in thousandths; 0: no
+ * information. */
 void gate_speed_received(struct gate *g, struct gate_ep *ep, int64_t ratio);
 /* Adds the slowness seen since the last report if other entries need it;
  * false: nothing to add. */
@@ -348,11 +357,12 @@
 			   const struct platform_answer *a);
 void gate_limit_received(struct gate *g, struct gate_ep *ep, int64_t limit,
 			 int64_t age);
-/* The endpoint has a new incarnation. */
+/* Clears the signals of an endpoint that has a new incarnation. */
 void gate_signals_reset(struct gate *g, struct gate_ep *ep);
 /* Whether signals stay in force though the endpoint is no longer listed. */
 bool gate_signals_in_force(const struct gate *g, const struct gate_ep *ep);
-/* A request is sent to the endpoint. */
+/* Counts a request that is sent to the endpoint; the first after a backoff is a
+ * probe. */
 void gate_signals_on_send(struct gate *g, struct gate_ep *ep, int64_t now);
 /* Whether the endpoint takes any requests of this entry now. */
 bool gate_signals_admit(const struct gate *g, const struct gate_ep *ep);
@@ -365,56 +375,60 @@
 void gate_limits_tick(struct gate *g, int64_t now);
 
 /* gate_starts.c: limits of prompts in flight on engines */
-/* A new incarnation has no start limit and no prompts. */
+/* Clears the start limit and the count of prompts, for a new incarnation. */
 void gate_starts_reset(struct gate_ep *ep);
 /* Counts a stream's prompt at the endpoint until its first event. */
 void gate_start_begin(struct forward *f, struct gate_ep *ep);
-/* The first event came or the request left; may be called repeatedly. */
+/* Ends that count, at the first event or when the request leaves; may be called
+ * repeatedly. */
 void gate_start_done(struct forward *f);
-/* Time from sending to the first event. */
+/* Takes the time from sending to the first event. */
 void gate_start_first(struct forward *f, int64_t ms);
-/* Time between two events of one send. */
+/* Takes the time between two events of one send. */
 void gate_start_pause(struct forward *f, int64_t ms);
 /* Whether the engine's start limit allows this prompt. */
 bool gate_start_admits(const struct forward *f, const struct gate_ep *ep);
-/* Every engine with room is at its start limit; first_ms: time to a first event
- * there. True: the request waits; false: send it regardless. */
+/* Whether the request waits, as every engine with room is at its start limit;
+ * false: it is sent regardless. first_ms: expected time to a first event there.
+ */
 bool gate_start_waits(struct forward *f, int64_t first_ms);
-/* The request isn't sent, for this reason. If it heads its model queue and the
- * reason isn't a start limit, the queue no longer waits for one. */
+/* Notes why the request isn't sent. If it heads its model queue and the reason
+ * isn't a start limit, the queue no longer waits for one. */
 void gate_start_blocked(struct forward *f, enum balance_refusal none);
 /* Whether the request has waited long enough in a model queue that waits for
  * start limits. */
 bool gate_start_wait_over(const struct forward *f, int64_t now);
 
-/* startup_hold.c: startup hold */
+/* startup_hold.c: requests held until the routing and the fleet are known */
 GArray *startup_hold_new(void);
 /* Holds a request until the routing and the fleet are known; false: no more
  * requests are held, and it is to be refused. */
 bool startup_hold_request(struct gate *g, struct caller_call *c,
-			  struct ss_str body, int64_t came_ms);
+			  struct ss_str body, int64_t received_ms);
 /* Holds a request until a time on the clock, for a process whose routing may be
  * out of date. */
 bool startup_hold_until(struct gate *g, struct caller_call *c,
-			struct ss_str body, int64_t came_ms, int64_t until_ms);
-/* The caller has left. */
+			struct ss_str body, int64_t received_ms,
+			int64_t until_ms);
+/* Drops the held request of a caller that has left. */
 void startup_hold_drop(struct gate *g, const struct caller_call *c);
 /* Begins held requests anew: they are accepted, held further or refused. */
 void startup_hold_tick(struct gate *g);
 
 /* crash_checks.c: detects endpoints that crashed while running requests */
-/* The endpoint closed the connection before its answer was complete. */
+/* Begins to check whether the endpoint crashed: it closed the connection before
+ * its answer was complete. */
 void crash_check_begin(struct forward *f);
 void crash_checks_tick(struct gate *g, int64_t now);
 void crash_check_free(void *p);
 
 /* quarantine.c: requests that endpoints crashed under too often */
 const struct fingerprint *forward_fingerprint(struct forward *f);
-/* An endpoint crashed while running the request. incarnation_hash: names the
- * endpoint's incarnation in all processes. */
+/* Records that an endpoint crashed while running the request. incarnation_hash:
+ * the same for that incarnation in all processes. */
 void quarantine_note_crash(struct gate *g, const struct fingerprint *fp,
 			   uint64_t incarnation_hash);
-/* The request's answer is complete. */
+/* Records that the request's answer is complete. */
 void quarantine_note_answer(struct forward *f);
 /*
  * True: the request isn't to be sent now, as it was refused or the leader is
@@ -427,16 +441,16 @@
 void quarantine_tick(struct gate *g, int64_t now);
 
 /* begin.c */
-/* Accepts a request that came at a time on the clock. */
+/* Accepts a request that was received at a time on the clock. */
 void forward_begin(struct gate *g, struct caller_call *c, struct ss_str body,
-		   int64_t came_ms);
+		   int64_t received_ms);
 /* Binds the request to one of its route's services. */
 void forward_set_service(struct forward *f, struct routing_service *s);
 /* Sends the request, or queues it for an endpoint. */
 void forward_queue_or_send(struct forward *f);
 
 /* gate_quota.c: customers' limits */
-/* Frees a customer's queue of requests that wait for grants. */
+/* Frees a customer's queues of requests that wait for grants. */
 void quota_queues_free(void *queues);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
 /* Whether the request's customer has a limit. */
@@ -466,7 +480,8 @@
 int64_t forward_latest_send_ms(const struct forward *f);
 void forward_tick(struct forward *f, int64_t now);
 void forward_adapter_reply(struct forward *f, int64_t code, struct ss_str text);
-/* The process ends: answers the caller if that is still possible. */
+/* Ends the request with the process; answers the caller if that is still
+ * possible. */
 void forward_abort(struct forward *f);
 
 /* Version of a model queue while the version that began its streams isn't
@@ -484,11 +499,11 @@
  * lookup has begun, or it was refused and freed.
  */
 bool resume_lookup(struct forward *f);
-/* Model queue in which it waits. */
+/* Model queue in which the request waits. */
 struct model_queue *resume_queue(struct forward *f);
 void resume_tick(struct forward *f, int64_t now);
 void resume_tidy(struct gate *g, int64_t now);
-/* The first event of its answer is about to be passed on. */
+/* Called before the first event of the answer is passed on. */
 void resume_note_begin(struct forward *f);
 /* Whether the stream may be begun or resumed at the endpoint. */
 bool resume_fits(const struct forward *f, const struct gate_ep *ep);
@@ -496,8 +511,8 @@
 bool resume_hopeless(struct forward *f);
 
 /* answer_times.c: how long requests take, and which may begin before a stop */
-/* Events of the answer arrived; the answer ended; the request was abandoned
- * before its end. */
+/* Called when events of the answer arrive, when it ends, and when the request
+ * is abandoned before that. */
 void times_note_events(struct forward *f);
 void times_note_end(struct forward *f);
 void times_note_aborted(struct forward *f);
@@ -511,18 +526,19 @@
 
 /* retry_after.c: return slots of refused callers, as a delay in ms from now,
  * random within spread_ms; least_ms: for a single caller */
-/* The request's model, or plain service, is full or absent. */
+/* Returns the delay if the request's model, or plain service, is full or
+ * absent. */
 int64_t retry_after_model_ms(struct forward *f, int64_t least_ms,
 			     int64_t spread_ms);
-/* The limit of the request's customer is reached. */
+/* Returns the delay if the limit of the request's customer is reached. */
 int64_t retry_after_quota_ms(struct forward *f, int64_t least_ms,
 			     int64_t spread_ms);
-/* The request is sent for the first time. */
+/* Counts a request that is sent for the first time as served. */
 void retry_after_served(struct forward *f);
 
 /* answer.c */
 extern const struct upstream_ops forward_upstream_ops;
-/* The caller has read all output: resumes reading the answer. */
+/* Resumes reading the answer, as the caller has read all output. */
 void forward_unpause(struct forward *f);
 
 /* Shared by begin.c, forward.c and answer.c. */
@@ -534,11 +550,12 @@
 /* Ends with an answer of the gate itself and frees f. */
 void forward_refuse(struct forward *f, int status, const char *type,
 		    const char *why, int64_t retry_after_ms);
-/* A send failed: sends again, waits or ends. May free f. */
+/* Sends again, waits or ends after a failed send. May free f. */
 void forward_retry(struct forward *f, bool not_run, const char *why);
-/* The answer was passed on, complete or cut; frees f. */
+/* Ends a request whose answer was passed on, complete or cut; frees f. */
 void forward_end(struct forward *f, bool whole, const char *why);
-/* No connection was made, so the send isn't counted. May free f. */
+/* Retries a send for which no connection was made; it counts neither as a send
+ * nor as a retry. May free f. */
 void forward_not_sent(struct forward *f);
 /* Aborts what is pending for the request at its endpoint, an agent or the
  * leader; the endpoint no longer counts it. */
@@ -565,11 +582,12 @@
 void model_queues_clear(struct gate *g);
 
 /* gate.c */
-/* Timing of the service for a stream, of the route for a plain request. */
+/* Returns the timing of the service for a stream, of the route for a plain
+ * request. */
 struct stream_timing *gate_timing(struct gate *g, const struct forward *f);
 
 /* gate_retries.c */
-/* The leader reported the number of entries. */
+/* Takes the number of entries that the leader reported. */
 void gate_note_entries(struct gate *g, uint64_t entries);
 /* Adds a new request to its service's retry budget. */
 void forward_count_request(struct forward *f);
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -7,12 +7,13 @@
 
 /* Caps the expected wait for grants from which a refused caller's return slot
  * is chosen, as other callers may need less meanwhile. The slot may be later.
- * Callers of one slot return within the spread. */
+ */
 #define QUOTA_RETRY_MAX_MS 4000
+/* Callers of one slot return spread over this time. */
 #define QUOTA_RETRY_SPREAD_MS 300
-/* Part of its objective within which the tokens for a request must be expected,
- * or it is refused: a customer that sends too much then has some requests
- * served in time instead of all too late. */
+/* A request whose grant isn't expected within this part of its objective is
+ * refused: a customer that sends too much then has some requests served in time
+ * instead of all too late. */
 #define QUOTA_WAIT_SHARE 0.5
 /* A request that hasn't run is refunded if it was charged within this time. */
 #define REFUND_WINDOW_MS 500
@@ -74,7 +75,7 @@
 	f->g->quota_waiting--;
 }
 
-/* The request waits only for grants that are expected within this time. */
+/* Longest time that the request waits for a grant. */
 static int64_t max_wait_ms(const struct forward *f)
 {
 	return (int64_t)((double)f->route->objective_ms * QUOTA_WAIT_SHARE);
--- a/src/proxy/gate_retries.c
+++ b/src/proxy/gate_retries.c
@@ -30,8 +30,8 @@
 	return s;
 }
 
-/* The number only grows: an entry that is no longer counted may be partitioned
- * and still use its part of the slack. */
+/* Never lowers the number: an entry that is no longer counted may be
+ * partitioned and still use its part of the slack. */
 void gate_note_entries(struct gate *g, uint64_t entries)
 {
 	g->entries = MAX(g->entries, entries);
--- a/src/proxy/gate_signals.c
+++ b/src/proxy/gate_signals.c
@@ -36,8 +36,8 @@
 	double before = ep->signals.limit.per_s;
 	struct gate *g = f->g;
 
-	/* A missing limit means that it is over only in a signed answer to a
-	 * request that was sent under the limit. Other answers may be older, or
+	/* An answer without a limit ends the limit only if it is signed, and
+	 * its request was sent under the limit. Other answers may be older, or
 	 * not the endpoint's own. */
 	if (a->limit_per_s < 0 && (f->limit_per_s < 0 || !a->authentic))
 		return;
@@ -52,9 +52,9 @@
 }
 
 /*
- * If the leader states another limit than is known here, it hasn't received
- * that one yet, or is new: the entry that reported it to the previous leader
- * may have stopped. Then it is reported again.
+ * A leader that states another limit than is known here hasn't received that
+ * one yet, or is new, and the entry that reported it to the previous leader may
+ * have stopped. So the limit is reported again.
  */
 void gate_limit_received(struct gate *g, struct gate_ep *ep, int64_t limit,
 			 int64_t age)
@@ -169,8 +169,8 @@
 }
 
 /*
- * All requests that wait for the endpoint share one reservation: they are of
- * several model queues, and the first to ask after a grant has come uses it.
+ * All requests that wait for the endpoint share one reservation, as they are in
+ * several model queues. The first that is tried after a grant came uses it.
  */
 bool gate_limit_admits(struct forward *f, struct gate_ep *ep)
 {
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -100,7 +100,7 @@
 	       !f->reading_paused;
 }
 
-/* Adds a time to the next report to the other entries. */
+/* Adds the ratio of a response time to the next report to the other entries. */
 static void record_ratio(struct gate_ep *ep, double ms, double median)
 {
 	if (median > 0)
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -1,5 +1,5 @@
 /* Limits how many prompts of this entry an engine prefills at a time, and how
- * long other requests wait for that. */
+ * long requests wait for that limit. */
 #include "gate_int.h"
 
 #include "../base/log.h"
@@ -89,8 +89,8 @@
 	       start_limit_allows(&ep->start_limit, ep->open_prompts);
 }
 
-/* When a request of a model queue that waits for start limits is sent despite
- * them: early enough for its answer to begin within its objective. */
+/* Time on the clock at which a request that waits for a start limit is sent
+ * despite it: early enough for its answer to begin within its objective. */
 static int64_t wait_deadline_ms(const struct forward *f)
 {
 	const struct model_queue *l = f->queue;
--- a/src/proxy/model_queues.c
+++ b/src/proxy/model_queues.c
@@ -40,7 +40,7 @@
 	g_free(gr);
 }
 
-static void lane_free(void *p)
+static void model_queue_free(void *p)
 {
 	struct model_queue *l = p;
 
@@ -56,7 +56,7 @@
 	struct metrics *m = g->o.metrics;
 
 	g->model_queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-						lane_free);
+						model_queue_free);
 	g->groups = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					  group_free);
 	g_queue_init(&g->groups_waiting);
@@ -125,7 +125,7 @@
 			g_queue_push_tail_link(&g->groups_waiting, &gr->link);
 		g_queue_push_tail_link(&gr->waiting, &l->link);
 	}
-	/* The push can't fail: the queue has no length limit. */
+	/* The push can't fail, as the queue has no length limit. */
 	ss_queue_push(l->waiting, &f->item, NULL);
 	priority = priority_of(&f->item);
 	if (!*l->version)
@@ -135,7 +135,7 @@
 	(*g->n_waiting_by[priority])++;
 }
 
-/* The request has been taken out of its model queue. */
+/* Updates the counts and lists for a request that left its model queue. */
 static void note_removed(struct forward *f)
 {
 	struct model_queue *l = f->queue;
@@ -191,10 +191,10 @@
 
 const char *model_queue_rule(const struct forward *f)
 {
-	static const char *const turns[] = { "-", "order", "guaranteed",
+	static const char *const rules[] = { "-", "order", "guaranteed",
 					     "raised" };
 
-	return turns[f->sent_rule];
+	return rules[f->sent_rule];
 }
 
 /* Dispatching. */
--- a/src/proxy/startup_hold.c
+++ b/src/proxy/startup_hold.c
@@ -1,18 +1,20 @@
 /*
  * Startup hold: requests that arrive before this process knows the routing and
- * the endpoints are held instead of refused.
+ * the endpoints are held instead of refused; so are those that arrive while its
+ * routing may be out of date.
  */
 #include "gate_int.h"
 
 /*
  * A process that has just started has no routing and knows no endpoints until
- * it has found a leader. After a power loss that takes half a second, in which
- * the process can't know whether a request can be served. A caller that was
- * refused at once would use up its only retry before anybody could serve it,
- * and the new leader, which knows no demand yet, would load models one at a
+ * it has found a leader, which takes half a second after a power loss. In that
+ * time the process can't know whether a request can be served. A caller that
+ * was refused at once would use up its only retry before any entry could serve
+ * it, and the new leader, which knows no demand yet, would load models one at a
  * time as callers return. So requests are held for as long as it takes to elect
  * a leader (0.5 s) and to find it (1 s), counted from the start of the process.
- * After that there is no leader, and requests are refused at once.
+ * After that the process assumes that there is no leader, and refuses requests
+ * at once.
  */
 #define STARTUP_HOLD_MS 1500
 /* Requests held at a time: a tenth of the descriptors of a small VM. */
@@ -21,7 +23,7 @@
 struct held_request {
 	struct caller_call *call;
 	struct ss_str body;
-	int64_t arrived_ms;
+	int64_t received_ms;
 };
 
 GArray *startup_hold_new(void)
@@ -30,10 +32,10 @@
 }
 
 bool startup_hold_until(struct gate *g, struct caller_call *c,
-			struct ss_str body, int64_t arrived_ms,
+			struct ss_str body, int64_t received_ms,
 			int64_t until_ms)
 {
-	struct held_request e = { c, body, arrived_ms };
+	struct held_request e = { c, body, received_ms };
 
 	if (g->stop_end_ms || gate_now(g) >= until_ms ||
 	    g->startup_hold->len >= STARTUP_HOLD_MAX)
@@ -43,9 +45,9 @@
 }
 
 bool startup_hold_request(struct gate *g, struct caller_call *c,
-			  struct ss_str body, int64_t arrived_ms)
+			  struct ss_str body, int64_t received_ms)
 {
-	return startup_hold_until(g, c, body, arrived_ms,
+	return startup_hold_until(g, c, body, received_ms,
 				  g->since_ms + STARTUP_HOLD_MS);
 }
 
@@ -70,7 +72,7 @@
 		const struct held_request *e =
 			&g_array_index(held, struct held_request, i);
 
-		forward_begin(g, e->call, e->body, e->arrived_ms);
+		forward_begin(g, e->call, e->body, e->received_ms);
 	}
 	g_array_unref(held);
 }
