--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -183,8 +183,8 @@
 				  .version = ss_str(l->version),
 				  .arrivals = l->arrivals };
 
-	/* Includes requests that wait for a slot on a loaded replica: a
-	 * second replica would serve them. */
+	/* Includes requests that wait for a slot on an engine that has the
+	 * model: a second replica would serve them. */
 	waiting = ss_queue_length(l->waiting);
 	if (!*l->model || !strcmp(l->version, RESUME_UNVERSIONED) ||
 	    (!l->arrivals && !waiting && !l->reported))
--- a/src/proxy/gate_choose.c
+++ b/src/proxy/gate_choose.c
@@ -10,8 +10,8 @@
  * queue there keeps the slots busy between two calls. */
 #define SERVICE_FILL 2.0
 /* Calls a second for one model that a single engine can begin without pauses in
- * its other streams, as reading a prompt takes up to 60 ms. At a higher rate
- * calls are spread over engines. */
+ * its other streams, as the prefill of a prompt takes up to 60 ms. At a higher
+ * rate calls are spread over engines. */
 #define BURST_PER_S 10.0
 /* Older load reports are ignored. */
 #define LOAD_MAX_AGE_MS 2000
