--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -86,9 +86,9 @@
 	bufferevent_enable(c->bev, EV_READ | EV_WRITE);
 }
 
-/* Binds a socket that doesn't listen: the port is reserved, and connections to
+/* Binds a socket that doesn't listen, which reserves the port: connections to
  * it are refused. */
-static int hold_port(void)
+static int reserve_port(void)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	int fd = socket(AF_INET, SOCK_STREAM, 0), one = 1;
@@ -148,7 +148,7 @@
 	e->f = f;
 	e->seen = g_string_new(NULL);
 	e->conns = g_ptr_array_new();
-	e->port_fd = hold_port();
+	e->port_fd = reserve_port();
 	g_snprintf(e->id, sizeof(e->id), "i-%d", i);
 	e->version = "v1";
 	start_endpoint(f, i);
@@ -177,8 +177,8 @@
 
 /* The gate. */
 
-static bool need_adapter(void *arg, const char *agent,
-			 const struct msg_adapter *m)
+static bool request_adapter(void *arg, const char *agent,
+			    const struct msg_adapter *m)
 {
 	struct fix *f = arg;
 
@@ -187,12 +187,12 @@
 	return f->agents;
 }
 
-static void demand(void *arg)
+static void demand_changed(void *arg)
 {
 	((struct fix *)arg)->demands++;
 }
 
-static bool ask_trial(void *arg, const struct msg_trial *m)
+static bool request_trial(void *arg, const struct msg_trial *m)
 {
 	struct fix *f = arg;
 
@@ -200,7 +200,7 @@
 	return f->leads;
 }
 
-static bool ask_stream(void *arg, const struct msg_stream_request *m)
+static bool request_stream(void *arg, const struct msg_stream_request *m)
 {
 	struct fix *f = arg;
 
@@ -209,8 +209,8 @@
 	return f->leads;
 }
 
-static const struct gate_ops gate_table = { need_adapter, demand, ask_trial,
-					    ask_stream };
+static const struct gate_ops gate_ops_table = { request_adapter, demand_changed,
+						request_trial, request_stream };
 
 static const char routing_json[] =
 	"{\"version\":1,\"routes\":["
@@ -303,7 +303,7 @@
 				  .keys_trust_ms = x->keys_trust_ms,
 				  .memory = x->memory,
 				  .seed = 7,
-				  .ops = &gate_table,
+				  .ops = &gate_ops_table,
 				  .arg = f };
 
 	memset(f, 0, sizeof(*f));
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -71,14 +71,15 @@
 	int at;		/* endpoint with less load, which answers streams */
 	int demands;	/* calls of the gate's demand callback */
 	bool agents;	/* agents can be reached */
-	uint64_t asked; /* ticket of the last adapter request */
+	uint64_t asked; /* ticket of the last adapter request; 0: none */
 	bool leads;	/* a leader is known */
 	struct msg_trial trial;		  /* last request for a trial run */
 	struct msg_stream_request stream; /* last query for a version */
 	int streams_asked;
 };
 
-/* service: of both endpoints; NULL: the gate doesn't know the fleet. */
+/* Opens a gate. service: of both endpoints; NULL: the gate doesn't know the
+ * fleet. */
 void fix_open(struct fix *f, const char *service, const char *model);
 /* Opens a gate that knows neither routing nor fleet. */
 void fix_open_fresh(struct fix *f);
@@ -101,7 +102,8 @@
 void report_fleet(struct fix *f, const char *service, const char *model);
 /* Ends the endpoint's process: resets its connections and stops listening. */
 void crash_endpoint(struct fix *f, int i);
-/* The same in single steps. */
+/* The same in single steps. reset_oldest() resets one connection; false: there
+ * is none. */
 void stop_listening(struct fix *f, int i);
 bool reset_oldest(struct fix *f, int i);
 /* Starts a new incarnation, without a report to the gate. */
@@ -178,8 +180,9 @@
 	REQ("POST", path)                                                      \
 	"X-Model: m\r\nX-Token-Usage: 9," tokens "\r\n"                        \
 	"Content-Length: 0\r\n\r\n"
-#define TOKENS_AN_EVENT 6
-#define EVENTS_FOR(tokens) (((tokens) + TOKENS_AN_EVENT - 1) / TOKENS_AN_EVENT)
+#define TOKENS_PER_EVENT 6
+#define EVENTS_FOR(tokens)                                                     \
+	(((tokens) + TOKENS_PER_EVENT - 1) / TOKENS_PER_EVENT)
 /* Its caller is expected to leave after 2 s without an event. */
 #define POST_BRIEF                                                             \
 	REQ("POST", "/brief/x")                                                \
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -5,9 +5,9 @@
 	const char *label;
 	const char *request;
 	const char *service, *model;
-	struct reply first, second; /* of the endpoint with less load; other */
-	const char *want;	    /* in the caller's bytes */
-	const char *not_wanted;
+	/* Of the endpoint with less load, and of the other. */
+	struct reply first, second;
+	const char *want, *not_wanted; /* in the bytes that the caller gets */
 	int requests[ENDPOINTS];
 };
 
--- a/test/test_gate_admission.c
+++ b/test/test_gate_admission.c
@@ -153,7 +153,8 @@
 	}
 }
 
-/* A dispatch would examine the queues of all models ever requested. */
+/* Guards against a dispatch that examines the queues of all models ever
+ * requested. */
 static void dispatch_examines_only_nonempty_queues(void **state)
 {
 	struct fleet_eta etas[IDLE_MODELS] = { 0 };
--- a/test/test_gate_backoff.c
+++ b/test/test_gate_backoff.c
@@ -3,9 +3,9 @@
 
 #define BACKOFF_MS 3000
 /* The guarantee under test: from this long after an answer with a backoff until
- * the backoff ends, the endpoint gets at most MOST requests. */
+ * the backoff ends, the endpoint gets at most MAX_REQUESTS requests. */
 #define REACTION_MS 500
-#define MOST 2
+#define MAX_REQUESTS 2
 /* A draining endpoint gets no requests from this long after its signal. */
 #define DRAIN_REACTION_MS 3000
 /* A draining endpoint may finish its requests for this long. */
@@ -139,7 +139,7 @@
 		before = f.eps[0].requests;
 		send_requests(&f, x, REACTION_MS, BACKOFF_MS - 20, 50);
 		after = f.eps[0].requests;
-		if (after - before > MOST)
+		if (after - before > MAX_REQUESTS)
 			fail_msg("%s: %d requests during its backoff", x->label,
 				 after - before);
 		/* After the backoff it gets requests again. */
@@ -201,7 +201,7 @@
 }
 
 /* Guards against a caller that waits although its request can't be served
- * before its deadline, or that is told to return before the backoff ends. */
+ * before its deadline, or whose Retry-After ends before the backoff. */
 static void refusal_states_the_end_of_the_backoff(void **state)
 {
 	static const struct signal_case x = { "",	POST_ONCE, SHED_BACKOFF,
--- a/test/test_gate_customers.c
+++ b/test/test_gate_customers.c
@@ -1,5 +1,5 @@
-/* Which customer a request belongs to by its key, and what of that an endpoint
- * receives. */
+/* How a request's key determines its customer, and what an endpoint receives of
+ * both. */
 #include "gate_fix.h"
 
 #include "../src/core/freshness.h"
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -50,7 +50,7 @@
 	const struct limit_case *x;
 	int grant_requests;
 	GArray *arrivals[ENDPOINTS]; /* int64_t, time of each request */
-	int64_t first_request_ms;    /* time of the first request */
+	int64_t first_request_ms;    /* 0: there was none yet */
 };
 
 static void select_gate(struct cluster *c, int i)
@@ -194,7 +194,8 @@
 		c->first_request_ms = now;
 }
 
-/* A tick of all gates in simulated time; delivers what is in flight. */
+/* Runs a tick of all gates in simulated time, and delivers what is in flight.
+ */
 static void cluster_tick(struct cluster *c)
 {
 	c->f.clock.fake_ms += 10;
@@ -260,7 +261,7 @@
 	  false, 2.5, 20, NO_FAULT },
 	{ "fewer than one in a window", POST_ONCE, OK_LIMIT("0.1"), "web", "",
 	  false, 0.1, 50, NO_FAULT },
-	{ "repeats", GET_SAFE, FAILS_LIMIT("1"), "web", "", false, 1, 50,
+	{ "retries", GET_SAFE, FAILS_LIMIT("1"), "web", "", false, 1, 50,
 	  NO_FAULT },
 	{ "refusals", GET_SAFE, SHED_LIMIT("1"), "web", "", false, 1, 50,
 	  NO_FAULT },
--- a/test/test_gate_memory.c
+++ b/test/test_gate_memory.c
@@ -7,17 +7,17 @@
 /* The gate gives a quarter of its memory to request bodies. */
 #define BODIES_MEMORY (4 * ACCEPTED * BODY_BYTES)
 #define MEMORY (8u << 20) /* memory limit of the gate, in bytes */
-/* The gate gives half of its memory to unread responses. */
+/* The gate gives half of its memory to unread answers. */
 #define UNREAD_MAX (MEMORY / 2)
-/* By how much each connection may exceed UNREAD_MAX: one read, in bytes. */
+/* Bytes by which each connection may exceed UNREAD_MAX: one read. */
 #define READ_MAX (64u << 10)
 #define CALLERS 12
-/* Iterations of the event loop without a change that end fill_buffers(). */
-#define UNCHANGED_TURNS 100
-/* Size of a response, in bytes: more than kernel and gate buffer of it. */
-#define RESPONSE_BYTES (7u << 20)
+/* Rounds of the event loop without a change that end fill_buffers(). */
+#define UNCHANGED_ROUNDS 100
+/* Size of an answer, in bytes: more than the kernel and the gate buffer. */
+#define ANSWER_BYTES (7u << 20)
 
-static void fix_open_small(struct fix *f, size_t memory)
+static void fix_open_memory(struct fix *f, size_t memory)
 {
 	struct fix_options o = { .memory = memory };
 
@@ -63,7 +63,7 @@
 	int refused = 0, accepted = 0;
 
 	(void)state;
-	fix_open_small(&f, BODIES_MEMORY);
+	fix_open_memory(&f, BODIES_MEMORY);
 	script_answer(&f, 0, OK_TEXT, false, false);
 	script_answer(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < CALLERS; i++) {
@@ -90,14 +90,14 @@
 }
 
 /* Guards against connections that keep the memory of a large request after its
- * response. */
+ * answer. */
 static void answered_requests_free_memory(void **state)
 {
 	char *text = begin_post(BODY_BYTES, BODY_BYTES);
 	struct fix f;
 
 	(void)state;
-	fix_open_small(&f, BODIES_MEMORY);
+	fix_open_memory(&f, BODIES_MEMORY);
 	script_answer(&f, 0, OK_TEXT, false, false);
 	script_answer(&f, 1, OK_TEXT, false, false);
 	for (int i = 0; i < 2 * ACCEPTED; i++) {
@@ -111,9 +111,9 @@
 	fix_close(&f);
 }
 
-/* Waits separately for each part of the response, since UNTIL has a limit of
- * iterations. */
-static void read_response(struct fix *f, struct caller *c, size_t n)
+/* Waits separately for each part of the answer, since UNTIL has a limit of
+ * rounds. */
+static void read_answer(struct fix *f, struct caller *c, size_t n)
 {
 	while (c->got->len < n) {
 		size_t had = c->got->len;
@@ -127,7 +127,7 @@
 {
 	double before = -1, now = 0;
 
-	for (int unchanged = 0; unchanged < UNCHANGED_TURNS;) {
+	for (int unchanged = 0; unchanged < UNCHANGED_ROUNDS;) {
 		before = now;
 		run_loop_once(f);
 		now = metric(f, "ss_gate_unread_bytes ");
@@ -137,34 +137,34 @@
 }
 
 /* Guards against running out of memory because callers don't read their
- * responses, and against slow readers that block the responses of others. */
+ * answers, and against slow readers that block the answers of others. */
 static void slow_readers_dont_block_others(void **state)
 {
-	GString *response = g_string_new(NULL);
+	GString *answer = g_string_new(NULL);
 	struct caller *slow[CALLERS], *quick;
 	struct fix f;
 
 	(void)state;
-	g_string_printf(response,
+	g_string_printf(answer,
 			"HTTP/1.1 200 OK\r\n" HEAD "Content-Length: %u\r\n\r\n",
-			RESPONSE_BYTES);
-	for (size_t i = 0; i < RESPONSE_BYTES / 16; i++)
-		g_string_append(response, "0123456789abcdef");
-	fix_open_small(&f, MEMORY);
-	script_answer(&f, 0, response->str, false, false);
-	script_answer(&f, 1, response->str, false, false);
+			ANSWER_BYTES);
+	for (size_t i = 0; i < ANSWER_BYTES / 16; i++)
+		g_string_append(answer, "0123456789abcdef");
+	fix_open_memory(&f, MEMORY);
+	script_answer(&f, 0, answer->str, false, false);
+	script_answer(&f, 1, answer->str, false, false);
 	for (int i = 0; i < CALLERS; i++) {
 		slow[i] = call(&f, GET_SAFE);
 		bufferevent_disable(slow[i]->bev, EV_READ);
 	}
 	fill_buffers(&f);
 	quick = call(&f, GET_SAFE);
-	read_response(&f, quick, RESPONSE_BYTES);
+	read_answer(&f, quick, ANSWER_BYTES);
 	for (int i = 0; i < CALLERS; i++)
 		bufferevent_enable(slow[i]->bev, EV_READ);
 	for (int i = 0; i < CALLERS; i++)
-		read_response(&f, slow[i], RESPONSE_BYTES);
-	g_string_free(response, TRUE);
+		read_answer(&f, slow[i], ANSWER_BYTES);
+	g_string_free(answer, TRUE);
 	fix_close(&f);
 }
 
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -193,7 +193,7 @@
 	quota_fix_open(&l, CONFIG(ACME("1000")), "lm", "");
 	script_both(&l, OK_TEXT);
 	/* No endpoint has the model: the request is charged, waits, and is
-	 * refused when the gate stops. */
+	 * refused when the planned stop begins. */
 	c = call(&l.f, NIGHT_COST("300,100"));
 	for (int i = 0; i < 50; i++) {
 		exchange_grants(&l);
--- a/test/test_gate_retries.c
+++ b/test/test_gate_retries.c
@@ -80,7 +80,8 @@
 	fix_close(&f);
 }
 
-/* Guards against log lines that don't tell a spent budget from a new one. */
+/* Guards against log lines that don't distinguish a spent budget from a new
+ * one. */
 static void refused_retries_are_logged(void **state)
 {
 	const struct retries_case x = { "", 2000, ENTRIES, 0 };
--- a/test/test_gate_retry_after.c
+++ b/test/test_gate_retry_after.c
@@ -28,20 +28,22 @@
 	return *metrics_value(f->metrics, name, "");
 }
 
-/* Takes the gate's quota requests to the leader, and the number of the last. */
+/* Collects the gate's requests for grants, as a leader does. number: of the
+ * latest one; false: there was none yet. */
 static bool take_requests(struct fix *f, uint64_t *number)
 {
-	GArray *asks = g_array_new(FALSE, FALSE, sizeof(struct quota_request));
-
-	gate_quota_requests(f->gate, asks);
-	for (guint i = 0; i < asks->len; i++)
-		*number = g_array_index(asks, struct quota_request, i).number;
-	g_array_unref(asks);
+	GArray *grant_requests =
+		g_array_new(FALSE, FALSE, sizeof(struct quota_request));
+
+	gate_quota_requests(f->gate, grant_requests);
+	for (guint i = 0; i < grant_requests->len; i++)
+		*number = g_array_index(grant_requests, struct quota_request, i)
+				  .number;
+	g_array_unref(grant_requests);
 	return *number > 0;
 }
 
-/* The leader grants a customer enough for this number of requests, and more in
- * 400 ms. */
+/* Grants a customer enough for this number of requests, and more in 400 ms. */
 static void grant(struct fix *f, const char *customer, int requests,
 		  uint64_t *number)
 {
@@ -75,7 +77,7 @@
 	script_answer(f, 1, OK_TEXT, false, false);
 }
 
-/* One request is served from a grant that arrives while it waits. */
+/* Serves one request from a grant that arrives while it waits. */
 static void serve(struct fix *f, const char *customer, const char *text,
 		  uint64_t *number)
 {
@@ -86,7 +88,7 @@
 	UNTIL(f, received_ends_with(c, "hello"));
 }
 
-/* For one second, every second request is over the limit. */
+/* Sends requests for one second; every other one is over the limit. */
 static void exceed_limit(struct fix *f, uint64_t *number)
 {
 	for (int i = 0; i < 20; i++) {
@@ -132,7 +134,7 @@
 	fix_close(&f);
 }
 
-static void tell_running(struct fix *f, int64_t running, int64_t eta_ms)
+static void report_running(struct fix *f, int64_t running, int64_t eta_ms)
 {
 	struct held_model held = { .model = SS_LIT("m") };
 	struct fleet_endpoint e = { .addr = ss_str(f->eps[0].addr),
@@ -154,10 +156,10 @@
 	gate_take_fleet(f->gate, &m);
 }
 
-/* n callers wait for a full model until they are refused. */
+/* Lets n callers wait for a full model until they are refused. */
 static void refuse_full(struct fix *f, struct caller **c, int n)
 {
-	tell_running(f, 8, -1);
+	report_running(f, 8, -1);
 	for (int i = 0; i < n; i++)
 		c[i] = call(f, POST_BRIEF);
 	UNTIL(f, count(f, "ss_gate_waiting") == (uint64_t)n);
@@ -182,7 +184,7 @@
 	assert_true(s >= 0.4 && s < 0.6);
 	for (int i = 0; i < 20; i++) {
 		f.clock.fake_ms += 40;
-		tell_running(&f, 1, -1);
+		report_running(&f, 1, -1);
 		c[0] = call(&f, POST_BRIEF);
 		UNTIL(&f, received_ends_with(c[0], "hello"));
 	}
@@ -191,7 +193,7 @@
 		last = MAX(last, retry_after(c[i]));
 	assert_true(last > 1.2 && last < 2.2);
 	/* The model isn't held any more, and is being loaded. */
-	tell_running(&f, 0, 2500);
+	report_running(&f, 0, 2500);
 	c[0] = call(&f, POST_BRIEF);
 	UNTIL(&f, has_received(c[0], "HTTP/1.1 503 "));
 	s = retry_after(c[0]);
--- a/test/test_gate_slow_reports.c
+++ b/test/test_gate_slow_reports.c
@@ -2,7 +2,7 @@
 #include "gate_fix.h"
 
 #define FAST_MS 20
-#define SLOW 20000 /* thousandths: later than the route's objective */
+#define SLOW_PERMILLE 20000 /* of the median; later than the objective */
 
 static uint64_t count_ejections(struct fix *f)
 {
@@ -68,7 +68,7 @@
 	(void)state;
 	open_equal(&f);
 	assert_int_equal(chosen_endpoint(&f), 1);
-	send_slow_ratio(&f, 1, SLOW);
+	send_slow_ratio(&f, 1, SLOW_PERMILLE);
 	f.clock.fake_ms += 100;
 	for (int i = 0; i < 5; i++)
 		assert_int_equal(chosen_endpoint(&f), 0);
@@ -78,7 +78,7 @@
 	f.clock.fake_ms += 3000;
 	assert_int_equal(chosen_endpoint(&f), 1);
 	/* It isn't ejected if no other is faster. */
-	send_slow_ratio(&f, 1, SLOW);
+	send_slow_ratio(&f, 1, SLOW_PERMILLE);
 	f.eps[0].leaving = true;
 	f.clock.fake_ms += 100;
 	assert_int_equal(chosen_endpoint(&f), 1);
@@ -87,7 +87,7 @@
 
 /* Guards against reports of endpoints of usual speed, against entries that
  * don't report that a slow endpoint is fast again, and against a former
- * incarnation's ratio. */
+ * incarnation's ratio that still applies. */
 static void unusual_endpoints_are_reported(void **state)
 {
 	int64_t sum_ln;
@@ -118,8 +118,8 @@
 	fix_close(&f);
 }
 
-/* Guards against a stall that is reported only when it is over. A pending
- * request isn't counted in each report. */
+/* Guards against a stall that is reported only when it is over, and against a
+ * pending request that every report counts again. */
 static void stalled_requests_are_reported(void **state)
 {
 	int64_t sum_ln;
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -3,7 +3,7 @@
 
 #define SLOW_MS 1500
 #define FAST_MS 20
-#define REQUESTS 5 /* fewer than the other endpoint has served */
+#define REQUESTS 5 /* fewer than the other endpoint reports as running */
 #define OK_WITH_LOAD(figures)                                                  \
 	"HTTP/1.1 200 OK\r\n" HEAD "X-Server-Load: " figures                   \
 	"\r\nContent-Length: 5\r\n\r\nhello"
@@ -127,8 +127,8 @@
 	fix_close(&f);
 }
 
-/* Guards against times of a former incarnation that count for the new one, and
- * against a burst of requests to an engine that has just started. */
+/* Guards against response times of a former incarnation that count for the new
+ * one, and against a burst of requests to an engine that has just started. */
 static void restarted_engine_gets_a_slow_start(void **state)
 {
 	struct fix f;
@@ -158,8 +158,8 @@
 	bool shifts; /* most requests go to the other endpoint */
 };
 
-/* Guards against a work time reported by an endpoint that is ignored, and one
- * that is used although it is out of bounds or old. */
+/* Guards against a reported work time that is ignored, and against one that is
+ * used although it is out of bounds or old. */
 static void reported_work_time_shifts_requests(void **state)
 {
 	static const struct work_time_case cases[] = {
