--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -25,8 +25,12 @@
 #define STREAMS_MAX 16384
 
 /* In force until the first routing sets others. */
-static const struct callers_limits initial_limits = { 16 << 10, 4 << 20, 3000,
-						      15000 };
+static const struct callers_limits initial_limits = {
+	.head_bytes = 16 << 10,
+	.body_bytes = 4 << 20,
+	.head_timeout_ms = 3000,
+	.idle_timeout_ms = 15000,
+};
 
 struct stream_timing *gate_timing(struct gate *g, const struct forward *f)
 {
