--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -290,21 +290,21 @@
 
 void fix_open_with(struct fix *f, const struct fix_options *x)
 {
-	struct gate_options o = { .platform = &users_platform,
-				  .addr = "127.0.0.1:0",
-				  .domain = "here",
-				  .retry_ratio = x->retry_ratio > 0 ?
-							 x->retry_ratio :
-							 10,
-				  .retry_window_ms = 10000,
-				  .retry_slack = x->retry_slack,
-				  .adapter_wait_ms = 400,
-				  .patience = { 2000, 4, 8 },
-				  .keys_trust_ms = x->keys_trust_ms,
-				  .memory = x->memory,
-				  .seed = 7,
-				  .ops = &gate_ops_table,
-				  .arg = f };
+	struct gate_options o = {
+		.platform = &users_platform,
+		.addr = "127.0.0.1:0",
+		.domain = "here",
+		.retry_ratio = x->retry_ratio > 0 ? x->retry_ratio : 10,
+		.retry_window_ms = 10000,
+		.retry_slack = x->retry_slack,
+		.adapter_wait_ms = 400,
+		.patience = { .ms = 2000, .objectives = 4, .pauses = 8 },
+		.keys_trust_ms = x->keys_trust_ms,
+		.memory = x->memory,
+		.seed = 7,
+		.ops = &gate_ops_table,
+		.arg = f
+	};
 
 	memset(f, 0, sizeof(*f));
 	f->clock.fake_ms = 100000;
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -183,7 +183,7 @@
 #define TOKENS_PER_EVENT 6
 #define EVENTS_FOR(tokens)                                                     \
 	(((tokens) + TOKENS_PER_EVENT - 1) / TOKENS_PER_EVENT)
-/* Its caller is expected to leave after 2 s without an event. */
+/* A stream whose caller is expected to leave after 2 s without an event. */
 #define POST_BRIEF                                                             \
 	REQ("POST", "/brief/x")                                                \
 	"X-Model: m\r\nX-Deadline-Ms: 8000\r\nContent-Length: 0\r\n\r\n"
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -59,6 +59,7 @@
 	  "hello",
 	  "500",
 	  { 1, 1 } },
+	/* 503, 429 and 408 say that the request hasn't run. */
 	{ "503 of a call that may have run becomes 502",
 	  POST_ONCE,
 	  "web",
@@ -321,7 +322,7 @@
 				 "Transfer-Encoding: chunked\r\n\r\n"
 				 "0\r\n\r\nPOST /once/y HTTP/1.1\r\n\r\n",
 	  "HTTP/1.1 400 " },
-	{ "two headers of length",
+	{ "two different lengths",
 	  REQ("POST", "/once/x") "Content-Length: 3\r\n"
 				 "Content-Length: 9\r\n\r\nabc",
 	  "HTTP/1.1 400 " },
@@ -392,8 +393,8 @@
 
 /*
  * Calls would go to a draining endpoint for seconds if the choice ignored the
- * leader's report that it drains. It has the lower load of two endpoints, and
- * requests wait at neither.
+ * leader's report that it drains, as it has less load than the other endpoint.
+ * Requests wait at neither.
  */
 static void draining_endpoint_gets_no_new_calls(void **state)
 {
--- a/test/test_gate_list.c
+++ b/test/test_gate_list.c
@@ -140,7 +140,7 @@
 		fail_msg("%s: %d calls", c->label, n);
 	if (c->keeps_connection && e->closed)
 		fail_msg("%s: its connections were closed", c->label);
-	/* Its entry is readable again. */
+	/* The entry is readable again. */
 	read_list(&f, i, READ);
 	if (!calls_to(&f, i))
 		fail_msg("%s: it gets no calls afterwards", c->label);
@@ -194,7 +194,7 @@
 		script_answer(&f, 1, OK_TEXT, false, false);
 		read_list(&f, i, UNKNOWN_SERVICE);
 		assert_int_equal(calls_to(&f, i), 0);
-		/* Its entry is corrected. */
+		/* The entry is corrected. */
 		read_list(&f, i, READ);
 		read_list(&f, !i, MISSING);
 		assert_true(calls_to(&f, i) > 0);
--- a/test/test_gate_slow_reports.c
+++ b/test/test_gate_slow_reports.c
@@ -77,7 +77,7 @@
 	assert_int_equal(count_ejections(&f), 1);
 	f.clock.fake_ms += 3000;
 	assert_int_equal(chosen_endpoint(&f), 1);
-	/* It isn't ejected if no other is faster. */
+	/* An endpoint isn't ejected if no other is faster. */
 	send_slow_ratio(&f, 1, SLOW_PERMILLE);
 	f.eps[0].leaving = true;
 	f.clock.fake_ms += 100;
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -60,7 +60,8 @@
 	assert_int_equal(count_ejections(&f), 1);
 	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
 	assert_int_equal(count_ejections(&f), 1);
-	/* It is probed after a while, and not ejected once it is fast. */
+	/* The engine is probed after a while, and not ejected once it is fast.
+	 */
 	f.clock.fake_ms += 8000;
 	run_streams(&f, 1, FAST_MS);
 	f.clock.fake_ms += 100;
@@ -144,7 +145,7 @@
 		ask_endpoint(&f, "m", POST_URGENT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests == before + i);
 	}
-	/* It gets about one in twenty, at random. */
+	/* The new incarnation gets about one in twenty, at random. */
 	assert_in_range(f.eps[1].requests, 3, 3 + REQUESTS - 2);
 	f.clock.fake_ms += 3000;
 	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 1);
@@ -154,8 +155,8 @@
 
 struct work_time_case {
 	const char *label, *answer;
-	int64_t later_ms;
-	bool shifts; /* most requests go to the other endpoint */
+	int64_t gap_ms; /* between two requests */
+	bool shifts;	/* most requests go to the other endpoint */
 };
 
 /* Guards against a reported work time that is ignored, and against one that is
@@ -187,7 +188,7 @@
 			c = call(&f, POST_ONCE);
 			UNTIL(&f, has_received(c, "hello"));
 			first = f.eps[0].requests - 1;
-			f.clock.fake_ms += x->later_ms;
+			f.clock.fake_ms += x->gap_ms;
 		}
 		if (x->shifts ? first > REQUESTS - 2 : first < REQUESTS)
 			fail_msg("%s: %d requests", x->label, first);
