--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -48,7 +48,9 @@
 static void quota_fix_open(struct quota_fix *l, const char *config,
 			   const char *service, const char *model)
 {
-	struct quota_options o = { { 8, 0.1, 1000 } };
+	struct quota_options o = {
+		.overage = { .window_s = 8, .ratio = 0.1, .extra = 1000 }
+	};
 
 	fix_open(&l->f, service, model);
 	l->r = routing_read(users_platform.routing, ss_str(config), NULL);
