--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -48,7 +48,9 @@
 static void quota_fix_open(struct quota_fix *l, const char *config,
 			   const char *service, const char *model)
 {
-	struct quota_options o = { { 8, 0.1, 1000 } };
+	struct quota_options o = {
+		.overage = { .window_s = 8, .ratio = 0.1, .extra = 1000 }
+	};
 
 	fix_open(&l->f, service, model);
 	l->r = routing_read(users_platform.routing, ss_str(config), NULL);
@@ -193,7 +195,7 @@
 	quota_fix_open(&l, CONFIG(ACME("1000")), "lm", "");
 	script_both(&l, OK_TEXT);
 	/* No endpoint has the model: the request is charged, waits, and is
-	 * refused when the gate stops. */
+	 * refused when the planned stop begins. */
 	c = call(&l.f, NIGHT_COST("300,100"));
 	for (int i = 0; i < 50; i++) {
 		exchange_grants(&l);
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -3,7 +3,7 @@
 
 #define SLOW_MS 1500
 #define FAST_MS 20
-#define REQUESTS 5 /* fewer than the other endpoint has served */
+#define REQUESTS 5 /* fewer than the other endpoint reports as running */
 #define OK_WITH_LOAD(figures)                                                  \
 	"HTTP/1.1 200 OK\r\n" HEAD "X-Server-Load: " figures                   \
 	"\r\nContent-Length: 5\r\n\r\nhello"
@@ -60,7 +60,8 @@
 	assert_int_equal(count_ejections(&f), 1);
 	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 0);
 	assert_int_equal(count_ejections(&f), 1);
-	/* It is probed after a while, and not ejected once it is fast. */
+	/* The engine is probed after a while, and not ejected once it is fast.
+	 */
 	f.clock.fake_ms += 8000;
 	run_streams(&f, 1, FAST_MS);
 	f.clock.fake_ms += 100;
@@ -127,8 +128,8 @@
 	fix_close(&f);
 }
 
-/* Guards against times of a former incarnation that count for the new one, and
- * against a burst of requests to an engine that has just started. */
+/* Guards against response times of a former incarnation that count for the new
+ * one, and against a burst of requests to an engine that has just started. */
 static void restarted_engine_gets_a_slow_start(void **state)
 {
 	struct fix f;
@@ -144,7 +145,7 @@
 		ask_endpoint(&f, "m", POST_URGENT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests == before + i);
 	}
-	/* It gets about one in twenty, at random. */
+	/* The new incarnation gets about one in twenty, at random. */
 	assert_in_range(f.eps[1].requests, 3, 3 + REQUESTS - 2);
 	f.clock.fake_ms += 3000;
 	assert_int_equal(chosen_endpoint(&f, POST_URGENT, SLOW_MS), 1);
@@ -154,12 +155,12 @@
 
 struct work_time_case {
 	const char *label, *answer;
-	int64_t later_ms;
-	bool shifts; /* most requests go to the other endpoint */
+	int64_t gap_ms; /* between two requests */
+	bool shifts;	/* most requests go to the other endpoint */
 };
 
-/* Guards against a work time reported by an endpoint that is ignored, and one
- * that is used although it is out of bounds or old. */
+/* Guards against a reported work time that is ignored, and against one that is
+ * used although it is out of bounds or old. */
 static void reported_work_time_shifts_requests(void **state)
 {
 	static const struct work_time_case cases[] = {
@@ -187,7 +188,7 @@
 			c = call(&f, POST_ONCE);
 			UNTIL(&f, has_received(c, "hello"));
 			first = f.eps[0].requests - 1;
-			f.clock.fake_ms += x->later_ms;
+			f.clock.fake_ms += x->gap_ms;
 		}
 		if (x->shifts ? first > REQUESTS - 2 : first < REQUESTS)
 			fail_msg("%s: %d requests", x->label, first);
