--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -86,7 +86,7 @@
 
 /* Agents. */
 
-static void wait_free(void *p)
+static void adapter_request_free(void *p)
 {
 	struct msg_adapter *m = p;
 
@@ -145,7 +145,10 @@
 static const struct conn_ops agent_table = { agent_open, agent_message,
 					     agent_closed };
 
-static struct agent_conn *find_agent(struct fleet_entry *e, const char *addr)
+/* Returns the connection to an agent; opens it where there is none and the last
+ * attempt is long enough ago. */
+static struct agent_conn *agent_conn_for(struct fleet_entry *e,
+					 const char *addr)
 {
 	struct agent_conn *a = g_hash_table_lookup(e->agents, addr);
 	struct conn_options co = daemon_conn_options(e->d, &agent_table, e);
@@ -154,7 +157,8 @@
 		a = g_new0(struct agent_conn, 1);
 		a->addr = g_strdup(addr);
 		a->attempt_ms = INT64_MIN / 2;
-		a->pending = g_ptr_array_new_with_free_func(wait_free);
+		a->pending =
+			g_ptr_array_new_with_free_func(adapter_request_free);
 		g_hash_table_insert(e->agents, a->addr, a);
 	}
 	e->agent_hello = e->d->hello;
@@ -177,7 +181,7 @@
 
 	if (!*addr)
 		return false;
-	a = find_agent(e, addr);
+	a = agent_conn_for(e, addr);
 	a->used_ms = now_ms(e);
 	if (a->open)
 		return conn_send(a->conn, MSG_ADAPTER, m);
@@ -287,9 +291,9 @@
 	case MSG_FLEET:
 		e->leader_ms = now_ms(e);
 		gate_take_fleet(e->gate, &f->u.fleet);
-		/* Confirms the snapshot or change. The leader waits for that
-		 * before it unloads models, and before it sends more snapshots
-		 * than its send window holds. */
+		/* The report acknowledges the snapshot or change. The leader
+		 * waits for that before it unloads models, and before it sends
+		 * more snapshots than its send window holds. */
 		if (e->demand_due)
 			send_demand(e, now_ms(e));
 		break;
@@ -332,9 +336,9 @@
 	g_array_unref(requests);
 }
 
-/* Reports outcomes at once: the same request may crash another endpoint in the
- * meantime. */
-static void send_crashes(struct fleet_entry *e)
+/* Reports the outcomes of runs at once: the same request may crash another
+ * endpoint in the meantime. */
+static void send_run_outcomes(struct fleet_entry *e)
 {
 	struct gate_crash_report r;
 
@@ -429,7 +433,7 @@
 	(void)what;
 	gate_tick(e->gate);
 	routing_fetch_tick(e->routing);
-	send_crashes(e);
+	send_run_outcomes(e);
 	send_streams(e);
 	send_quota_requests(e, MSG_QUOTA_REQUEST, gate_quota_requests);
 	send_demand(e, now);
