--- a/src/daemon/fleet_leader.c
+++ b/src/daemon/fleet_leader.c
@@ -10,15 +10,15 @@
 #define LIST_POLL_MS 900
 /* Changes are batched for this long, which bounds the delay of a call. */
 #define PUSH_INTERVAL_MS 20
-/* Interval of pushes of changed loads: entries add the calls that they send
- * themselves. */
+/* Interval of pushes of changed loads. It is longer, as each entry adds the
+ * calls that it sends itself. */
 #define LOAD_PUSH_INTERVAL_MS 200
 /* Updates to entries take at most 1/PUSH_TIME_SHARE of the leader's time, but
  * delay a change by PUSH_PAUSE_MAX_MS at most. */
 #define PUSH_TIME_SHARE 10
 #define PUSH_PAUSE_MAX_MS 100
-/* Placement passes while no caller waits. The interval is a seventh of a load
- * from disk, the shortest step. A pass over a large fleet takes longer and its
+/* Interval of placement passes while no caller waits: a seventh of a load from
+ * disk, the shortest step. A pass over a large fleet takes longer and its
  * result changes no faster, so passes take at most 1/PLAN_TIME_SHARE of the
  * leader's time. */
 #define PLAN_INTERVAL_MS 50
@@ -135,7 +135,7 @@
 static void plan(struct fleet_leader *l, int64_t now)
 {
 	l->urgent = false;
-	fleet_work(l, WORK_PLANS, 1);
+	fleet_work_add(l, WORK_PLANS, 1);
 	fleet_expire_demand(l, now);
 	fleet_steps_plan(l, now);
 	l->plan_ms = fleet_leader_now(l);
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -25,13 +25,14 @@
 /* A placement step in progress: models that an engine unloads, and the one
  * that it loads. */
 struct step_run {
-	bool on;
+	bool active;
 	uint64_t number;
 	struct fleet_step plan;
 	GPtrArray *unload; /* char * */
 	char *load;
 	bool sent;	/* to the agent */
-	uint64_t round; /* entries that confirmed it send no new calls */
+	uint64_t round; /* entries that acknowledged it send no new calls to
+			   the models to unload */
 	int64_t since_ms, sent_ms;
 	size_t concurrent_loads; /* store loads in progress when this
 				    step was sent, including its own */
@@ -82,9 +83,9 @@
 
 /* Requests of one entry that wait for one model. */
 struct entry_wait {
-	uint64_t waiting; /* number of requests */
-	int64_t due_ms;	  /* earliest deadline among them */
-	int64_t at_ms;	  /* when the entry reported them */
+	uint64_t waiting;    /* number of requests */
+	int64_t due_ms;	     /* earliest deadline among them */
+	int64_t reported_ms; /* when the entry reported them */
 };
 
 /* Demand for one model. With a version, only the demand of streams that this
@@ -110,10 +111,11 @@
 	GPtrArray *called_addrs; /* char *, addresses of endpoints with its
 				    calls */
 	GHashTable *demands;	 /* set of struct fleet_demand with its waits */
-	bool confirmed;	       /* a majority has answered since it connected */
-	bool has_snapshot;     /* the peer was sent a snapshot and all later
-				  changes */
-	size_t snapshot_bytes; /* size of the last snapshot sent */
+	bool confirmed;	   /* a majority of the control VMs has answered this
+			      leader since the peer connected */
+	bool has_snapshot; /* the peer was sent a snapshot and all later
+			      changes */
+	size_t snapshot_bytes;	   /* size of the last snapshot sent */
 	size_t snapshot_in_flight; /* bytes of that snapshot without
 				      acknowledgement */
 	uint64_t snapshot_round;   /* round whose acknowledgement covers them */
@@ -121,7 +123,8 @@
 	uint64_t routing_sent;	   /* last routing version sent to the peer */
 	uint64_t routing;	   /* routing version that the peer reports */
 	uint64_t round;		   /* last round that the peer acknowledged */
-	uint64_t suspects;	   /* mark of the suspects sent so far */
+	uint64_t suspects; /* mark in the changes of suspects, up to which they
+			      were sent */
 };
 
 /* Counters of the leader's work. */
@@ -182,8 +185,8 @@
 	GHashTable *streams_sent;   /* member -> mark of what was sent to it */
 	int64_t streams_sent_ms, streams_expired_ms;
 	uint64_t *n_streams, *n_stream_requests;
-	void *quota_allocator;	 /* allocator of customers' limits */
-	void *limit_allocator;	 /* allocator of endpoints' own limits */
+	void *quota_allocator;	 /* of grants from customers' limits */
+	void *limit_allocator;	 /* of grants from endpoints' own limits */
 	int64_t quota_pruned_ms; /* when both were last pruned */
 	uint64_t *n_quota_requests, *n_limit_requests;
 	uint64_t *n_work[FLEET_WORKS];
@@ -196,8 +199,8 @@
 	return ss_clock_now(&l->d->clock);
 }
 
-static inline void fleet_work(struct fleet_leader *l, enum fleet_work w,
-			      uint64_t n)
+static inline void fleet_work_add(struct fleet_leader *l, enum fleet_work w,
+				  uint64_t n)
 {
 	*l->n_work[w] += n;
 }
@@ -223,7 +226,7 @@
 
 /* Adds or removes an entry that waits for a model. */
 void fleet_demand_add_entry(struct fleet_demand *w, struct fleet_peer *p,
-			    const struct entry_wait *at);
+			    const struct entry_wait *wait);
 void fleet_demand_drop_entry(struct fleet_leader *l, struct fleet_demand *w,
 			     struct fleet_peer *p);
 /* Removes an entry from all models that it waits for. */
@@ -251,7 +254,7 @@
 			const struct fleet_ep *ep);
 /* True while the last report of the endpoint's agent is fresh. */
 bool fleet_ep_reported(const struct fleet_leader *l, const struct fleet_ep *ep);
-void fleet_demand_free(void *want);
+void fleet_demand_free(void *demand);
 /* Returns the fence that the owner of an engine puts on its orders. It
  * increases with each owner and with each leader. */
 uint64_t fleet_ep_fence(const struct fleet_leader *l,
@@ -297,7 +300,8 @@
 
 /* fleet_steps.c */
 void fleet_steps_plan(struct fleet_leader *l, int64_t now);
-/* Sends the steps that every entry has acknowledged, and abandons lost ones. */
+/* Sends each step once the models that it unloads have no more calls, or a
+ * timeout has passed; abandons lost steps. */
 void fleet_steps_run(struct fleet_leader *l, int64_t now);
 void fleet_steps_done(struct fleet_leader *l, struct fleet_ep *ep,
 		      const struct msg_loaded *m);
@@ -351,13 +355,13 @@
 /* fleet_push.c */
 /* Sends a snapshot of the fleet to the entries that have none. */
 void fleet_push_snapshots(struct fleet_leader *l);
-/* Update the send window: an entry has acknowledged a round, or its snapshot in
- * flight is lost or timed out. */
+/* Update the send window after an entry has acknowledged a round, and after its
+ * snapshot in flight is lost or has timed out. */
 void fleet_push_acked(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_lost(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_tick(struct fleet_leader *l, int64_t now);
 /* Sends the changes to all other entries; loads: also endpoints of which only
- * the load changed. */
+ * the load or the adapters changed. */
 void fleet_push_changes(struct fleet_leader *l, bool loads);
 
 #endif
--- a/src/daemon/fleet_listed.c
+++ b/src/daemon/fleet_listed.c
@@ -6,7 +6,7 @@
  * this long. */
 #define UNLISTED_DROP_MS 2500
 /* A new leader accepts an incomplete list after this long: three polls of the
- * list, and as long as it waits for its agents. */
+ * list, and the longest time for which preloading waits for agents. */
 #define PARTIAL_LIST_WAIT_MS 3000
 
 /* Incarnations. */
@@ -40,7 +40,8 @@
 
 /*
  * The list reports a new id long after the agent reported the new start time.
- * State that was received since for that start time holds; only the id is new.
+ * State received in between for that start time stays valid; only the id is
+ * new.
  */
 enum fleet_relation
 fleet_ep_set_incarnation(struct fleet_leader *l, struct fleet_ep *ep,
@@ -63,9 +64,10 @@
 /* The list. */
 
 /*
- * The list reports a restart a second or more late, while the engine's agent
- * asks the engine itself. Requests carry the id; with the list's outdated one
- * the engine would refuse all of them until the list catches up.
+ * True if the agent reports another id than the list, which shows a restart a
+ * second or more late, while the agent asks the engine itself. Requests carry
+ * the id; with the list's outdated one, the engine would refuse all of them
+ * until the list catches up.
  */
 static bool is_outdated(const struct fleet_leader *l, const struct fleet_ep *ep,
 			const struct fleet_incarnation *listed)
@@ -75,8 +77,8 @@
 }
 
 /*
- * A list item of an earlier incarnation still gives the address's service and
- * the fact that it is listed, but its models and its draining no longer hold.
+ * A list item of an earlier incarnation still shows that the address is listed,
+ * and for which service; its models and its draining state are outdated.
  */
 static void apply_instance(struct fleet_leader *l,
 			   const struct fleet_instance *i, int64_t now)
@@ -152,8 +154,8 @@
 		 * another time is missing from it. */
 		if (ep->listed && ep->listed_ms != now)
 			fleet_ep_unlisted(l, ep, all, now);
-		if (!ep->listed && !ep->conn && !ep->step.on && !ep->changed &&
-		    now - ep->listed_ms > UNLISTED_DROP_MS)
+		if (!ep->listed && !ep->conn && !ep->step.active &&
+		    !ep->changed && now - ep->listed_ms > UNLISTED_DROP_MS)
 			g_hash_table_iter_remove(&it);
 	}
 	/* With an incomplete list, endpoints that exist would be missing. */
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -9,9 +9,9 @@
 /*
  * A peer that reads nothing, or too slowly, gets no more changes, which would
  * pile up here for hundreds of such peers. It gets a new snapshot once it has
- * read what it was sent, since the old state is useless to it by then. A
- * snapshot may exceed PEER_BACKLOG_MAX; if it counted, each one in flight would
- * be followed by another.
+ * read what it was sent, since the older changes are useless to it by then. The
+ * last snapshot is allowed on top of PEER_BACKLOG_MAX, which it may exceed by
+ * itself: each snapshot in flight would otherwise be followed by another.
  */
 static bool has_backlog_room(const struct fleet_peer *p)
 {
@@ -50,8 +50,8 @@
 	GArray *etas;
 };
 
-/* Adds only the load and the failures of an endpoint: a tenth of its full
- * state, and the part that changes most. Plain services report no load. */
+/* Adds only the load, failure rate and slowness of an endpoint: a tenth of its
+ * full state, and the part that changes most. Plain services report no load. */
 static void push_load(struct fleet_leader *l, struct push *p,
 		      const struct fleet_ep *ep)
 {
@@ -86,7 +86,7 @@
 		.slots = ep->slots,
 		.unusable = !fleet_ep_usable(l, ep),
 		.gone = !ep->listed,
-		.busy = ep->report.busy || (ep->step.on && ep->step.sent),
+		.busy = ep->report.busy || (ep->step.active && ep->step.sent),
 		.failure_rate = failure_rate_permille(&ep->failures,
 						      fleet_leader_now(l)),
 		.slowness = fleet_slowness_ratio(&ep->slowness,
@@ -162,10 +162,10 @@
 	GString *frame = g_string_new(NULL);
 
 	frame_add(frame, MSG_FLEET, &m);
-	fleet_work(l, WORK_FRAMES, 1);
-	fleet_work(l, WORK_ENDPOINTS, p->eps->len);
-	fleet_work(l, WORK_LOADS, p->loads->len);
-	fleet_work(l, WORK_ETAS, p->etas->len);
+	fleet_work_add(l, WORK_FRAMES, 1);
+	fleet_work_add(l, WORK_ENDPOINTS, p->eps->len);
+	fleet_work_add(l, WORK_LOADS, p->loads->len);
+	fleet_work_add(l, WORK_ETAS, p->etas->len);
 	return frame;
 }
 
@@ -185,7 +185,7 @@
 	peer->has_snapshot = conn_send_frame(peer->conn, frame);
 	if (!peer->has_snapshot)
 		return;
-	fleet_work(l, WORK_SNAPSHOTS, 1);
+	fleet_work_add(l, WORK_SNAPSHOTS, 1);
 	peer->snapshot_in_flight = peer->snapshot_bytes = frame->len;
 	peer->snapshot_round = l->round;
 	peer->snapshot_ms = fleet_leader_now(l);
@@ -211,8 +211,8 @@
 	while (g_hash_table_iter_next(&at, NULL, &e))
 		push_add(l, &p, e);
 	add_etas(l, &p, true);
-	/* With a round of its own, a report that acknowledges the snapshot
-	 * can't have been sent before the snapshot arrived. */
+	/* The snapshot gets a round of its own, so that a report which
+	 * acknowledges it can't have been sent before the snapshot arrived. */
 	l->round++;
 	frame = encode_frame(l, &p, true);
 	g_hash_table_iter_init(&it, l->peers);
@@ -273,8 +273,8 @@
 			continue;
 		peer->has_snapshot = has_backlog_room(peer) &&
 				     conn_send_frame(peer->conn, frame);
-		fleet_work(l, WORK_SENDS, 1);
-		fleet_work(l, WORK_BYTES, frame->len);
+		fleet_work_add(l, WORK_SENDS, 1);
+		fleet_work_add(l, WORK_BYTES, frame->len);
 	}
 	g_string_free(frame, TRUE);
 }
--- a/src/daemon/fleet_quota.c
+++ b/src/daemon/fleet_quota.c
@@ -4,8 +4,8 @@
 
 #include <json-c/json.h>
 
-/* When an entry asks again about a customer that the routing here lacks, in ms:
- * the entry's routing may be newer. */
+/* Time in ms after which an entry repeats a request for a customer that the
+ * leader's routing lacks: the entry's routing may be newer. */
 #define UNKNOWN_RETRY_MS 200
 #define PRUNE_INTERVAL_MS 1000
 /* Maximum number of customers in a status, about 100 KB. */
@@ -32,12 +32,12 @@
 	quota_lease.allocator_free(l->limit_allocator);
 }
 
-/* An allocator, and how the owners of its limits are found. */
+/* An allocator, and the function that finds its limits. */
 struct quota_kind {
-	enum msg_kind answer;
+	enum msg_kind reply;
 	void *allocator;
-	/* Fills in the limit for the name in a request; false if the name is
-	 * unknown here. */
+	/* Fills in the limit for the name in a request; returns false if the
+	 * leader doesn't know the name. */
 	bool (*find)(struct fleet_leader *l, const char *name,
 		     struct customer *out);
 };
@@ -90,7 +90,7 @@
 	}
 	out.replies = (struct wire_list){ replies->data, replies->len };
 	if (replies->len)
-		conn_send(conn, k->answer, &out);
+		conn_send(conn, k->reply, &out);
 	g_array_unref(replies);
 }
 
@@ -140,7 +140,7 @@
 	quota_lease.allocator_prune(l->limit_allocator, now);
 }
 
-/* Returns a customer's status; of its keys only the number is shown. */
+/* Returns a customer's status, which shows only the number of its keys. */
 static json_object *status_of(struct fleet_leader *l, const struct customer *c)
 {
 	json_object *o = json_object_new_object();
--- a/src/daemon/fleet_remote.c
+++ b/src/daemon/fleet_remote.c
@@ -61,9 +61,9 @@
 	return at < 0 ? 0 : g_array_index(ids, uint64_t, at);
 }
 
-/* No control VM polls an engine during a backoff that the engine has asked an
- * entry for: a backoff applies to a VM, and the entry may run on the same VM as
- * the agent. */
+/* Sends a member the engines whose agents it runs, except those in backoff: a
+ * backoff that an engine has requested of an entry applies to the entry's VM,
+ * and the agent may run on the same one. */
 static void send_assignment(struct fleet_leader *l, uint64_t id, int64_t now)
 {
 	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct name_item));
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -47,7 +47,7 @@
 	g_free(addr);
 	if (!acquire_engine(l, ep, c, m->remote))
 		return;
-	fleet_work(l, WORK_AGENTS, 1);
+	fleet_work_add(l, WORK_AGENTS, 1);
 	ss_str_set(&ep->agent, m->agent);
 	if (!m->reachable) {
 		if (ep->reported)
@@ -86,9 +86,9 @@
 	char *version = ss_str_dup(m->version);
 	struct fleet_demand *w = fleet_demand_for(l, service, model, version);
 	int64_t now = fleet_leader_now(l);
-	struct entry_wait at = { .waiting = m->waiting,
-				 .due_ms = now + m->slack_ms,
-				 .at_ms = now };
+	struct entry_wait wait = { .waiting = m->waiting,
+				   .due_ms = now + m->slack_ms,
+				   .reported_ms = now };
 
 	g_free(service);
 	g_free(model);
@@ -97,7 +97,7 @@
 		fleet_rate_add(&w->rate, m->arrivals, now);
 	fleet_demand_drop_entry(l, w, p);
 	if (m->waiting) {
-		fleet_demand_add_entry(w, p, &at);
+		fleet_demand_add_entry(w, p, &wait);
 		/* Sends the wake time to a waiting entry at once. */
 		w->eta_changed = true;
 		l->urgent = true;
@@ -120,7 +120,7 @@
 	const struct endpoint_calls *e = list->items;
 
 	fleet_drop_calls(l, p);
-	fleet_work(l, WORK_VISITS, list->n);
+	fleet_work_add(l, WORK_VISITS, list->n);
 	for (size_t i = 0; i < list->n; i++) {
 		char *addr = ss_str_dup(e[i].addr);
 		struct fleet_ep *ep = g_hash_table_lookup(l->eps, addr);
@@ -218,7 +218,7 @@
 
 	if (!p)
 		return;
-	fleet_work(l, WORK_REPORTS, 1);
+	fleet_work_add(l, WORK_REPORTS, 1);
 	p->round = MAX(p->round, m->round);
 	fleet_peer_set_routing(l, p, m->routing);
 	fleet_push_acked(l, p);
@@ -241,7 +241,8 @@
 	while (g_hash_table_iter_next(&it, &c, &v)) {
 		struct fleet_peer *p = g_hash_table_lookup(l->peers, c);
 
-		if (now - ((struct entry_wait *)v)->at_ms <= WAIT_REPORT_TTL_MS)
+		if (now - ((struct entry_wait *)v)->reported_ms <=
+		    WAIT_REPORT_TTL_MS)
 			continue;
 		g_hash_table_iter_remove(&it);
 		if (p)
@@ -256,13 +257,13 @@
 
 	g_hash_table_iter_init(&it, l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &w)) {
-		const struct fleet_demand *want = w;
+		const struct fleet_demand *demand = w;
 
-		if (g_hash_table_size(want->waits))
+		if (g_hash_table_size(demand->waits))
 			expire_waits(l, w, now);
 		/* The demand of a model is kept; the demand of a version is
 		 * dropped with its last waiting entry. */
-		if (*want->version && !g_hash_table_size(want->waits))
+		if (*demand->version && !g_hash_table_size(demand->waits))
 			g_hash_table_iter_remove(&it);
 	}
 }
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -19,8 +19,9 @@
 /* Longest time for which an unload waits for running calls. After that it is
  * sent, and the engine waits for them itself. */
 #define UNLOAD_WAIT_MS 3000
-/* Time after a step's latest expected end at which it is abandoned. Its agent
- * keeps reporting while it runs the step. */
+/* A step is abandoned after STEP_TIMEOUT_FACTOR times its expected duration,
+ * plus this time. Its agent keeps reporting while it runs the step. */
+#define STEP_TIMEOUT_FACTOR 3
 #define STEP_SLACK_MS 6000
 /* Time after a failed load before it is retried on the same engine. */
 #define LOAD_RETRY_MS 2000
@@ -59,7 +60,7 @@
 
 bool fleet_step_unloads(const struct fleet_ep *ep, const char *model)
 {
-	return ep->step.on &&
+	return ep->step.active &&
 	       g_ptr_array_find_with_equal_func(ep->step.unload, model,
 						g_str_equal, NULL);
 }
@@ -72,9 +73,9 @@
 		   -1;
 }
 
-/* Returns the number of waiting callers at all entries; sets *slack_ms to the
- * time until the earliest deadline. */
-static uint32_t sum_waits(const struct fleet_demand *want, int64_t now,
+/* Returns the number of requests that wait at all entries; sets *slack_ms to
+ * the time until their earliest deadline. */
+static uint32_t sum_waits(const struct fleet_demand *demand, int64_t now,
 			  int64_t *slack_ms)
 {
 	uint32_t waiting = 0;
@@ -82,12 +83,12 @@
 	void *v;
 
 	*slack_ms = INT64_MAX;
-	g_hash_table_iter_init(&it, want->waits);
+	g_hash_table_iter_init(&it, demand->waits);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct entry_wait *at = v;
+		const struct entry_wait *wait = v;
 
-		waiting += (uint32_t)at->waiting;
-		*slack_ms = MIN(*slack_ms, at->due_ms - now);
+		waiting += (uint32_t)wait->waiting;
+		*slack_ms = MIN(*slack_ms, wait->due_ms - now);
 	}
 	return waiting;
 }
@@ -99,20 +100,20 @@
 
 	g_hash_table_iter_init(&it, w->l->demands);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct fleet_demand *want = p;
-		int m = *want->version && g_hash_table_size(want->waits) &&
-					!strcmp(want->service,
+		struct fleet_demand *demand = p;
+		int m = *demand->version && g_hash_table_size(demand->waits) &&
+					!strcmp(demand->service,
 						w->service->name) ?
-				model_index(w, want->model) :
+				model_index(w, demand->model) :
 				-1;
-		struct fleet_pin pin = { .version = want->version };
+		struct fleet_pin pin = { .version = demand->version };
 
 		if (m < 0)
 			continue;
 		pin.model = (uint32_t)m;
-		pin.waiting = sum_waits(want, w->now, &pin.slack_ms);
+		pin.waiting = sum_waits(demand, w->now, &pin.slack_ms);
 		g_array_append_val(w->pins, pin);
-		g_ptr_array_add(w->pinned, want);
+		g_ptr_array_add(w->pinned, demand);
 	}
 }
 
@@ -124,10 +125,10 @@
 					       struct routing_model, i),
 			.eta_ms = -1,
 		};
-		struct fleet_demand *want = fleet_demand_for(
+		struct fleet_demand *demand = fleet_demand_for(
 			w->l, w->service->name, m.spec->name, "");
-		m.rate = fleet_rate_at(&want->rate, w->now);
-		m.waiting = sum_waits(want, w->now, &m.slack_ms);
+		m.rate = fleet_rate_at(&demand->rate, w->now);
+		m.waiting = sum_waits(demand, w->now, &m.slack_ms);
 		g_array_append_val(w->models, m);
 	}
 }
@@ -189,10 +190,11 @@
 
 /* True if the engine's agent reports it, so that its memory use is known, and
  * nothing else occupies it. */
-static bool can_take_step(const struct fleet_leader *l,
-			  const struct fleet_ep *ep, int64_t now)
+static bool accepts_step(const struct fleet_leader *l,
+			 const struct fleet_ep *ep, int64_t now)
 {
-	return ep->conn && ep->reported && !ep->step.on && !ep->report.busy &&
+	return ep->conn && ep->reported && !ep->step.active &&
+	       !ep->report.busy &&
 	       now - ep->report_ms < FLEET_REPORT_MAX_AGE_MS &&
 	       fleet_ep_usable(l, ep) && !fleet_ep_throttled(l, ep);
 }
@@ -201,18 +203,18 @@
 static bool has_foreign_order(const struct fleet_leader *l,
 			      const struct fleet_ep *ep)
 {
-	return !ep->step.on && fleet_ep_reported(l, ep) && ep->report.busy;
+	return !ep->step.active && fleet_ep_reported(l, ep) && ep->report.busy;
 }
 
 static void add_node(struct service_view *w, struct fleet_ep *ep)
 {
 	bool usable = fleet_ep_usable(w->l, ep);
-	bool strained = fleet_ep_throttled(w->l, ep);
+	bool throttled = fleet_ep_throttled(w->l, ep);
 	struct fleet_node n = { .domain = ep->domain,
 				.version = ep->self.version,
-				.usable = usable && !strained,
+				.usable = usable && !throttled,
 				.suspended = fleet_ep_suspended(w->l, ep) ||
-					     (usable && strained),
+					     (usable && throttled),
 				.loading = -1,
 				.slots = w->service->slots,
 				.running = ep->report.running +
@@ -221,13 +223,13 @@
 
 	n.replicas = g_array_new(FALSE, FALSE, sizeof(struct fleet_replica));
 	n.foreign_order = has_foreign_order(w->l, ep);
-	n.accepts_step = can_take_step(w->l, ep, w->now);
+	n.accepts_step = accepts_step(w->l, ep, w->now);
 	n.tier = tiers;
 	if (ep->reported)
 		add_replicas(w, ep, &n);
 	mark_tier(w, tiers, ep->report.on_disk, TIER_DISK);
 	mark_tier(w, tiers, ep->report.in_memory, TIER_MEMORY);
-	if (ep->step.on && ep->step.load) {
+	if (ep->step.active && ep->step.load) {
 		n.loading = model_index(w, ep->step.load);
 		n.loading_tier = ep->step.plan.tier;
 		n.loading_left_ms = step_remaining_ms(ep, w->now);
@@ -261,7 +263,7 @@
 	if (load_failed_recently(ep, model, w->now))
 		return;
 	fleet_step_clear(ep);
-	r->on = true;
+	r->active = true;
 	r->number = ++w->l->steps;
 	r->plan = *s;
 	r->unload = g_ptr_array_new_with_free_func(g_free);
@@ -289,34 +291,34 @@
 static void on_blocked(void *arg, uint32_t model, const struct fleet_blocked *b)
 {
 	struct service_view *w = arg;
-	struct fleet_demand *want =
+	struct fleet_demand *demand =
 		fleet_demand_for(w->l, w->service->name, model_name(w, model),
 				 b->version ? b->version : "");
 
-	if (w->now - want->blocked_ms < BLOCKED_LOG_MS)
+	if (w->now - demand->blocked_ms < BLOCKED_LOG_MS)
 		return;
-	want->blocked_ms = w->now;
+	demand->blocked_ms = w->now;
 	log_info("model_blocked",
 		 "model=%s version=%s waiting=%u slack_ms=%" PRId64
 		 " copies=%u busy=%u full=%u others=%u store_closed=%d",
-		 want->model, b->version ? b->version : "-", b->waiting,
+		 demand->model, b->version ? b->version : "-", b->waiting,
 		 b->slack_ms, b->copies, b->copies_busy, b->copies_full,
 		 b->store_candidates, b->store_closed);
 }
 
 static const struct fleet_plan_ops plan_table = { begin_step, on_blocked };
 
-static void update_eta(struct service_view *w, struct fleet_demand *want,
+static void update_eta(struct service_view *w, struct fleet_demand *demand,
 		       int64_t eta_ms)
 {
 	int64_t eta = eta_ms < 0 ? -1 : w->now + eta_ms;
 
-	if ((eta < 0) != (want->eta_ms < 0) ||
-	    ABS(eta - want->eta_ms) > ETA_STEP_MS) {
-		want->eta_changed = true;
-		w->l->dirty |= g_hash_table_size(want->waits) > 0;
+	if ((eta < 0) != (demand->eta_ms < 0) ||
+	    ABS(eta - demand->eta_ms) > ETA_STEP_MS) {
+		demand->eta_changed = true;
+		w->l->dirty |= g_hash_table_size(demand->waits) > 0;
 	}
-	want->eta_ms = eta;
+	demand->eta_ms = eta;
 }
 
 static void update_etas(struct service_view *w)
@@ -466,7 +468,7 @@
 	return true;
 }
 
-/* True if the engine's agent has received the term that a step carries. */
+/* True if the engine's agent has been sent the term that a step carries. */
 static bool agent_knows_term(const struct fleet_leader *l,
 			     const struct fleet_ep *ep)
 {
@@ -526,14 +528,14 @@
 		const struct fleet_ep *ep = p;
 
 		n += has_foreign_order(l, ep) ||
-		     (ep->step.on && ep->step.sent &&
+		     (ep->step.active && ep->step.sent &&
 		      ep->step.plan.tier == TIER_REMOTE);
 	}
 	return n;
 }
 
-/* Updates the estimate of the store's speed from a load: once if it takes too
- * long, and when it ends. */
+/* Updates the estimate of the store's speed from a load, once: as soon as the
+ * load takes too long, or else when it ends. */
 static void observe_store(struct fleet_leader *l, struct step_run *s,
 			  int64_t took_ms, bool done)
 {
@@ -581,7 +583,7 @@
 
 void fleet_step_restarted(struct fleet_leader *l, struct fleet_ep *ep)
 {
-	if (!ep->step.on)
+	if (!ep->step.active)
 		return;
 	log_warn("step_lost", "step=%" PRIu64 " endpoint=%s restarted=1",
 		 ep->step.number, ep->addr);
@@ -592,7 +594,8 @@
 static void run_step(struct fleet_leader *l, struct fleet_ep *ep, int64_t now)
 {
 	struct step_run *s = &ep->step;
-	int64_t timeout_ms = s->plan.expected_ms * 3 + STEP_SLACK_MS;
+	int64_t timeout_ms =
+		s->plan.expected_ms * STEP_TIMEOUT_FACTOR + STEP_SLACK_MS;
 
 	if (!ep->conn || now - s->since_ms > timeout_ms + UNLOAD_WAIT_MS) {
 		/* The next report shows how much of the step was done. */
@@ -614,7 +617,7 @@
 
 	g_hash_table_iter_init(&it, l->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		if (((struct fleet_ep *)p)->step.on)
+		if (((struct fleet_ep *)p)->step.active)
 			run_step(l, p, now);
 }
 
@@ -624,7 +627,8 @@
 	struct step_run *s = &ep->step;
 	int64_t now = fleet_leader_now(l);
 
-	if (!s->on || s->number != m->step || m->fence != fleet_ep_fence(l, ep))
+	if (!s->active || s->number != m->step ||
+	    m->fence != fleet_ep_fence(l, ep))
 		return;
 	log_info("step_done",
 		 "step=%" PRIu64 " endpoint=%s load=%s ms=%" PRId64
--- a/src/daemon/fleet_streams.c
+++ b/src/daemon/fleet_streams.c
@@ -41,8 +41,8 @@
 
 void fleet_streams_apply(struct fleet_leader *l, const struct msg_streams *m)
 {
-	fleet_work(l, WORK_STREAMS,
-		   stream_wire_apply(l->streams, m, fleet_leader_now(l)));
+	fleet_work_add(l, WORK_STREAMS,
+		       stream_wire_apply(l->streams, m, fleet_leader_now(l)));
 }
 
 static void send_reply(struct fleet_leader *l, struct conn *c, uint64_t sub,
@@ -139,7 +139,7 @@
 				  items);
 	stream_wire_pack(&w, items);
 	*sent_mark = group_send(l->g, id, MSG_STREAMS, &w.m) ? mark : 0;
-	fleet_work(l, WORK_REPLICATIONS, 1);
+	fleet_work_add(l, WORK_REPLICATIONS, 1);
 	stream_wire_clear(&w);
 	g_array_unref(items);
 }
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -33,7 +33,7 @@
 	return suspects_remaining_ms(l->suspects, fp, now) >= 0;
 }
 
-/* Logs a request that wasn't quarantined before. */
+/* Logs a request that has just been quarantined. */
 static void log_quarantined(const struct fleet_leader *l,
 			    const struct fingerprint *fp, bool was_quarantined,
 			    const char *cause, int64_t now)
@@ -46,8 +46,8 @@
 			 suspects_remaining_ms(l->suspects, fp, now));
 }
 
-static void take_crash(struct fleet_leader *l, const struct run_outcome_item *x,
-		       int64_t now)
+static void record_crash(struct fleet_leader *l,
+			 const struct run_outcome_item *x, int64_t now)
 {
 	struct fingerprint fp = { x->fingerprint_hi, x->fingerprint_lo };
 	bool was_quarantined = is_quarantined(l, &fp, now);
@@ -103,7 +103,7 @@
 					  x[i].fingerprint_lo };
 
 		if (x[i].kind == OUTCOME_CRASHED)
-			take_crash(l, &x[i], now);
+			record_crash(l, &x[i], now);
 		else if (x[i].kind == OUTCOME_ANSWERED)
 			clear_suspect(l, &x[i], now);
 		else
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -154,7 +154,7 @@
 
 void fleet_drop_calls(struct fleet_leader *l, struct fleet_peer *p)
 {
-	fleet_work(l, WORK_VISITS, p->called_addrs->len);
+	fleet_work_add(l, WORK_VISITS, p->called_addrs->len);
 	for (guint i = 0; i < p->called_addrs->len; i++) {
 		struct fleet_ep *ep =
 			g_hash_table_lookup(l->eps, p->called_addrs->pdata[i]);
@@ -188,16 +188,16 @@
 }
 
 void fleet_demand_add_entry(struct fleet_demand *w, struct fleet_peer *p,
-			    const struct entry_wait *at)
+			    const struct entry_wait *wait)
 {
-	g_hash_table_replace(w->waits, p->conn, g_memdup2(at, sizeof(*at)));
+	g_hash_table_replace(w->waits, p->conn, g_memdup2(wait, sizeof(*wait)));
 	g_hash_table_add(p->demands, w);
 }
 
 void fleet_demand_drop_entry(struct fleet_leader *l, struct fleet_demand *w,
 			     struct fleet_peer *p)
 {
-	fleet_work(l, WORK_VISITS, 1);
+	fleet_work_add(l, WORK_VISITS, 1);
 	g_hash_table_remove(w->waits, p->conn);
 	g_hash_table_remove(p->demands, w);
 }
@@ -209,7 +209,7 @@
 
 	g_hash_table_iter_init(&it, p->demands);
 	while (g_hash_table_iter_next(&it, &w, NULL)) {
-		fleet_work(l, WORK_VISITS, 1);
+		fleet_work_add(l, WORK_VISITS, 1);
 		g_hash_table_remove(((struct fleet_demand *)w)->waits, p->conn);
 	}
 	g_hash_table_remove_all(p->demands);
