--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -14,10 +14,13 @@
 #include "../src/vmlist/instances.h"
 
 #define TICK_MS 20
-#define REPORT_MS 100
-#define REPORT_SAME_MS 1000
-#define AGENT_MS 1000
-#define LIST_MS 900
+/* Intervals of entries' reports, with and without changes, and of agents'
+ * reports. */
+#define REPORT_INTERVAL_MS 100
+#define REPORT_UNCHANGED_MS 1000
+#define AGENT_REPORT_MS 1000
+#define LIST_INTERVAL_MS 900
+/* Duration of a model load. */
 #define LOAD_MS 400
 /* Interval at which an entry handles limits, and the interval of its requests
  * for an engine that states a limit. */
@@ -44,11 +47,11 @@
 	/* Members of an entry's connection. */
 	GArray *calls;	/* struct call */
 	GArray *counts; /* uint64_t: arrivals by model since the last report */
-	uint64_t round; /* the latest received */
-	bool whole, report_now, report_due;
-	int wholes;
+	uint64_t round; /* latest round received */
+	bool has_snapshot, report_now, report_due;
+	int snapshots; /* number received */
 	uint64_t unread_round;
-	bool unread_whole;
+	bool unread_snapshot;
 	char *reported_addr; /* address of the last endpoint reported to it as
 				limited or draining */
 	int grants;	     /* granted by the leader, in thousandths */
@@ -66,10 +69,11 @@
 	GArray *on_disk; /* int */
 	int adapters;	 /* of its first model */
 	int running, orders;
-	int64_t slow; /* ratio last sent to entries; 0: none */
+	int64_t slowness; /* ratio last sent to entries, in thousandths;
+			     0: none */
 	int64_t report_ms;
 	bool report_due;
-	/* The order that it executes; done_ms is 0 if there is none. */
+	/* The order that the engine executes; done_ms is 0 if there is none. */
 	int64_t done_ms;
 	uint64_t step, fence;
 	int load;
@@ -96,14 +100,15 @@
 	double arrivals;
 	struct stream_log *streams, *follower;
 	struct fleet_world_streams stream_cost;
-	int64_t stream_reply; /* the leader's last */
+	int64_t stream_reply; /* last reply of the leader */
 	char *stream_version;
 	void *leader;
 	uint64_t seed;
 	struct fleet_world_cost cost;
 	GHashTable *work_seen;
-	int steps;
-	int grant_requests, admitted; /* grant requests; admitted requests */
+	int steps; /* sent to engines */
+	int grant_requests;
+	int admitted;
 	GHashTable *remote; /* set of addresses: engines whose agents are
 			       assigned to a member */
 	/* The frame that was decoded last. */
@@ -111,7 +116,7 @@
 	size_t frame_len;
 	int64_t frame_ms;
 	uint64_t frame_round;
-	bool frame_whole;
+	bool frame_snapshot;
 	char *frame_addr; /* the first endpoint in it with a limit, or draining
 			   */
 };
@@ -213,11 +218,11 @@
 }
 
 static void take_slowness(struct fleet_world *w, struct ss_str addr,
-			  int64_t slow)
+			  int64_t slowness)
 {
-	for (int i = 0; slow && i < w->o.engines; i++)
+	for (int i = 0; slowness && i < w->o.engines; i++)
 		if (ss_str_eq(addr, ss_str(w->engines[i].addr)))
-			w->engines[i].slow = slow;
+			w->engines[i].slowness = slowness;
 }
 
 static void read_slowness(struct fleet_world *w, const struct msg_fleet *m)
@@ -242,24 +247,24 @@
 	w->frame_len = frame->len;
 	w->frame_ms = w->d.clock.fake_ms;
 	w->frame_round = 0;
-	w->frame_whole = false;
+	w->frame_snapshot = false;
 	g_clear_pointer(&w->frame_addr, g_free);
 	if (!frame_decode((const uint8_t *)frame->str, frame->len, &f, NULL))
 		return;
 	if (f.kind == MSG_FLEET) {
 		w->frame_round = f.u.fleet.round;
-		w->frame_whole = f.u.fleet.full;
+		w->frame_snapshot = f.u.fleet.full;
 		w->frame_addr = first_reported(&f.u.fleet);
 		read_slowness(w, &f.u.fleet);
 	}
 	frame_done(&f);
 }
 
-/* A new round is confirmed at once. */
-static void take_frame(struct conn *c, uint64_t round, bool whole)
+/* Records a received frame; a new round is acknowledged at once. */
+static void take_frame(struct conn *c, uint64_t round, bool snapshot)
 {
-	c->whole |= whole;
-	c->wholes += whole;
+	c->has_snapshot |= snapshot;
+	c->snapshots += snapshot;
 	if (round <= c->round)
 		return;
 	c->round = round;
@@ -274,9 +279,9 @@
 	if (c->stopped) {
 		c->backlog += frame->len;
 		c->unread_round = MAX(c->unread_round, w->frame_round);
-		c->unread_whole |= w->frame_whole;
+		c->unread_snapshot |= w->frame_snapshot;
 	} else {
-		take_frame(c, w->frame_round, w->frame_whole);
+		take_frame(c, w->frame_round, w->frame_snapshot);
 		if (w->frame_addr) {
 			g_free(c->reported_addr);
 			c->reported_addr = g_strdup(w->frame_addr);
@@ -394,7 +399,7 @@
 	return g_strdup_printf("model-%d", i);
 }
 
-static GPtrArray *names_of(const GArray *models)
+static GPtrArray *model_names(const GArray *models)
 {
 	GPtrArray *out = g_ptr_array_new_with_free_func(g_free);
 
@@ -418,7 +423,7 @@
 			.addr = g_strdup(e->addr),
 			.domain = g_strdup_printf("domain-%d", i % 6),
 			.slots = 16,
-			.models = names_of(e->held),
+			.models = model_names(e->held),
 		};
 
 		g_array_append_val(all.instances, x);
@@ -462,8 +467,8 @@
 	c->calls = g_array_new(FALSE, FALSE, sizeof(struct call));
 	c->counts = g_array_new(FALSE, TRUE, sizeof(uint64_t));
 	g_array_set_size(c->counts, (guint)w->o.models);
-	c->report_ms =
-		w->d.clock.fake_ms + (int64_t)(ss_random(&w->seed) % REPORT_MS);
+	c->report_ms = w->d.clock.fake_ms +
+		       (int64_t)(ss_random(&w->seed) % REPORT_INTERVAL_MS);
 	return c;
 }
 
@@ -570,7 +575,7 @@
 static void add_calls(struct fleet_world *w, struct conn *c, GArray *out,
 		      GArray *held, GPtrArray *names)
 {
-	/* One row for each call: the leader sums them. */
+	/* One row for each call; the leader adds them up. */
 	for (guint i = 0; i < c->calls->len; i++) {
 		const struct call *k = &g_array_index(c->calls, struct call, i);
 		struct held_model h = { .calls = 1 };
@@ -601,9 +606,9 @@
 	GPtrArray *names;
 	struct msg_demand m = { .round = c->round, .routing = 1 };
 
-	c->report_ms = w->d.clock.fake_ms + REPORT_MS;
+	c->report_ms = w->d.clock.fake_ms + REPORT_INTERVAL_MS;
 	if (!c->report_now && !c->report_due &&
-	    w->d.clock.fake_ms - c->reported_ms < REPORT_SAME_MS)
+	    w->d.clock.fake_ms - c->reported_ms < REPORT_UNCHANGED_MS)
 		return;
 	c->reported_ms = w->d.clock.fake_ms;
 	c->report_now = c->report_due = false;
@@ -654,10 +659,10 @@
 
 int64_t fleet_world_sent_slowness(struct fleet_world *w, int engine)
 {
-	int64_t slow = w->engines[engine].slow;
+	int64_t slowness = w->engines[engine].slowness;
 
-	w->engines[engine].slow = 0;
-	return slow;
+	w->engines[engine].slowness = 0;
+	return slowness;
 }
 
 void fleet_world_report_limit(struct fleet_world *w, int entry, int engine,
@@ -733,7 +738,7 @@
 
 /* Engines. */
 
-static void hold(struct fleet_world *w, int engine, int model, bool on)
+static void set_held(struct fleet_world *w, int engine, int model, bool on)
 {
 	GArray *held = w->engines[engine].held;
 	GArray *holders = w->holders[model];
@@ -788,7 +793,7 @@
 	struct conn *c = w->agents->pdata[i];
 	struct engine *e = &w->engines[i];
 	GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-	GPtrArray *disk = names_of(e->on_disk);
+	GPtrArray *disk = model_names(e->on_disk);
 	GArray *adapters = adapter_list(e, names);
 	GArray *held = held_list(e, names, adapters);
 	GArray *copies = fleet_wire_names(disk);
@@ -802,7 +807,7 @@
 				  .started_ms = 1,
 				  .id = ss_str(e->id) };
 
-	e->report_ms = w->d.clock.fake_ms + AGENT_MS;
+	e->report_ms = w->d.clock.fake_ms + AGENT_REPORT_MS;
 	e->report_due = false;
 	m.held = (struct wire_list){ held->data, held->len };
 	m.on_disk = (struct wire_list){ copies->data, copies->len };
@@ -822,9 +827,9 @@
 				.took_ms = LOAD_MS };
 
 	for (guint k = 0; k < e->unload->len; k++)
-		hold(w, i, g_array_index(e->unload, int, k), false);
+		set_held(w, i, g_array_index(e->unload, int, k), false);
 	if (e->load >= 0)
-		hold(w, i, e->load, true);
+		set_held(w, i, e->load, true);
 	e->done_ms = 0;
 	report_engine(w, i);
 	deliver(w->agents->pdata[i], MSG_LOADED, &m, &w->cost.agents);
@@ -856,11 +861,11 @@
 	e->held = g_array_new(FALSE, FALSE, sizeof(int));
 	e->on_disk = g_array_new(FALSE, FALSE, sizeof(int));
 	e->unload = g_array_new(FALSE, FALSE, sizeof(int));
-	e->report_ms = (int64_t)(ss_random(&w->seed) % AGENT_MS);
+	e->report_ms = (int64_t)(ss_random(&w->seed) % AGENT_REPORT_MS);
 	for (int k = 0; k < MODELS_PER_ENGINE; k++) {
 		int model = k ? pick_model(w) : i % w->o.models;
 
-		hold(w, i, model, true);
+		set_held(w, i, model, true);
 	}
 	for (int k = 0; k < 4 * MODELS_PER_ENGINE; k++) {
 		int model = (int)(ss_random(&w->seed) % (uint64_t)w->o.models);
@@ -1009,12 +1014,13 @@
 static void request_grant(struct conn *c, int engine)
 {
 	struct endpoint_limit l = { LIMIT_PER_S, 1 };
-	struct customer who =
+	struct customer customer =
 		endpoint_limit_as_customer(&l, c->w->engines[engine].addr);
 	struct quota_need need = { 1, c->waiting_for_grant[engine], 2000 };
 	int64_t back;
-	enum quota_decision a = quota_lease.take(c->quota_clients, &who, &need,
-						 c->w->d.clock.fake_ms, &back);
+	enum quota_decision a = quota_lease.take(c->quota_clients, &customer,
+						 &need, c->w->d.clock.fake_ms,
+						 &back);
 
 	c->waiting_for_grant[engine] = a == QUOTA_WAIT;
 	c->w->admitted += a == QUOTA_ADMIT;
@@ -1079,7 +1085,7 @@
 	}
 }
 
-static void step(struct fleet_world *w)
+static void run_1ms(struct fleet_world *w)
 {
 	int64_t now = ++w->d.clock.fake_ms;
 	double from;
@@ -1092,7 +1098,7 @@
 		for (int i = 0; i < w->o.engines; i++)
 			run_engine(w, i);
 	}
-	if (now - w->list_ms >= LIST_MS) {
+	if (now - w->list_ms >= LIST_INTERVAL_MS) {
 		w->list_ms = now;
 		from = cpu_ms();
 		send_list(w);
@@ -1110,7 +1116,7 @@
 {
 	current_world = w;
 	while (ms--)
-		step(w);
+		run_1ms(w);
 }
 
 uint64_t fleet_world_work(struct fleet_world *w, const char *what)
@@ -1140,7 +1146,7 @@
 	int n = 0;
 
 	for (int i = 0; i < w->o.entries; i++)
-		n += ((struct conn *)w->entries->pdata[i])->whole;
+		n += ((struct conn *)w->entries->pdata[i])->has_snapshot;
 	return n;
 }
 
@@ -1196,8 +1202,8 @@
 
 	c->stopped = false;
 	c->backlog = 0;
-	take_frame(c, c->unread_round, c->unread_whole);
-	c->unread_whole = false;
+	take_frame(c, c->unread_round, c->unread_snapshot);
+	c->unread_snapshot = false;
 }
 
 size_t fleet_world_backlog(const struct fleet_world *w, int entry)
@@ -1205,9 +1211,9 @@
 	return ((struct conn *)w->entries->pdata[entry])->backlog;
 }
 
-int fleet_world_full_updates(const struct fleet_world *w, int entry)
+int fleet_world_snapshots(const struct fleet_world *w, int entry)
 {
-	return ((struct conn *)w->entries->pdata[entry])->wholes;
+	return ((struct conn *)w->entries->pdata[entry])->snapshots;
 }
 
 int fleet_world_steps(const struct fleet_world *w)
--- a/test/fleet_world.h
+++ b/test/fleet_world.h
@@ -37,7 +37,7 @@
 /* Returns the processor time since the last call. */
 struct fleet_world_cost fleet_world_cost(struct fleet_world *w);
 
-/* Returns the number of entries that have received the whole fleet. */
+/* Returns the number of entries that have received a snapshot of the fleet. */
 int fleet_world_informed(const struct fleet_world *w);
 /* Stops an entry's process and starts another in its place. */
 void fleet_world_restart_entry(struct fleet_world *w, int entry);
@@ -47,50 +47,53 @@
 void fleet_world_call(struct fleet_world *w, int entry, int model);
 /* Adds an adapter of the engine's first model, which its agent then reports. */
 void fleet_world_add_adapter(struct fleet_world *w, int engine);
-/* An entry reports that an engine has stated a limit (fleet_world_report_limit)
- * or that it is draining (fleet_world_report_draining).
- * fleet_world_count_informed returns the number of entries that the leader has
- * sent this to, fleet_world_request_grant the thousandths of a grant that an
- * entry gets for the engine when it requests one. */
+/* Report, as an entry, that an engine has stated a limit, or that it is
+ * draining. */
 void fleet_world_report_limit(struct fleet_world *w, int entry, int engine,
 			      double per_s);
 void fleet_world_report_draining(struct fleet_world *w, int entry, int engine);
+/* Returns the number of entries that the leader has sent the engine's limit or
+ * draining state to. */
 int fleet_world_count_informed(const struct fleet_world *w, int engine);
+/* Requests a grant from an engine's limit, as an entry; returns the granted
+ * requests, in thousandths. */
 int fleet_world_request_grant(struct fleet_world *w, int entry, int engine);
-/* fleet_world_report_slowness: an entry reports that an engine's answer took
- * ratio times the entry's median. fleet_world_sent_slowness returns the ratio
- * in thousandths that entries were sent since the last call; 0: none. */
+/* Reports, as an entry, that an engine's answer took ratio times the entry's
+ * median. */
 void fleet_world_report_slowness(struct fleet_world *w, int entry, int engine,
 				 double ratio);
+/* Returns the ratio in thousandths that entries were sent since the last call;
+ * 0: none. */
 int64_t fleet_world_sent_slowness(struct fleet_world *w, int engine);
-/* fleet_world_report_backoff: an entry reports that an engine has requested a
- * backoff. fleet_world_is_remote returns true if a control VM is assigned the
- * engine's agent. */
+/* Reports, as an entry, that an engine has requested a backoff. */
 void fleet_world_report_backoff(struct fleet_world *w, int entry, int engine,
 				int64_t ms);
+/* True if a control VM is assigned the engine's agent. */
 bool fleet_world_is_remote(const struct fleet_world *w, int engine);
-/* fleet_world_enable_limits: the first engines state limits from now on, and
- * all entries always have requests for them. fleet_world_admitted returns the
- * number of admitted requests since, fleet_world_grant_requests the number of
- * grant requests to the leader. */
+/* Makes the first engines state limits from now on; all entries always have
+ * requests for them. */
 void fleet_world_enable_limits(struct fleet_world *w);
+/* Returns the number of requests admitted by these limits. */
 int fleet_world_admitted(const struct fleet_world *w);
+/* Returns the number of grant requests that the leader received for them. */
 int fleet_world_grant_requests(const struct fleet_world *w);
 /* Restarts an engine under a new id; nothing else shows the restart. */
 void fleet_world_restart_engine(struct fleet_world *w, int engine);
 /* Returns the number of steps that were sent to an engine. */
 int fleet_world_orders(const struct fleet_world *w, int engine);
-/* Sets the version of this engine and all after it. */
+/* Restarts this engine and all after it with a version. */
 void fleet_world_set_version(struct fleet_world *w, int engine,
 			     const char *version);
-/* An entry reports n streams that began at a version, with keys from key on. */
+/* Reports, as an entry, n streams that began at a version, with keys from key
+ * on. */
 void fleet_world_streams(struct fleet_world *w, int entry, uint64_t key,
 			 uint64_t n, const char *version);
 /* Returns the leader's reply to an entry's request for a stream; sets *version
  * to the stream's version, "" if the reply has none. */
 int64_t fleet_world_request_stream(struct fleet_world *w, int entry,
 				   uint64_t key, const char **version);
-/* Replaces the leader by its follower, to which all entries connect. */
+/* Replaces the leader by its follower, to which all entries and agents
+ * connect. */
 void fleet_world_lose_leader(struct fleet_world *w);
 /* Messages on streams and their bytes, from entries to the leader and
  * from the leader to its follower, since the last call; and the number
@@ -100,22 +103,22 @@
 	size_t kept;
 };
 struct fleet_world_streams fleet_world_stream_cost(struct fleet_world *w);
-/* An entry reports callers that wait for a model at a version. */
+/* Reports, as an entry, a request that waits for a model at a version. */
 void fleet_world_wait_at(struct fleet_world *w, int entry, int model,
 			 const char *version);
 /* Returns true if an engine of that version holds the model. */
 bool fleet_world_holds_at(const struct fleet_world *w, int model,
 			  const char *version);
-/* Stops an entry from reading and sending; lets it continue. */
+/* Stop an entry from reading and sending, and let it continue. */
 void fleet_world_stop_entry(struct fleet_world *w, int entry);
 void fleet_world_continue_entry(struct fleet_world *w, int entry);
 /* Returns the bytes that wait to be read by a stopped entry. */
 size_t fleet_world_backlog(const struct fleet_world *w, int entry);
-/* Returns how many times an entry has received the whole fleet. */
-int fleet_world_full_updates(const struct fleet_world *w, int entry);
-/* Returns the steps sent to all engines, and the callers that wait for a model.
- */
+/* Returns the number of snapshots that an entry has received. */
+int fleet_world_snapshots(const struct fleet_world *w, int entry);
+/* Returns the number of steps sent to all engines. */
 int fleet_world_steps(const struct fleet_world *w);
+/* Returns the number of calls that wait for a model. */
 int fleet_world_waiting(const struct fleet_world *w);
 
 #endif
--- a/test/test_fleet_leader.c
+++ b/test/test_fleet_leader.c
@@ -13,8 +13,8 @@
 #define LOAD_PUSH_MS 200
 /* Maximum of unsent bytes for one entry. */
 #define BACKLOG_MAX (64u << 10)
-/* Maximum of table rows visited per message: those that it names, and those of
- * the message before it from the same peer. */
+/* Maximum of table rows visited per message: those that the message names, and
+ * those of the message before it from the same peer. */
 #define VISITS_PER_MESSAGE 8
 
 static const struct size {
@@ -73,7 +73,8 @@
 		}
 		visits = fleet_world_work(w, "visits");
 		if (visits > 20 * VISITS_PER_MESSAGE)
-			fail_msg("%d entries: %" PRIu64 " rows for 20 ends",
+			fail_msg("%d entries: %" PRIu64
+				 " rows for 20 disconnects",
 				 sizes[i].entries, visits);
 		fleet_world_free(w);
 	}
@@ -110,11 +111,11 @@
 {
 	struct fleet_world *w = world_of(&sizes[1]);
 	size_t before, after;
-	int wholes;
+	int snapshots;
 
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
-	wholes = fleet_world_full_updates(w, 0);
+	snapshots = fleet_world_snapshots(w, 0);
 	fleet_world_stop_entry(w, 0);
 	for (int i = 0; i < 40 * SECOND_MS / LOAD_PUSH_MS; i++) {
 		fleet_world_add_adapter(w, i);
@@ -127,11 +128,12 @@
 	assert_int_equal(before, after);
 	fleet_world_continue_entry(w, 0);
 	fleet_world_run(w, SECOND_MS);
-	assert_int_equal(fleet_world_full_updates(w, 0), wholes + 1);
+	assert_int_equal(fleet_world_snapshots(w, 0), snapshots + 1);
 	fleet_world_free(w);
 }
 
-/* Guards against a reconnected peer that isn't sent the state it needs. */
+/* Guards against a reconnected entry that gets no snapshot, and a reconnected
+ * agent that gets no orders. */
 static void reconnected_peers_get_the_whole_state(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
@@ -256,7 +258,7 @@
 {
 	const struct size one = { 20, 6 };
 	struct fleet_world *w = world_of(&one);
-	int before, free = 0;
+	int before, others = 0;
 
 	(void)state;
 	fleet_world_run(w, SECOND_MS);
@@ -272,8 +274,8 @@
 	}
 	assert_int_equal(fleet_world_orders(w, 3), before);
 	for (int i = 0; i < one.engines; i++)
-		free += i != 3 && fleet_world_orders(w, i) > 0;
-	assert_true(free > 0);
+		others += i != 3 && fleet_world_orders(w, i) > 0;
+	assert_true(others > 0);
 	fleet_world_free(w);
 }
 
@@ -310,8 +312,8 @@
 	}
 }
 
-/* Guards against a new leader, or one that sees two versions, that replies with
- * a guessed version. */
+/* Guards against a leader that guesses a stream's version: a new one without
+ * reports, or one that sees endpoints of two versions. */
 static void leader_guesses_no_version(void **state)
 {
 	struct fleet_world *w = world_of(&sizes[0]);
@@ -344,8 +346,8 @@
 	fleet_world_free(w);
 }
 
-/* Guards against the model being loaded into engines of another version while
- * callers wait for their stream's version. */
+/* Guards against callers who wait for a model at their stream's version while
+ * the model is loaded into engines of another version. */
 static void model_is_loaded_into_the_version_waited_for(void **state)
 {
 	const struct size few = { 4, 8 };
@@ -361,7 +363,7 @@
 			fleet_world_run(w, SECOND_MS / 4);
 		}
 		if (!fleet_world_holds_at(w, m, "v2"))
-			fail_msg("model %d isn't loaded there", m);
+			fail_msg("model %d isn't loaded at v2", m);
 	}
 	fleet_world_free(w);
 }
