--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -71,7 +71,7 @@
 	bool demand_due;
 	bool link_up;
 	int64_t stop_ms; /* start of a planned stop; 0: none */
-	bool closed;
+	bool closed;	 /* the gate refuses new callers */
 };
 
 static int64_t now_ms(const struct fleet_entry *e)
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -46,7 +46,8 @@
 };
 
 struct fleet_ep {
-	char *addr, *service, *domain, *agent;
+	char *addr, *service, *domain;
+	char *agent; /* address to which entries send requests for adapters */
 	/* The id is from the list, which lags behind; the start time is the
 	 * first one that the list or the agent reported. */
 	struct fleet_incarnation self;
@@ -161,19 +162,21 @@
 	uint64_t fence;	  /* term of this leadership */
 	uint64_t round;	  /* newest round; each set of snapshots has its own */
 	uint64_t step_round; /* newest round of a step; sent with changes */
-	uint64_t steps;
-	int64_t since_ms, plan_ms, push_ms, load_push_ms;
-	int64_t plan_took_ms, push_took_ms;
+	uint64_t steps;	     /* number of the newest step */
+	int64_t since_ms;    /* start of this leadership */
+	int64_t plan_ms, push_ms, load_push_ms; /* when each was last done */
+	int64_t plan_took_ms, push_took_ms;	/* duration of the last one */
 	bool list_received;
-	bool dirty, urgent;
-	bool loads_pending;	     /* load changes wait for the next push */
-	int64_t routing_read_ms;     /* when the version in force was read */
-	uint64_t routing_sent;	     /* routing version in force */
+	bool dirty;		 /* changes wait to be sent to entries */
+	bool urgent;		 /* the pause before planning is shortened */
+	bool loads_pending;	 /* load changes wait for the next load push */
+	int64_t routing_read_ms; /* when the version in force was read */
+	uint64_t routing_sent;	 /* routing version in force */
 	uint64_t routing_everywhere; /* version that all entries follow */
 	struct send_window window;   /* of snapshots in flight */
 	struct fleet_store store;
-	double store_tokens;
-	int64_t store_ms;
+	double store_tokens;	/* loads from the store that may start now */
+	int64_t store_ms;	/* when store_tokens was last refilled */
 	int64_t remote_sent_ms; /* when members were last sent the engines whose
 				 * agents they run */
 	int64_t remote_assigned_ms; /* when engines were last assigned */
--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -35,6 +35,8 @@
 /* Minimum interval between log lines about one blocked model. */
 #define BLOCKED_LOG_MS 1000
 
+/* A placement pass over one service: the view that it plans with, and the
+ * arrays that the view points to. */
 struct service_view {
 	struct fleet_leader *l;
 	const struct routing_service *service;
@@ -44,7 +46,7 @@
 	GPtrArray *pinned; /* struct fleet_demand of each pin */
 	GArray *nodes;	   /* struct fleet_node */
 	GPtrArray *eps;	   /* struct fleet_ep of each node */
-	GPtrArray *tiers;
+	GPtrArray *tiers;  /* uint8_t * of each node: enum ss_tier by model */
 	int64_t now;
 };
 
--- a/src/daemon/fleet_suspects.c
+++ b/src/daemon/fleet_suspects.c
@@ -73,7 +73,7 @@
 	bool was_quarantined = is_quarantined(l, &w.fingerprint, now);
 
 	suspects_merge(l->suspects, &w, now);
-	log_quarantined(l, &w.fingerprint, was_quarantined, "an entry's word",
+	log_quarantined(l, &w.fingerprint, was_quarantined, "an entry's report",
 			now);
 }
 
