--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -105,7 +105,8 @@
 	l->dirty = true;
 }
 
-/* Calls of an earlier incarnation ended with it. */
+/* True if a report is about an earlier incarnation, whose calls ended with it.
+ */
 static bool is_earlier_incarnation(const struct fleet_ep *ep,
 				   int64_t started_ms)
 {
