--- a/src/daemon/fleet_agent.c
+++ b/src/daemon/fleet_agent.c
@@ -16,13 +16,13 @@
 
 /* Entries. */
 
-static void conn_open(void *arg, struct conn *c)
+static void entry_open(void *arg, struct conn *c)
 {
 	(void)arg;
 	(void)c;
 }
 
-static void conn_message(void *arg, struct conn *c, struct frame *f)
+static void entry_message(void *arg, struct conn *c, struct frame *f)
 {
 	struct fleet_agent *a = arg;
 
@@ -30,7 +30,7 @@
 		engine_agent_request_adapter(a->agent, c, &f->u.adapter);
 }
 
-static void conn_closed(void *arg, struct conn *c, const GError *why)
+static void entry_closed(void *arg, struct conn *c, const GError *why)
 {
 	struct fleet_agent *a = arg;
 
@@ -38,8 +38,8 @@
 	engine_agent_conn_closed(a->agent, c);
 }
 
-static const struct conn_ops conn_table = { conn_open, conn_message,
-					    conn_closed };
+static const struct conn_ops entry_table = { entry_open, entry_message,
+					     entry_closed };
 
 /* The routing. */
 
@@ -98,7 +98,7 @@
 static void *agent_start(struct daemon *d, GError **error)
 {
 	struct fleet_agent *a = g_new0(struct fleet_agent, 1);
-	struct conn_options conn = daemon_conn_options(d, &conn_table, a);
+	struct conn_options conn = daemon_conn_options(d, &entry_table, a);
 	struct routing_fetch_options fo = { .daemon = d,
 					    .services_only = true,
 					    .applied = take_routing,
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -243,6 +243,7 @@
 struct fleet_demand *fleet_demand_for(struct fleet_leader *l,
 				      const char *service, const char *model,
 				      const char *version);
+/* True if entries may send the endpoint new calls. */
 bool fleet_ep_usable(const struct fleet_leader *l, const struct fleet_ep *ep);
 /* True while the endpoint is draining for good. */
 bool fleet_ep_is_draining(const struct fleet_leader *l,
--- a/src/daemon/fleet_push.c
+++ b/src/daemon/fleet_push.c
@@ -72,8 +72,8 @@
 	g_array_append_val(p->loads, x);
 }
 
-static void push_add(struct fleet_leader *l, struct push *p,
-		     const struct fleet_ep *ep)
+static void push_endpoint(struct fleet_leader *l, struct push *p,
+			  const struct fleet_ep *ep)
 {
 	GArray *held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
 	struct fleet_endpoint e = {
@@ -209,7 +209,7 @@
 	push_begin(&p);
 	g_hash_table_iter_init(&at, l->eps);
 	while (g_hash_table_iter_next(&at, NULL, &e))
-		push_add(l, &p, e);
+		push_endpoint(l, &p, e);
 	add_etas(l, &p, true);
 	/* The snapshot gets a round of its own, so that a report which
 	 * acknowledges it can't have been sent before the snapshot arrived. */
@@ -283,7 +283,7 @@
 {
 	GHashTableIter it;
 	struct push p;
-	bool left = false;
+	bool pending = false;
 	void *v;
 
 	push_begin(&p);
@@ -292,11 +292,11 @@
 		struct fleet_ep *ep = v;
 
 		if (ep->changed || (loads && ep->adapters_changed))
-			push_add(l, &p, ep);
+			push_endpoint(l, &p, ep);
 		else if (loads && ep->load_changed)
 			push_load(l, &p, ep);
 		else {
-			left |= ep->load_changed || ep->adapters_changed;
+			pending |= ep->load_changed || ep->adapters_changed;
 			continue;
 		}
 		ep->changed = ep->load_changed = false;
@@ -310,6 +310,6 @@
 		((struct fleet_demand *)v)->eta_changed = false;
 	if (p.eps->len || p.loads->len || p.etas->len)
 		send_changes(l, &p);
-	l->loads_pending = left;
+	l->loads_pending = pending;
 	push_end(&p);
 }
--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -48,7 +48,7 @@
 	GArray *calls;	/* struct call */
 	GArray *counts; /* uint64_t: arrivals by model since the last report */
 	uint64_t round; /* latest round received */
-	bool has_snapshot, report_now, report_due;
+	bool has_snapshot, report_now, changed;
 	int snapshots; /* number received */
 	uint64_t unread_round;
 	bool unread_snapshot;
@@ -528,7 +528,7 @@
 	g_array_index(c->counts, uint64_t, model)++;
 	start_call(w, &k);
 	c->report_now |= k.engine < 0;
-	c->report_due = true;
+	c->changed = true;
 	g_array_append_val(c->calls, k);
 }
 
@@ -539,11 +539,11 @@
 
 		if (k->engine < 0) {
 			start_call(w, k);
-			c->report_due = true;
+			c->changed = true;
 		} else if (w->d.clock.fake_ms >= k->end_ms) {
 			w->engines[k->engine].running--;
 			g_array_remove_index_fast(c->calls, i);
-			c->report_due = true;
+			c->changed = true;
 		}
 	}
 }
@@ -607,11 +607,11 @@
 	struct msg_demand m = { .round = c->round, .routing = 1 };
 
 	c->report_ms = w->d.clock.fake_ms + REPORT_INTERVAL_MS;
-	if (!c->report_now && !c->report_due &&
+	if (!c->report_now && !c->changed &&
 	    w->d.clock.fake_ms - c->reported_ms < REPORT_UNCHANGED_MS)
 		return;
 	c->reported_ms = w->d.clock.fake_ms;
-	c->report_now = c->report_due = false;
+	c->report_now = c->changed = false;
 	models = g_array_new(FALSE, FALSE, sizeof(struct model_demand));
 	calls = g_array_new(FALSE, FALSE, sizeof(struct endpoint_calls));
 	held = g_array_new(FALSE, FALSE, sizeof(struct held_model));
