--- a/test/fleet_world.c
+++ b/test/fleet_world.c
@@ -53,7 +53,7 @@
 	uint64_t unread_round;
 	bool unread_snapshot;
 	char *reported_addr; /* address of the last endpoint reported to it as
-				limited or draining */
+				limited or unusable */
 	int grants;	     /* granted by the leader, in thousandths */
 	void *quota_clients; /* quota clients for endpoint limits, as in a real
 				entry; NULL: unused */
@@ -117,7 +117,7 @@
 	int64_t frame_ms;
 	uint64_t frame_round;
 	bool frame_snapshot;
-	char *frame_addr; /* the first endpoint in it with a limit, or draining
+	char *frame_addr; /* the first endpoint in it with a limit, or unusable
 			   */
 };
 
