--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -25,13 +25,14 @@
 /* A placement step in progress: models that an engine unloads, and the one
  * that it loads. */
 struct step_run {
-	bool on;
+	bool active;
 	uint64_t number;
 	struct fleet_step plan;
 	GPtrArray *unload; /* char * */
 	char *load;
 	bool sent;	/* to the agent */
-	uint64_t round; /* entries that confirmed it send no new calls */
+	uint64_t round; /* entries that acknowledged it send no new calls to
+			   the models to unload */
 	int64_t since_ms, sent_ms;
 	size_t concurrent_loads; /* store loads in progress when this
 				    step was sent, including its own */
@@ -45,7 +46,8 @@
 };
 
 struct fleet_ep {
-	char *addr, *service, *domain, *agent;
+	char *addr, *service, *domain;
+	char *agent; /* address to which entries send requests for adapters */
 	/* The id is from the list, which lags behind; the start time is the
 	 * first one that the list or the agent reported. */
 	struct fleet_incarnation self;
@@ -82,9 +84,9 @@
 
 /* Requests of one entry that wait for one model. */
 struct entry_wait {
-	uint64_t waiting; /* number of requests */
-	int64_t due_ms;	  /* earliest deadline among them */
-	int64_t at_ms;	  /* when the entry reported them */
+	uint64_t waiting;    /* number of requests */
+	int64_t due_ms;	     /* earliest deadline among them */
+	int64_t reported_ms; /* when the entry reported them */
 };
 
 /* Demand for one model. With a version, only the demand of streams that this
@@ -110,10 +112,11 @@
 	GPtrArray *called_addrs; /* char *, addresses of endpoints with its
 				    calls */
 	GHashTable *demands;	 /* set of struct fleet_demand with its waits */
-	bool confirmed;	       /* a majority has answered since it connected */
-	bool has_snapshot;     /* the peer was sent a snapshot and all later
-				  changes */
-	size_t snapshot_bytes; /* size of the last snapshot sent */
+	bool confirmed;	   /* a majority of the control VMs has answered this
+			      leader since the peer connected */
+	bool has_snapshot; /* the peer was sent a snapshot and all later
+			      changes */
+	size_t snapshot_bytes;	   /* size of the last snapshot sent */
 	size_t snapshot_in_flight; /* bytes of that snapshot without
 				      acknowledgement */
 	uint64_t snapshot_round;   /* round whose acknowledgement covers them */
@@ -121,7 +124,8 @@
 	uint64_t routing_sent;	   /* last routing version sent to the peer */
 	uint64_t routing;	   /* routing version that the peer reports */
 	uint64_t round;		   /* last round that the peer acknowledged */
-	uint64_t suspects;	   /* mark of the suspects sent so far */
+	uint64_t suspects; /* mark in the changes of suspects, up to which they
+			      were sent */
 };
 
 /* Counters of the leader's work. */
@@ -158,19 +162,21 @@
 	uint64_t fence;	  /* term of this leadership */
 	uint64_t round;	  /* newest round; each set of snapshots has its own */
 	uint64_t step_round; /* newest round of a step; sent with changes */
-	uint64_t steps;
-	int64_t since_ms, plan_ms, push_ms, load_push_ms;
-	int64_t plan_took_ms, push_took_ms;
+	uint64_t steps;	     /* number of the newest step */
+	int64_t since_ms;    /* start of this leadership */
+	int64_t plan_ms, push_ms, load_push_ms; /* when each was last done */
+	int64_t plan_took_ms, push_took_ms;	/* duration of the last one */
 	bool list_received;
-	bool dirty, urgent;
-	bool loads_pending;	     /* load changes wait for the next push */
-	int64_t routing_read_ms;     /* when the version in force was read */
-	uint64_t routing_sent;	     /* routing version in force */
+	bool dirty;		 /* changes wait to be sent to entries */
+	bool urgent;		 /* the pause before planning is shortened */
+	bool loads_pending;	 /* load changes wait for the next load push */
+	int64_t routing_read_ms; /* when the version in force was read */
+	uint64_t routing_sent;	 /* routing version in force */
 	uint64_t routing_everywhere; /* version that all entries follow */
 	struct send_window window;   /* of snapshots in flight */
 	struct fleet_store store;
-	double store_tokens;
-	int64_t store_ms;
+	double store_tokens;	/* loads from the store that may start now */
+	int64_t store_ms;	/* when store_tokens was last refilled */
 	int64_t remote_sent_ms; /* when members were last sent the engines whose
 				 * agents they run */
 	int64_t remote_assigned_ms; /* when engines were last assigned */
@@ -182,8 +188,8 @@
 	GHashTable *streams_sent;   /* member -> mark of what was sent to it */
 	int64_t streams_sent_ms, streams_expired_ms;
 	uint64_t *n_streams, *n_stream_requests;
-	void *quota_allocator;	 /* allocator of customers' limits */
-	void *limit_allocator;	 /* allocator of endpoints' own limits */
+	void *quota_allocator;	 /* of grants from customers' limits */
+	void *limit_allocator;	 /* of grants from endpoints' own limits */
 	int64_t quota_pruned_ms; /* when both were last pruned */
 	uint64_t *n_quota_requests, *n_limit_requests;
 	uint64_t *n_work[FLEET_WORKS];
@@ -196,8 +202,8 @@
 	return ss_clock_now(&l->d->clock);
 }
 
-static inline void fleet_work(struct fleet_leader *l, enum fleet_work w,
-			      uint64_t n)
+static inline void fleet_work_add(struct fleet_leader *l, enum fleet_work w,
+				  uint64_t n)
 {
 	*l->n_work[w] += n;
 }
@@ -223,7 +229,7 @@
 
 /* Adds or removes an entry that waits for a model. */
 void fleet_demand_add_entry(struct fleet_demand *w, struct fleet_peer *p,
-			    const struct entry_wait *at);
+			    const struct entry_wait *wait);
 void fleet_demand_drop_entry(struct fleet_leader *l, struct fleet_demand *w,
 			     struct fleet_peer *p);
 /* Removes an entry from all models that it waits for. */
@@ -237,6 +243,7 @@
 struct fleet_demand *fleet_demand_for(struct fleet_leader *l,
 				      const char *service, const char *model,
 				      const char *version);
+/* True if entries may send the endpoint new calls. */
 bool fleet_ep_usable(const struct fleet_leader *l, const struct fleet_ep *ep);
 /* True while the endpoint is draining for good. */
 bool fleet_ep_is_draining(const struct fleet_leader *l,
@@ -251,7 +258,7 @@
 			const struct fleet_ep *ep);
 /* True while the last report of the endpoint's agent is fresh. */
 bool fleet_ep_reported(const struct fleet_leader *l, const struct fleet_ep *ep);
-void fleet_demand_free(void *want);
+void fleet_demand_free(void *demand);
 /* Returns the fence that the owner of an engine puts on its orders. It
  * increases with each owner and with each leader. */
 uint64_t fleet_ep_fence(const struct fleet_leader *l,
@@ -297,7 +304,8 @@
 
 /* fleet_steps.c */
 void fleet_steps_plan(struct fleet_leader *l, int64_t now);
-/* Sends the steps that every entry has acknowledged, and abandons lost ones. */
+/* Sends each step once the models that it unloads have no more calls, or a
+ * timeout has passed; abandons lost steps. */
 void fleet_steps_run(struct fleet_leader *l, int64_t now);
 void fleet_steps_done(struct fleet_leader *l, struct fleet_ep *ep,
 		      const struct msg_loaded *m);
@@ -351,13 +359,13 @@
 /* fleet_push.c */
 /* Sends a snapshot of the fleet to the entries that have none. */
 void fleet_push_snapshots(struct fleet_leader *l);
-/* Update the send window: an entry has acknowledged a round, or its snapshot in
- * flight is lost or timed out. */
+/* Update the send window after an entry has acknowledged a round, and after its
+ * snapshot in flight is lost or has timed out. */
 void fleet_push_acked(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_lost(struct fleet_leader *l, struct fleet_peer *p);
 void fleet_push_tick(struct fleet_leader *l, int64_t now);
 /* Sends the changes to all other entries; loads: also endpoints of which only
- * the load changed. */
+ * the load or the adapters changed. */
 void fleet_push_changes(struct fleet_leader *l, bool loads);
 
 #endif
