--- a/src/node/conn.h
+++ b/src/node/conn.h
@@ -17,9 +17,9 @@
 #define CONN_PING_MS 500
 #define CONN_SILENT_MS 2500
 /*
- * The same between processes that a change must reach within 2 s even if the
- * leader is cut off without an error: 1 s to detect that, and less than 1 s to
- * elect and find the next leader.
+ * The same, in ms, between processes that a change must reach within 2 s even
+ * if the leader is cut off without an error: 1 s to detect that, and less than
+ * 1 s to elect and find the next leader.
  */
 #define CONN_FAST_PING_MS 200
 #define CONN_FAST_SILENT_MS 900
@@ -82,18 +82,18 @@
 void conn_close(struct conn *c);
 
 bool conn_is_open(const struct conn *c);
-/* The TCP handshake of an outgoing connection is done. A busy process may take
- * longer to send its hello, which opens the connection. */
+/* Returns true if the TCP handshake of an outgoing connection is done. A busy
+ * process may take longer to send its hello, which opens the connection. */
 bool conn_is_connected(const struct conn *c);
-/* The peer's hello; its strings are valid as long as c. */
+/* Returns the peer's hello; its strings are valid as long as c. */
 const struct msg_hello *conn_peer(const struct conn *c);
 void conn_set_data(struct conn *c, void *data);
 void *conn_data(const struct conn *c);
-/* Number of bytes buffered for sending. */
+/* Returns the number of bytes buffered for sending. */
 size_t conn_backlog(const struct conn *c);
-/* Milliseconds since the last bytes from the peer. */
+/* Returns the milliseconds since the last bytes from the peer. */
 int64_t conn_quiet_ms(const struct conn *c);
-/* At least two pings of the peer are overdue. */
+/* Returns true if at least two pings of the peer are overdue. */
 bool conn_is_quiet(const struct conn *c);
 
 #endif
--- a/src/node/frame.c
+++ b/src/node/frame.c
@@ -4,21 +4,22 @@
 #include "../base/pack.h"
 
 /* Compresses the bytes from offset at on, if that makes them shorter. */
-static void pack_message(GString *out, gsize at)
+static void compress_message(GString *out, gsize at)
 {
 	struct ss_str bytes = { out->str + at, out->len - at };
-	GString *packed;
+	GString *compressed;
 
-	if (bytes.n < FRAME_PACK_MIN)
+	if (bytes.n < FRAME_COMPRESS_MIN)
 		return;
-	packed = g_string_sized_new(bytes.n);
-	g_string_append_c(packed, FRAME_PACKED);
-	pack_compress(packed, bytes);
-	if (packed->len < bytes.n) {
+	compressed = g_string_sized_new(bytes.n);
+	g_string_append_c(compressed, FRAME_COMPRESSED);
+	pack_compress(compressed, bytes);
+	if (compressed->len < bytes.n) {
 		g_string_truncate(out, at);
-		g_string_append_len(out, packed->str, (gssize)packed->len);
+		g_string_append_len(out, compressed->str,
+				    (gssize)compressed->len);
 	}
-	g_string_free(packed, TRUE);
+	g_string_free(compressed, TRUE);
 }
 
 void frame_add(GString *out, enum msg_kind kind, const void *msg)
@@ -31,7 +32,7 @@
 	msgpack_packer_init(&pk, out, wire_write_gs);
 	msgpack_pack_uint8(&pk, (uint8_t)kind);
 	wire_pack(&pk, msg_type(kind), msg);
-	pack_message(out, at + FRAME_HEAD);
+	compress_message(out, at + FRAME_HEAD);
 	n = (uint32_t)(out->len - at - FRAME_HEAD);
 	for (int i = 0; i < FRAME_HEAD; i++)
 		out->str[at + i] = (char)(n >> (8 * (FRAME_HEAD - 1 - i)));
@@ -60,7 +61,7 @@
 	return false;
 }
 
-/* Reads the kind at the start of a frame and sets *off behind it; 0: none. */
+/* Reads the kind at the start of a frame and sets *off past it; 0: none. */
 static uint64_t read_kind(struct ss_str bytes, size_t *off)
 {
 	msgpack_unpacked kind;
@@ -101,23 +102,23 @@
 {
 	struct ss_str body = { (const char *)p + FRAME_HEAD, n - FRAME_HEAD };
 
-	f->unpacked = NULL;
-	if (body.n == 0 || body.p[0] != FRAME_PACKED)
+	f->decompressed = NULL;
+	if (body.n == 0 || body.p[0] != FRAME_COMPRESSED)
 		return decode(f, body, error);
-	f->unpacked = pack_decompress((struct ss_str){ body.p + 1, body.n - 1 },
-				      FRAME_MAX, error);
-	if (!f->unpacked)
+	f->decompressed = pack_decompress(
+		(struct ss_str){ body.p + 1, body.n - 1 }, FRAME_MAX, error);
+	if (!f->decompressed)
 		return false;
 	/* A nested compressed frame has an unknown kind, and is skipped. */
-	if (decode(f, ss_str_gs(f->unpacked), error))
+	if (decode(f, ss_str_gs(f->decompressed), error))
 		return true;
-	g_string_free(f->unpacked, TRUE);
+	g_string_free(f->decompressed, TRUE);
 	return false;
 }
 
 void frame_done(struct frame *f)
 {
 	wire_buf_clear(&f->buf);
-	if (f->unpacked)
-		g_string_free(f->unpacked, TRUE);
+	if (f->decompressed)
+		g_string_free(f->decompressed, TRUE);
 }
--- a/src/node/frame.h
+++ b/src/node/frame.h
@@ -13,19 +13,19 @@
 #define FRAME_MAX (16u * 1024 * 1024)
 
 /* Value in place of the kind: a compressed kind and message follow. */
-#define FRAME_PACKED 0x7e
+#define FRAME_COMPRESSED 0x7e
 /* Smallest message that is compressed, in bytes. Shorter ones fit into one
- * packet uncompressed, so that the time isn't worth it. */
-#define FRAME_PACK_MIN 1400
+ * packet uncompressed, so that compression isn't worth its time. */
+#define FRAME_COMPRESS_MIN 1400
 
 /* Appends a complete frame, compressed if that makes it shorter. */
 void frame_add(GString *out, enum msg_kind kind, const void *msg);
 
-/* A decoded message. Its strings point into the frame, or into unpacked. */
+/* A decoded message. Its strings point into the frame, or into decompressed. */
 struct frame {
 	enum msg_kind kind;
 	struct wire_buf buf;
-	GString *unpacked; /* decompressed bytes; NULL: it wasn't compressed */
+	GString *decompressed; /* NULL: the frame wasn't compressed */
 	union {
 		struct msg_hello hello;
 		struct msg_ping ping;
