--- a/src/engine/http.c
+++ b/src/engine/http.c
@@ -42,13 +42,13 @@
 {
 	json_object *o = json_object_new_object();
 	struct order_done *d = g_new0(struct order_done, 1);
-	struct http_request_options get = { .base = e->o.base,
-					    .addr = e->addr,
-					    .method = "POST",
-					    .path = path,
-					    .timeout_ms = e->o.timeout_ms,
-					    .done = on_order_done,
-					    .arg = d };
+	struct http_request_options post = { .base = e->o.base,
+					     .addr = e->addr,
+					     .method = "POST",
+					     .path = path,
+					     .timeout_ms = e->o.timeout_ms,
+					     .done = on_order_done,
+					     .arg = d };
 
 	d->done = done;
 	d->arg = arg;
@@ -58,8 +58,8 @@
 			       json_object_new_int64((int64_t)r->bytes));
 	json_object_object_add(o, "fence",
 			       json_object_new_int64((int64_t)fence));
-	get.body = ss_str(json_object_to_json_string(o));
-	http_request(&get);
+	post.body = ss_str(json_object_to_json_string(o));
+	http_request(&post);
 	json_object_put(o);
 }
 
--- a/src/net/addr.c
+++ b/src/net/addr.c
@@ -5,7 +5,6 @@
 #include <event2/util.h>
 #include <netinet/in.h>
 
-/* evutil_parse_sockaddr_port() rejects port 0. */
 bool addr_parse(const char *addr, struct sockaddr_storage *ss, int *len)
 {
 	const char *colon = strrchr(addr, ':');
@@ -14,6 +13,7 @@
 
 	if (!colon)
 		return false;
+	/* evutil_parse_sockaddr_port() rejects port 0. */
 	if (strcmp(colon, ":0"))
 		return evutil_parse_sockaddr_port(addr, (struct sockaddr *)ss,
 						  len) == 0;
--- a/src/net/addr.h
+++ b/src/net/addr.h
@@ -21,7 +21,7 @@
 				   int backlog, evconnlistener_cb accepted,
 				   void *arg, GError **error);
 
-/* The port that a socket is bound to. */
+/* Returns the port that a socket is bound to. */
 uint16_t addr_port(int fd);
 
 #endif
--- a/src/net/http.c
+++ b/src/net/http.c
@@ -232,20 +232,20 @@
 
 static void on_response(struct evhttp_request *req, void *arg)
 {
-	struct client_request *g = arg;
+	struct client_request *c = arg;
 	int status = req ? evhttp_request_get_response_code(req) : 0;
 
 	if (status) {
-		g->o.done(g->o.arg, status, http_body(req), NULL);
+		c->o.done(c->o.arg, status, http_body(req), NULL);
 	} else {
 		GError *e = g_error_new(SS_ERROR, SS_ERROR_UNAVAILABLE,
 					"no answer");
 
-		g->o.done(g->o.arg, 0, (struct ss_str){ 0 }, e);
+		c->o.done(c->o.arg, 0, (struct ss_str){ 0 }, e);
 		g_error_free(e);
 	}
-	http_free_later(g->o.base, g->conn);
-	g_free(g);
+	http_free_later(c->o.base, c->conn);
+	g_free(c);
 }
 
 static enum evhttp_cmd_type method_of(const char *name)
@@ -277,18 +277,18 @@
 
 void http_request(const struct http_request_options *o)
 {
-	struct client_request *g = g_new0(struct client_request, 1);
-	struct evhttp_request *req = evhttp_request_new(on_response, g);
+	struct client_request *c = g_new0(struct client_request, 1);
+	struct evhttp_request *req = evhttp_request_new(on_response, c);
 	struct evkeyvalq *headers = evhttp_request_get_output_headers(req);
 	struct timeval tv = timeval_from_ms(o->timeout_ms);
 	char *ip = NULL;
 	uint16_t port = 0;
 
-	g->o = *o;
+	c->o = *o;
 	if (!http_split_addr(o->addr, &ip, &port))
 		ip = g_strdup("");
-	g->conn = evhttp_connection_base_new(o->base, NULL, ip, port);
-	evhttp_connection_set_timeout_tv(g->conn, &tv);
+	c->conn = evhttp_connection_base_new(o->base, NULL, ip, port);
+	evhttp_connection_set_timeout_tv(c->conn, &tv);
 	evhttp_add_header(headers, "Connection", "close");
 	if (o->token) {
 		char *bearer = g_strdup_printf("Bearer %s", o->token);
@@ -296,6 +296,6 @@
 		evhttp_add_header(headers, "Authorization", bearer);
 		g_free(bearer);
 	}
-	http_send(g->conn, req, o->addr, o->method, o->path, o->body);
+	http_send(c->conn, req, o->addr, o->method, o->path, o->body);
 	g_free(ip);
 }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -11,7 +11,8 @@
 /* Maps an error to an HTTP status, for callers and operators. */
 int http_status(enum ss_error code);
 
-/* {"error":{"type","message","outcome","request_id"}} without NULL fields. */
+/* Returns {"error":{"type","message","outcome","request_id"}} without the
+ * fields that are NULL. */
 GString *http_error_json(enum ss_error code, const char *text,
 			 const char *outcome, const char *request_id);
 
@@ -36,9 +37,9 @@
 		     struct json_object *body); /* takes body */
 void http_reply_error(struct evhttp_request *req, const GError *error);
 
-/* The complete body of a request. */
+/* Returns the complete body of a request. */
 struct ss_str http_body(struct evhttp_request *req);
-/* The body parsed as a JSON object; NULL with SS_ERROR_BAD_REQUEST. */
+/* Returns the body parsed as a JSON object; NULL with SS_ERROR_BAD_REQUEST. */
 struct json_object *http_body_json(struct evhttp_request *req, GError **error);
 
 struct http_request_options {
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -15,8 +15,8 @@
 };
 
 struct call {
-	struct http_client *k;
-	char *want;
+	struct http_client *client;
+	char *response_header;
 	void (*done)(void *arg, const struct http_client_response *a);
 	void *arg;
 };
@@ -31,51 +31,54 @@
 	if (a.status) {
 		a.body = http_body(req);
 		a.headers = evhttp_request_get_input_headers(req);
-		if (c->want)
-			a.header = evhttp_find_header(a.headers, c->want);
+		if (c->response_header)
+			a.header = evhttp_find_header(a.headers,
+						      c->response_header);
 	}
-	if (!c->k->freeing)
+	if (!c->client->freeing)
 		c->done(c->arg, &a);
-	g_free(c->want);
+	g_free(c->response_header);
 	g_free(c);
 }
 
 struct http_client *http_client_new(struct event_base *base, const char *addr)
 {
-	struct http_client *k = g_new0(struct http_client, 1);
+	struct http_client *client = g_new0(struct http_client, 1);
 
-	k->base = base;
-	k->addr = g_strdup(addr);
-	if (!http_split_addr(addr, &k->ip, &k->port))
-		k->ip = g_strdup("");
-	k->conn = evhttp_connection_base_new(base, NULL, k->ip, k->port);
-	return k;
+	client->base = base;
+	client->addr = g_strdup(addr);
+	if (!http_split_addr(addr, &client->ip, &client->port))
+		client->ip = g_strdup("");
+	client->conn = evhttp_connection_base_new(base, NULL, client->ip,
+						  client->port);
+	return client;
 }
 
-void http_client_free(struct http_client *k)
+void http_client_free(struct http_client *client)
 {
-	if (!k)
+	if (!client)
 		return;
-	k->freeing = true;
-	evhttp_connection_free(k->conn);
-	g_free(k->addr);
-	g_free(k->ip);
-	g_free(k);
+	client->freeing = true;
+	evhttp_connection_free(client->conn);
+	g_free(client->addr);
+	g_free(client->ip);
+	g_free(client);
 }
 
-void http_client_send(struct http_client *k, const struct http_client_call *o)
+void http_client_send(struct http_client *client,
+		      const struct http_client_call *o)
 {
 	struct call *c = g_new0(struct call, 1);
 	struct evhttp_request *req = evhttp_request_new(on_response, c);
 	struct timeval tv = timeval_from_ms(o->timeout_ms);
 
-	c->k = k;
-	c->want = g_strdup(o->response_header);
+	c->client = client;
+	c->response_header = g_strdup(o->response_header);
 	c->done = o->done;
 	c->arg = o->arg;
-	evhttp_connection_set_timeout_tv(k->conn, &tv);
+	evhttp_connection_set_timeout_tv(client->conn, &tv);
 	if (o->header)
 		evhttp_add_header(evhttp_request_get_output_headers(req),
 				  o->header, o->value);
-	http_send(k->conn, req, k->addr, o->method, o->path, o->body);
+	http_send(client->conn, req, client->addr, o->method, o->path, o->body);
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -14,7 +14,7 @@
 struct http_client_response {
 	int status; /* 0: no response; the call may have been executed */
 	struct ss_str body;
-	const char *header; /* value of the header in want; NULL: missing */
+	const char *header; /* value of response_header; NULL: absent */
 	const struct evkeyvalq *headers; /* all headers; NULL: no response */
 };
 
@@ -31,10 +31,11 @@
 };
 
 struct http_client *http_client_new(struct event_base *base, const char *addr);
-/* Pending calls are dropped; done isn't called for them. */
-void http_client_free(struct http_client *k);
+/* Frees a client. Its pending calls are dropped; done isn't called for them. */
+void http_client_free(struct http_client *client);
 
 /* Queues a call. Strings are copied; done is called from the event loop. */
-void http_client_send(struct http_client *k, const struct http_client_call *c);
+void http_client_send(struct http_client *client,
+		      const struct http_client_call *c);
 
 #endif
--- a/src/net/probe.c
+++ b/src/net/probe.c
@@ -11,7 +11,7 @@
 struct probe {
 	evutil_socket_t fd;
 	struct event *ev;
-	enum probe_result result; /* where immediate */
+	enum probe_result result; /* valid if immediate */
 	bool immediate;		  /* connect() finished without waiting */
 	void (*done)(void *arg, enum probe_result r);
 	void *arg;
--- a/src/net/relay.c
+++ b/src/net/relay.c
@@ -32,7 +32,7 @@
 	GString *buffered; /* body of a small response */
 	int status;
 	bool started; /* the first piece was passed on */
-	bool failed;  /* after the connection was established */
+	bool failed;  /* on an established connection */
 	GList link;
 };
 
--- a/src/net/send.h
+++ b/src/net/send.h
@@ -7,9 +7,9 @@
 
 /*
  * Sends on a connected bufferevent immediately. Leaving the write to the event
- * loop costs two more system calls to wait until the socket is writable, which
- * it nearly always is: an eighth of the CPU time of a stream event.
- * Bytes that the socket doesn't accept, and errors, are left to the loop.
+ * loop would cost two more system calls, an eighth of the CPU time of a stream
+ * event, to wait until the socket is writable, which it nearly always is. Bytes
+ * that the socket doesn't accept, and errors, are left to the loop.
  */
 void send_now(struct bufferevent *bev, struct ss_str bytes);
 
