--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -37,15 +37,15 @@
 };
 
 /* A request whose change or confirmation is pending. */
-struct api_call {
+struct api_request {
 	struct operator_http *h;
 	struct evhttp_request *req;
 	json_object *body; /* NULL: no body */
 	char *name; /* decoded end of the path, after the table's prefix */
-	void (*handler)(struct api_call *a);
+	void (*handler)(struct api_request *a);
 };
 
-static void api_call_free(struct api_call *a)
+static void api_request_free(struct api_request *a)
 {
 	json_object_put(a->body);
 	g_free(a->name);
@@ -128,7 +128,7 @@
 static void on_changed(void *arg, const struct command_result *r,
 		       const GError *error)
 {
-	struct api_call *a = arg;
+	struct api_request *a = arg;
 	json_object *o;
 
 	if (error) {
@@ -157,10 +157,10 @@
 				       json_object_new_boolean(r->resend));
 		http_reply_json(a->req, 200, o);
 	}
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void change(struct api_call *a, struct command *c)
+static void change(struct api_request *a, struct command *c)
 {
 	struct operator_callback done = { on_changed, a };
 	struct operator_http *h = a->h;
@@ -172,11 +172,11 @@
 	h->o.ops->change(h->o.arg, c, done);
 }
 
-static void api_call_fail(struct api_call *a, enum ss_error code,
-			  const char *text)
+static void api_request_fail(struct api_request *a, enum ss_error code,
+			     const char *text)
 {
 	fail(a->req, code, text);
-	api_call_free(a);
+	api_request_free(a);
 }
 
 static bool valid_name(const char *s)
@@ -189,7 +189,8 @@
 	return n > 0 && n <= NAME_MAX_BYTES;
 }
 
-static void put_body(struct api_call *a, const char *body, uint64_t expect)
+static void put_preset_body(struct api_request *a, const char *body,
+			    uint64_t expect)
 {
 	struct preset_rec rec = { .name = ss_str(a->name),
 				  .body = ss_str(body) };
@@ -202,34 +203,36 @@
 	if (!preset_parse(&p, a->name, rec.body, &error)) {
 		http_reply_error(a->req, error);
 		g_error_free(error);
-		api_call_free(a);
+		api_request_free(a);
 		return;
 	}
 	preset_clear(&p);
 	change(a, &c);
 }
 
-static void put_preset(struct api_call *a)
+static void put_preset(struct api_request *a)
 {
 	json_object *body;
 	uint64_t expect;
 	char *text;
 
 	if (!valid_name(a->name)) {
-		api_call_fail(a, SS_ERROR_BAD_REQUEST, "unusable preset name");
+		api_request_fail(a, SS_ERROR_BAD_REQUEST,
+				 "unusable preset name");
 	} else if (!expect_field(a->body, &expect)) {
-		api_call_fail(
+		api_request_fail(
 			a, SS_ERROR_BAD_REQUEST,
 			"\"expect\" must be the preset's version, 0 for a "
 			"new one");
 	} else if (!json_object_object_get_ex(a->body, "body", &body)) {
-		api_call_fail(a, SS_ERROR_BAD_REQUEST, "\"body\" is missing");
+		api_request_fail(a, SS_ERROR_BAD_REQUEST,
+				 "\"body\" is missing");
 	} else {
 		/* One field per line, so that line numbers in errors are
 		 * useful. */
 		text = g_strdup(json_object_to_json_string_ext(
 			body, JSON_C_TO_STRING_PRETTY));
-		put_body(a, text, expect);
+		put_preset_body(a, text, expect);
 		g_free(text);
 	}
 }
@@ -259,7 +262,7 @@
 	return ok;
 }
 
-static void patch_preset(struct api_call *a)
+static void patch_preset(struct api_request *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *p = ss_state_preset(s, a->name);
@@ -268,28 +271,29 @@
 	char *text;
 
 	if (!p) {
-		api_call_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
+		api_request_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
 		return;
 	}
 	if (!expect_field(a->body, &expect) || !*text_field(a->body, "field") ||
 	    !json_object_object_get_ex(a->body, "value", &value)) {
-		api_call_fail(a, SS_ERROR_BAD_REQUEST,
-			      "\"field\", \"value\" and \"expect\" are needed");
+		api_request_fail(
+			a, SS_ERROR_BAD_REQUEST,
+			"\"field\", \"value\" and \"expect\" are needed");
 		return;
 	}
 	body = json_tokener_parse(p->body.p);
 	if (!set_path(body, text_field(a->body, "field"), value)) {
-		api_call_fail(a, SS_ERROR_BAD_REQUEST, "no such field");
+		api_request_fail(a, SS_ERROR_BAD_REQUEST, "no such field");
 	} else {
 		text = g_strdup(json_object_to_json_string_ext(
 			body, JSON_C_TO_STRING_PRETTY));
-		put_body(a, text, expect);
+		put_preset_body(a, text, expect);
 		g_free(text);
 	}
 	json_object_put(body);
 }
 
-static void delete_preset(struct api_call *a)
+static void delete_preset(struct api_request *a)
 {
 	struct preset_rec rec = { .name = ss_str(a->name) };
 	struct command c = { .kind = COMMAND_PRESET_DELETE, .preset = &rec };
@@ -297,24 +301,26 @@
 	if (expect_field(a->body, &c.expect))
 		change(a, &c);
 	else
-		api_call_fail(a, SS_ERROR_BAD_REQUEST, "\"expect\" is missing");
+		api_request_fail(a, SS_ERROR_BAD_REQUEST,
+				 "\"expect\" is missing");
 }
 
-static void switch_preset(struct api_call *a)
+static void switch_preset(struct api_request *a)
 {
 	struct preset_rec rec = { .name = ss_str(
 					  text_field(a->body, "preset")) };
 	struct command c = { .kind = COMMAND_PRESET_SWITCH, .preset = &rec };
 
 	if (rec.name.n == 0 || !expect_field(a->body, &c.expect))
-		api_call_fail(a, SS_ERROR_BAD_REQUEST,
-			      "\"preset\" and \"expect\" are needed; expect is "
-			      "the configuration's version");
+		api_request_fail(
+			a, SS_ERROR_BAD_REQUEST,
+			"\"preset\" and \"expect\" are needed; expect is "
+			"the configuration's version");
 	else
 		change(a, &c);
 }
 
-static void put_models(struct api_call *a)
+static void put_models(struct api_request *a)
 {
 	struct command c = { .kind = COMMAND_MODELS_PUT };
 	struct config_models m;
@@ -330,7 +336,7 @@
 		http_reply_error(a->req, error);
 		g_error_free(error);
 		json_object_put(only);
-		api_call_free(a);
+		api_request_free(a);
 		return;
 	}
 	recs = config_models_records(&m);
@@ -342,7 +348,7 @@
 	json_object_put(only);
 }
 
-static void node_state(struct api_call *a)
+static void node_state(struct api_request *a)
 {
 	static const struct {
 		const char *verb;
@@ -363,10 +369,10 @@
 		change(a, &c);
 		return;
 	}
-	api_call_fail(a, SS_ERROR_NOT_FOUND, "drain, undrain or forget");
+	api_request_fail(a, SS_ERROR_NOT_FOUND, "drain, undrain or forget");
 }
 
-static void remove_member(struct api_call *a)
+static void remove_member(struct api_request *a)
 {
 	uint64_t id = g_ascii_strtoull(a->name, NULL, 16);
 	GError *error = NULL;
@@ -377,7 +383,7 @@
 		http_reply_error(a->req, error);
 		g_error_free(error);
 	}
-	api_call_free(a);
+	api_request_free(a);
 }
 
 /* Reads. Only a leader that a majority has confirmed since the request arrived
@@ -396,7 +402,7 @@
 	return o;
 }
 
-static void list_presets(struct api_call *a)
+static void list_presets(struct api_request *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *now = ss_state_in_force(s);
@@ -414,20 +420,20 @@
 		root, "version",
 		json_object_new_int64((int64_t)ss_state_config_version(s)));
 	http_reply_json(a->req, 200, root);
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void show_preset(struct api_call *a)
+static void show_preset(struct api_request *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	const struct preset_rec *p = ss_state_preset(s, a->name);
 
 	if (!p) {
-		api_call_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
+		api_request_fail(a, SS_ERROR_NOT_FOUND, "no such preset");
 		return;
 	}
 	http_reply_json(a->req, 200, preset_json(p, true));
-	api_call_free(a);
+	api_request_free(a);
 }
 
 static json_object *change_json(const struct change_rec *c)
@@ -449,7 +455,7 @@
 	return o;
 }
 
-static void show_history(struct api_call *a)
+static void show_history(struct api_request *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	json_object *root = json_object_new_object();
@@ -459,10 +465,10 @@
 		json_object_array_add(list, change_json(p->data));
 	json_object_object_add(root, "history", list);
 	http_reply_json(a->req, 200, root);
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void list_models(struct api_call *a)
+static void list_models(struct api_request *a)
 {
 	const struct ss_state *s = a->h->o.ops->state(a->h->o.arg);
 	json_object *root = json_object_new_object();
@@ -488,44 +494,44 @@
 	g_list_free(all);
 	json_object_object_add(root, "models", list);
 	http_reply_json(a->req, 200, root);
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void show_status(struct api_call *a)
+static void show_status(struct api_request *a)
 {
 	json_object *o = json_object_new_object();
 
 	a->h->o.ops->status(a->h->o.arg, o);
 	http_reply_json(a->req, 200, o);
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void show_members(struct api_call *a)
+static void show_members(struct api_request *a)
 {
 	http_reply_json(a->req, 200, a->h->o.ops->members(a->h->o.arg));
-	api_call_free(a);
+	api_request_free(a);
 }
 
-static void show_why(struct api_call *a)
+static void show_why(struct api_request *a)
 {
 	json_object *o = a->h->o.ops->explain(a->h->o.arg, a->name);
 
 	if (!o) {
-		api_call_fail(a, SS_ERROR_UNKNOWN_MODEL, "no such model");
+		api_request_fail(a, SS_ERROR_UNKNOWN_MODEL, "no such model");
 		return;
 	}
 	http_reply_json(a->req, 200, o);
-	api_call_free(a);
+	api_request_free(a);
 }
 
 static void on_confirmed(void *arg, bool ok)
 {
-	struct api_call *a = arg;
+	struct api_request *a = arg;
 
 	if (ok)
 		a->handler(a);
 	else
-		api_call_fail(
+		api_request_fail(
 			a, SS_ERROR_NOT_LEADER,
 			"this VM doesn't lead, or no majority confirms it");
 }
@@ -535,7 +541,7 @@
 struct path {
 	enum evhttp_cmd_type method;
 	const char *path; /* a path that ends in "/" is followed by a name */
-	void (*fn)(struct api_call *a);
+	void (*fn)(struct api_request *a);
 };
 
 static const struct path paths[] = {
@@ -578,7 +584,7 @@
 		evhttp_uri_get_path(evhttp_request_get_evhttp_uri(req));
 	enum evhttp_cmd_type method = evhttp_request_get_command(req);
 	const struct path *p;
-	struct api_call *a;
+	struct api_request *a;
 	GError *error = NULL;
 
 	if (h->o.ops->serve_public(h->o.arg, req))
@@ -593,7 +599,7 @@
 		fail(req, SS_ERROR_NOT_FOUND, "no such path");
 		return;
 	}
-	a = g_new0(struct api_call, 1);
+	a = g_new0(struct api_request, 1);
 	a->h = h;
 	a->req = req;
 	a->name = evhttp_uridecode(path + strlen(p->path), 0, NULL);
@@ -603,7 +609,7 @@
 	if (error) {
 		http_reply_error(req, error);
 		g_error_free(error);
-		api_call_free(a);
+		api_request_free(a);
 		return;
 	}
 	h->o.ops->confirm(h->o.arg, on_confirmed, a);
--- a/src/operator/routing_http.c
+++ b/src/operator/routing_http.c
@@ -6,20 +6,20 @@
 
 /* Largest body, in bytes: 30,000 adapters and thousands of routes. */
 #define BODY_MAX (15u << 20)
-/* Time limit for a request to wait until the routing table has caught up with
- * the log, in ms. */
+/* Time limit, in ms, for a request to wait until the routing table has caught
+ * up with the log; then the request is refused. */
 #define TABLE_WAIT_MS 1000
 
 struct routing_http {
 	struct routing_http_options o;
 	struct http_server *server;
-	GArray *held;	    /* struct held_call */
+	GArray *held;	    /* struct held_request */
 	GQueue puts;	    /* struct pending, parsed one at a time */
 	struct event *step; /* parses in the event loop */
 };
 
 /* A request that waits for a leader to be known. */
-struct held_call {
+struct held_request {
 	struct evhttp_request *req;
 	int64_t since_ms;
 };
@@ -32,7 +32,7 @@
 	uint64_t version;	       /* of the new routing */
 	uint64_t base_version; /* current version when it was proposed */
 	int64_t received_ms;   /* time of arrival */
-	int64_t read_ms;       /* duration until it was parsed */
+	int64_t parse_ms;      /* from arrival until it was proposed */
 };
 
 static void refuse(struct evhttp_request *req, enum ss_error code,
@@ -60,7 +60,7 @@
 	g_free(p);
 }
 
-static const struct document *in_force(const struct routing_http *h)
+static const struct document *current_routing(const struct routing_http *h)
 {
 	return ss_state_routing(h->o.ops->state(h->o.arg));
 }
@@ -85,7 +85,7 @@
 		refuse(p->req, SS_ERROR_UNAVAILABLE, error->message);
 	} else if (r->code == SS_ERROR_CONFLICT &&
 		   r->version != p->base_version) {
-		/* Another change came first: compares with that version now. */
+		/* Another change came first: p is compared with that. */
 		g_queue_push_tail(&h->puts, p);
 		schedule_step(h);
 		return;
@@ -95,7 +95,7 @@
 		log_info("routing_accepted",
 			 "version=%" PRIu64 " in_force=%" PRIu64
 			 " read_ms=%" PRId64 " ms=%" PRId64,
-			 p->version, r->version, p->read_ms,
+			 p->version, r->version, p->parse_ms,
 			 ss_clock_now(h->o.clock) - p->received_ms);
 		http_reply(p->req, 200, "application/json", SS_LIT("{}"));
 	}
@@ -123,8 +123,8 @@
 
 	rec.change = ss_str_gs(packed);
 	p->version = rec.version;
-	p->base_version = document_version(in_force(h));
-	p->read_ms = ss_clock_now(h->o.clock) - p->received_ms;
+	p->base_version = document_version(current_routing(h));
+	p->parse_ms = ss_clock_now(h->o.clock) - p->received_ms;
 	routing_update_free(p->update);
 	p->update = NULL;
 	h->o.ops->change(h->o.arg, &c,
@@ -137,7 +137,7 @@
 static bool compare(struct pending *p, GError **error)
 {
 	struct routing_http *h = p->h;
-	const struct document *d = in_force(h);
+	const struct document *d = current_routing(h);
 	struct document_patch *patch;
 
 	if (p->update &&
@@ -153,13 +153,13 @@
 	return patch != NULL;
 }
 
-/* Whether the table is behind the log; it catches up over several iterations of
- * the event loop. */
+/* Returns true if the table is behind the log and p may still wait for it. The
+ * table catches up over several iterations of the event loop. */
 static bool is_behind(const struct pending *p)
 {
 	const struct routing_http *h = p->h;
 
-	return h->o.routing->version != document_version(in_force(h)) &&
+	return h->o.routing->version != document_version(current_routing(h)) &&
 	       ss_clock_now(h->o.clock) - p->received_ms < TABLE_WAIT_MS;
 }
 
@@ -189,7 +189,7 @@
 		schedule_step(h);
 }
 
-static void put(struct routing_http *h, struct evhttp_request *req)
+static void enqueue_put(struct routing_http *h, struct evhttp_request *req)
 {
 	struct pending *p = pending_new(h, req);
 
@@ -201,7 +201,7 @@
 static void on_confirmed(void *arg, bool ok)
 {
 	struct pending *p = arg;
-	const struct document *d = in_force(p->h);
+	const struct document *d = current_routing(p->h);
 	GString *text;
 
 	if (!ok)
@@ -241,7 +241,7 @@
 	return true;
 }
 
-static void refuse_leaderless(struct evhttp_request *req)
+static void refuse_no_leader(struct evhttp_request *req)
 {
 	log_info("routing_elsewhere", "path=%s leader=-", path_of(req));
 	refuse(req, SS_ERROR_UNAVAILABLE, "no leader is known");
@@ -250,12 +250,12 @@
 /* Redirects to the leader, or holds the request until one is known. */
 static void redirect_or_hold(struct routing_http *h, struct evhttp_request *req)
 {
-	struct held_call held = { .req = req };
+	struct held_request held = { .req = req };
 
 	if (redirect(h, req))
 		return;
 	if (!h->o.hold_ms) {
-		refuse_leaderless(req);
+		refuse_no_leader(req);
 		return;
 	}
 	held.since_ms = ss_clock_now(h->o.clock);
@@ -265,15 +265,15 @@
 void routing_http_check_held(struct routing_http *h)
 {
 	for (guint i = h->held->len; i-- > 0;) {
-		struct held_call *held =
-			&g_array_index(h->held, struct held_call, i);
+		struct held_request *held =
+			&g_array_index(h->held, struct held_request, i);
 		int64_t age = ss_clock_now(h->o.clock) - held->since_ms;
 		bool done = redirect(h, held->req);
 
 		if (!done && age < h->o.hold_ms)
 			continue;
 		if (!done)
-			refuse_leaderless(held->req);
+			refuse_no_leader(held->req);
 		g_array_remove_index(h->held, i);
 	}
 }
@@ -295,7 +295,7 @@
 	else if (!h->o.ops->leads(h->o.arg))
 		redirect_or_hold(h, req);
 	else if (is_put)
-		put(h, req);
+		enqueue_put(h, req);
 	else
 		h->o.ops->confirm(h->o.arg, on_confirmed, pending_new(h, req));
 }
@@ -311,7 +311,7 @@
 					  .arg = h };
 
 	h->o = *o;
-	h->held = g_array_new(FALSE, FALSE, sizeof(struct held_call));
+	h->held = g_array_new(FALSE, FALSE, sizeof(struct held_request));
 	g_queue_init(&h->puts);
 	h->step = evtimer_new(o->base, on_step, h);
 	h->server = http_server_new(&so, error);
