--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -34,7 +34,7 @@
 	struct event_base *base;
 	const struct ss_clock *clock;
 	const char *addr;
-	size_t max_body;
+	size_t max_body;    /* bytes */
 	int64_t receive_ms; /* time limit for a complete request */
 	const struct caller_ops *ops;
 	void *arg;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -23,7 +23,7 @@
 	char *listen;
 	int64_t max_body_bytes;
 	int64_t receive_ms; /* time limit for a caller to send its request */
-	int64_t drain_ms;   /* reports not ready, still accepts calls */
+	int64_t drain_ms;   /* a draining entry accepts calls for this time */
 	int64_t drain_max_ms;
 	struct config_headers headers;
 	GPtrArray *rules; /* struct config_rule */
@@ -96,7 +96,7 @@
 	char *status_listen;
 	char *log_level;
 	GPtrArray *control;   /* char *, addresses of the control VMs */
-	int64_t control_port; /* overrides the port of these addresses; 0: no */
+	int64_t control_port; /* port of all of them; 0: as in control */
 	struct config_fleet fleet;
 	struct config_entry entry;
 	struct config_agent agent;
--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -17,7 +17,7 @@
 #define SLOW_SYNC_MS 1000
 /* Version of the file format; any other is refused on open. */
 #define FORMAT_VERSION 1
-#define RECORD_HEAD 16 /* length (4), its checksum (4), body checksum (8) */
+#define RECORD_HEAD 16 /* bytes: length 4, its checksum 4, body checksum 8 */
 #define RECORD_MAX (64u * 1024 * 1024) /* bytes */
 
 struct disk {
@@ -590,8 +590,9 @@
 	d->synced = MIN(d->synced, from - 1);
 	d->marked = MIN(d->marked, d->synced);
 	/*
-	 * Synced immediately: otherwise a power loss could undo the truncation
-	 * and keep the next writes, and old entries would follow new ones.
+	 * The truncation is synced immediately: otherwise a power loss could
+	 * undo it and keep the next writes, and old entries would follow new
+	 * ones.
 	 */
 	if (ftruncate(d->log_fd, (off_t)d->end) || d->io.fdatasync(d->log_fd))
 		return io_error(error, "cut", "log");
--- a/src/vmlist/instances.c
+++ b/src/vmlist/instances.c
@@ -16,10 +16,10 @@
 #define RATE_LIMITED_PAUSE_MS 60
 #define RATE_LIMITED_RETRIES_MAX 100
 #define STATUS_TOO_MANY_REQUESTS 429
-/* Unreadable entries are logged at this interval, and up to this many of a
+/* Unreadable items are logged at this interval, and up to this many of a
  * poll: a faulty writer may corrupt all of them for hours. */
 #define UNREADABLE_LOG_INTERVAL_MS 10000
-#define UNREADABLE_LOG_ENTRIES_MAX 4
+#define UNREADABLE_LOG_ITEMS_MAX 4
 
 struct instances {
 	struct instances_options o;
@@ -32,7 +32,7 @@
 	unsigned int pages, rate_limited;
 	bool enabled, in_progress, freed;
 	bool failed;	   /* the last poll failed, which is logged once */
-	int64_t logged_ms; /* last log of unreadable entries; 0: never */
+	int64_t logged_ms; /* last log of unreadable items; 0: never */
 	uint64_t *n_unreadable, *n_incomplete;
 };
 
@@ -75,7 +75,7 @@
 	v->logged_ms = now;
 	log_warn("list_unreadable", "addr=%s entries=%u readable=%u whole=%d",
 		 v->addr, u->len, v->list.instances->len, v->list.complete);
-	for (guint i = 0; i < MIN(u->len, UNREADABLE_LOG_ENTRIES_MAX); i++) {
+	for (guint i = 0; i < MIN(u->len, UNREADABLE_LOG_ITEMS_MAX); i++) {
 		const struct fleet_unreadable *x =
 			&g_array_index(u, struct fleet_unreadable, i);
 
