--- a/test/fuzz/fuzz.c
+++ b/test/fuzz/fuzz.c
@@ -2,7 +2,7 @@
  * The fuzz target. The first byte of the input selects what is fuzzed: frames,
  * settings and presets, commands and snapshots of the state, members, log
  * files, HTTP messages, event streams, the platform's bodies and headers, or a
- * page of its list with one corrupt entry.
+ * page of its list with one corrupt item.
  */
 #include "../../platform/platform.h"
 #include "../../src/config/config.h"
@@ -89,7 +89,7 @@
 		abort();
 }
 
-/* Instances that were read are usable, unreadable entries have a reason, and an
+/* Instances that were read are usable, unreadable items have a reason, and an
  * incomplete list names no next page. */
 static void check_list(const struct fleet_list *list, const char *next)
 {
@@ -158,7 +158,7 @@
 	fleet_report_clear(&report);
 }
 
-#define ENTRY(n)                                                               \
+#define ITEM(n)                                                                \
 	"{\"service\":\"s\",\"addr\":\"10.0.0." n ":80\",\"zone\":\"z\","      \
 	"\"version\":\"v1\",\"slots\":4,\"state\":\"ready\","                  \
 	"\"coldLeftMs\":0,\"models\":[{\"name\":\"m\"}],\"id\":\"i-" n "\"}"
@@ -175,30 +175,30 @@
 }
 
 /*
- * Corrupts the second of three entries. The input consists of pairs of an
- * offset in that entry and the byte to write there; 0xfe deletes one byte
- * instead, and 0xff truncates the entry. The other two entries and the token of
+ * Corrupts the second of three items. The input consists of pairs of an
+ * offset in that item and the byte to write there; 0xfe deletes one byte
+ * instead, and 0xff truncates the item. The other two items and the token of
  * the next page must still be read.
  */
 static void fuzz_page(const uint8_t *p, size_t n)
 {
-	GString *entry = g_string_new(ENTRY("2")), *page;
+	GString *item = g_string_new(ITEM("2")), *page;
 	struct fleet_list list;
 	char *next = NULL;
 
-	for (size_t i = 0; i + 1 < n && entry->len; i += 2) {
-		gssize at = (gssize)(p[i] % entry->len);
+	for (size_t i = 0; i + 1 < n && item->len; i += 2) {
+		gssize at = (gssize)(p[i] % item->len);
 
 		if (p[i + 1] == 0xff)
-			g_string_truncate(entry, (gsize)at);
+			g_string_truncate(item, (gsize)at);
 		else if (p[i + 1] == 0xfe)
-			g_string_erase(entry, at, 1);
+			g_string_erase(item, at, 1);
 		else
-			entry->str[at] = (char)p[i + 1];
+			item->str[at] = (char)p[i + 1];
 	}
-	page = g_string_new("{\"instances\":[" ENTRY("1") ",");
-	g_string_append_len(page, entry->str, (gssize)entry->len);
-	g_string_append(page, "," ENTRY("3") "],\"next\":\"p-2\"}");
+	page = g_string_new("{\"instances\":[" ITEM("1") ",");
+	g_string_append_len(page, item->str, (gssize)item->len);
+	g_string_append(page, "," ITEM("3") "],\"next\":\"p-2\"}");
 	fleet_list_init(&list);
 	require(users_platform.read_list(ss_str_gs(page), &list, &next, NULL));
 	check_list(&list, next);
@@ -206,7 +206,7 @@
 	require(next && !strcmp(next, "p-2"));
 	fleet_list_clear(&list);
 	g_free(next);
-	g_string_free(entry, TRUE);
+	g_string_free(item, TRUE);
 	g_string_free(page, TRUE);
 }
 
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -124,7 +124,7 @@
 	return (size_t)st.st_size;
 }
 
-static void cut_log(size_t to)
+static void truncate_log(size_t to)
 {
 	char *p = path_of("log");
 
@@ -163,7 +163,7 @@
 		struct disk *d;
 
 		fill_crash(4);
-		cut_log(n);
+		truncate_log(n);
 		d = open_disk(&s, NULL);
 		assert_non_null(d);
 		assert_int_equal(s.n_entries, 3);
@@ -218,7 +218,7 @@
 
 	(void)state;
 	fill(3);
-	cut_log(log_size() + 100);
+	truncate_log(log_size() + 100);
 	d = open_disk(&s, NULL);
 	assert_non_null(d);
 	assert_int_equal(s.n_entries, 3);
--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -14,11 +14,11 @@
 #define PAGES 3
 #define LOG_BYTES (64 << 10)
 
-#define ENTRY(id)                                                              \
+#define ITEM(id)                                                               \
 	"{\"service\":\"s\",\"addr\":\"10.0.0.1:80\",\"zone\":\"z\","          \
 	"\"version\":\"v1\",\"slots\":4,\"state\":\"ready\","                  \
 	"\"coldLeftMs\":0,\"id\":\"" id "\"}"
-#define PAGE(entries, next) "{\"instances\":[" entries "],\"next\":" next "}"
+#define PAGE(items, next) "{\"instances\":[" items "],\"next\":" next "}"
 
 struct fixture {
 	struct event_base *base;
@@ -125,34 +125,34 @@
 
 static const struct list_case cases[] = {
 	{ "two pages",
-	  { PAGE(ENTRY("i-1"), "\"p-2\""), PAGE(ENTRY("i-2"), "null") },
+	  { PAGE(ITEM("i-1"), "\"p-2\""), PAGE(ITEM("i-2"), "null") },
 	  "i-1 i-2 ",
 	  true,
 	  0,
 	  0 },
-	{ "invalid entries on both pages",
-	  { PAGE("{}," ENTRY("i-1"), "\"p-2\""),
-	    PAGE(ENTRY("i-2") ",{},7", "null") },
+	{ "invalid items on both pages",
+	  { PAGE("{}," ITEM("i-1"), "\"p-2\""),
+	    PAGE(ITEM("i-2") ",{},7", "null") },
 	  "i-1 i-2 ",
 	  true,
 	  3,
 	  0 },
 	{ "a torn page before a valid one",
-	  { PAGE("{\"id\":," ENTRY("i-1"), "\"p-2\""),
-	    PAGE(ENTRY("i-2"), "null") },
+	  { PAGE("{\"id\":," ITEM("i-1"), "\"p-2\""),
+	    PAGE(ITEM("i-2"), "null") },
 	  "i-1 i-2 ",
 	  true,
 	  1,
 	  0 },
 	{ "a token of another type",
-	  { PAGE(ENTRY("i-1"), "2"), PAGE(ENTRY("i-2"), "null") },
+	  { PAGE(ITEM("i-1"), "2"), PAGE(ITEM("i-2"), "null") },
 	  "i-1 ",
 	  false,
 	  0,
 	  1 },
 	{ "the second page is truncated",
-	  { PAGE(ENTRY("i-1"), "\"p-2\""),
-	    "{\"instances\":[" ENTRY("i-2") ",{\"id", PAGE("", "null") },
+	  { PAGE(ITEM("i-1"), "\"p-2\""),
+	    "{\"instances\":[" ITEM("i-2") ",{\"id", PAGE("", "null") },
 	  "i-1 i-2 ",
 	  false,
 	  1,
@@ -161,7 +161,7 @@
 
 /*
  * Guards against dropping the endpoints on all pages after one that has an
- * invalid or torn entry or token. That happens if the poll ends there and is
+ * invalid or torn item or token. That happens if the poll ends there and is
  * taken as complete.
  */
 static void polls_report_whether_they_are_complete(void **state)
@@ -169,7 +169,7 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		const struct list_case *c = &cases[i];
-		uint64_t *entries, *incomplete;
+		uint64_t *unreadable, *incomplete;
 		struct fixture w;
 
 		start_fixture(&w, c->pages);
@@ -177,14 +177,14 @@
 		if (strcmp(w.ids->str, c->ids) || w.complete != c->complete)
 			fail_msg("%s: %s complete %d", c->label, w.ids->str,
 				 w.complete);
-		entries = metrics_value(w.metrics, "ss_list_unreadable_total",
-					"");
+		unreadable = metrics_value(w.metrics,
+					   "ss_list_unreadable_total", "");
 		incomplete =
 			metrics_value(w.metrics, "ss_list_parts_total", "");
-		if (*entries != c->unreadable * (uint64_t)w.polls ||
+		if (*unreadable != c->unreadable * (uint64_t)w.polls ||
 		    *incomplete != c->incomplete * (uint64_t)w.polls)
 			fail_msg("%s: counted %" PRIu64 " and %" PRIu64,
-				 c->label, *entries, *incomplete);
+				 c->label, *unreadable, *incomplete);
 		stop_fixture(&w);
 	}
 }
@@ -228,15 +228,15 @@
 }
 
 /*
- * Guards against a log that is flooded by entries that stay invalid, which
+ * Guards against a log that is flooded by items that stay invalid, which
  * happens if every poll logs all of them.
  */
-static void unreadable_entries_are_logged_rarely(void **state)
+static void unreadable_items_are_logged_rarely(void **state)
 {
 	static const char *const invalid[PAGES] = { PAGE(
 		"{},{\"id\":\"i-7\",\"service\":7},{},{},{},{},{},{}",
 		"null") };
-	static const char *const valid[PAGES] = { PAGE(ENTRY("i-1"), "null") };
+	static const char *const valid[PAGES] = { PAGE(ITEM("i-1"), "null") };
 	char *text = log_of(invalid, valid);
 
 	(void)state;
@@ -253,7 +253,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(polls_report_whether_they_are_complete),
-		cmocka_unit_test(unreadable_entries_are_logged_rarely),
+		cmocka_unit_test(unreadable_items_are_logged_rarely),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/test_list.c
+++ b/test/test_list.c
@@ -4,15 +4,15 @@
 
 #include "../platform/platform.h"
 
-#define ENTRY(id, addr)                                                        \
+#define ITEM(id, addr)                                                         \
 	"{\"service\":\"s\",\"addr\":\"" addr "\",\"zone\":\"z\","             \
 	"\"version\":\"v1\",\"slots\":4,\"state\":\"ready\","                  \
 	"\"coldLeftMs\":0,\"phase\":\"mixed\",\"models\":[{\"name\":\"m\","    \
 	"\"version\":1,\"adapters\":[]}],\"id\":\"" id "\"}"
-#define ONE ENTRY("i-1", "10.0.0.1:80")
-#define TWO ENTRY("i-2", "10.0.0.2:80")
-#define THREE ENTRY("i-3", "10.0.0.3:80")
-#define PAGE(entries, next) "{\"instances\":[" entries "],\"next\":" next "}"
+#define ONE ITEM("i-1", "10.0.0.1:80")
+#define TWO ITEM("i-2", "10.0.0.2:80")
+#define THREE ITEM("i-3", "10.0.0.3:80")
+#define PAGE(items, next) "{\"instances\":[" items "],\"next\":" next "}"
 
 /* Returns the ids of the instances in a list, each followed by a space. */
 static char *ids_of(const struct fleet_list *l)
@@ -33,7 +33,7 @@
 	return &g_array_index(l->unreadable, struct fleet_unreadable, i);
 }
 
-static void valid_entries_are_read(void **state)
+static void valid_items_are_read(void **state)
 {
 	static const char json[] =
 		PAGE("{\"id\":\"i-9\",\"service\":\"s\",\"addr\":\"a:1\","
@@ -99,8 +99,8 @@
 	    "[{\"name\":7}]", "[{\"name\":\"\xff\"}]" } },
 };
 
-/* Returns an entry i-2 at 10.0.0.2:80 in which one field has this value. */
-static char *entry_with(const char *key, const char *value)
+/* Returns an item i-2 at 10.0.0.2:80 in which one field has this value. */
+static char *item_with(const char *key, const char *value)
 {
 	static const char *const rest[][2] = {
 		{ "id", "\"i-2\"" },	       { "service", "\"s\"" },
@@ -122,8 +122,8 @@
 
 static void check_invalid_field(const char *key, const char *value)
 {
-	char *entry = entry_with(key, value);
-	char *page = g_strdup_printf(PAGE(ONE ",%s," THREE, "\"p-2\""), entry);
+	char *item = item_with(key, value);
+	char *page = g_strdup_printf(PAGE(ONE ",%s," THREE, "\"p-2\""), item);
 	struct fleet_list l;
 	char *next = NULL, *ids;
 
@@ -146,17 +146,17 @@
 	g_free(ids);
 	g_free(next);
 	g_free(page);
-	g_free(entry);
+	g_free(item);
 	fleet_list_clear(&l);
 }
 
 /*
  * Guards against losing all endpoints, so that every caller is refused, when
- * another program writes an entry to the list in which a field is missing, of
- * another type or out of range. That happens if one such entry invalidates the
+ * another program writes an item to the list in which a field is missing, of
+ * another type or out of range. That happens if one such item invalidates the
  * whole list.
  */
-static void invalid_entry_affects_no_other(void **state)
+static void invalid_item_affects_no_other(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(field_cases); i++)
@@ -176,7 +176,7 @@
 	{ "the last page", PAGE(ONE, "null"), "i-1 ", 0, NULL, true, false },
 	{ "a page before another", PAGE("", "\"p-2\""), "", 0, "p-2", true,
 	  false },
-	{ "no valid entry", PAGE("{},7,null,[],\"x\"", "null"), "", 5, NULL,
+	{ "no valid item", PAGE("{},7,null,[],\"x\"", "null"), "", 5, NULL,
 	  true, false },
 	{ "no list", "{\"next\":null}", NULL, 0, NULL, true, false },
 	{ "a list of another type", "{\"instances\":{},\"next\":null}", NULL, 0,
@@ -192,47 +192,47 @@
 	{ "an empty token", PAGE(ONE, "\"\""), "i-1 ", 0, NULL, false, false },
 	{ "a token that is invalid UTF-8", PAGE(ONE, "\"p\xff\""), "i-1 ", 0,
 	  NULL, false, false },
-	{ "an entry without its end",
+	{ "an item without its end",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"service\":\"s\"," THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry that ends within a string",
+	{ "an item that ends within a string",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"addr\":\"10.0.0." THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry that ends after a backslash",
+	{ "an item that ends after a backslash",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"addr\":\"10\\}," THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry without its beginning",
+	{ "an item without its beginning",
 	  PAGE(ONE ",vice\":\"s\",\"id\":\"i-2\"}," THREE, "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry that lost the end of its models",
+	{ "an item that lost the end of its models",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"models\":[{\"name\":\"m\"}," THREE,
 	       "\"p-2\""),
 	  "i-1 i-3 ", 1, "p-2", true, true },
-	{ "an entry whose torn models seem to end the list",
+	{ "an item whose torn models seem to end the list",
 	  PAGE(ONE ",{\"addr\":\"10.0.0.2:80\",\"x:[{x\":\"m\"}],"
 		   "\"id\":\"i-2\"}," THREE,
 	       "\"p-2\""),
 	  "i-1 i-3 ", 2, "p-2", true, true },
-	{ "bytes instead of an entry",
+	{ "bytes instead of an item",
 	  PAGE(ONE ",\xff\xfe\x80\x01," THREE, "\"p-2\""), "i-1 i-3 ", 1, "p-2",
 	  true, true },
-	{ "the first entry is torn", PAGE("{\"id\":\"i-1\"," TWO, "\"p-2\""),
+	{ "the first item is torn", PAGE("{\"id\":\"i-1\"," TWO, "\"p-2\""),
 	  "i-2 ", 1, "p-2", true, true },
-	{ "the last entry is torn",
+	{ "the last item is torn",
 	  PAGE(ONE ",{\"id\":\"i-2\",\"addr\":\"1", "\"p-2\""), "i-1 ", 1,
 	  "p-2", true, true },
 	{ "a torn page that is the last", PAGE("{\"id\":," TWO, "null"), "i-2 ",
 	  1, NULL, true, true },
-	{ "one entry is torn, another is invalid",
+	{ "one item is torn, another is invalid",
 	  PAGE("{\"id\":," TWO ",{\"id\":\"i-3\"}", "\"p-2\""), "i-2 ", 2,
 	  "p-2", true, true },
 	{ "only the last byte of the page is missing",
 	  "{\"instances\":[" ONE "],\"next\":null", "i-1 ", 0, NULL, false,
 	  false },
-	{ "truncated within an entry", "{\"instances\":[" ONE ",{\"id\":\"i",
+	{ "truncated within an item", "{\"instances\":[" ONE ",{\"id\":\"i",
 	  "i-1 ", 1, NULL, false, true },
-	{ "truncated between two entries", "{\"instances\":[" ONE ",", "i-1 ",
-	  0, NULL, false, false },
+	{ "truncated between two items", "{\"instances\":[" ONE ",", "i-1 ", 0,
+	  NULL, false, false },
 	{ "truncated, with the token before the list",
 	  "{\"next\":\"p-2\",\"instances\":[" ONE, "i-1 ", 0, NULL, false,
 	  false },
@@ -248,11 +248,11 @@
 
 /*
  * Guards against dropping all endpoints, or those on the pages after one, when
- * an entry is torn in the middle so that its page isn't JSON, or when the token
+ * an item is torn in the middle so that its page isn't JSON, or when the token
  * of the next page can't be read. That happens if the page as a whole is
  * refused, or is taken for the last one.
  */
-static void torn_pages_keep_valid_entries(void **state)
+static void torn_pages_keep_valid_items(void **state)
 {
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(pages); i++) {
@@ -285,7 +285,7 @@
 }
 
 /* A torn fragment with an id or address is attributed to that endpoint. */
-static void torn_entry_is_attributed(void **state)
+static void torn_item_is_attributed(void **state)
 {
 	static const char json[] = PAGE(
 		"{\"id\":\"i-1\",\"addr\":\"10.0.0.1:80\",\"zo," TWO, "null");
@@ -315,14 +315,14 @@
 
 static const struct presence_case presences[] = {
 	{ "nothing is unreadable", { { 0 } }, 0, true, false, 0, FLEET_GONE },
-	{ "its own unreadable entry, by its id",
+	{ "its own unreadable item, by its id",
 	  { { "i-1", NULL } },
 	  1,
 	  true,
 	  false,
 	  10 * FLEET_UNREADABLE_GRACE_MS,
 	  FLEET_UNREADABLE },
-	{ "its own unreadable entry, by its address",
+	{ "its own unreadable item, by its address",
 	  { { NULL, "a:1" } },
 	  1,
 	  true,
@@ -336,21 +336,21 @@
 	  false,
 	  0,
 	  FLEET_UNREADABLE },
-	{ "unreadable entries of others",
+	{ "unreadable items of others",
 	  { { "i-2", "a:2" }, { "i-3", NULL } },
 	  2,
 	  true,
 	  false,
 	  0,
 	  FLEET_GONE },
-	{ "an entry of an unknown endpoint",
+	{ "an item of an unknown endpoint",
 	  { { "i-2", "a:2" }, { NULL, NULL } },
 	  2,
 	  true,
 	  false,
 	  FLEET_UNREADABLE_GRACE_MS - 1,
 	  FLEET_UNREADABLE },
-	{ "an entry of an unknown endpoint, for too long",
+	{ "an item of an unknown endpoint, for too long",
 	  { { NULL, NULL } },
 	  1,
 	  true,
@@ -372,7 +372,7 @@
 	  true,
 	  10 * FLEET_UNREADABLE_GRACE_MS,
 	  FLEET_UNKNOWN },
-	{ "an incomplete list, with its own unreadable entry",
+	{ "an incomplete list, with its own unreadable item",
 	  { { "i-1", "a:1" } },
 	  1,
 	  false,
@@ -383,8 +383,8 @@
 
 /*
  * Guards against taking a working engine for gone, so that its models are
- * loaded again elsewhere and its connections closed, while its entry in the
- * list is corrupt. That happens if an unreadable entry counts as absent.
+ * loaded again elsewhere and its connections closed, while its item in the
+ * list is corrupt. That happens if an unreadable item counts as absent.
  */
 static void unreadable_is_not_gone(void **state)
 {
@@ -408,23 +408,23 @@
 	}
 }
 
-struct settle_case {
+struct conflict_case {
 	const char *label;
-	const char *entries[3]; /* "id addr service" */
-	const char *ids;	/* of the remaining ones */
+	const char *items[3]; /* "id addr service" */
+	const char *ids;      /* of the remaining ones */
 };
 
-static const struct settle_case settle_cases[] = {
+static const struct conflict_case conflict_cases[] = {
 	{ "all of configured services",
 	  { "i-1 a:1 web", "i-2 a:2 lm" },
 	  "i-1 i-2 " },
 	{ "an unconfigured service without a conflict",
 	  { "i-1 a:1 web", "i-2 a:2 other" },
 	  "i-1 i-2 " },
-	{ "an entry of an unconfigured service has the same address",
+	{ "an item of an unconfigured service has the same address",
 	  { "i-1 a:1 web", "i-2 a:1 other" },
 	  "i-1 " },
-	{ "an entry of an unconfigured service has the same id, and is first",
+	{ "an item of an unconfigured service has the same id, and is first",
 	  { "i-1 a:2 other", "i-1 a:1 web" },
 	  "i-1 " },
 	{ "neither service is configured",
@@ -435,7 +435,7 @@
 	  "i-1 i-2 " },
 };
 
-static void add_entry(struct fleet_list *l, const char *text)
+static void add_item(struct fleet_list *l, const char *text)
 {
 	char **part = g_strsplit(text, " ", 3);
 	struct fleet_instance x = { .id = g_strdup(part[0]),
@@ -450,8 +450,8 @@
 
 /*
  * Guards against an endpoint that gets no more work although the list has it as
- * ready, after another program wrote an entry with the same address and a
- * service that isn't configured. That happens if the later entry replaces the
+ * ready, after another program wrote an item with the same address and a
+ * service that isn't configured. That happens if the later item replaces the
  * first.
  */
 static void configured_services_take_precedence(void **state)
@@ -463,14 +463,14 @@
 		NULL);
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(settle_cases); i++) {
-		const struct settle_case *c = &settle_cases[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(conflict_cases); i++) {
+		const struct conflict_case *c = &conflict_cases[i];
 		struct fleet_list l;
 		char *ids;
 
 		fleet_list_init(&l);
-		for (int k = 0; k < 3 && c->entries[k]; k++)
-			add_entry(&l, c->entries[k]);
+		for (int k = 0; k < 3 && c->items[k]; k++)
+			add_item(&l, c->items[k]);
 		fleet_list_drop_conflicts(&l, NULL);
 		fleet_list_drop_conflicts(&l, r);
 		ids = ids_of(&l);
@@ -489,10 +489,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(valid_entries_are_read),
-		cmocka_unit_test(invalid_entry_affects_no_other),
-		cmocka_unit_test(torn_pages_keep_valid_entries),
-		cmocka_unit_test(torn_entry_is_attributed),
+		cmocka_unit_test(valid_items_are_read),
+		cmocka_unit_test(invalid_item_affects_no_other),
+		cmocka_unit_test(torn_pages_keep_valid_items),
+		cmocka_unit_test(torn_item_is_attributed),
 		cmocka_unit_test(unreadable_is_not_gone),
 		cmocka_unit_test(configured_services_take_precedence),
 	};
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -256,7 +256,7 @@
 struct start_case {
 	const char *label, *text; /* the field as JSON; "": absent */
 	int64_t started_ms;
-	bool entry_valid; /* an entry of the list with this field */
+	bool item_valid; /* an item of the list with this field */
 };
 
 static const struct start_case starts[] = {
@@ -271,8 +271,8 @@
 
 /*
  * A report comes from the engine itself, so only an invalid start time is
- * ignored. An entry of the list may come from another program, so an invalid
- * start time makes the entry unreadable.
+ * ignored. An item of the list may come from another program, so an invalid
+ * start time makes the item unreadable.
  */
 static void start_times_are_read(void **state)
 {
@@ -299,8 +299,8 @@
 		read = out.instances->len == 1 &&
 		       g_array_index(out.instances, struct fleet_instance, 0)
 				       .started_ms == c->started_ms;
-		if (read != c->entry_valid ||
-		    out.unreadable->len != (c->entry_valid ? 0 : 1) ||
+		if (read != c->item_valid ||
+		    out.unreadable->len != (c->item_valid ? 0 : 1) ||
 		    r.self.started_ms != c->started_ms)
 			fail_msg("%s", c->label);
 		fleet_report_clear(&r);
@@ -620,7 +620,7 @@
 struct answer_case {
 	const char *label, *text;
 	bool not_run, authentic, encoded, has_load;
-	int64_t idle_ms;
+	int64_t keep_alive_ms;
 	double limit_per_s;
 	bool draining;
 	int64_t backoff_ms;
@@ -725,7 +725,7 @@
 		    x.answer.encoded != c->encoded ||
 		    x.answer.has_load != c->has_load ||
 		    (c->has_load && !load_is_read(&x.answer)) ||
-		    x.answer.keep_alive_ms != c->idle_ms ||
+		    x.answer.keep_alive_ms != c->keep_alive_ms ||
 		    x.answer.limit_per_s != c->limit_per_s ||
 		    x.answer.draining != c->draining ||
 		    x.answer.backoff_ms != c->backoff_ms)
--- a/test/test_probe.c
+++ b/test/test_probe.c
@@ -59,7 +59,7 @@
 	return fd;
 }
 
-static void probe_reports_who_listens(void **state)
+static void probe_reports_whether_a_process_listens(void **state)
 {
 	struct probe_outcome s = { .base = event_base_new() };
 	char up[ADDR_BYTES], down[ADDR_BYTES];
@@ -103,7 +103,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(probe_reports_who_listens),
+		cmocka_unit_test(probe_reports_whether_a_process_listens),
 		cmocka_unit_test(cancelled_probe_is_silent),
 	};
 
