--- a/src/config/config.h
+++ b/src/config/config.h
@@ -22,9 +22,9 @@
 struct config_entry {
 	char *listen;
 	int64_t max_body_bytes;
-	int64_t receive_ms; /* time limit for a caller to send its request */
-	int64_t drain_ms;   /* a draining entry accepts calls for this time */
-	int64_t drain_max_ms;
+	int64_t receive_ms;   /* time limit for a caller to send its request */
+	int64_t drain_ms;     /* draining: not ready, still accepts calls */
+	int64_t drain_max_ms; /* then: time limit for calls to finish */
 	struct config_headers headers;
 	GPtrArray *rules; /* struct config_rule */
 };
--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -201,7 +201,8 @@
 }
 
 /*
- * A record that extends past the end of the file, or is all zeroes up to the
+ * Parses the record at an offset, and sets next to the offset after it. A
+ * record that extends past the end of the file, or is all zeroes up to the
  * end, was being written when the VM stopped and is torn. A record of full
  * length with a wrong checksum may have been acknowledged, so it is corrupt.
  */
--- a/test/fuzz/fuzz.c
+++ b/test/fuzz/fuzz.c
@@ -89,8 +89,8 @@
 		abort();
 }
 
-/* Instances that were read are usable, unreadable items have a reason, and an
- * incomplete list names no next page. */
+/* Checks that instances that were read are usable, unreadable items have a
+ * reason, and an incomplete list names no next page. */
 static void check_list(const struct fleet_list *list, const char *next)
 {
 	for (guint i = 0; i < list->instances->len; i++) {
@@ -138,8 +138,8 @@
 	document_free(d);
 }
 
-/* Bodies in the platform's formats: an operator's configuration, a page of the
- * list and an engine's report. */
+/* Reads bodies in the platform's formats: an operator's configuration, a page
+ * of the list and an engine's report. */
 static void fuzz_bodies(struct ss_str text)
 {
 	struct fleet_report report;
@@ -236,8 +236,8 @@
 	(void)arg;
 }
 
-/* A message that is received in two parts, split at the offset in the second
- * byte of the input. */
+/* Reads a message that is received in two parts, split at the offset in the
+ * second byte of the input. */
 static void fuzz_http(bool request, const uint8_t *p, size_t n)
 {
 	static const struct http1_ops ops = { on_head, on_body, on_done };
--- a/test/test_instances.c
+++ b/test/test_instances.c
@@ -33,86 +33,86 @@
 
 static void on_request(struct evhttp_request *req, void *arg)
 {
-	struct fixture *w = arg;
+	struct fixture *f = arg;
 	const char *uri = evhttp_request_get_uri(req);
 	const char *token = strstr(uri, "pageToken=p-");
 	int page = token ? atoi(strrchr(token, '-') + 1) : 1;
 
-	if (page > PAGES || !w->pages[page - 1])
+	if (page > PAGES || !f->pages[page - 1])
 		http_reply(req, 500, "text/plain", SS_LIT("no"));
 	else
 		http_reply(req, 200, "application/json",
-			   ss_str(w->pages[page - 1]));
+			   ss_str(f->pages[page - 1]));
 }
 
 static void on_list(void *arg, struct fleet_list *list)
 {
-	struct fixture *w = arg;
+	struct fixture *f = arg;
 
-	w->polls++;
-	w->complete = list->complete;
-	g_string_truncate(w->ids, 0);
+	f->polls++;
+	f->complete = list->complete;
+	g_string_truncate(f->ids, 0);
 	for (guint i = 0; i < list->instances->len; i++)
-		g_string_append_printf(w->ids, "%s ",
+		g_string_append_printf(f->ids, "%s ",
 				       g_array_index(list->instances,
 						     struct fleet_instance, i)
 					       .id);
 }
 
-static void start_fixture(struct fixture *w, const char *const *pages)
+static void start_fixture(struct fixture *f, const char *const *pages)
 {
 	struct instances_options o = { .platform = &users_platform,
 				       .poll_interval_ms = 1,
 				       .list = on_list,
-				       .arg = w };
+				       .arg = f };
 	struct evhttp_bound_socket *s;
 	char addr[32];
 
-	memset(w, 0, sizeof(*w));
-	w->pages = pages;
-	w->ids = g_string_new(NULL);
-	w->base = event_base_new();
-	w->metrics = metrics_new();
-	w->server = evhttp_new(w->base);
-	s = evhttp_bind_socket_with_handle(w->server, "127.0.0.1", 0);
+	memset(f, 0, sizeof(*f));
+	f->pages = pages;
+	f->ids = g_string_new(NULL);
+	f->base = event_base_new();
+	f->metrics = metrics_new();
+	f->server = evhttp_new(f->base);
+	s = evhttp_bind_socket_with_handle(f->server, "127.0.0.1", 0);
 	assert_non_null(s);
-	evhttp_set_gencb(w->server, on_request, w);
+	evhttp_set_gencb(f->server, on_request, f);
 	g_snprintf(addr, sizeof(addr), "127.0.0.1:%u",
 		   addr_port(evhttp_bound_socket_get_fd(s)));
-	o.base = w->base;
-	o.metrics = w->metrics;
+	o.base = f->base;
+	o.metrics = f->metrics;
 	o.addr = addr;
-	w->list = instances_new(&o);
-	instances_set_polling(w->list, true);
+	f->list = instances_new(&o);
+	instances_set_polling(f->list, true);
 }
 
-static void run_loop(struct fixture *w)
+static void run_loop(struct fixture *f)
 {
 	struct timeval ms = { 0, 1000 };
 
-	event_base_loopexit(w->base, &ms);
-	event_base_loop(w->base, EVLOOP_ONCE);
+	event_base_loopexit(f->base, &ms);
+	event_base_loop(f->base, EVLOOP_ONCE);
 }
 
-static void await_polls(struct fixture *w, int n)
+static void await_polls(struct fixture *f, int n)
 {
-	for (int i = 0; w->polls < n; i++) {
+	for (int i = 0; f->polls < n; i++) {
 		if (i == WAIT_ROUNDS)
-			fail_msg("%d polls completed, not %d", w->polls, n);
-		run_loop(w);
+			fail_msg("%d polls completed, not %d", f->polls, n);
+		run_loop(f);
 	}
 }
 
-static void stop_fixture(struct fixture *w)
+static void stop_fixture(struct fixture *f)
 {
-	instances_free(w->list);
+	instances_free(f->list);
 	/* A request in flight frees the list in its callback. */
 	for (int i = 0; i < 50; i++)
-		run_loop(w);
-	evhttp_free(w->server);
-	metrics_free(w->metrics);
-	event_base_free(w->base);
-	g_string_free(w->ids, TRUE);
+		run_loop(f);
+	evhttp_free(f->server);
+	metrics_free(f->metrics);
+	event_base_free(f->base);
+	g_string_free(f->ids, TRUE);
 }
 
 struct list_case {
@@ -170,22 +170,22 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		const struct list_case *c = &cases[i];
 		uint64_t *unreadable, *incomplete;
-		struct fixture w;
+		struct fixture f;
 
-		start_fixture(&w, c->pages);
-		await_polls(&w, 1);
-		if (strcmp(w.ids->str, c->ids) || w.complete != c->complete)
-			fail_msg("%s: %s complete %d", c->label, w.ids->str,
-				 w.complete);
-		unreadable = metrics_value(w.metrics,
+		start_fixture(&f, c->pages);
+		await_polls(&f, 1);
+		if (strcmp(f.ids->str, c->ids) || f.complete != c->complete)
+			fail_msg("%s: %s complete %d", c->label, f.ids->str,
+				 f.complete);
+		unreadable = metrics_value(f.metrics,
 					   "ss_list_unreadable_total", "");
 		incomplete =
-			metrics_value(w.metrics, "ss_list_parts_total", "");
-		if (*unreadable != c->unreadable * (uint64_t)w.polls ||
-		    *incomplete != c->incomplete * (uint64_t)w.polls)
+			metrics_value(f.metrics, "ss_list_parts_total", "");
+		if (*unreadable != c->unreadable * (uint64_t)f.polls ||
+		    *incomplete != c->incomplete * (uint64_t)f.polls)
 			fail_msg("%s: counted %" PRIu64 " and %" PRIu64,
 				 c->label, *unreadable, *incomplete);
-		stop_fixture(&w);
+		stop_fixture(&f);
 	}
 }
 
@@ -195,18 +195,18 @@
 	FILE *to = tmpfile();
 	int out = dup(STDOUT_FILENO);
 	char *text = g_malloc0(LOG_BYTES);
-	struct fixture w;
+	struct fixture f;
 
 	assert_non_null(to);
 	fflush(stdout);
 	dup2(fileno(to), STDOUT_FILENO);
 	log_open("test", "INFO");
-	start_fixture(&w, first);
-	await_polls(&w, 20);
-	stop_fixture(&w);
-	start_fixture(&w, second);
-	await_polls(&w, 20);
-	stop_fixture(&w);
+	start_fixture(&f, first);
+	await_polls(&f, 20);
+	stop_fixture(&f);
+	start_fixture(&f, second);
+	await_polls(&f, 20);
+	stop_fixture(&f);
 	log_close();
 	dup2(out, STDOUT_FILENO);
 	close(out);
--- a/test/test_template.c
+++ b/test/test_template.c
@@ -180,7 +180,8 @@
 	return invalid_setting;
 }
 
-/* The error names the file, and also the field unless the file isn't JSON. */
+/* Checks that the error names the file, and also the field unless the file
+ * isn't JSON. */
 static void check_fault(const GError *error, const char *invalid_setting)
 {
 	if (error->code != SS_ERROR_SETTINGS ||
