--- a/src/proxy/callers.c
+++ b/src/proxy/callers.c
@@ -35,17 +35,17 @@
 /* Divisors of the memory limit, for request bodies and unread responses. A
  * request can be buffered twice: here, and for an endpoint that reads
  * slowly. */
-#define BODIES_SHARE 4
-#define UNREAD_SHARE 2
-/* Limit of unread bytes of one caller while memory is free: half a second at
- * 10 Mbit/s. */
+#define BODIES_DIVISOR 4
+#define UNREAD_DIVISOR 2
+/* Limit of the unread bytes of one caller while memory is free: half a second
+ * at 10 Mbit/s. */
 #define UNREAD_MAX (512u << 10)
 /* Unread bytes that a caller may always have, so that every response makes
  * progress. */
 #define UNREAD_MIN (16u << 10)
 /* Divisor of the free memory, for the share of one caller. It leaves memory for
  * later callers, however many read slowly. */
-#define UNREAD_FREE_SHARE 8
+#define UNREAD_FREE_DIVISOR 8
 /* Retry-After of a request that is refused for lack of memory, in seconds. */
 #define NO_MEMORY_RETRY_AFTER_S 1
 
@@ -66,13 +66,13 @@
 	struct caller_call *call; /* request in progress, or NULL */
 	bool refused;		  /* error response sent; closing */
 	bool close_after;	  /* close after the current response */
-	bool finished;		  /* close once all output is written */
+	bool finishing;		  /* close once all output is written */
 	bool write_shut;	  /* shut for writing; the caller closes next */
 	bool had_request;	  /* received at least one request */
 	bool too_large;
 	bool no_memory;
 	int64_t state_since_ms; /* when the current state began */
-	int depth;		/* of callbacks that still use it */
+	int depth;		/* number of callbacks that still use it */
 	bool closing;		/* freed when depth is 0 */
 };
 
@@ -80,10 +80,10 @@
 	struct callers_options o;
 	struct evconnlistener *listener;
 	GHashTable *conns;
-	size_t bodies; /* bytes of request bodies, all connections */
-	/* Unread bytes of responses: added to on writes, and recomputed by
-	 * callers_update_unread(). */
-	size_t unread;
+	size_t body_bytes; /* of requests, all connections */
+	/* Of responses that callers haven't read: added to on writes, and
+	 * recomputed by callers_update_unread(). */
+	size_t unread_bytes;
 	bool draining;
 };
 
@@ -103,7 +103,7 @@
 
 static void drop_body(struct caller_conn *p)
 {
-	p->s->bodies -= p->body->len;
+	p->s->body_bytes -= p->body->len;
 	reset_buffer(&p->body);
 }
 
@@ -131,7 +131,7 @@
 		conn_free(p);
 }
 
-/* Shut the connection for writing and wait for the caller to close it. */
+/* Shuts the connection for writing and waits for the caller to close it. */
 static void shut_write(struct caller_conn *p)
 {
 	p->write_shut = true;
@@ -142,13 +142,13 @@
 
 static void close_when_written(struct caller_conn *p)
 {
-	p->finished = true;
+	p->finishing = true;
 	p->state_since_ms = now_ms(p->s);
 	if (evbuffer_get_length(bufferevent_get_output(p->bev)) == 0)
 		shut_write(p);
 }
 
-/* Refuse the current request without waiting for the rest of it. */
+/* Refuses the current request without waiting for the rest of it. */
 static void refuse(struct caller_conn *p, int status)
 {
 	GString *text = g_string_new(NULL);
@@ -183,18 +183,17 @@
 static void on_body(void *arg, struct ss_str piece)
 {
 	struct caller_conn *p = arg;
-
 	struct callers *s = p->s;
 
 	if (p->body->len + piece.n > s->o.limits.body_bytes)
 		p->too_large = true;
 	if (s->o.memory_max &&
-	    s->bodies + piece.n > s->o.memory_max / BODIES_SHARE)
+	    s->body_bytes + piece.n > s->o.memory_max / BODIES_DIVISOR)
 		p->no_memory = true;
 	if (p->too_large || p->no_memory)
 		return;
 	g_string_append_len(p->body, piece.p, (gssize)piece.n);
-	s->bodies += piece.n;
+	s->body_bytes += piece.n;
 }
 
 static void on_done(void *arg)
@@ -250,12 +249,12 @@
 {
 	struct evbuffer *in = bufferevent_get_input(p->bev);
 
-	if (p->finished) {
+	if (p->finishing) {
 		evbuffer_drain(in, evbuffer_get_length(in));
 		return;
 	}
 	p->depth++;
-	while (!p->call && !p->closing && !p->finished &&
+	while (!p->call && !p->closing && !p->finishing &&
 	       evbuffer_get_length(in))
 		read_request(p);
 	p->depth--;
@@ -274,7 +273,7 @@
 	struct caller_conn *p = arg;
 
 	(void)bev;
-	if (p->finished && !p->write_shut)
+	if (p->finishing && !p->write_shut)
 		shut_write(p);
 	else if (p->call && p->call->started)
 		p->s->o.ops->output_written(p->s->o.arg, p->call);
@@ -337,7 +336,7 @@
 	return c->conn->head;
 }
 
-static size_t unread_bytes(const struct caller_conn *p)
+static size_t conn_unread_bytes(const struct caller_conn *p)
 {
 	return evbuffer_get_length(bufferevent_get_output(p->bev)) +
 	       p->out->len;
@@ -346,13 +345,13 @@
 bool caller_call_is_full(const struct caller_call *c)
 {
 	const struct callers *s = c->conn->s;
-	size_t budget = s->o.memory_max / UNREAD_SHARE;
+	size_t budget = s->o.memory_max / UNREAD_DIVISOR;
 	size_t max = UNREAD_MAX;
 
 	if (s->o.memory_max)
-		max = MIN(max, (budget - MIN(budget, s->unread)) /
-				       UNREAD_FREE_SHARE);
-	return unread_bytes(c->conn) > MAX(max, UNREAD_MIN);
+		max = MIN(max, (budget - MIN(budget, s->unread_bytes)) /
+				       UNREAD_FREE_DIVISOR);
+	return conn_unread_bytes(c->conn) > MAX(max, UNREAD_MIN);
 }
 
 static void flush(struct caller_conn *p)
@@ -364,7 +363,7 @@
 	before = evbuffer_get_length(bufferevent_get_output(p->bev));
 	send_now(p->bev, ss_str_gs(p->out));
 	after = evbuffer_get_length(bufferevent_get_output(p->bev));
-	p->s->unread += after - MIN(before, after);
+	p->s->unread_bytes += after - MIN(before, after);
 	reset_buffer(&p->out);
 }
 
@@ -399,7 +398,7 @@
 	g_string_append(p->out, "\r\n");
 }
 
-/* The size line of a chunk: hexadecimal, built from the last digit. */
+/* Appends the size line of a chunk: hexadecimal, built from the last digit. */
 static void add_chunk_head(GString *out, size_t n)
 {
 	static const char digits[] = "0123456789abcdef";
@@ -506,8 +505,8 @@
 	       evbuffer_get_length(bufferevent_get_output(p->bev)) == 0;
 }
 
-/* Accept the connections in the kernel's backlog. Closing the listener would
- * reset them, with the requests that were already sent on them. */
+/* Accepts the connections in the kernel's backlog. Closing the listener would
+ * reset them, and lose the requests that were already sent on them. */
 static void accept_pending(struct callers *s)
 {
 	int listener = evconnlistener_get_fd(s->listener);
@@ -563,12 +562,12 @@
 
 size_t callers_held_bytes(const struct callers *s)
 {
-	return s->bodies;
+	return s->body_bytes;
 }
 
 size_t callers_unread_bytes(const struct callers *s)
 {
-	return s->unread;
+	return s->unread_bytes;
 }
 
 void callers_update_unread(struct callers *s)
@@ -576,12 +575,12 @@
 	GHashTableIter it;
 	void *p;
 
-	if (!s->unread)
+	if (!s->unread_bytes)
 		return;
-	s->unread = 0;
+	s->unread_bytes = 0;
 	g_hash_table_iter_init(&it, s->conns);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		s->unread += unread_bytes(p);
+		s->unread_bytes += conn_unread_bytes(p);
 }
 
 static void close_if_expired(struct caller_conn *p, int64_t now)
@@ -591,7 +590,7 @@
 
 	if (p->call)
 		return;
-	if (p->finished) {
+	if (p->finishing) {
 		if (age > (p->write_shut ? LINGER_MS : UNACKED_MS))
 			conn_close(p);
 	} else if (is_idle(p)) {
--- a/src/proxy/callers.h
+++ b/src/proxy/callers.h
@@ -23,7 +23,7 @@
 struct callers_ops {
 	/*
 	 * A complete request. Head and body stay valid until the response
-	 * ends; each request must be given one, now or later.
+	 * ends; each request must get a response, now or later.
 	 */
 	void (*request)(void *arg, struct caller_call *c,
 			const struct http1_head *h, struct ss_str body);
@@ -53,44 +53,46 @@
 uint16_t callers_port(const struct callers *s);
 void callers_set_limits(struct callers *s, const struct callers_limits *l);
 
-/* Close each connection after its current or next response. New connections
- * are still accepted. */
+/* Closes each connection after its current or next response from now on. New
+ * connections are still accepted. */
 void callers_drain(struct callers *s);
 /*
- * Stop accepting connections and close idle ones; to be called at each tick
- * from then on. True once no connection is left that may still carry a request.
+ * Stops accepting connections and closes idle ones; to be called at each tick
+ * from then on. Returns true once no connection is left that may still carry a
+ * request.
  */
 bool callers_close(struct callers *s);
-/* Number of connections that have a request or unwritten output. */
+/* Returns the number of connections that have a request or unwritten output. */
 size_t callers_busy(const struct callers *s);
-/* Bytes of request bodies, and of responses that callers haven't read yet. */
+/* Return the bytes of request bodies, and of responses that callers haven't
+ * read yet, over all connections. */
 size_t callers_held_bytes(const struct callers *s);
 size_t callers_unread_bytes(const struct callers *s);
-/* Recompute the unread bytes; to be called at each tick. */
+/* Recomputes the unread bytes; to be called at each tick. */
 void callers_update_unread(struct callers *s);
-/* Enforce the timeouts of connections; to be called periodically. */
+/* Enforces the timeouts of connections; to be called periodically. */
 void callers_check_timeouts(struct callers *s);
 
 void caller_call_set_data(struct caller_call *c, void *data);
 void *caller_call_data(const struct caller_call *c);
 const struct http1_head *caller_call_head(const struct caller_call *c);
 
-/* Start a response; length -1: chunked. Each header line ends in CRLF. */
+/* Starts a response; length -1: chunked. Each header line ends in CRLF. */
 void caller_call_start(struct caller_call *c, int status,
 		       const GString *headers, int64_t length);
 void caller_call_write(struct caller_call *c, struct ss_str piece);
-/* Send the buffered output. caller_call_end() sends it, too. */
+/* Sends the buffered output. caller_call_end() sends it, too. */
 void caller_call_flush(struct caller_call *c);
 /*
- * End the response and free c. An incomplete response closes the connection,
+ * Ends the response and frees c. An incomplete response closes the connection,
  * so that the caller can detect it.
  */
 void caller_call_end(struct caller_call *c, bool complete);
-/* The unread bytes of this caller exceed its share of the memory, given what
- * all others have unread. */
+/* Returns true if the caller's unread bytes exceed its share of the memory that
+ * the unread bytes of all callers leave. */
 bool caller_call_is_full(const struct caller_call *c);
 
-/* Send a complete response that the gate generates itself. */
+/* Sends a complete response that the gate generates itself. */
 void caller_call_reply(struct caller_call *c, int status,
 		       const GString *headers, struct ss_str body);
 
--- a/src/proxy/events.c
+++ b/src/proxy/events.c
@@ -14,7 +14,8 @@
 	e->partial = NULL;
 }
 
-/* Length of the first complete event, which ends in an empty line; 0: none. */
+/* Returns the length of the first complete event, which ends in an empty line;
+ * 0: none. */
 static size_t event_length(struct ss_str s)
 {
 	const char *end = s.p + s.n;
@@ -30,7 +31,7 @@
 	return 0;
 }
 
-/* The number in the event's id field; -1 if it has none. */
+/* Returns the number in the event's id field; -1: none, or not a number. */
 static int64_t event_id(const char *p, size_t n)
 {
 	static const char key[] = "id:";
--- a/src/proxy/events.h
+++ b/src/proxy/events.h
@@ -21,14 +21,15 @@
 void events_clear(struct events *e);
 
 /*
- * Add bytes of the stream and append complete events to out. False if an event
- * is too large or its id isn't the successor of the last one.
+ * Adds bytes of the stream and appends complete events to out. Returns false if
+ * an event is too large or its id isn't the successor of the last one.
  */
 bool events_add(struct events *e, struct ss_str bytes, GString *out);
 
-/* No incomplete event is buffered. */
+/* Returns true if no incomplete event is buffered. */
 bool events_at_end(const struct events *e);
-/* Discard an incomplete event: the stream resumes from another endpoint. */
+/* Discards an incomplete event: the endpoint that resumes the stream sends the
+ * event from its start. */
 void events_drop_partial(struct events *e);
 
 #endif
--- a/src/proxy/http1.c
+++ b/src/proxy/http1.c
@@ -3,7 +3,7 @@
 
 #include <strings.h>
 
-/* Limit of headers in a message; no client sends more, and each takes
+/* Maximum number of headers in a message; no client sends more, and each takes
  * memory. */
 #define HEADER_FIELDS_MAX 128
 
@@ -147,8 +147,8 @@
 
 	r->headers_done = true;
 	/* http1_read() checks the size only between pieces. A head that came
-	 * in one piece is checked here: its names and values, plus 4 bytes of
-	 * a colon, a space and CRLF for each header. */
+	 * in one piece is checked here: its names and values, plus 4 bytes
+	 * for each header's colon, space and CRLF. */
 	if (r->text->len + 4 * r->spans->len > r->o.head_max) {
 		r->too_large = true;
 		return -1;
--- a/src/proxy/http1.h
+++ b/src/proxy/http1.h
@@ -30,12 +30,12 @@
 	int64_t length; /* of the body; -1: no Content-Length */
 };
 
-/* Value of a header; p is NULL if the header is missing. */
+/* Returns the value of a header; its p is NULL if the header is missing. */
 struct ss_str http1_value(const struct http1_head *h, const char *name);
 bool http1_name_is(struct ss_str name, const char *other);
-/* Reason phrase of a status; "Other" if it has none. */
+/* Returns the reason phrase of a status; "Other" if it has none. */
 const char *http1_reason(int status);
-/* Parse s as a decimal number from 0 to max. */
+/* Parses s as a decimal number from 0 to max; returns false if it isn't one. */
 bool http1_number(struct ss_str s, int64_t max, int64_t *out);
 
 struct http1_reader;
@@ -58,11 +58,11 @@
 struct http1_reader *http1_reader_new(const struct http1_options *o);
 void http1_reader_free(struct http1_reader *r);
 
-/* Prepare for the next message. no_body: a response to a HEAD request. */
+/* Prepares for the next message. no_body: a response to a HEAD request. */
 void http1_reader_reset(struct http1_reader *r, bool no_body);
 
 /*
- * Parse and drain the buffer up to the end of one message. Fails with
+ * Parses and drains the buffer up to the end of one message. Fails with
  * SS_ERROR_TOO_LARGE if the head exceeds its limit, SS_ERROR_BAD_REQUEST if the
  * bytes are not a valid message. Callbacks must not free the reader or the
  * buffer.
@@ -70,13 +70,13 @@
 bool http1_read(struct http1_reader *r, struct evbuffer *in, GError **error);
 
 /*
- * Report that the peer closed the connection without a reset. True if that
- * completes the message, as it does one without a length; done has then been
- * called.
+ * Ends the input, as the peer closed the connection without a reset. Returns
+ * true if that completes the message, as it does one without a length; done has
+ * then been called.
  */
 bool http1_read_eof(struct http1_reader *r);
 
-/* No byte of the next message has been parsed yet. */
+/* Returns true if no byte of the next message has been parsed yet. */
 bool http1_reader_at_start(const struct http1_reader *r);
 
 #endif
--- a/src/proxy/platform_ops.h
+++ b/src/proxy/platform_ops.h
@@ -1,6 +1,6 @@
 /*
  * Interface to the platform: a table of functions that convert between the
- * platform's wire formats and internal types. They are stateless and take no
+ * platform's wire formats and internal types. They keep no state and make no
  * decisions.
  */
 #ifndef SS_PLATFORM_OPS_H
@@ -22,7 +22,7 @@
 	/* For a resumed stream, the id of the request whose response delivered
 	 * its first event; empty: not stated. */
 	struct ss_str resumed_id;
-	struct ss_str key; /* of its customer; empty: none, or unreadable */
+	struct ss_str key; /* customer's key; empty: none, or unreadable */
 	bool several_keys; /* the request has more than one key */
 };
 
@@ -40,7 +40,9 @@
 struct platform_answer {
 	bool not_run;	/* the endpoint states that it didn't run the request */
 	bool authentic; /* the endpoint's signature is present */
-	bool encoded;	/* the body has a content coding, such as gzip */
+	/* The body has a content coding, such as gzip, so its bytes aren't the
+	 * endpoint's own. */
+	bool encoded;
 	struct ss_str id;
 	int64_t keep_alive_ms; /* keep-alive timeout; 0: not stated */
 	bool has_load;
@@ -58,7 +60,8 @@
 };
 
 struct platform_ops {
-	/* Paths of incoming requests. */
+	/* Paths of requests that write and read the routing configuration, and
+	 * of readiness checks. */
 	const char *path_put, *path_get, *path_ready;
 	/* Paths of an engine's load report and of orders to it. */
 	const char *path_report, *path_order;
@@ -70,33 +73,35 @@
 	/* Format of the operator's routing configuration. */
 	const struct routing_format *routing;
 
-	/* Path of a page of the endpoint list; page is NULL for the first. */
+	/* Returns the path of a page of the endpoint list; page is NULL for the
+	 * first. */
 	char *(*list_path)(const char *page);
 	/*
-	 * Append a page's entries to out, also those of a truncated page. next
-	 * is the name of the following page, or NULL on the last one. If it is
-	 * unreadable, next is NULL and out is marked as incomplete. Fails with
-	 * SS_ERROR_BAD_REQUEST if json is not a page.
+	 * Appends a page's entries to out, also those of a truncated page. Sets
+	 * next to the name of the following page, or to NULL on the last one.
+	 * If that name is unreadable, next is NULL and out is marked as
+	 * incomplete. Fails with SS_ERROR_BAD_REQUEST if json is not a page.
 	 */
 	bool (*read_list)(struct ss_str json, struct fleet_list *out,
 			  char **next, GError **error);
 
 	bool (*read_report)(struct ss_str json, struct fleet_report *out,
 			    GError **error);
-	/* The body of an order, and the meaning of a response's status. */
+	/* Returns the body of an order, and the meaning of a response's
+	 * status. */
 	GString *(*write_order)(const struct fleet_order *o);
 	enum fleet_order_answer (*order_answer)(int status);
 
 	/* Fails with SS_ERROR_BAD_REQUEST if a header is unreadable. */
 	bool (*read_call)(const struct http1_head *h, struct platform_call *c,
 			  GError **error);
-	/* Append a request's head, with the headers that may be forwarded. */
+	/* Appends a request's head, with the headers that may be forwarded. */
 	void (*write_request)(GString *out, const struct http1_head *h,
 			      const struct platform_request_headers *s,
 			      size_t body_bytes);
 	void (*read_answer)(const struct http1_head *h,
 			    struct platform_answer *a);
-	/* Whether a response's header is forwarded to the caller. */
+	/* Returns true if a response's header is forwarded to the caller. */
 	bool (*forwards_header)(struct ss_str name);
 };
 
--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -39,7 +39,7 @@
 	int64_t idle_since_ms; /* start of the idle time */
 	int64_t close_at_ms;   /* end of the idle time */
 	int64_t keep_alive_ms; /* timeout of the endpoint; 0: not stated */
-	int depth;	       /* of callbacks that still use it */
+	int depth;	       /* number of callbacks that still use it */
 	bool closing;	       /* freed when depth is 0 */
 };
 
@@ -50,8 +50,8 @@
 
 struct upstream {
 	struct upstream_options o;
-	GHashTable *idle;  /* addr -> GQueue of struct upstream_conn, last used
-			      first */
+	GHashTable *idle;  /* addr -> GQueue of struct upstream_conn, most
+			      recently used first */
 	GHashTable *conns; /* all */
 };
 
@@ -102,7 +102,7 @@
 }
 
 /*
- * Reset a connection whose response is no longer wanted. After a normal close
+ * Resets a connection whose response is no longer wanted. After a normal close
  * the kernel would still deliver the buffered part of the request, seconds
  * later if the link was down. A reset discards it.
  */
@@ -115,7 +115,7 @@
 	conn_close(l);
 }
 
-/* Detach the call from its connection and free it. */
+/* Detaches the call from its connection and frees it. */
 static struct upstream_request detach(struct upstream_conn *l)
 {
 	struct upstream_request r = l->call->r;
@@ -234,8 +234,8 @@
 		       UPSTREAM_SILENT;
 }
 
-/* True if the peer's kernel closed or reset the connection, as it does when the
- * process exits. A VM that is down or unreachable never answers. */
+/* Returns true if the peer's kernel closed or reset the connection, as it does
+ * when the process exits. A VM that is down or unreachable never answers. */
 static bool is_closed_by_peer(short what)
 {
 	if (what & BEV_EVENT_EOF)
@@ -311,10 +311,10 @@
 }
 
 /*
- * True if the socket has no pending input and wasn't closed. Input that the
- * event loop hasn't read yet would be taken for the next response. After a
- * close that it hasn't seen yet, it would be unknown whether the request
- * arrived.
+ * Returns true if the socket has no pending input and wasn't closed. Input that
+ * the event loop hasn't read yet would be taken for the next response. After a
+ * close that the event loop hasn't seen yet, it would be unknown whether the
+ * request arrived.
  */
 static bool has_no_input(const struct upstream_conn *l)
 {
@@ -325,8 +325,8 @@
 	       (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/* The connection that was idle for the shortest time: it is the least likely to
- * be dead. */
+/* Takes the connection that was idle for the shortest time, as it is the least
+ * likely to be dead; NULL: none can be reused. */
 static struct upstream_conn *
 take_idle_conn(struct upstream *u, const char *addr, int64_t idle_max_ms)
 {
@@ -335,7 +335,7 @@
 	struct upstream_conn *found = NULL;
 	int64_t now = now_ms(u);
 
-	/* Closing a connection removes it from the queue, and only it. */
+	/* conn_close() removes only l from the queue, so next stays valid. */
 	for (GList *p = idle->head; p && !found; p = next) {
 		struct upstream_conn *l = p->data;
 
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -44,7 +44,7 @@
 	struct event_base *base;
 	const struct ss_clock *clock;
 	size_t head_max;
-	uint64_t *opened, *reused; /* counters */
+	uint64_t *opened, *reused; /* counters of connections */
 };
 
 struct upstream_request {
@@ -62,22 +62,23 @@
 };
 
 struct upstream *upstream_new(const struct upstream_options *o);
-/* Requests in progress are dropped without a callback. */
+/* Drops requests in progress without a callback. */
 void upstream_free(struct upstream *u);
 
+/* Sends a request on an idle connection or a new one. */
 struct upstream_call *upstream_send(struct upstream *u,
 				    const struct upstream_request *r);
-/* Reset the request's connection, so that the endpoint can abort it. */
+/* Resets the request's connection, so that the endpoint can abort it. */
 void upstream_cancel(struct upstream_call *c);
-/* Set the endpoint's keep-alive timeout, as stated in its response. */
+/* Sets the endpoint's keep-alive timeout, as stated in its response. */
 void upstream_set_keep_alive(struct upstream_call *c, int64_t idle_ms);
-/* Pause or resume reading: the caller may be slower than the endpoint. */
+/* Pauses or resumes reading: the caller may be slower than the endpoint. */
 void upstream_pause(struct upstream_call *c, bool pause);
-/* An established connection to addr exists, in use or idle. */
+/* Returns true if an established connection to addr exists, in use or idle. */
 bool upstream_is_connected(const struct upstream *u, const char *addr);
-/* Close the idle connections to an endpoint that has stopped. */
+/* Closes the idle connections to an endpoint that has stopped. */
 void upstream_close_idle(struct upstream *u, const char *addr);
-/* Close connections that were idle too long; to be called periodically. */
+/* Closes connections that were idle too long; to be called periodically. */
 void upstream_close_expired(struct upstream *u);
 
 #endif
