--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -14,11 +14,12 @@
 
 #include <xxhash.h>
 
-/* The endpoint's VM answers within this time, in ms, also where the first
- * packet was lost; an endpoint takes longer to restart. */
-#define PROBE_WAIT_MS 1500
-/* Time in which also a process short of CPU has handled all closed connections,
- * in ms; calls that continue without a listener run for longer. */
+/* Timeout of a probe. The endpoint's VM answers sooner even if the first packet
+ * is lost, and an endpoint takes longer to restart. */
+#define PROBE_TIMEOUT_MS 1500
+/* Time that the other connections to an endpoint have to close. Even a process
+ * short of CPU has by then handled those that a crash closed, while calls that
+ * continue without a listener run for longer. */
 #define CLOSED_WAIT_MS 200
 /* Fingerprints kept for one crash: more than any endpoint runs at a time. */
 #define FINGERPRINTS_MAX 512
@@ -30,8 +31,10 @@
 	uint64_t incarnation_no;   /* this gate's number of it */
 	uint64_t incarnation_hash; /* the same in all processes */
 	struct probe *probe;	   /* NULL: done, nothing listens there */
-	int64_t wait_until_ms;	   /* for other connections to close, then */
-	GArray *fingerprints;	   /* struct fingerprint, each once */
+	/* End of the wait for other connections to close; set once the probe
+	 * is done. */
+	int64_t wait_until_ms;
+	GArray *fingerprints; /* struct fingerprint, each once */
 };
 
 void crash_check_free(void *p)
@@ -88,8 +91,9 @@
 	}
 }
 
-/* Hashes an incarnation's address, id and start: an endpoint that keeps its id
- * over a restart states its start time. */
+/* Hashes an incarnation's address, id and start time. The start time
+ * distinguishes the incarnations of an endpoint that keeps its id over a
+ * restart. */
 static uint64_t hash_incarnation(const struct gate_ep *ep)
 {
 	char *text = g_strdup_printf("%s\n%s\n%" PRId64, ep->addr, ep->self.id,
@@ -100,7 +104,8 @@
 	return hash;
 }
 
-/* The check of an endpoint's incarnation; starts one if there is none. */
+/* Returns the check of an endpoint's incarnation; starts one if there is
+ * none. */
 static struct crash_check *crash_check_of(struct gate *g,
 					  const struct gate_ep *ep)
 {
@@ -118,7 +123,8 @@
 	c->incarnation_no = ep->incarnation_no;
 	c->incarnation_hash = hash_incarnation(ep);
 	c->fingerprints = g_array_new(FALSE, FALSE, sizeof(struct fingerprint));
-	c->probe = probe_start(g->o.base, c->addr, PROBE_WAIT_MS, on_probe, c);
+	c->probe =
+		probe_start(g->o.base, c->addr, PROBE_TIMEOUT_MS, on_probe, c);
 	g_ptr_array_add(g->crash_checks, c);
 	return c;
 }
@@ -141,7 +147,7 @@
 	char text[FINGERPRINT_TEXT_SIZE];
 	struct crash_check *c;
 
-	/* A draining endpoint stops as planned. */
+	/* A draining endpoint ends as planned, and doesn't crash. */
 	if (!ep || ep->draining)
 		return;
 	c = crash_check_of(g, ep);
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -6,15 +6,15 @@
 
 #include "../base/log.h"
 
-/* Retry-After where it isn't known when a trial will be allowed: by then a
- * leader is mostly found, or the trial in progress has ended. */
+/* Retry-After where it isn't known when a trial run will be allowed: by then a
+ * leader is mostly found, or the trial run in progress has ended. */
 #define TRIAL_RETRY_AFTER_MS 2000
-/* Timeout of the leader's reply to a trial request. */
+/* Timeout of the leader's reply to a request for a trial run. */
 #define TRIAL_REPLY_TIMEOUT_MS 500
-/* Crashes and recalled suspects in one message: some 3 KB. */
+/* Maximum number of outcomes, and of suspects, in one message: some 3 KB. */
 #define ITEMS_PER_MESSAGE 64
-/* An older crash is no longer reported to a new leader. */
-#define CRASH_REPORT_MAX_AGE_MS (60 * 60 * 1000LL)
+/* Older outcomes are no longer reported to a leader. */
+#define OUTCOME_MAX_AGE_MS (60 * 60 * 1000LL)
 
 const struct fingerprint *forward_fingerprint(struct forward *f)
 {
@@ -27,7 +27,7 @@
 	return &f->fingerprint;
 }
 
-/* Crashes and answers that this entry observes. */
+/* Outcomes of requests that this entry observes. */
 
 static void record(struct gate *g, const struct fingerprint *fp,
 		   enum run_outcome_kind kind, uint64_t incarnation_hash)
@@ -37,9 +37,9 @@
 	crash_log_add(&g->crash_log, &e);
 }
 
-/* After a change of the suspects: stops waiting requests that are quarantined
- * now. */
-static void stop_quarantined(struct gate *g)
+/* Takes waiting requests out of their queues that a change of the suspects has
+ * quarantined: they are refused, or wait for a trial run. */
+static void block_quarantined(struct gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->forwards);
 
@@ -62,7 +62,7 @@
 	record(g, fp, OUTCOME_CRASHED, incarnation_hash);
 	suspects_add_crash(g->suspects, fp, incarnation_hash, now);
 	if (!quarantined && suspects_remaining_ms(g->suspects, fp, now) >= 0)
-		stop_quarantined(g);
+		block_quarantined(g);
 }
 
 void quarantine_note_answer(struct forward *f)
@@ -128,7 +128,7 @@
 		return false;
 	left = suspects_remaining_ms(g->suspects, forward_fingerprint(f),
 				     gate_now(g));
-	/* A trial runs at one endpoint only: once sent, it isn't sent again. */
+	/* A trial run is sent to one endpoint only, and never again. */
 	if (left < 0 || (f->trial_run && f->sends == 0))
 		return false;
 	if (left > 0)
@@ -205,13 +205,13 @@
 		if (w.cleared)
 			crash_log_drop(&g->crash_log, &w.fingerprint);
 	}
-	/* The leader knows what it has sent: that isn't reported back. */
+	/* What the leader has sent isn't reported back to it. */
 	if (leader_knows)
 		g->suspects_mark = suspects_mark(g->suspects);
-	stop_quarantined(g);
+	block_quarantined(g);
 }
 
-static void add_recalled(struct gate *g, struct gate_crash_report *r)
+static void add_suspects(struct gate *g, struct gate_crash_report *r)
 {
 	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct suspect_state));
@@ -249,7 +249,7 @@
 
 		g_array_append_val(r->crashes, x);
 	}
-	add_recalled(g, r);
+	add_suspects(g, r);
 	r->m.outcomes = (struct wire_list){ r->crashes->data, r->crashes->len };
 	r->m.suspects =
 		(struct wire_list){ r->recalled->data, r->recalled->len };
@@ -270,5 +270,5 @@
 void quarantine_tick(struct gate *g, int64_t now)
 {
 	suspects_tick(g->suspects, now);
-	crash_log_expire(&g->crash_log, now - CRASH_REPORT_MAX_AGE_MS);
+	crash_log_expire(&g->crash_log, now - OUTCOME_MAX_AGE_MS);
 }
