--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -14,20 +14,23 @@
 /* A stream is resumed within its caller's timeout, which started before the
  * stream did, or at most this much later. */
 #define RESUME_MARGIN_MS 5000
-/* Streams on incarnations of unknown version: those of some seconds. */
+/* Maximum number of streams kept whose incarnation's version isn't known yet:
+ * those of some seconds. */
 #define UNVERSIONED_MAX 4096
-/* Streams and versions in one message: some 5 KB. */
+/* Maximum number of streams and versions in one message: some 5 KB. */
 #define STREAMS_PER_MESSAGE 512
-/* Timeout of a lookup at the leader: another leader is elected by then. */
+/* Timeout of a lookup at the leader; another leader is elected by then. */
 #define LOOKUP_TIMEOUT_MS 1500
 /* A lookup is sent again after this time, as the request or its reply may be
  * lost. */
 #define LOOKUP_RESEND_MS 100
-/* Retry-After of a caller that may find an entry which reaches the leader. */
-#define OTHER_ENTRY_RETRY_MS 200
+/* Retry-After of a caller that this entry can't serve without a leader: another
+ * entry may reach one. */
+#define NO_LEADER_RETRY_AFTER_MS 200
 
-/* An endpoint that has just restarted may be listed before its version is
- * known; the version is learned later, from the same incarnation. */
+/* Takes the version that began the stream once its incarnation is listed with
+ * it: an endpoint that has just restarted may be listed before its version is
+ * known. */
 static void learn_version(struct forward *f)
 {
 	const struct gate_ep *ep;
@@ -61,8 +64,9 @@
 	return ep->incarnation_no == f->began_incarnation_no;
 }
 
-/* Whether the endpoint runs the version that began the stream, or may turn out
- * to. An endpoint that is down counts, unless it is stopping for good. */
+/* Returns true if the endpoint runs the version that began the stream, or may
+ * turn out to. An endpoint that is down counts, unless it is stopping for
+ * good. */
 static bool may_fit(const struct forward *f, const struct gate_ep *ep)
 {
 	return ep->known && !ep->removing && !ep->signals.draining_ms &&
@@ -90,8 +94,9 @@
 	return gate_now(g) - MAX(seen, g->since_ms) >= EP_RESTART_MS;
 }
 
-/* Streams that wait for one version have a queue of their own, so that they
- * don't hold up requests which any endpoint may run. */
+/* Returns the queue for a request. Streams that wait for one version have a
+ * queue of their own, so that they don't hold up requests which any endpoint
+ * may run. */
 struct model_queue *resume_queue(struct forward *f)
 {
 	learn_version(f);
@@ -102,8 +107,8 @@
 						      RESUME_UNVERSIONED);
 }
 
-/* Queues of models are kept; a queue of one version is freed once it is empty,
- * as versions come and go. */
+/* Frees the queues of versions that are empty and were reported so, as versions
+ * come and go. Queues of models are kept. */
 static void drop_version_queues(struct gate *g)
 {
 	GHashTableIter it;
@@ -120,8 +125,8 @@
 
 /* Streams that begin at this entry. */
 
-/* How long the stream may be resumed: a caller resumes it within its timeout.
- */
+/* Returns how long the stream may be resumed: a caller resumes it within its
+ * timeout. */
 static int64_t stream_resumable_ms(const struct forward *f)
 {
 	return MAX(f->route->timeout_ms, f->call.deadline_ms) +
@@ -229,8 +234,9 @@
 	forward_refuse(f, 503, "unavailable", why, retry_after_ms);
 }
 
-/* A route may be split over several services, and a stream is resumed at the
- * service that began it. False if the route can't send the request there. */
+/* Binds the request to the service that began its stream, as a route may be
+ * split over several. Returns false if the route can't send the request
+ * there. */
 static bool switch_service(struct forward *f, const char *service)
 {
 	struct gate *g = f->g;
@@ -248,8 +254,9 @@
 	return true;
 }
 
-/* False if the route no longer leads to the service that began the stream: f
- * was refused and freed. */
+/* Binds the request to the service and version that began its stream. Returns
+ * false if the route no longer leads to that service: f was refused and
+ * freed. */
 static bool bind_to_version(struct forward *f, const char *service,
 			    const char *version, const char *from)
 {
@@ -294,7 +301,7 @@
 	return true;
 }
 
-/* The version that began the stream is known: queue the request for it. */
+/* Queues the request for the version that began its stream. */
 static void resume_at_version(struct forward *f, const char *service,
 			      const char *version, const char *from)
 {
@@ -311,12 +318,12 @@
 }
 
 /*
- * There is no leader, or none is reachable. If only one version has served for
- * as long as a stream may be resumed, it must have begun the stream. A process
- * that has just started can't conclude that: it hasn't seen which versions
- * served before.
+ * Ends a lookup while no leader is elected or reachable. If only one version
+ * has served for as long as a stream may be resumed, that version must have
+ * begun the stream. A process that has just started can't conclude this: it
+ * hasn't seen which versions served before.
  */
-static void resume_disconnected(struct forward *f)
+static void resume_without_leader(struct forward *f)
 {
 	struct gate *g = f->g;
 	int64_t now = gate_now(g);
@@ -332,7 +339,7 @@
 		resume_at_version(f, f->service->name, only, "alone");
 	else
 		refuse(f, "nobody can tell which version began it",
-		       OTHER_ENTRY_RETRY_MS);
+		       NO_LEADER_RETRY_AFTER_MS);
 }
 
 void gate_take_stream(struct gate *g, const struct msg_stream_reply *m)
@@ -366,7 +373,7 @@
 		refuse(f, "it can't be begun in time", 0);
 	else if (now - MAX(f->lookup_first_ms, f->leader_reply_ms) >=
 		 LOOKUP_TIMEOUT_MS)
-		resume_disconnected(f);
+		resume_without_leader(f);
 	else if (now - f->lookup_last_ms >= LOOKUP_RESEND_MS)
 		send_lookup(f);
 }
