--- a/src/proxy/answer.c
+++ b/src/proxy/answer.c
@@ -94,8 +94,8 @@
 	       f->tried->len < (guint)f->route->attempts;
 }
 
-/* Why the answer is corrupt: it belongs to another request, or doesn't come
- * from the endpoint itself; NULL: it isn't. */
+/* Returns why the answer is corrupt: it belongs to another request, or isn't
+ * the endpoint's own, as it is encoded or unsigned; NULL: it isn't corrupt. */
 static const char *why_corrupt(const struct forward *f,
 			       const struct http1_head *h,
 			       const struct platform_answer *a)
@@ -183,7 +183,7 @@
 /* Passes complete events on; the rest of the piece stays in f->events. */
 static void relay_events(struct forward *f, struct ss_str piece)
 {
-	/* A stream uses the buffer for nothing else. */
+	/* A stream withholds nothing here, so the buffer is free. */
 	GString *complete = f->withheld;
 
 	g_string_truncate(complete, 0);
--- a/src/proxy/answer_times.c
+++ b/src/proxy/answer_times.c
@@ -4,9 +4,9 @@
  */
 #include "gate_int.h"
 
-/* Least time until an answer begins while nothing was measured of its service:
- * a round trip and the first token of a short prompt, on an idle engine of
- * either deployment. */
+/* Assumed least time until an answer begins while its service has no
+ * measurement: a round trip and the first token of a short prompt, on an idle
+ * engine of either deployment. */
 #define DEFAULT_FIRST_MS 60
 
 /* Safety margin before a planned stop, as a fraction of the expected time: an
@@ -18,8 +18,8 @@
 	return f->route->kind == ROUTE_STREAM;
 }
 
-/* Adds a sample to the times of the service (of a plain request: of the route),
- * of the model and of the endpoint. */
+/* Adds a sample to the timings of a stream's service, model and endpoint, or to
+ * that of a plain request's route. */
 static void note_sample(const struct forward *f,
 			void (*add)(struct stream_timing *, double), double ms)
 {
@@ -57,7 +57,6 @@
 	double gap_ms;
 
 	note_pause(f, now);
-
 	if (f->event_mark.events == 0) {
 		gate_speed_answered(f);
 		note_sample(f, timing_record_first, (double)(now - f->sent_ms));
@@ -91,9 +90,9 @@
 		note_plain(f);
 }
 
-/* How long a request that was sent has been waiting for the start of its answer
- * or for the next event. */
-static struct timing_pending outstanding(const struct forward *f, int64_t now)
+/* Returns how long a request that was sent has been waiting for the start of
+ * its answer or for the next event. */
+static struct timing_pending pending_of(const struct forward *f, int64_t now)
 {
 	struct timing_pending o = { 0 };
 
@@ -108,7 +107,7 @@
  * otherwise an engine that hangs would go unnoticed. */
 void times_note_aborted(struct forward *f)
 {
-	struct timing_pending o = outstanding(f, gate_now(f->g));
+	struct timing_pending o = pending_of(f, gate_now(f->g));
 
 	if (f->state < FORWARD_SENT)
 		return;
@@ -123,7 +122,7 @@
 	o->event_ms = MAX(o->event_ms, by->event_ms);
 }
 
-static void reset_outstanding(struct gate *g)
+static void reset_pending(struct gate *g)
 {
 	const struct timing_pending none = { 0 };
 	GHashTableIter it;
@@ -142,11 +141,11 @@
 	GHashTableIter it;
 	void *p;
 
-	reset_outstanding(g);
+	reset_pending(g);
 	g_hash_table_iter_init(&it, g->forwards);
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
 		const struct forward *f = p;
-		struct timing_pending o = outstanding(f, now);
+		struct timing_pending o = pending_of(f, now);
 		struct gate_ep *ep;
 
 		if (f->state < FORWARD_SENT)
@@ -166,7 +165,7 @@
 	return ms < 0 ? DEFAULT_FIRST_MS : (int64_t)ms;
 }
 
-/* The longest that the answer is expected to take from now on. */
+/* Returns the longest time that the answer is expected to take from now on. */
 static int64_t answer_ms(const struct forward *f, const struct gate_ep *ep)
 {
 	struct timing_request a = { .service = f->timing,
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -50,7 +50,8 @@
 	g_free(body);
 }
 
-/* Refuses a request with the status that routing or identify() gave it. */
+/* Refuses a request with the status that the routing or identify_customer()
+ * gave it. */
 static void refuse_status(struct gate *g, struct caller_call *c, int status)
 {
 	if (status == 404)
@@ -82,9 +83,9 @@
 							c->model.n));
 }
 
-/* How long the caller of a stream waits for its first event, in ms. A request
- * that can't be started by then is refused before, while its caller can still
- * receive a retry time. */
+/* Returns how long the caller of a stream waits for its first event, in ms. A
+ * request that can't be started by then is refused before, while its caller can
+ * still receive a retry time. */
 static int64_t patience_ms(const struct gate *g, const struct routing_route *rt)
 {
 	const struct gate_patience *p = &g->o.patience;
@@ -93,7 +94,8 @@
 	return MAX(ms, p->pauses * rt->max_event_gap_ms);
 }
 
-/* A key may have been revoked while no leader could report it. */
+/* Returns true if a key may have been revoked while no leader could report
+ * it. */
 static bool keys_may_be_revoked(const struct gate *g)
 {
 	return g->o.keys_trust_ms &&
@@ -103,9 +105,10 @@
 
 /* Finds the customer of a request; returns 0, or the status to refuse it
  * with. */
-static int identify(const struct gate *g, const struct routing_route *rt,
-		    const struct platform_call *call,
-		    struct customer **customer)
+static int identify_customer(const struct gate *g,
+			     const struct routing_route *rt,
+			     const struct platform_call *call,
+			     struct customer **customer)
 {
 	*customer = NULL;
 	if (!g->routing->needs_key)
@@ -229,7 +232,9 @@
 	}
 	rt = routing_match(g->routing, host, path_of(h->target));
 	readable = g->o.platform->read_call(h, &call, &error);
-	status = !rt ? 404 : readable ? identify(g, rt, &call, &customer) : 400;
+	status = !rt	  ? 404 :
+		 readable ? identify_customer(g, rt, &call, &customer) :
+			    400;
 	fresh = freshness_level(&g->freshness, gate_now(g), &until);
 	if (fresh == FRESHNESS_STALE || (fresh == FRESHNESS_UNCERTAIN &&
 					 (status == 404 || status == 401))) {
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -26,22 +26,22 @@
 /* Time until a full service has room again, in ms: about two calls of a plain
  * service, or a tenth of a stream. */
 #define RETRY_AFTER_FULL_MS 400
-/* An agent reports itself that an adapter wasn't loaded in time. One that
- * reports nothing for this long after that is disconnected or stalled. In ms: a
- * round trip and the agent's tick. */
+/* Time for an agent to report that an adapter wasn't loaded in time, in ms: a
+ * round trip and the agent's tick. An agent that reports nothing by then is
+ * disconnected or stalled. */
 #define ADAPTER_GRACE_MS 100
 /* Adapter loads requested before the request is refused. */
 #define ADAPTER_ATTEMPTS_MAX 3
 /* Delay before the next connection to an endpoint that accepted none, in ms: a
  * crash is reported within half a second. */
 #define RECONNECT_DELAY_MS 50
-/* Longest idle time of a kept connection that is still used, in ms. A longer
- * idle one may be broken without either side knowing, and a request that can't
- * be repeated has the shorter limit. */
+/* Longest idle time of a kept connection that is reused, in ms. One that was
+ * idle for longer may be broken without either side knowing, so a request that
+ * can't be repeated has the shorter limit. */
 #define IDLE_MAX_ONCE_MS 2000
 #define IDLE_MAX_REPEATABLE_MS 10000
 
-/* Bytes of a caller's header value in a log line. */
+/* Maximum length of a caller's header value in a log line, in bytes. */
 #define RESUMES_LOG_MAX 64
 
 /* Names of enum forward_state, for log lines. */
@@ -111,7 +111,7 @@
 	return f->customer ? f->customer->name : "";
 }
 
-/* What a request waits for that found no endpoint, for a log line. */
+/* Returns what a request that found no endpoint waits for, for a log line. */
 static const char *wait_reason(const struct forward *f,
 			       enum balance_refusal none)
 {
@@ -199,7 +199,7 @@
 	g_free(service);
 }
 
-/* Headers of an answer that this process makes itself. */
+/* Returns the headers of an answer that this process makes itself. */
 static GString *refusal_headers(const struct forward *f, int64_t retry_after_ms)
 {
 	GString *s = g_string_new("Content-Type: application/json\r\n");
@@ -243,15 +243,16 @@
 	g_free(service);
 }
 
-/* Random part of a Retry-After, so that callers refused at one time don't
- * return at one time. */
+/* Returns the random part of a Retry-After, so that callers refused at one time
+ * don't return at one time. */
 static int64_t jitter_ms(const struct forward *f)
 {
 	return (int64_t)(ss_random(&f->g->seed) % RETRY_AFTER_SPREAD_MS);
 }
 
-/* Retry-After of a caller refused for lack of an endpoint: it returns once the
- * model is loaded or an endpoint has room, in its return slot. */
+/* Returns the Retry-After of a caller refused for lack of an endpoint: it is to
+ * return once the model is loaded or an endpoint has room, in its return
+ * slot. */
 static int64_t model_retry_after_ms(struct forward *f)
 {
 	const struct model_queue *l = f->queue;
@@ -269,7 +270,7 @@
 		       slot_ms;
 }
 
-/* Whether the request may run more than once. */
+/* Returns true if the request may run more than once. */
 static bool is_repeatable(const struct forward *f)
 {
 	return f->route->kind == ROUTE_SAFE ||
@@ -373,7 +374,7 @@
 	f->up = upstream_send(g->upstream, &r);
 }
 
-/* Nothing reached the endpoint, so the send doesn't count. */
+/* Takes back the count of a send that didn't reach the endpoint. */
 static void uncount_send(struct forward *f)
 {
 	if (f->tried->len)
@@ -528,11 +529,11 @@
 }
 
 /*
- * The caller leaves a stream that waited long for an answer. An engine whose VM
- * is stalled refuses nothing: its callers leave, its last report becomes old,
- * and without calls it looks like the least loaded one. If such callers weren't
- * counted as failures, it would get all new streams: an engine that stalled for
- * 3 s was sent 44 within 2 s, and served none.
+ * Returns true if the caller leaves a stream that waited long for an answer. An
+ * engine whose VM is stalled refuses nothing: its callers leave, its last
+ * report becomes old, and without calls it looks like the least loaded one. If
+ * such callers weren't counted as failures, it would get all new streams: an
+ * engine that stalled for 3 s was sent 44 within 2 s, and served none.
  */
 static bool left_silent_engine(const struct forward *f)
 {
@@ -561,7 +562,7 @@
 	g_free(service);
 }
 
-/* True for a waiting request that can't be started in time. */
+/* Returns true if a waiting request can't be started in time. */
 static bool is_too_late(const struct forward *f, int64_t now)
 {
 	const struct model_queue *l = f->queue;
@@ -570,7 +571,7 @@
 
 	if (now + first > f->begin_by_ms)
 		return true;
-	/* open_ms is no bound where another engine may load the model. */
+	/* admit_ms is no bound where another engine may load the model. */
 	if (!*f->model)
 		return f->admit_ms + first > f->begin_by_ms;
 	if (l->eta_ms != SS_NEVER)
@@ -637,11 +638,11 @@
 				      SS_LIT("its agent says nothing"));
 }
 
-/* True for a send that is given up because its endpoint has restarted. False
- * while its caller reads slowly, as the end of the answer may still be in the
- * connection, and if the request can't be sent again, as nothing is gained
- * then. */
-static bool is_lost(const struct forward *f, int64_t now)
+/* Returns true if a send is given up because its endpoint has restarted.
+ * Returns false while the caller reads slowly, as the end of the answer may
+ * still be in the connection, and if the request can't be sent again, as giving
+ * up gains nothing then. */
+static bool should_give_up(const struct forward *f, int64_t now)
 {
 	return f->lost_ms && now >= f->lost_ms && !f->reading_paused &&
 	       is_repeatable(f) && has_sends_left(f);
@@ -659,7 +660,7 @@
 		quarantine_trial_tick(f, now);
 	} else if (f->state == FORWARD_WAIT_ADAPTER) {
 		tick_adapter(f, now);
-	} else if (is_lost(f, now)) {
+	} else if (should_give_up(f, now)) {
 		if (f->is_events)
 			events_drop_partial(&f->events);
 		forward_retry(f, false, "the endpoint has restarted");
