--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -1,15 +1,14 @@
-/* Quarantine: a gate whose endpoints crash on what they run. */
+/* Tests the quarantine of requests that endpoints crash on. */
 #include "gate_fix.h"
 
 #include "../src/core/crash_log.h"
 #include "../src/core/suspects.h"
 
-/* A request of another content for the same model. */
+/* A request with other content for the same model. */
 #define OTHER_CHAT                                                             \
 	REQ("POST", "/chat/x") "X-Model: m\r\nContent-Length: 2\r\n\r\nho"
-#define WHOLE_STREAM EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n"
+#define COMPLETE_STREAM EVENTS "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n"
 #define FIRST_EVENT EVENTS "f\r\nid: 1\ndata: a\n\n\r\n"
-#define TERM_MS (10 * 60 * 1000LL)
 
 static struct fingerprint post_fingerprint(const char *path)
 {
@@ -17,7 +16,7 @@
 			      SS_LIT("hi"));
 }
 
-static void run_rounds(struct fix *f, int n)
+static void run_loop(struct fix *f, int n)
 {
 	while (n-- > 0)
 		run_loop_once(f);
@@ -33,12 +32,13 @@
 	return *metrics_value(f->metrics, name, "");
 }
 
-/* Numbers of what the gate has reported to its leader, by kind. */
+/* Numbers of outcomes, by kind, and of suspects that the gate has reported to
+ * its leader. */
 struct reported {
-	int crashes, answered, nothing, recalled;
+	int crashes, answered, inconclusive, suspects;
 };
 
-/* Takes the reports that are due; with sent false, sending the first fails. */
+/* Takes the reports that are due; if sent is false, sending the first fails. */
 static void take_reports(struct fix *f, struct reported *t, bool sent)
 {
 	struct gate_crash_report r;
@@ -49,16 +49,16 @@
 		for (size_t i = 0; i < r.m.outcomes.n; i++) {
 			t->crashes += x[i].kind == OUTCOME_CRASHED;
 			t->answered += x[i].kind == OUTCOME_ANSWERED;
-			t->nothing += x[i].kind == OUTCOME_INCONCLUSIVE;
+			t->inconclusive += x[i].kind == OUTCOME_INCONCLUSIVE;
 		}
-		t->recalled += (int)r.m.suspects.n;
+		t->suspects += (int)r.m.suspects.n;
 		gate_crash_report_done(f->gate, &r, sent);
 		if (!sent)
 			return;
 	}
 }
 
-/* The leader sends the state of the request with this path. */
+/* Sends the gate the leader's state of the request with this path. */
 static void send_suspect(struct fix *f, uint64_t fence, const char *path,
 			 int64_t left_ms, bool cleared)
 {
@@ -69,7 +69,7 @@
 	gate_take_quarantine(f->gate, &m);
 }
 
-/* The request crashes the endpoint that it is sent to, which restarts. */
+/* Sends a request that crashes its endpoint, and restarts the endpoint. */
 static void send_and_crash(struct fix *f, const char *text)
 {
 	uint64_t crashes = metric(f, "ss_gate_endpoints_ended_total");
@@ -83,7 +83,7 @@
 	start_endpoint(f, f->at);
 }
 
-/* From now on the endpoint gives this answer. */
+/* Sets the answer that the endpoint gives from now on. */
 static void set_answer(struct fix *f, int i, const char *text)
 {
 	f->eps[i].n_replies = 0;
@@ -97,7 +97,7 @@
  * third crash it is to be refused at once, with the time until its trial run;
  * other requests aren't.
  */
-static void third_crash_stops_a_request(void **state)
+static void third_crash_quarantines_a_request(void **state)
 {
 	struct caller *c, *other;
 	struct fix f;
@@ -108,13 +108,13 @@
 	for (int i = 0; i < SUSPECT_CRASH_THRESHOLD; i++)
 		send_and_crash(&f, POST_CHAT);
 	before = requests(&f);
-	script_answer(&f, 0, WHOLE_STREAM, false, false);
+	script_answer(&f, 0, COMPLETE_STREAM, false, false);
 	c = ask_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_true(has_received(c, "Retry-After: 600.000"));
 	assert_true(has_received(c, "\"not_run\""));
 	assert_int_equal(requests(&f), before);
-	set_answer(&f, 0, WHOLE_STREAM);
+	set_answer(&f, 0, COMPLETE_STREAM);
 	other = ask_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, received_ends_with(other, "0\r\n\r\n"));
 	fix_close(&f);
@@ -162,7 +162,7 @@
 				UNTIL(&f, c->ended);
 			}
 			/* Probes have been answered by then. */
-			run_rounds(&f, 5);
+			run_loop(&f, 5);
 		}
 		take_reports(&f, &t, true);
 		assert_int_equal(t.crashes, 0);
@@ -224,29 +224,29 @@
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	send_suspect(&f, 1, "/chat/x", 0, true);
-	script_answer(&f, 0, WHOLE_STREAM, false, false);
+	script_answer(&f, 0, COMPLETE_STREAM, false, false);
 	c = ask_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
-static void answer_trial(struct fix *f, enum suspect_admission leave,
+static void answer_trial(struct fix *f, enum suspect_admission admission,
 			 int64_t wait_ms)
 {
 	struct msg_trial m = f->trial;
 
-	m.admission = leave;
+	m.admission = admission;
 	m.wait_ms = wait_ms;
 	gate_take_trial(f->gate, &m);
 }
 
-/* After the term of the quarantine the gate asks the leader for a trial run,
- * and follows the reply. */
+/* After the quarantine period the gate asks the leader for a trial run, and
+ * follows the reply. */
 static void trial_is_requested(void **state)
 {
 	static const struct {
 		bool leads, answers;
-		enum suspect_admission leave;
+		enum suspect_admission admission;
 		const char *status, *retry_after;
 	} cases[] = {
 		{ true, true, SUSPECT_TRIAL, "HTTP/1.1 200 ", "" },
@@ -261,7 +261,7 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		bool runs = cases[i].leave != SUSPECT_WAIT;
+		bool runs = cases[i].admission != SUSPECT_WAIT;
 		struct reported t = { 0 };
 		struct caller *c;
 		struct fix f;
@@ -269,23 +269,24 @@
 		fix_open(&f, "lm", "m");
 		f.leads = cases[i].leads;
 		send_suspect(&f, 1, "/chat/x", 0, false);
-		script_answer(&f, 0, WHOLE_STREAM, false, false);
+		script_answer(&f, 0, COMPLETE_STREAM, false, false);
 		c = ask_endpoint(&f, "m", POST_CHAT);
 		UNTIL(&f, f.trial.sub);
-		run_rounds(&f, 3);
+		run_loop(&f, 3);
 		assert_int_equal(requests(&f), 0);
 		if (cases[i].answers)
-			answer_trial(&f, cases[i].leave, 7000);
+			answer_trial(&f, cases[i].admission, 7000);
 		else
 			f.clock.fake_ms += 500;
 		UNTIL(&f, has_received(c, cases[i].status) &&
 				  has_received(c, cases[i].retry_after));
 		UNTIL(&f, !runs || received_ends_with(c, "0\r\n\r\n"));
-		run_rounds(&f, 3);
+		run_loop(&f, 3);
 		assert_int_equal(requests(&f), runs);
 		take_reports(&f, &t, true);
-		assert_int_equal(t.answered, cases[i].leave == SUSPECT_TRIAL);
-		assert_int_equal(t.nothing, 0);
+		assert_int_equal(t.answered,
+				 cases[i].admission == SUSPECT_TRIAL);
+		assert_int_equal(t.inconclusive, 0);
 		fix_close(&f);
 	}
 }
@@ -314,12 +315,12 @@
 	assert_int_equal(requests(&f), 1);
 	take_reports(&f, &t, true);
 	assert_int_equal(t.crashes, 1);
-	assert_int_equal(t.nothing, 0);
+	assert_int_equal(t.inconclusive, 0);
 	fix_close(&f);
 }
 
-/* A trial without a result is reported, so that it doesn't hold up others: its
- * caller leaves while it runs, or before it was allowed. */
+/* A trial run without a result is reported, so that it doesn't hold up others:
+ * its caller leaves while it runs, or before it was allowed. */
 static void trial_without_a_result_is_reported(void **state)
 {
 	(void)state;
@@ -342,7 +343,7 @@
 		if (!runs)
 			answer_trial(&f, SUSPECT_TRIAL, 0);
 		take_reports(&f, &t, true);
-		assert_int_equal(t.nothing, 1);
+		assert_int_equal(t.inconclusive, 1);
 		fix_close(&f);
 	}
 }
@@ -364,14 +365,14 @@
 	take_reports(&f, &t, true);
 	take_reports(&f, &t, true);
 	assert_int_equal(t.crashes, 2);
-	assert_int_equal(t.recalled, 0);
+	assert_int_equal(t.suspects, 0);
 	send_suspect(&f, 1, "/night/x", 5000, false);
 	take_reports(&f, &t, true);
-	assert_int_equal(t.recalled, 0);
+	assert_int_equal(t.suspects, 0);
 	gate_leader_found(f.gate);
 	take_reports(&f, &t, true);
 	assert_int_equal(t.crashes, 3);
-	assert_int_equal(t.recalled, 1);
+	assert_int_equal(t.suspects, 1);
 	/* Cleared: its crashes aren't reported to a new leader. */
 	send_suspect(&f, 1, "/chat/x", 0, true);
 	gate_leader_found(f.gate);
@@ -380,7 +381,7 @@
 	fix_close(&f);
 }
 
-/* A whole answer clears a request here, and is reported to the leader. */
+/* A complete answer clears a request here, and is reported to the leader. */
 static void answer_clears_a_request(void **state)
 {
 	struct reported t = { 0 };
@@ -391,7 +392,7 @@
 	fix_open(&f, "lm", "m");
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
-	set_answer(&f, 0, WHOLE_STREAM);
+	set_answer(&f, 0, COMPLETE_STREAM);
 	c = ask_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	take_reports(&f, &t, true);
@@ -401,13 +402,14 @@
 	set_answer(&f, 0, NULL);
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
-	set_answer(&f, 0, WHOLE_STREAM);
+	set_answer(&f, 0, COMPLETE_STREAM);
 	c = ask_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
 
-/* An endpoint that no longer listens cuts the first of two calls. */
+/* Starts two calls at an endpoint, which then stops listening and resets the
+ * first. */
 static void cut_one_of_two_calls(struct fix *f)
 {
 	struct caller *c;
@@ -422,8 +424,8 @@
 	UNTIL(f, has_received(c, "HTTP/1.1 502 "));
 }
 
-/* Failure: a crashed endpoint is taken for a running one, as its other
- * connections are seen to close later. */
+/* Failure: a crashed endpoint is taken for a running one, as the gate sees its
+ * other connections close only after the probe's result. */
 static void crash_is_seen_though_others_close_later(void **state)
 {
 	struct reported t = { 0 };
@@ -432,7 +434,7 @@
 	(void)state;
 	cut_one_of_two_calls(&f);
 	/* The probe has been answered by then. */
-	run_rounds(&f, 5);
+	run_loop(&f, 5);
 	reset_oldest(&f, 0);
 	UNTIL(&f, metric(&f, "ss_gate_endpoints_ended_total") == 1);
 	take_reports(&f, &t, true);
@@ -440,17 +442,17 @@
 	fix_close(&f);
 }
 
-/* An endpoint that no longer listens but goes on with a call hasn't crashed. */
-static void endpoint_that_goes_on_has_not_crashed(void **state)
+/* An endpoint that no longer listens but continues a call hasn't crashed. */
+static void endpoint_that_continues_a_call_has_not_crashed(void **state)
 {
 	struct reported t = { 0 };
 	struct fix f;
 
 	(void)state;
 	cut_one_of_two_calls(&f);
-	run_rounds(&f, 5);
+	run_loop(&f, 5);
 	f.clock.fake_ms += 200;
-	run_rounds(&f, 1);
+	run_loop(&f, 1);
 	reset_oldest(&f, 0);
 	UNTIL(&f, metric(&f, "ss_gate_endpoints_ended_total") == 1);
 	take_reports(&f, &t, true);
@@ -461,11 +463,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(third_crash_stops_a_request),
+		cmocka_unit_test(third_crash_quarantines_a_request),
 		cmocka_unit_test(other_ends_arent_crashes),
 		cmocka_unit_test(crash_is_reported_for_each_request),
 		cmocka_unit_test(crash_is_seen_though_others_close_later),
-		cmocka_unit_test(endpoint_that_goes_on_has_not_crashed),
+		cmocka_unit_test(
+			endpoint_that_continues_a_call_has_not_crashed),
 		cmocka_unit_test(leaders_report_stops_a_request),
 		cmocka_unit_test(trial_is_requested),
 		cmocka_unit_test(trial_isnt_repeated),
