--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -1,4 +1,4 @@
-/* Resumed streams: a gate whose endpoints run several software versions. */
+/* Tests resumed streams at a gate whose endpoints run several versions. */
 #include "gate_fix.h"
 
 #define EVENT(n) "14\r\nid: " n "\ndata: event" n "\n\n\r\n"
@@ -15,7 +15,7 @@
 struct answer_case {
 	const char *label;
 	const char *versions[ENDPOINTS];
-	bool crashes;	/* the first endpoint, as it sends the stream */
+	bool crashes;	/* the first endpoint, after two events */
 	int resumed_at; /* the endpoint that sends the rest; -1: none */
 };
 
@@ -37,7 +37,7 @@
 		const struct answer_case *x = &answers[i];
 		struct caller *c;
 		struct fix f;
-		bool whole;
+		bool is_resumed;
 
 		fix_open_fresh(&f);
 		for (int k = 0; k < ENDPOINTS; k++)
@@ -49,7 +49,8 @@
 		if (x->crashes)
 			crash_endpoint(&f, 0);
 		f.at = x->resumed_at > 0 ? 1 : 0;
-		/* Until its timeout, if no endpoint may resume it. */
+		/* Runs until the stream's timeout if no endpoint may resume
+		 * it. */
 		for (int k = 0;
 		     k < 1000 && !c->ended && !has_received(c, "event3"); k++) {
 			f.clock.fake_ms += 10;
@@ -57,9 +58,9 @@
 				report_fleet(&f, "lm", "m");
 			run_loop_once(&f);
 		}
-		whole = has_received(c, "event3");
-		if (whole != (x->resumed_at >= 0))
-			fail_msg("%s: whole %d", x->label, whole);
+		is_resumed = has_received(c, "event3");
+		if (is_resumed != (x->resumed_at >= 0))
+			fail_msg("%s: resumed %d", x->label, is_resumed);
 		if (f.eps[1].requests != (x->resumed_at == 1))
 			fail_msg("%s: %d sends to the other endpoint", x->label,
 				 f.eps[1].requests);
@@ -82,7 +83,7 @@
 	RESUME_REQUEST("/split/x", "q2", RESUMES_Q1);
 static const char resumed_unnamed[] = RESUME_REQUEST("/night/x", "q2", "");
 
-/* A gate with an endpoint of v1 and one of v2, which has less load. */
+/* Opens a gate with an endpoint of v1 and one of v2, which has less load. */
 static void open_two(struct fix *f)
 {
 	fix_open_fresh(f);
@@ -95,7 +96,8 @@
 	report_fleet(f, "lm", "m");
 }
 
-/* A caller resumes a stream, and the gate has asked the leader about it. */
+/* Opens such a gate and resumes a stream, about which the gate then asks the
+ * leader. */
 static struct caller *open_and_resume(struct fix *f)
 {
 	struct caller *c;
@@ -116,7 +118,7 @@
 
 struct reply_case {
 	const char *label, *request;
-	bool named; /* the gate asks about a stream, else about the service */
+	bool names_stream; /* else the gate asks about the service */
 	int64_t reply;
 	const char *service, *version;
 	int served; /* the endpoint that sends the rest; -1: refused at once */
@@ -127,7 +129,8 @@
 	{ "begun at v2", resumed, true, STREAM_KNOWN, "lm", "v2", 1 },
 	{ "one version has served", resumed, true, STREAM_SOLE_VERSION, "lm",
 	  "v1", 0 },
-	{ "nobody knows", resumed, true, STREAM_UNKNOWN, "lm", "", -1 },
+	{ "the leader doesn't know", resumed, true, STREAM_UNKNOWN, "lm", "",
+	  -1 },
 	{ "one of a split route's services began it", resumed_split, true,
 	  STREAM_KNOWN, "lm", "v1", 0 },
 	{ "the route doesn't lead to its service", resumed, true, STREAM_KNOWN,
@@ -154,7 +157,7 @@
 		open_two(&f);
 		c = call(&f, x->request);
 		UNTIL(&f, f.streams_asked);
-		assert_int_equal(f.stream.key != 0, x->named);
+		assert_int_equal(f.stream.key != 0, x->names_stream);
 		m.sub = f.stream.sub;
 		gate_take_stream(f.gate, &m);
 		if (x->served < 0)
@@ -169,7 +172,7 @@
 	}
 }
 
-/* Adds the streams that this entry reports to the log of another process. */
+/* Adds the streams that the gate reports to the log of another process. */
 static void report_streams(struct fix *f, struct stream_log *log)
 {
 	struct stream_wire w;
@@ -180,7 +183,7 @@
 	}
 }
 
-/* The version that a log has for the stream of q1; "": none. */
+/* Returns the version that a log has for the stream of q1; "": none. */
 static const char *logged_version(const struct stream_log *log,
 				  const struct fix *f)
 {
@@ -192,8 +195,9 @@
 		       "";
 }
 
-/* Failure: an entry is killed, and no process knows which version its streams
- * began at: it reported that too late, or to a leader that was lost as well. */
+/* Failure: an entry is killed, and no process knows which version began its
+ * streams: the entry reported that too late, or to a leader that was lost as
+ * well. */
 static void streams_are_reported_before_their_events(void **state)
 {
 	struct stream_log *log = stream_log_new(100);
@@ -207,7 +211,7 @@
 	UNTIL(&f, f.eps[1].requests == 1);
 	report_streams(&f, log);
 	assert_string_equal(logged_version(log, &f), "v2");
-	/* All of them are reported to another leader. */
+	/* A new leader gets all of them, but only once it is found. */
 	report_streams(&f, next);
 	assert_string_equal(logged_version(next, &f), "");
 	gate_leader_found(f.gate);
@@ -266,7 +270,7 @@
 }
 
 /* Failure: callers that resume streams while a new leader starts are refused,
- * though it learns the versions a moment later. */
+ * though the leader learns the versions a moment later. */
 static void resume_waits_for_a_leader_that_may_learn(void **state)
 {
 	struct msg_stream_reply m = { .result = STREAM_PENDING,
@@ -290,8 +294,9 @@
 	fix_close(&f);
 }
 
-/* A resume waits for the leader only while it could still be sent in time. */
-static void hopeless_resume_is_refused(void **state)
+/* A resumed stream waits for the leader only while it could still be sent in
+ * time. */
+static void late_resume_is_refused(void **state)
 {
 	struct msg_stream_reply m = { .result = STREAM_PENDING };
 	struct caller *c;
@@ -309,9 +314,9 @@
 	fix_close(&f);
 }
 
-/* Only the first endpoint holds the model; it runs this number of calls of
- * other entries. */
-static void tell_running(struct fix *f, int64_t running)
+/* Reports that only the first endpoint holds the model, and that it runs this
+ * number of calls of other entries. */
+static void report_running(struct fix *f, int64_t running)
 {
 	struct held_model held = { .model = SS_LIT("m") };
 	struct fleet_endpoint e = { .addr = ss_str(f->eps[0].addr),
@@ -345,7 +350,7 @@
 	f.leads = true;
 	script_answer(&f, 0, ANSWERS_ID("q2"), false, false);
 	set_default_routing(&f);
-	tell_running(&f, 8);
+	report_running(&f, 8);
 	for (int k = 0; k < 20; k++)
 		call(&f, POST_NIGHT);
 	pass_ms(&f, 100);
@@ -355,7 +360,7 @@
 	gate_take_stream(f.gate, &m);
 	pass_ms(&f, 100);
 	assert_int_equal(f.eps[0].requests, 0);
-	tell_running(&f, 7);
+	report_running(&f, 7);
 	UNTIL(&f, f.eps[0].requests >= 1);
 	assert_non_null(strstr(f.eps[0].seen->str, "X-Request-Id: q2"));
 	UNTIL(&f, has_received(c, "event3"));
@@ -364,7 +369,7 @@
 
 /* The entry that began a stream resumes it without asking the leader, also
  * where an endpoint of another version has less load. */
-static void entry_knows_what_it_began(void **state)
+static void own_stream_is_resumed_without_the_leader(void **state)
 {
 	struct caller *c;
 	struct fix f;
@@ -423,9 +428,9 @@
 		cmocka_unit_test(version_that_is_listed_later_is_reported),
 		cmocka_unit_test(resume_without_a_leader_is_refused_soon),
 		cmocka_unit_test(resume_waits_for_a_leader_that_may_learn),
-		cmocka_unit_test(hopeless_resume_is_refused),
+		cmocka_unit_test(late_resume_is_refused),
 		cmocka_unit_test(resumed_stream_isnt_starved_by_new_ones),
-		cmocka_unit_test(entry_knows_what_it_began),
+		cmocka_unit_test(own_stream_is_resumed_without_the_leader),
 		cmocka_unit_test(wait_for_a_model_is_logged_as_that),
 	};
 
