--- a/test/test_gate_draining.c
+++ b/test/test_gate_draining.c
@@ -1,7 +1,8 @@
 /* Tests which requests a draining gate still starts and which it refuses. */
 #include "gate_fix.h"
 
-/* Time between two events of a fast engine, and of one five times slower. */
+/* Time between two events of a fast engine, and of one that needs five times as
+ * long. */
 #define FAST_MS 48
 #define SLOW_MS 240
 #define REFUSED "this process ends before the answer would"
@@ -117,10 +118,10 @@
 
 /*
  * Failure: the end of the process cuts a stream, and its caller gets neither an
- * answer nor a refusal. It is sent with 3 s left, though the previous answer
- * took 4 s: the duration was computed from a fixed time per token, and this
- * engine needs five times as long. The duration of plain answers wasn't checked
- * at all.
+ * answer nor a refusal. The stream is sent with 3 s left, though the previous
+ * answer took 4 s: the duration was computed from a fixed time per token, and
+ * this engine needs five times that. The duration of plain answers wasn't
+ * checked at all.
  */
 static void slow_stream_isnt_started_while_draining(void **state)
 {
@@ -250,9 +251,9 @@
 }
 
 /*
- * Failure: a stream of a large model is cut that this entry hasn't served yet.
- * The model has no measurements of its own, so the service's mean was taken,
- * which is that of its most requested models; the large ones are slower.
+ * Failure: a stream is cut whose large model this entry hasn't served yet. The
+ * model has no measurement of its own, so the service's mean was taken. The
+ * most requested models dominate the mean, and large ones are slower.
  */
 static void unmeasured_model_is_taken_for_a_slow_one(void **state)
 {
@@ -421,7 +422,8 @@
 /*
  * Failure: a draining process loses a request that may run only once. Its route
  * takes 1.5 s; another route of the service takes 20 ms and has ten times the
- * requests. Both shared one measurement, so it is started with 0.6 s left.
+ * requests. Both shared one measurement, so the slow request is started with
+ * 0.6 s left.
  */
 static void slow_route_is_measured_separately(void **state)
 {
@@ -604,7 +606,7 @@
 struct close_case {
 	const char *label;
 	bool kept;   /* its connection has served a request before */
-	int turns;   /* of the loop, between its connection and the close */
+	int rounds;  /* of the event loop, from its connection to the close */
 	bool silent; /* it sends its request only after the close */
 };
 
@@ -634,7 +636,7 @@
 			g_string_truncate(c->got, 0);
 		}
 		gate_drain(f.gate, f.clock.fake_ms + 4000);
-		for (int n = 0; n < k->turns; n++)
+		for (int n = 0; n < k->rounds; n++)
 			run_loop_once(&f);
 		if (k->kept)
 			caller_send(c, GET_SAFE);
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -1,4 +1,5 @@
-/* Failure shares of endpoints: reported by the leader, and reported to it. */
+/* Tests the failure rates of endpoints that the leader reports, and the call
+ * results that are reported to it. */
 #include "gate_fix.h"
 
 #include "../src/core/failure_rate.h"
@@ -7,17 +8,20 @@
 	"HTTP/1.1 500 Internal Server Error\r\n" HEAD                          \
 	"Content-Length: 0\r\n\r\n"
 
-static void report_failing(struct fix *f, int i, int64_t of_whole)
+/* Reports an endpoint's failure rate to the gate, as the leader does. */
+static void report_failing(struct fix *f, int i, int64_t permille)
 {
 	struct fleet_load x = { .addr = ss_str(f->eps[i].addr),
-				.failure_rate = of_whole };
+				.failure_rate = permille };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
 
 	gate_take_fleet(f->gate, &m);
 }
 
-/* Call results in a report for an endpoint; -1: none. */
-static void reported(struct fix *f, int i, int64_t *failed, int64_t *answered)
+/* Takes the gate's next report and reads its call results for an endpoint; -1:
+ * none. */
+static void read_results(struct fix *f, int i, int64_t *failed,
+			 int64_t *answered)
 {
 	const struct endpoint_results *e;
 	struct gate_report r;
@@ -41,7 +45,7 @@
 	UNTIL(f, has_received(c, status));
 }
 
-/* The endpoint that plain calls go to while both are idle. */
+/* Returns the endpoint that plain calls go to while both are idle. */
 static int preferred_endpoint(struct fix *f)
 {
 	script_answer(f, 0, OK_TEXT, false, false);
@@ -51,8 +55,8 @@
 }
 
 /*
- * Calls would continue to an endpoint that another entry has seen failing. The
- * failure share that the leader reports diverts them until it has decayed.
+ * Failure: calls continue to an endpoint that another entry has seen fail. The
+ * failure rate that the leader reports diverts them until it has decayed.
  */
 static void reported_failures_divert_calls(void **state)
 {
@@ -86,15 +90,15 @@
 	fix_open(&f, "web", "");
 	at = preferred_endpoint(&f);
 	call_once(&f, "HTTP/1.1 200 ");
-	reported(&f, at, &failed, &answered);
+	read_results(&f, at, &failed, &answered);
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
 	script_answer(&f, at, FAILS, false, false);
 	call_once(&f, "HTTP/1.1 500 ");
-	reported(&f, at, &failed, &answered);
+	read_results(&f, at, &failed, &answered);
 	assert_int_equal(failed, 1);
 	assert_int_equal(answered, 2);
-	reported(&f, at, &failed, &answered);
+	read_results(&f, at, &failed, &answered);
 	assert_int_equal(failed, -1);
 	f.eps[at].n_replies = 0;
 	script_answer(&f, at, OK_TEXT, false, false);
@@ -103,7 +107,7 @@
 	report_fleet(&f, "web", "");
 	call_once(&f, "HTTP/1.1 200 ");
 	assert_int_equal(f.eps[at].requests, 4);
-	reported(&f, at, &failed, &answered);
+	read_results(&f, at, &failed, &answered);
 	assert_int_equal(failed, 0);
 	assert_int_equal(answered, 1);
 	fix_close(&f);
@@ -123,7 +127,7 @@
 	UNTIL(&f, *metrics_value(f.metrics, "ss_gate_connections_opened_total",
 				 "") >= 2);
 	for (int i = 0; i < ENDPOINTS; i++) {
-		reported(&f, i, &failed, &answered);
+		read_results(&f, i, &failed, &answered);
 		assert_int_equal(failed, -1);
 	}
 	fix_close(&f);
@@ -140,8 +144,9 @@
 	return *metrics_value(f->metrics, "ss_gate_waiting", "");
 }
 
-/* An entry would spend all its time on refused connections until the leader
- * reports that the only endpoints with the model have ended. */
+/* Failure: an entry spends all its time on refused connections, until the
+ * leader reports that the only endpoints which could serve the request have
+ * crashed. */
 static void unreachable_endpoint_is_retried_slowly(void **state)
 {
 	struct caller *c;
--- a/test/test_gate_lifecycle.c
+++ b/test/test_gate_lifecycle.c
@@ -2,8 +2,8 @@
  * draining. */
 #include "gate_fix.h"
 
-/* When a caller leaves, the endpoint's connection is closed, so that it can
- * stop the work. */
+/* When a caller leaves, the connection to the endpoint is reset, so that the
+ * endpoint can stop the work. */
 static void caller_that_leaves_cancels_its_request(void **state)
 {
 	struct caller *c;
@@ -26,8 +26,8 @@
 
 /*
  * Failure: a request reaches an endpoint seconds after its caller left. The
- * network delays it, its caller leaves and the connection is closed; an orderly
- * close still lets what was written be delivered.
+ * network delays the request, its caller leaves and the connection is closed;
+ * after an orderly close, what was written is still delivered.
  */
 static void delayed_request_of_left_caller_is_reset(void **state)
 {
@@ -47,10 +47,10 @@
 
 /*
  * Failure: new streams go to a stalled engine, and their callers leave too,
- * though another engine has the model. The callers of its streams leave, its
- * last report becomes old and the entry counts no calls on it, so it looks like
- * the least loaded one unless callers that leave a silent engine count as its
- * failures.
+ * though another engine has the model. After the callers of its streams have
+ * left, the stalled engine's last report is old and the entry counts no calls
+ * on it, so it looks like the least loaded one unless callers that leave a
+ * silent engine count as its failures.
  */
 static void silent_engine_gets_no_new_streams(void **state)
 {
@@ -148,8 +148,8 @@
 /*
  * Failure: callers leave a stream that hasn't started and get no Retry-After.
  * The model's load takes over two seconds; the caller's deadline is later, but
- * it gives up a silent stream before. The deadline was taken for the time that
- * the caller waits.
+ * the caller gives up a silent stream before. The deadline was taken for the
+ * time that the caller waits.
  */
 static void wait_ends_before_the_caller_leaves(void **state)
 {
@@ -271,8 +271,8 @@
 	fix_close(&f);
 }
 
-/* Failure: a refusal without Retry-After. The endpoint rejected the request
- * when too little time was left for another endpoint. */
+/* Failure: a refusal without Retry-After. The endpoint rejects the request when
+ * too little time is left for another endpoint. */
 static void refusal_for_lack_of_time_has_retry_after(void **state)
 {
 	struct caller *c;
--- a/test/test_gate_restart.c
+++ b/test/test_gate_restart.c
@@ -1,4 +1,4 @@
-/* The gate when endpoints restart and keep their id. */
+/* Tests the gate with endpoints that restart and keep their id. */
 #include "gate_fix.h"
 
 #define CHAT_ADAPTER                                                           \
@@ -25,13 +25,14 @@
 	report_fleet(f, service, model);
 }
 
-/* Requests in progress; gate_busy() counts each one and its connection. */
+/* Returns the number of requests in progress; gate_busy() counts each one and
+ * its connection. */
 static size_t requests_in_progress(const struct fix *f)
 {
 	return gate_busy(f->gate) / 2;
 }
 
-static void run_turns(struct fix *f, int n)
+static void run_loop(struct fix *f, int n)
 {
 	while (n-- > 0)
 		run_loop_once(f);
@@ -57,7 +58,7 @@
 	f.eps[0].empty = true;
 	restart(&f, "lm", "m");
 	f.clock.fake_ms += 499;
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	assert_int_equal(f.eps[1].requests, 0);
 	f.clock.fake_ms += 1;
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
@@ -67,7 +68,7 @@
 
 /*
  * A request that isn't repeatable stays with the incarnation that it was sent
- * to. It isn't retried, and a late response would still be forwarded.
+ * to: the gate doesn't retry it, and would still forward a late answer.
  */
 static void unrepeatable_request_isnt_retried(void **state)
 {
@@ -82,7 +83,7 @@
 	UNTIL(&f, f.eps[0].requests == 1);
 	restart(&f, "web", "");
 	f.clock.fake_ms += 1000;
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	assert_int_equal(c->got->len, 0);
 	f.clock.fake_ms += 1000;
 	UNTIL(&f, has_received(c, "HTTP/1.1 504 "));
@@ -108,9 +109,9 @@
 	script_answer(&f, 0, LAST_EVENT, false, false);
 	c = call(&f, POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1 && requests_in_progress(&f) > 0);
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	restart(&f, "lm", "m");
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	assert_int_equal(f.eps[0].requests, 1);
 	f.clock.fake_ms += 9000;
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
@@ -142,7 +143,7 @@
 	f.eps[0].empty = true;
 	restart(&f, "lm", "m");
 	gate_adapter_done(f.gate, &done);
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	assert_int_equal(f.eps[0].requests, 0);
 	assert_int_equal(c->got->len, 0);
 	assert_int_equal(requests_in_progress(&f), 1);
@@ -168,7 +169,7 @@
 	report_fleet(&f, "lm", "m");
 	call(&f, POST_CHAT);
 	UNTIL(&f, requests_in_progress(&f) > 0);
-	run_turns(&f, 3);
+	run_loop(&f, 3);
 	assert_int_equal(f.eps[0].requests, 0);
 	/* The endpoint is still known, and can report the model later. */
 	f.eps[0].started_ms = 200;
@@ -243,7 +244,7 @@
 		gate_take_list(f.gate, &list);
 		call(&f, POST_CHAT);
 		UNTIL(&f, requests_in_progress(&f) > 0);
-		run_turns(&f, 5);
+		run_loop(&f, 5);
 		if ((f.eps[0].requests == 1) != c->is_used)
 			fail_msg("%s: %d requests", c->label,
 				 f.eps[0].requests);
@@ -317,7 +318,7 @@
 	 * incarnation. */
 	call(&f, POST_CHAT);
 	UNTIL(&f, requests_in_progress(&f) == SLOTS + 1);
-	run_turns(&f, 5);
+	run_loop(&f, 5);
 	assert_int_equal(f.eps[0].requests, SLOTS + SLOTS);
 	fix_close(&f);
 }
