--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -599,7 +599,7 @@
 		if (resume_hopeless(f))
 			forward_end(f, false, "its version is gone");
 		else if (now >= f->deadline_ms)
-			forward_end(f, false, "nobody could resume it");
+			forward_end(f, false, "no endpoint could resume it");
 	} else if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
 	} else if (resume_hopeless(f)) {
@@ -635,7 +635,7 @@
 			       f->may_have_run ? 0 : model_retry_after_ms(f));
 	else if (now - f->sent_ms > f->g->o.adapter_wait_ms + ADAPTER_GRACE_MS)
 		forward_adapter_reply(f, SS_ERROR_UNAVAILABLE,
-				      SS_LIT("its agent says nothing"));
+				      SS_LIT("its agent doesn't reply"));
 }
 
 /* Returns true if a send is given up because its endpoint has restarted.
