--- a/src/proxy/callers.c
+++ b/src/proxy/callers.c
@@ -29,8 +29,8 @@
  * retransmitted one second later. */
 #define ACCEPT_BACKLOG 1024
 
-/* A connection frees a larger buffer after use; twice the size of a read, in
- * bytes. */
+/* Largest buffer that a connection keeps after use, in bytes: twice the size of
+ * a read. */
 #define BUFFER_KEEP_MAX (32u << 10)
 /* Divisors of the memory limit, for request bodies and unread responses. A
  * request can be buffered twice: here, and for an endpoint that reads
--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -3,9 +3,9 @@
  *
  * An endpoint's VM may close a connection before the answer is complete
  * because the answer broke off, the connection was reset, or the endpoint
- * crashed. It counts as a crash where nothing listens at the endpoint's address
- * right after the close, and no other connection to it remains once those that
- * a crash has closed were handled.
+ * crashed. The close counts as a crash if nothing listens at the endpoint's
+ * address right after it, and no other connection to the endpoint remains once
+ * those that a crash would have closed were handled.
  */
 #include "gate_int.h"
 
@@ -30,7 +30,7 @@
 	char *addr, *id;
 	uint64_t incarnation_no;   /* this gate's number of it */
 	uint64_t incarnation_hash; /* the same in all processes */
-	struct probe *probe;	   /* NULL: done, nothing listens there */
+	struct probe *probe;	   /* NULL: done; nothing listens there */
 	/* End of the wait for other connections to close; set once the probe
 	 * is done. */
 	int64_t wait_until_ms;
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -7,7 +7,7 @@
 
 /* Share of its time that a request waits for a model whose load time isn't
  * known; then it is refused with a retry time, while its caller still waits.
- * Mostly an engine becomes free before: with half of this share, 1 request in
+ * Usually an engine becomes free before: with half of this share, 1 request in
  * 200 more was refused and returned to the end of the queue. */
 #define NO_ETA_WAIT_SHARE 0.8
 /* A caller that leaves a silent engine after this share of the shortest
@@ -15,13 +15,13 @@
  * its own reasons. Less than 1, as callers whose request was sent late leave
  * earlier. */
 #define SILENT_WAIT_SHARE 0.75
-/* Bounds of the time after which a refused caller is to return, in ms: sooner
- * it would be refused again, later it has no time left. Only return slots may
- * be later. */
+/* Bounds of the time after which a refused caller is to return, in ms: one
+ * that returns sooner would be refused again, one that returns later has no
+ * time left. Only return slots may be later. */
 #define RETRY_AFTER_MIN_MS 150
 #define RETRY_AFTER_MAX_MS 4000
-/* Callers refused at one time return spread over this, in ms: less than the
- * shortest objective of both deployments. */
+/* Time over which the returns of callers that are refused at one time are
+ * spread, in ms: less than the shortest objective of both deployments. */
 #define RETRY_AFTER_SPREAD_MS 200
 /* Time until a full service has room again, in ms: about two calls of a plain
  * service, or a tenth of a stream. */
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -7,7 +7,7 @@
 #include "../base/log.h"
 
 /* Retry-After where it isn't known when a trial run will be allowed: by then a
- * leader is mostly found, or the trial run in progress has ended. */
+ * leader is usually found, or the trial run in progress has ended. */
 #define TRIAL_RETRY_AFTER_MS 2000
 /* Timeout of the leader's reply to a request for a trial run. */
 #define TRIAL_REPLY_TIMEOUT_MS 500
@@ -37,8 +37,8 @@
 	crash_log_add(&g->crash_log, &e);
 }
 
-/* Takes waiting requests out of their queues that a change of the suspects has
- * quarantined: they are refused, or wait for a trial run. */
+/* Refuses waiting requests that a change of the suspects has quarantined, or
+ * asks the leader for their trial runs. */
 static void block_quarantined(struct gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->forwards);
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -28,9 +28,9 @@
  * entry may reach one. */
 #define NO_LEADER_RETRY_AFTER_MS 200
 
-/* Takes the version that began the stream once its incarnation is listed with
- * it: an endpoint that has just restarted may be listed before its version is
- * known. */
+/* Sets the version that began the stream once the incarnation that began it is
+ * listed with one: an endpoint that has just restarted may be listed before its
+ * version is known. */
 static void learn_version(struct forward *f)
 {
 	const struct gate_ep *ep;
--- a/src/proxy/upstream.c
+++ b/src/proxy/upstream.c
@@ -13,13 +13,13 @@
 #include <sys/socket.h>
 
 /* Time limit for the TCP handshake: a hundred round trips, and less than the
- * retransmission timeout of a SYN. No request was sent by then, so it can go to
- * another endpoint. */
+ * retransmission timeout of a SYN. Nothing was sent by then, so the request can
+ * go to another endpoint. */
 #define CONNECT_TIMEOUT_MS 400
 /* A connection with data that stays unacknowledged for this long is dead: ten
  * retransmissions on a working link. */
 #define UNACKED_MS 1500
-/* Idle connections are closed after this time. It is well within the keep-alive
+/* Idle connections are closed after this time, well within the keep-alive
  * timeouts of endpoints that don't state theirs. */
 #define IDLE_MS 4000
 /* Idle connections are closed this long before the endpoint's keep-alive
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -10,7 +10,7 @@
 
 #include "http1.h"
 
-/* How a request failed that got no complete response. */
+/* How a request without a complete response failed. */
 enum upstream_failure {
 	UPSTREAM_NOT_SENT, /* no connection: nothing was sent */
 	UPSTREAM_SILENT,   /* sent, but no byte of a response came */
