--- a/src/daemon/bootstrap.c
+++ b/src/daemon/bootstrap.c
@@ -146,7 +146,7 @@
 	return true;
 }
 
-static void add_switch(struct initial_log *s, const char *name)
+static void add_preset_switch(struct initial_log *s, const char *name)
 {
 	struct preset_rec rec = { .name = ss_str(name) };
 	struct command c = { .kind = COMMAND_PRESET_SWITCH, .preset = &rec };
@@ -162,7 +162,7 @@
 	if (*c->ctl.presets_dir && !add_presets(s, c->ctl.presets_dir, error))
 		return false;
 	if (*c->ctl.first_preset)
-		add_switch(s, c->ctl.first_preset);
+		add_preset_switch(s, c->ctl.first_preset);
 	return true;
 }
 
@@ -212,7 +212,7 @@
 
 static uint64_t founder_id(const char *addr)
 {
-	/* 0 means no member. */
+	/* Never 0, which stands for no member. */
 	return XXH3_64bits(addr, strlen(addr)) | 1;
 }
 
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -9,8 +9,9 @@
 #define RECONNECT_MS 100
 /* Interval of membership repair, in ms; a membership change takes two syncs. */
 #define REPAIR_MS 200
-/* A member without a leader for this long, in ms, asks to join again: it may
- * have been removed while it was disconnected. Three election timeouts. */
+/* Time without a leader, in ms, after which a member asks to join again: it may
+ * have been removed while it was disconnected. More than three election
+ * timeouts. */
 #define LEADERLESS_MS 2000
 /*
  * Election timeouts of a fleet, in ms. Its entries wait for a leader after a
--- a/src/daemon/group.h
+++ b/src/daemon/group.h
@@ -12,7 +12,7 @@
 struct group;
 
 struct group_ops {
-	/* An entry was applied. */
+	/* A log entry was applied. */
 	void (*applied)(void *arg, uint64_t index);
 	/* This member's role or the known leader changed. */
 	void (*changed)(void *arg);
@@ -26,6 +26,7 @@
 	void *arg;
 };
 
+/* Callback for group_confirm(); ok: a majority has confirmed the leadership. */
 struct read_done {
 	void (*fn)(void *arg, bool ok);
 	void *arg;
@@ -55,8 +56,8 @@
 
 const struct ss_state *group_state(const struct group *g);
 const struct ss_raft *group_raft(const struct group *g);
-/* Returns true if this member is the leader and has applied the first entry of
- * its own term. */
+/* Returns true if this member is the leader and has applied the first log entry
+ * of its own term. */
 bool group_leads(const struct group *g);
 uint64_t group_id(const struct group *g);
 /* The leader's address; NULL if unknown. */
--- a/src/daemon/group_int.h
+++ b/src/daemon/group_int.h
@@ -32,15 +32,15 @@
 	GHashTable *last_conns;	  /* &id -> struct conn of its last message */
 	GQueue proposals;
 	GHashTable *reads; /* &ctx -> struct read_done */
-	uint64_t ctx;
+	uint64_t ctx;	   /* number of the latest read */
 	struct event *tick, *flush;
-	char *leader_hint; /* leader as reported by another process */
+	char *leader_hint; /* leader's address as another process reported it */
 	int64_t join_ms, repair_ms, announce_ms;
 	int64_t leader_ms;     /* last time a leader was known */
 	int64_t append_ms;     /* last append to the log */
-	uint64_t leader_first; /* first entry of this leader's term */
+	uint64_t leader_first; /* index of the first log entry of its term */
 	uint64_t *n_applied, *n_term, *n_leads, *n_snapshots;
-	bool broken;
+	bool broken; /* a write to the disk has failed */
 };
 
 static inline int64_t group_now(const struct group *g)
@@ -48,8 +48,8 @@
 	return ss_clock_now(&g->d->clock);
 }
 
-/* Schedules a flush of the log after all input that is ready, so that one sync
- * covers it. */
+/* Schedules a flush of the log for after all input that is ready, so that one
+ * sync covers all of it. */
 void group_flush_soon(struct group *g);
 /* Returns the connection record of an address; connects if necessary. */
 struct member_conn *group_conn_to(struct group *g, const char *addr);
@@ -58,10 +58,13 @@
 void group_disk_failed(struct group *g, const GError *error);
 
 /* group_members.c */
+/* Sends join requests to all known addresses. */
 void group_request_join(struct group *g, int64_t now);
 void group_handle_join(struct group *g, struct conn *c,
 		       const struct msg_join *m);
 void group_handle_joined(struct group *g, const struct msg_leader *m);
+/* Takes the leader's next repair step: promotes a member or removes a lost
+ * one. */
 void group_repair(struct group *g);
 /* Sends the leader and the members to the control addresses of the settings. */
 void group_announce(struct group *g, int64_t now);
--- a/src/daemon/group_members.c
+++ b/src/daemon/group_members.c
@@ -25,7 +25,7 @@
 		conn_send(o->conn, MSG_JOIN, &m);
 }
 
-/* Asks a reported leader to join now, and again with the other addresses. */
+/* Sends a join request to a reported leader, now and in each later round. */
 static void request_join_leader(struct group *g, struct ss_str addr)
 {
 	g_free(g->leader_hint);
@@ -126,12 +126,13 @@
 }
 
 /*
- * Other processes know only the control addresses of their settings. The VMs
- * there are replaced over time, until all three may be ones outside of the
- * group; after a power loss no process would then find the group. Members know
- * each other from the log and never query the configured addresses, so they
- * announce the group to these as long as they run. That includes addresses of
- * members: a VM there may have lost its disk and know no other member.
+ * Announces the group to the control addresses of the settings, which are the
+ * only ones that other processes know at their start. The VMs there are
+ * replaced over time, until none of the three may be a member; without the
+ * announcements, no process would find the group after a power loss. Members
+ * know each other from the log and never query the configured addresses.
+ * Addresses of members get announcements too: a VM there may have lost its disk
+ * and know no other member.
  */
 void group_announce(struct group *g, int64_t now)
 {
@@ -160,8 +161,6 @@
 	request_join_leader(g, m->addr);
 }
 
-/* Takes the next repair step as leader: promotes a member or removes a lost
- * one. */
 void group_repair(struct group *g)
 {
 	const struct ss_raft_members *all = ss_raft_members(g->raft);
