--- a/src/daemon/replica_leader.c
+++ b/src/daemon/replica_leader.c
@@ -312,11 +312,11 @@
 static void *begin(struct daemon *d, struct group *g, struct routing *r,
 		   struct stream_log *streams)
 {
-	(void)streams;
 	struct replica_leader *l = g_new0(struct replica_leader, 1);
 	struct metrics *m = d->metrics;
 
 	(void)r;
+	(void)streams;
 	l->d = d;
 	l->g = g;
 	l->since_ms = leader_now(l);
--- a/src/daemon/replica_leader.h
+++ b/src/daemon/replica_leader.h
@@ -1,8 +1,9 @@
 /*
- * The leader of replicas behind agents. Its state beside the replicated one
- * holds connected processes and the requests that wait; from these it decides
- * what to load and unload and sends orders and routes. It starts empty with
- * each leadership and is rebuilt from reports within seconds.
+ * The leader of replicas behind agents: decides which models to load and
+ * unload, and sends orders to agents and routes to entries. Beside the
+ * replicated state it uses the connected processes and the waiting requests.
+ * This part isn't replicated: it starts empty with each leadership and is
+ * rebuilt from reports within seconds.
  */
 #ifndef SS_REPLICA_LEADER_H
 #define SS_REPLICA_LEADER_H
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -1,12 +1,11 @@
-/* Internal state of the leader of replicas; only its own files
- * include this. */
+/* Internal state of the leader of replicas; only its own files include this. */
 #ifndef SS_REPLICA_LEADER_INT_H
 #define SS_REPLICA_LEADER_INT_H
 
 #include "../core/plan.h"
 #include "replica_leader.h"
 
-/* A node that is disconnected for this long gets no new calls, in ms. */
+/* Time without a connection, in ms, after which a node gets no new calls. */
 #define LEADER_NODE_LOST_MS 1500
 /* Time during which a new leader treats unconnected nodes as usable, in ms. */
 #define LEADER_GRACE_MS 4000
@@ -27,10 +26,10 @@
 	bool reported;
 	int64_t report_ms;
 	uint64_t incarnation;
-	GArray *held;	    /* struct leader_held */
-	GHashTable *cached; /* model -> tier */
-	bool draining;	    /* reported by the agent: a planned stop */
-	uint64_t fence_sent;
+	GArray *held;	     /* struct leader_held */
+	GHashTable *cached;  /* model -> tier */
+	bool draining;	     /* reported by the agent: a planned stop */
+	uint64_t fence_sent; /* fence of the orders sent last */
 	bool registered;     /* committed, for this connection */
 	bool listed;	     /* has been on the VM list */
 	int64_t unlisted_ms; /* when the VM list first lacked it; SS_NEVER if
@@ -42,9 +41,9 @@
 struct leader_watch {
 	struct conn *conn;
 	uint64_t waiting;
-	int64_t deadline_ms; /* on the clock */
+	int64_t deadline_ms; /* time on the leader's clock */
 	int priority;
-	int64_t at_ms;
+	int64_t at_ms; /* time of the entry's last message */
 	GString *sent; /* signature of the route sent last */
 };
 
@@ -52,10 +51,10 @@
 	char *name; /* as requested by entries */
 	GPtrArray *watches;
 	struct ss_arrivals *arrivals;
-	int64_t load_ms; /* last load */
-	int64_t eta_ms;	 /* on the clock; SS_NEVER: unknown */
-	const char *why; /* reason of the planner's last result */
-	const char *unload_why;
+	int64_t load_ms;	/* duration of the last load; 0: unknown */
+	int64_t eta_ms;		/* expected end of a load; SS_NEVER: unknown */
+	const char *why;	/* reason of the planner's last result */
+	const char *unload_why; /* reason and time of the last unload */
 	int64_t unload_ms;
 	bool expected; /* arrival history predicts a request */
 };
@@ -74,13 +73,13 @@
 	GHashTable *nodes;  /* name -> struct leader_node */
 	GHashTable *models; /* name -> struct leader_model */
 	struct pacer pacer;
-	struct ss_arrivals all;
+	struct ss_arrivals all; /* arrivals of all models */
 	struct preset preset;
 	uint64_t preset_version;
-	int64_t since_ms; /* start of the leadership */
-	int64_t plan_ms, predict_ms;
+	int64_t since_ms;	     /* start of the leadership */
+	int64_t plan_ms, predict_ms; /* last plan and last prediction */
 	unsigned int open_decisions; /* proposed, not applied */
-	bool dirty;
+	bool dirty; /* something to plan or to send has changed */
 	uint64_t *n_loads, *n_unloads, *n_claims, *n_plans, *n_replicas;
 	struct hist *load_hist;
 };
--- a/src/daemon/replica_leader_nodes.c
+++ b/src/daemon/replica_leader_nodes.c
@@ -95,8 +95,8 @@
 	k->l = l;
 	k->conn = c;
 	if (same) {
-		/* Nothing to commit; the read of confirm_for() checks with a
-		 * majority. */
+		/* The record is unchanged, so nothing is committed; a majority
+		 * confirms the leadership by the read of confirm_for(). */
 		struct command_result ok = { 0 };
 
 		on_registered(k, &ok, NULL);
@@ -107,8 +107,8 @@
 	group_change(l->g, &cmd, done);
 }
 
-static void on_state(void *arg, const struct command_result *r,
-		     const GError *error)
+static void on_state_applied(void *arg, const struct command_result *r,
+			     const GError *error)
 {
 	struct leader_pending *k = arg;
 
@@ -118,8 +118,8 @@
 	g_free(k);
 }
 
-static void propose_state(struct replica_leader *l, uint64_t id, int64_t state,
-			  int64_t load_ms)
+static void propose_replica_state(struct replica_leader *l, uint64_t id,
+				  int64_t state, int64_t load_ms)
 {
 	struct replica_rec rec = { .id = id,
 				   .state = state,
@@ -129,7 +129,7 @@
 
 	k->l = l;
 	l->open_decisions++;
-	group_change(l->g, &c, (struct change_done){ on_state, k });
+	group_change(l->g, &c, (struct change_done){ on_state_applied, k });
 }
 
 static void record_load(struct replica_leader *l, const struct replica_rec *r,
@@ -154,9 +154,9 @@
 		return;
 	if (h->state == HELD_READY && r->state == REPLICA_LOADING) {
 		record_load(l, r, h->load_ms);
-		propose_state(l, r->id, REPLICA_READY, h->load_ms);
+		propose_replica_state(l, r->id, REPLICA_READY, h->load_ms);
 	} else if (h->state == HELD_GONE && r->state == REPLICA_UNLOADING) {
-		propose_state(l, r->id, REPLICA_GONE, 0);
+		propose_replica_state(l, r->id, REPLICA_GONE, 0);
 	}
 }
 
@@ -181,8 +181,8 @@
 
 /* The platform's VM list. */
 
-static void set_node(struct replica_leader *l, const struct node_rec *rec,
-		     int64_t state)
+static void propose_node_state(struct replica_leader *l,
+			       const struct node_rec *rec, int64_t state)
 {
 	struct node_rec want = { .name = rec->name,
 				 .state = state,
@@ -193,7 +193,7 @@
 	log_info("node_state", "node=%s state=%" PRId64, rec->name.p, state);
 	k->l = l;
 	l->open_decisions++;
-	group_change(l->g, &c, (struct change_done){ on_state, k });
+	group_change(l->g, &c, (struct change_done){ on_state_applied, k });
 }
 
 static const struct vm *vm_named(const struct vm *vms, size_t n,
@@ -215,7 +215,7 @@
 		n->listed = true;
 		n->unlisted_ms = SS_NEVER;
 		if (vm->state == VM_DRAINING && rec->state == NODE_LIVE)
-			set_node(l, rec, NODE_DRAINING);
+			propose_node_state(l, rec, NODE_DRAINING);
 		return;
 	}
 	if (n->unlisted_ms == SS_NEVER)
@@ -227,7 +227,7 @@
 	if (n->conn || now - n->down_ms < REMOVE_AFTER_MS ||
 	    now - n->unlisted_ms < REMOVE_AFTER_MS)
 		return;
-	set_node(l, rec, NODE_GONE);
+	propose_node_state(l, rec, NODE_GONE);
 }
 
 void leader_set_vms(struct replica_leader *l, const struct vm *vms, size_t n)
--- a/src/daemon/replica_leader_plan.c
+++ b/src/daemon/replica_leader_plan.c
@@ -117,8 +117,8 @@
 	}
 }
 
-static void add_record(struct view *w, struct plan_demand d,
-		       const struct model_rec *rec, int64_t load_ms)
+static void append_demand(struct view *w, struct plan_demand d,
+			  const struct model_rec *rec, int64_t load_ms)
 {
 	d.model = rec->name.p;
 	d.base = rec->base.p;
@@ -131,19 +131,19 @@
 
 /* Adds the demand of a model, and for an adapter also that of its base. */
 static void add_demand(struct view *w, const struct leader_model *m,
-		       const struct plan_demand *of)
+		       const struct plan_demand *d)
 {
 	const struct model_rec *rec = leader_resolve(w->l, m->name);
 	const struct model_rec *base;
 
 	if (!rec)
 		return;
-	add_record(w, *of, rec, m->load_ms);
+	append_demand(w, *d, rec, m->load_ms);
 	if (!rec->base.n)
 		return;
 	base = ss_state_model(group_state(w->l->g), rec->base.p);
 	if (base)
-		add_record(w, *of, base, 0);
+		append_demand(w, *d, base, 0);
 }
 
 static void add_demands(struct view *w)
@@ -233,6 +233,8 @@
 
 static const struct plan_ops plan_table = { decide_load, decide_unload };
 
+/* Copies the planner's results from the demands to the models, for routes and
+ * operators. */
 static void copy_results(struct view *w)
 {
 	for (guint i = 0; i < w->demands->len; i++) {
--- a/src/daemon/replica_leader_route.c
+++ b/src/daemon/replica_leader_route.c
@@ -115,6 +115,8 @@
 				       rr[i].slots);
 }
 
+/* Sends a model's route to one watch, or to all if only is NULL. A watch that
+ * has the route already gets it only if always is set. */
 static void push(struct replica_leader *l, struct leader_model *m,
 		 struct leader_watch *only, bool always)
 {
