--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -13,7 +13,8 @@
 #include <json-c/json.h>
 #include <xxhash.h>
 
-/* Resolution of elections and heartbeats, in ms: a fifth of a heartbeat. */
+/* Timer interval in ms: a fifth of a heartbeat. Bounds the delay until a new
+ * leader starts its work and is announced. */
 #define TICK_MS 20
 /* Time for the transfer of the leadership before a planned stop, in ms: three
  * heartbeats. */
@@ -38,9 +39,9 @@
 	struct routing_http *routing;
 	struct vms *vms;
 	struct event *tick;
-	GHashTable *conns;    /* open incoming connections */
-	uint64_t sent_leader; /* leader last announced to conns */
-	uint64_t members;     /* hash of the members last announced */
+	GHashTable *conns;     /* open incoming connections */
+	uint64_t sent_leader;  /* leader last announced to conns */
+	uint64_t sent_members; /* hash of the members last announced */
 	int64_t stop_ms;
 	uint64_t *n_denied;
 };
@@ -103,7 +104,7 @@
 	}
 }
 
-/* Publishes the committed routing, from an entry or a snapshot. */
+/* Publishes the committed routing, from a log entry or a snapshot. */
 static void follow_log(struct control_role *k)
 {
 	const struct ss_state *s = k->group ? group_state(k->group) : NULL;
@@ -135,8 +136,8 @@
 		k->ops->applied(k->leader);
 }
 
-/* Requests no full copy, as follow_log() falls back to the full routing. */
-static void on_unusable(void *arg, uint64_t have)
+/* Does nothing: follow_log() adds the full routing with the next version. */
+static void on_unreadable(void *arg, uint64_t have)
 {
 	(void)arg;
 	(void)have;
@@ -230,7 +231,8 @@
 static const struct conn_ops conn_table = { conn_open, conn_message,
 					    conn_closed };
 
-/* Announces a new leader; clients that connected without one wait for it. */
+/* Announces a new leader to clients, which may have connected before there was
+ * one. */
 static void announce_leader(struct control_role *k)
 {
 	const struct ss_raft *r = group_raft(k->group);
@@ -265,9 +267,9 @@
 		hash = XXH3_64bits_withSeed(a.p, a.n, hash);
 	}
 	g_array_unref(all);
-	if (!k->leader || hash == k->members)
+	if (!k->leader || hash == k->sent_members)
 		return;
-	k->members = hash;
+	k->sent_members = hash;
 	g_hash_table_iter_init(&it, k->conns);
 	while (g_hash_table_iter_next(&it, &c, NULL))
 		if (is_client(c))
@@ -544,7 +546,7 @@
 {
 	struct control_role *k = g_new0(struct control_role, 1);
 	struct mirror_options mo = { .ops = &mirror_table, .arg = k };
-	struct routing_follow_options fo = { d, on_routing, on_unusable, k };
+	struct routing_follow_options fo = { d, on_routing, on_unreadable, k };
 
 	k->d = d;
 	k->mirror = mirror_new(&mo, ss_clock_now(&d->clock));
--- a/src/daemon/relay.c
+++ b/src/daemon/relay.c
@@ -5,8 +5,8 @@
  * leader through the addresses in its settings and through members, which
  * announce themselves to it.
  *
- * Every front VM runs a relay, so that with a frozen VM only one of an
- * operator's many addresses fails. Hundreds of connections with their
+ * Every front VM runs a relay, so that operators have many addresses to try and
+ * a frozen VM costs them only one. Hundreds of connections with their
  * heartbeats would cost the leader more than all calls of operators, so an
  * unused relay keeps no connection to it.
  */
@@ -72,7 +72,8 @@
 			send_leader(r, c);
 }
 
-/* A control VM whose disk was lost may look for its group at a relay, too. */
+/* Sends the leader's address to a control VM that asks to join, as one that has
+ * lost its disk may do at a relay. */
 static void handle_join(struct relay_role *r, struct conn *c)
 {
 	const char *addr = link_leader(r->link);
@@ -104,7 +105,7 @@
 	if (f->kind != MSG_LEADER || conn_peer(c)->role != ROLE_CONTROL)
 		return;
 	link_leader_announced(r->link, &f->u.leader);
-	/* The leader may be reachable for the peers and not from this VM. */
+	/* The peers may reach the leader even if this VM can't. */
 	if (!was_up)
 		send_leader_to_all(r);
 }
@@ -227,8 +228,9 @@
 				   .arg = r,
 				   .seed = d->seed };
 
-	/* The hello names no member's role: members send the leader's address
-	 * to a relay, but not to one another, as they have it from the log. */
+	/* With the control role in its hello, the link would get no leader's
+	 * address: members send none to one another, as they have it from the
+	 * log. */
 	d->hello.role = ROLE_RELAY;
 	r->d = d;
 	r->conns = g_hash_table_new(NULL, NULL);
