--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -10,12 +10,12 @@
 #include "../core/fleet_wire.h"
 #include "../net/http_client.h"
 
-/* Poll intervals on the engine's own VM, where a report costs only processor
- * time. */
+/* Poll intervals in ms on the engine's own VM, where a report costs only
+ * processor time. */
 #define READ_BUSY_MS 20
 #define READ_IDLE_MS 100
-/* Poll intervals from a control VM, where a report also costs a round trip and
- * load on the engine's link. */
+/* Poll intervals in ms from a control VM, where a report also costs a round
+ * trip and load on the engine's link. */
 #define REMOTE_BUSY_MS 60
 #define REMOTE_IDLE_MS 250
 /* The engine is on this VM or a few ms away, so a read that takes longer counts
@@ -27,7 +27,7 @@
  * between any two reports. */
 #define LOAD_REPORT_MS 200
 #define REPORT_MS 1000
-/* Headers of an answer that are inspected. */
+/* Maximum number of headers of an answer that are inspected. */
 #define MAX_HEADERS 32
 /* Consecutive failed reads after which the engine counts as down. */
 #define MAX_FAILED_READS 2
@@ -42,26 +42,25 @@
 	struct routing_service
 		*service; /* service whose models the engine can hold */
 	struct fleet_report *report; /* the latest report; NULL: none */
-	/* The engine's incarnation; the id is NULL until the engine is queried
-	 * for it. */
-	struct fleet_incarnation self;
+	/* The engine's incarnation; its instance id is NULL while unknown. */
+	struct fleet_incarnation incarnation;
 	struct endpoint_limit limit; /* stated in its answers */
 	bool draining;		     /* stated in its answers */
 	int64_t backoff_until_ms;    /* end of a requested backoff; 0: none */
 	bool reachable, reading;
-	unsigned int unanswered;
+	unsigned int failed_reads; /* consecutive ones */
 	int64_t read_ms, reported_ms;
 	bool report_due, load_changed;
-	uint64_t ticket;
-	GHashTable *tickets; /* &ticket -> struct ticket */
+	uint64_t last_request;	      /* id of the latest adapter request */
+	GHashTable *adapter_requests; /* &id -> struct adapter_request */
 	uint64_t *n_reads, *n_lost, *n_orders, *n_adapters;
 };
 
 /* An entry's pending adapter request. */
-struct ticket {
+struct adapter_request {
 	uint64_t id;
 	struct conn *conn; /* NULL: closed */
-	uint64_t sub;
+	uint64_t sub;	   /* the entry's id of the request */
 };
 
 static int64_t now_ms(const struct engine_agent *a)
@@ -70,12 +69,12 @@
 }
 
 /*
- * The engine's incarnation is no longer known. Orders have to name it, so none
- * is sent until it has been queried again.
+ * Clears the engine's instance id, which may have changed. Orders have to name
+ * it, so none is sent until the id has been queried again.
  */
 static void clear_instance(struct engine_agent *a)
 {
-	g_clear_pointer(&a->self.id, g_free);
+	g_clear_pointer(&a->incarnation.id, g_free);
 	engine_unavailable(a->engine, now_ms(a));
 }
 
@@ -140,8 +139,8 @@
 		.tokens_total = r->tokens_total,
 		.in_memory = { memory->data, memory->len },
 		.on_disk = { disk->data, disk->len },
-		.started_ms = a->self.started_ms,
-		.id = ss_str(a->self.id ? a->self.id : ""),
+		.started_ms = a->incarnation.started_ms,
+		.id = ss_str(a->incarnation.id ? a->incarnation.id : ""),
 	};
 
 	for (guint i = 0; r->held && i < r->held->len; i++)
@@ -192,7 +191,7 @@
 	struct fleet_report *old = a->report;
 
 	a->report = g_memdup2(new, sizeof(*new));
-	a->report->self.id = g_strdup(a->self.id);
+	a->report->self.id = g_strdup(a->incarnation.id);
 	a->report->draining |= a->draining;
 	a->report_due |= !a->reachable || !old ||
 			 !same_holdings(old, a->report);
@@ -203,9 +202,9 @@
 			 "endpoint=%s models=%u orders=%" PRIu64, a->addr,
 			 new->held->len, new->orders);
 	a->reachable = true;
-	a->unanswered = 0;
-	/* Without a known incarnation no order may be sent. */
-	if (a->self.id)
+	a->failed_reads = 0;
+	/* Without a known instance id no order may be sent. */
+	if (a->incarnation.id)
 		engine_report_received(a->engine, a->report, now_ms(a));
 	else
 		engine_unavailable(a->engine, now_ms(a));
@@ -218,7 +217,7 @@
 	(*a->n_lost)++;
 	/* The engine may have restarted. */
 	clear_instance(a);
-	if (++a->unanswered < MAX_FAILED_READS || !a->reachable)
+	if (++a->failed_reads < MAX_FAILED_READS || !a->reachable)
 		return;
 	log_warn("endpoint_lost", "endpoint=%s why=\"%s\"", a->addr, why);
 	a->reachable = false;
@@ -248,10 +247,10 @@
 			read_failed(a, "no answer");
 		return;
 	}
-	g_free(a->self.id);
-	a->self.id = g_strdup(r->header);
-	log_info("instance", "id=%s started=%" PRId64, a->self.id,
-		 a->self.started_ms);
+	g_free(a->incarnation.id);
+	a->incarnation.id = g_strdup(r->header);
+	log_info("instance", "id=%s started=%" PRId64, a->incarnation.id,
+		 a->incarnation.started_ms);
 	a->report_due = true;
 	report_if_due(a);
 }
@@ -282,27 +281,28 @@
 {
 	uint64_t orders = a->report ? a->report->orders : 0;
 	enum fleet_relation relation =
-		fleet_report_compare(&a->self, orders, r);
+		fleet_report_compare(&a->incarnation, orders, r);
 
 	if (relation == FLEET_STALE) {
 		log_info("report_late",
 			 "started=%" PRId64 " known=%" PRId64 " orders=%" PRIu64
 			 " known_orders=%" PRIu64,
-			 r->self.started_ms, a->self.started_ms, r->orders,
-			 orders);
+			 r->self.started_ms, a->incarnation.started_ms,
+			 r->orders, orders);
 		return false;
 	}
 	if (relation == FLEET_RESTARTED) {
 		log_info("endpoint_restarted",
 			 "started=%" PRId64 " before=%" PRId64
 			 " orders=%" PRIu64,
-			 r->self.started_ms, a->self.started_ms, r->orders);
+			 r->self.started_ms, a->incarnation.started_ms,
+			 r->orders);
 		/* A pending order fails when this report is applied, so that
 		 * the leader receives the restart first. */
 		a->report_due = true;
-		g_clear_pointer(&a->self.id, g_free);
+		g_clear_pointer(&a->incarnation.id, g_free);
 	}
-	fleet_incarnation_update(&a->self, &r->self);
+	fleet_incarnation_update(&a->incarnation, &r->self);
 	return true;
 }
 
@@ -343,7 +343,8 @@
 
 	if (now_ms(a) < a->backoff_until_ms)
 		return;
-	if (a->reachable && !a->self.id && !engine_order_pending(a->engine)) {
+	if (a->reachable && !a->incarnation.id &&
+	    !engine_order_pending(a->engine)) {
 		query_instance(a);
 		return;
 	}
@@ -380,7 +381,7 @@
 				      .path = users_platform.path_order,
 				      .body = ss_str_gs(body),
 				      .header = users_platform.header_expect,
-				      .value = a->self.id,
+				      .value = a->incarnation.id,
 				      .timeout_ms = ORDER_TIMEOUT_MS,
 				      .done = on_order_answer,
 				      .arg = a };
@@ -417,7 +418,8 @@
 static void adapter_done(void *arg, uint64_t id, int code, const char *text)
 {
 	struct engine_agent *a = arg;
-	struct ticket *t = g_hash_table_lookup(a->tickets, &id);
+	struct adapter_request *t =
+		g_hash_table_lookup(a->adapter_requests, &id);
 	struct msg_adapter_done m = { .code = code, .text = ss_str(text) };
 
 	if (!t)
@@ -425,7 +427,7 @@
 	m.sub = t->sub;
 	if (t->conn)
 		conn_send(t->conn, MSG_ADAPTER_DONE, &m);
-	g_hash_table_remove(a->tickets, &id);
+	g_hash_table_remove(a->adapter_requests, &id);
 }
 
 static const struct engine_ops engine_table = { send_order, step_done,
@@ -436,13 +438,13 @@
 void engine_agent_request_adapter(struct engine_agent *a, struct conn *c,
 				  const struct msg_adapter *m)
 {
-	struct ticket *t = g_new0(struct ticket, 1);
+	struct adapter_request *t = g_new0(struct adapter_request, 1);
 	int64_t now = now_ms(a);
 
-	t->id = ++a->ticket;
+	t->id = ++a->last_request;
 	t->conn = c;
 	t->sub = m->sub;
-	g_hash_table_insert(a->tickets, &t->id, t);
+	g_hash_table_insert(a->adapter_requests, &t->id, t);
 	(*a->n_adapters)++;
 	engine_request_adapter(a->engine, t->id, m->model, m->adapter,
 			       now + m->wait_ms, now);
@@ -453,10 +455,10 @@
 	GHashTableIter it;
 	void *p;
 
-	g_hash_table_iter_init(&it, a->tickets);
+	g_hash_table_iter_init(&it, a->adapter_requests);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		if (((struct ticket *)p)->conn == c)
-			((struct ticket *)p)->conn = NULL;
+		if (((struct adapter_request *)p)->conn == c)
+			((struct adapter_request *)p)->conn = NULL;
 }
 
 /* The leader. */
@@ -577,9 +579,9 @@
 	engine_free(a->engine);
 	report_free(a->report);
 	routing_service_unref(a->service);
-	g_hash_table_unref(a->tickets);
+	g_hash_table_unref(a->adapter_requests);
 	g_free(a->addr);
-	fleet_incarnation_clear(&a->self);
+	fleet_incarnation_clear(&a->incarnation);
 	g_free(a);
 }
 
@@ -603,8 +605,8 @@
 	a->hello = d->hello;
 	a->hello.role = ROLE_AGENT;
 	lo.conn.self = &a->hello;
-	a->tickets = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					   g_free);
+	a->adapter_requests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						    NULL, g_free);
 	a->engine = engine_new(&eo);
 	a->n_reads = metrics_value(d->metrics, "ss_agent_reads_total", "");
 	a->n_lost = metrics_value(d->metrics, "ss_agent_reads_lost_total", "");
--- a/src/daemon/engine_agent.h
+++ b/src/daemon/engine_agent.h
@@ -17,7 +17,8 @@
 	const char *holder;	  /* this VM's name, on every order */
 	const char *adapter_addr; /* address for adapter requests; not copied */
 	bool remote;		  /* runs in a control VM */
-	/* The leader reported the current routing version; may be NULL. */
+	/* Called when the leader reports the version of the routing in force;
+	 * may be NULL. */
 	void (*routing_reported)(void *arg, struct link *link,
 				 uint64_t version);
 	void *arg;
@@ -31,11 +32,12 @@
 /* Handles an entry's adapter request; the reply goes to its connection. */
 void engine_agent_request_adapter(struct engine_agent *a, struct conn *c,
 				  const struct msg_adapter *m);
-/* An entry's connection was closed. */
+/* Drops a closed connection of an entry from pending adapter requests. */
 void engine_agent_conn_closed(struct engine_agent *a, const struct conn *c);
-/* Called every 20 ms, the poll interval of a busy engine. */
+/* Polls the engine and reports when due; called every 20 ms, the poll interval
+ * of a busy engine. */
 void engine_agent_tick(struct engine_agent *a);
-/* True while the engine answers report requests. */
+/* Returns true while the engine answers polls. */
 bool engine_agent_reachable(const struct engine_agent *a);
 
 #endif
--- a/src/daemon/remote_agents.c
+++ b/src/daemon/remote_agents.c
@@ -2,10 +2,10 @@
 #include "remote_agents.h"
 
 /*
- * Agents stop if no assignment has arrived for this long, as another VM may
- * have been assigned meanwhile. This is four of the leader's assignment
- * intervals, and shorter than the time after which the leader assigns another
- * VM.
+ * Agents stop if no assignment has arrived for this long, as the leader may
+ * have assigned another VM meanwhile. This is four of the intervals at which
+ * the leader sends assignments, and shorter than the time after which it
+ * assigns another VM.
  */
 #define ASSIGNMENT_TIMEOUT_MS 2000
 
--- a/src/daemon/remote_agents.h
+++ b/src/daemon/remote_agents.h
@@ -11,8 +11,8 @@
 
 struct remote_agents_options {
 	struct daemon *daemon;
-	const char *adapter_addr; /* address for adapter requests: this VM's
-				 listener; copied */
+	/* Address for adapter requests: this VM's listener; copied. */
+	const char *adapter_addr;
 	const struct routing *routing; /* routing in force on this VM */
 };
 
@@ -25,10 +25,11 @@
  * agent doesn't run here. */
 void remote_agents_request_adapter(struct remote_agents *r, struct conn *c,
 				   const struct msg_adapter *m);
+/* Drops a closed connection from pending adapter requests. */
 void remote_agents_conn_closed(struct remote_agents *r, const struct conn *c);
-/* The routing has changed. */
+/* Applies a changed routing to all agents. */
 void remote_agents_set_routing(struct remote_agents *r);
-/* Called every 20 ms. */
+/* Runs the agents' timers; called every 20 ms. */
 void remote_agents_tick(struct remote_agents *r);
 
 #endif
