--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -1,6 +1,7 @@
 /* The agent role: passes calls and orders to the endpoint on its VM, which
  * nothing else talks to. */
 #include "../core/calls.h"
+#include "../core/state.h"
 #include "../engine/endpoint.h"
 #include "daemon.h"
 
@@ -29,7 +30,7 @@
 	GArray *cached; /* struct cached; owns the model names */
 	bool started;	/* the endpoint has been read once */
 	bool reading;
-	uint64_t read;
+	uint64_t read; /* number of the latest read of the endpoint */
 	int64_t read_ms, report_ms;
 	bool report_due;
 	bool cached_due;
@@ -45,7 +46,7 @@
 	struct agent_role *a;
 	struct call *call;
 	struct ledger_replica *replica;
-	struct endpoint_call *at;
+	struct endpoint_call *endpoint_call;
 	int64_t start_ms;
 	char *request_id;
 };
@@ -124,7 +125,7 @@
 	log_debug("call_start",
 		  "request=%s call=%" PRIx64 "-%" PRIu64 " model=%.*s once=%d",
 		  j->request_id, m->entry, m->seq, SS_FMT(m->model), m->once);
-	j->at = a->ops->call(a->endpoint, &o);
+	j->endpoint_call = a->ops->call(a->endpoint, &o);
 }
 
 static void cancel_call(void *arg, struct call *c)
@@ -137,7 +138,7 @@
 			       .text = SS_LIT("cancelled") };
 
 	(*a->n_cancelled)++;
-	a->ops->cancel(j->at);
+	a->ops->cancel(j->endpoint_call);
 	calls_piece(a->calls, c, &m, now_ms(a));
 	job_end(j);
 }
@@ -276,7 +277,7 @@
 		.pool = ss_str(a->d->config.agent.pool),
 		.domain = a->d->hello.domain,
 		.addr = ss_str(a->addr),
-		.kind = a->d->config.agent.kind ? 2 : 1,
+		.kind = a->d->config.agent.kind ? NODE_SERVICE : NODE_ENGINE,
 		.incarnation = a->d->hello.incarnation,
 		.bytes = a->bytes,
 		.slots = (uint64_t)a->d->config.agent.slots,
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -6,7 +6,8 @@
 /* Timer interval in ms: the precision of deadlines; small compared to a cold
  * start. */
 #define TICK_MS 20
-/* Time in ms after which an unused connection to an agent is closed. */
+/* Time in ms after which an unused connection to an agent is closed, once the
+ * entry has no calls. */
 #define AGENT_IDLE_MS 60000
 /* Minimum time in ms between two attempts to connect to an agent. */
 #define AGENT_RETRY_MS 200
@@ -37,7 +38,8 @@
 	g_free(labels);
 }
 
-/* A value that is safe as a label in the metrics' text format. */
+/* Returns a copy, of at most 64 bytes, that is safe as a label's value in the
+ * metrics' text format. */
 static char *label_value(const char *s)
 {
 	char *out = g_strndup(s, 64);
--- a/src/daemon/entry_int.h
+++ b/src/daemon/entry_int.h
@@ -10,7 +10,7 @@
 	char *node, *addr;
 	struct conn *conn;
 	bool open;
-	int64_t tried_ms, used_ms;
+	int64_t tried_ms, used_ms; /* last connection attempt, last use */
 };
 
 struct entry_role {
@@ -24,8 +24,8 @@
 	struct preset preset;
 	uint64_t config; /* version of the preset in force; 0: built in */
 	char *config_name;
-	uint64_t requests;
-	GQueue listings; /* struct request for the models, not answered yet */
+	uint64_t requests; /* last number given to a request */
+	GQueue listings;   /* struct request for the models, not answered yet */
 	bool draining;
 	int64_t stop_ms;    /* start of a planned stop; 0: none */
 	int64_t pending_ms; /* when work was last pending during the stop */
@@ -33,7 +33,7 @@
 		*n_conns, *n_cut, *n_config;
 };
 
-/* One caller's request. */
+/* A caller's request. */
 struct request {
 	struct entry_role *e;
 	struct caller_req *req;
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -38,7 +38,8 @@
 	return true;
 }
 
-/* The first matching rule decides; without one a request isn't repeatable. */
+/* Returns true if a request may run twice. The first matching rule decides;
+ * without one a request isn't repeatable. */
 static bool is_repeatable(const struct entry_role *e,
 			  const struct caller_head *h)
 {
@@ -134,11 +135,12 @@
 	return XXH3_64bits_digest(&s);
 }
 
-/* Headers that are forwarded to the endpoint: all but hop-by-hop ones. */
+/* Returns the headers that are forwarded to the endpoint: all but those that
+ * apply to the caller's connection or that the entry sets itself. */
 static GArray *forwarded_headers(const struct request *q,
 				 const struct caller_head *h)
 {
-	static const char *const hop_by_hop[] = {
+	static const char *const not_forwarded[] = {
 		"Connection",	     "Host",   "Content-Length",
 		"Transfer-Encoding", "Expect", "X-Request-Id"
 	};
@@ -148,11 +150,12 @@
 	for (size_t i = 0; i < h->n_headers; i++) {
 		bool skip = false;
 
-		for (size_t k = 0; k < G_N_ELEMENTS(hop_by_hop); k++)
-			skip |= h->headers[i].name.n == strlen(hop_by_hop[k]) &&
+		for (size_t k = 0; k < G_N_ELEMENTS(not_forwarded); k++)
+			skip |= h->headers[i].name.n ==
+					strlen(not_forwarded[k]) &&
 				!g_ascii_strncasecmp(h->headers[i].name.p,
-						     hop_by_hop[k],
-						     strlen(hop_by_hop[k]));
+						     not_forwarded[k],
+						     strlen(not_forwarded[k]));
 		if (!skip)
 			g_array_append_val(out, h->headers[i]);
 	}
