--- a/src/daemon/group.h
+++ b/src/daemon/group.h
@@ -12,9 +12,9 @@
 struct group;
 
 struct group_ops {
-	/* A log entry was applied. */
+	/* Called when a log entry has been applied. */
 	void (*applied)(void *arg, uint64_t index);
-	/* This member's role or the known leader changed. */
+	/* Called when this member's role or the known leader has changed. */
 	void (*changed)(void *arg);
 };
 
--- a/src/daemon/leader.h
+++ b/src/daemon/leader.h
@@ -20,7 +20,7 @@
 	void (*open)(void *leader, struct conn *c);
 	void (*closed)(void *leader, struct conn *c);
 	void (*message)(void *leader, struct conn *c, struct frame *f);
-	/* The replicated state changed. */
+	/* Called when the replicated state has changed. */
 	void (*applied)(void *leader);
 	void (*tick)(void *leader);
 	/* Adds the leader's state to the operator's status. */
--- a/src/daemon/routing_fetch.h
+++ b/src/daemon/routing_fetch.h
@@ -13,7 +13,8 @@
 struct routing_fetch_options {
 	struct daemon *daemon;
 	bool services_only; /* fetch no routes: the process uses none */
-	/* A newer version is in force; r is the same table in all calls. */
+	/* Called when a newer version is in force; r is the same table in all
+	 * calls. */
 	void (*applied)(void *arg, struct routing *r);
 	void *arg;
 };
@@ -21,7 +22,7 @@
 struct routing_fetch *routing_fetch_new(const struct routing_fetch_options *o);
 void routing_fetch_free(struct routing_fetch *r);
 
-/* The leader has reported this version on this link. */
+/* Fetches the version in force, as the leader has reported it on this link. */
 void routing_fetch_want(struct routing_fetch *r, struct link *link,
 			uint64_t version);
 /* Called at each tick of the process. */
--- a/src/daemon/routing_follow.c
+++ b/src/daemon/routing_follow.c
@@ -41,8 +41,8 @@
 		f->o.applied(f->o.arg, r);
 	}
 	if (error) {
-		/* An error here is a fault: the change was checked before it
-		 * was accepted. */
+		/* This is a fault of the program: changes are checked before
+		 * they are accepted. */
 		log_error("routing_unreadable", "why=\"%s\"", error->message);
 		g_error_free(error);
 		f->o.unreadable(f->o.arg,
--- a/src/daemon/routing_follow.h
+++ b/src/daemon/routing_follow.h
@@ -12,9 +12,10 @@
 
 struct routing_follow_options {
 	struct daemon *daemon;
-	/* A newer version is in force in the table. */
+	/* Called when a newer version is in force in the table. */
 	void (*applied)(void *arg, struct routing *r);
-	/* A change after version have can't be read: a full copy is needed. */
+	/* Called for a change that can't be read, so that a full copy is
+	 * needed; have is the version in force. */
 	void (*unreadable)(void *arg, uint64_t have);
 	void *arg;
 };
