--- a/test/proc_faults.py
+++ b/test/proc_faults.py
@@ -107,11 +107,11 @@
                                  daemon=True).start()
 
     def copy(self, x, y, dropping):
-        made_silent = self.silent
+        opened_silent = self.silent
         while True:
             try:
                 data = x.recv(65536)
-                if self.silent and not made_silent:
+                if self.silent and not opened_silent:
                     dropping["was"] = True
                 if dropping["was"] and data:
                     continue
@@ -180,12 +180,12 @@
     s.procs["agent-service-1"].start()
     status, _, body = call.result()
     check(status == 502 and outcome(body) == "unknown",
-          "told %s %s" % (status, body))
+          "answered %s %s" % (status, body))
     wait_for(lambda: len(s.status()["nodes"]) == 4, why="it is back")
     status, _, body = book(s, "entry-2", "k-agent",
                            "/svc/portal-web/book?delay_ms=1500")
     check(status == 502 and outcome(body) == "unknown",
-          "a resend was told %s %s" % (status, body))
+          "a resend was answered %s %s" % (status, body))
     check(len(runs(s, "service-1", "k-agent")) == 1, "it ran again")
     wait_for(lambda: book(s, "entry-1", "k-after")[0] == 200,
              why="bookings go on")
@@ -201,7 +201,7 @@
     call.result()
     status, _, body = book(s, "entry-2", "k-entry",
                            "/svc/portal-web/book?delay_ms=800")
-    check(status == 200, "the resend was told %s %s" % (status, body))
+    check(status == 200, "the resend was answered %s %s" % (status, body))
     check(len(runs(s, "service-1", "k-entry")) == 1, "it ran again")
     status, _, body = request(s.addr["entry-2"], "POST",
                               "/svc/portal-web/book", {"seat": "other"},
@@ -221,7 +221,7 @@
             for e in ("entry-1", "entry-2", "entry-1", "entry-2")]
         answers = [c.result() for c in calls]
         check(all(a[0] == 200 for a in answers),
-              "told %s" % [a[0] for a in answers])
+              "answered %s" % [a[0] for a in answers])
         check(len({a[2] for a in answers}) == 1, "answers differ")
         check(len(runs(s, "service-1", key)) == 1, "it ran again")
 
@@ -291,9 +291,9 @@
 
 def operators_race(s):
     """Guards against two operators whose changes are both accepted for one
-    version, when the check is not part of the log. Concurrent changes expect
-    the same version; the accepted one is resent after the leader was
-    killed."""
+    version, when the version is not checked as part of the log. Concurrent
+    changes expect the same version; the accepted one is resent after the
+    leader was killed."""
     version = [p for p in s.operate("GET", "/v1/presets")[1]["presets"]
                if p["name"] == "maintenance"][0]["version"]
     calls = [Async(lambda i=i: s.operate("PATCH", "/v1/presets/maintenance", {
@@ -304,7 +304,7 @@
     check(len(won) == 1, "%d winners: %s" % (len(won), answers))
     check(all(a[0] == 409 and a[1]["error"]["type"] == "conflict"
               for i, a in enumerate(answers) if i not in won),
-          "losers were told %s" % answers)
+          "losers were answered %s" % answers)
     old = s.leader()
     s.procs[old].kill()
     wait_for(s.leader, why="a new leader")
@@ -312,13 +312,14 @@
         "field": "keep_max_ms", "value": 600 + won[0], "expect": version,
         "change_id": "race-%d" % won[0]})
     check(code == 200 and again["version"] == answers[won[0]][1]["version"],
-          "the resend was told %s" % again)
+          "the resend was answered %s" % again)
     s.procs[old].start()
     s.wait_ready()
 
 
 def wrong_token_changes_nothing(s):
-    """Guards against a preset switch with no token or a wrong one."""
+    """Guards against a preset switch by a client with no token or a wrong
+    one."""
     leader = s.leader()
     before = s.operate("GET", "/v1/presets")[1]
     for token in (None, "Bearer wrong", "Bearer demo-token2", "demo-token"):
@@ -326,7 +327,7 @@
         status, _, body = request(s.operator[leader], "POST", "/v1/switch",
                                   {"preset": "maintenance",
                                    "expect": before["version"]}, headers)
-        check(status == 401, "%s was told %s" % (token, status))
+        check(status == 401, "%s was answered %s" % (token, status))
     check(s.operate("GET", "/v1/presets")[1] == before, "it changed")
 
 
@@ -341,13 +342,14 @@
     s.procs[at].start()
     status, _, body = chat(s.addr["entry-2"], "letter-writer", "two",
                            {"X-Deadline-Ms": "20000"})
-    check(status == 200 and b"two-0" in body, "told %s %s" % (status, body))
+    check(status == 200 and b"two-0" in body,
+          "answered %s %s" % (status, body))
 
 
 def drained_endpoint(s):
-    """Guards against work sent to a VM that drains, as entries learn of it
-    late, and against a stream that is cut, as draining does not wait for it.
-    An endpoint with a long stream is drained."""
+    """Guards against new work on a draining VM, when entries learn of it late,
+    and against a cut stream, when the drain does not wait for it. An endpoint
+    with a long stream is drained."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
     before = run_counts(s)
     stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "long",
@@ -362,8 +364,8 @@
     for i in range(8):
         status, _, _ = chat(s.addr["entry-%d" % (i % 2 + 1)], "claims-draft",
                             "n%d" % i)
-        check(status == 200, "told %s" % status)
-    check(len(runs(s, engine)) == mark, "new work on the leaving endpoint")
+        check(status == 200, "answered %s" % status)
+    check(len(runs(s, engine)) == mark, "new work on the draining endpoint")
     status, _, body = stream.result()
     check(status == 200 and body.count(b"data: ") == 501 and
           b"[DONE]" in body, "the stream was cut")
@@ -371,8 +373,9 @@
 
 
 def planned_stop_of_an_entry(s):
-    """Guards against a stop that does not wait for its callers: SIGTERM to an
-    entry with a long stream in progress."""
+    """Guards against a stop that cuts off a caller. An entry with a long
+    stream in progress gets SIGTERM, and must not exit before the stream
+    ends."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
     stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
                                 stream=True, max_tokens=400))
@@ -388,8 +391,8 @@
 
 
 def planned_stop_of_an_agent(s):
-    """Guards against streams cut by a rolling restart: SIGTERM to an agent
-    with a stream in progress."""
+    """Guards against streams cut by a rolling restart. An agent with a stream
+    in progress gets SIGTERM, and must not exit at once."""
     chat(s.addr["entry-1"], "claims-draft", "warm")
     before = run_counts(s)
     stream = Async(lambda: chat(s.addr["entry-1"], "claims-draft", "last",
@@ -405,9 +408,9 @@
 
 
 def vm_list_is_followed(s):
-    """Guards against reserved memory of a VM that no longer exists, and work
-    sent to a draining one. The platform's list shows a VM as leaving, and then
-    not at all."""
+    """Guards against memory that stays reserved for a VM that no longer
+    exists, and work sent to a draining one, when the platform's list is not
+    read. It shows a VM as leaving, and then not at all."""
     names = ["agent-" + e for e in s.engines + s.services]
 
     def put(states):
@@ -424,7 +427,7 @@
     s.procs[gone].kill()
     put({n: "live" for n in names if n != gone})
     wait_for(lambda: s.status().get("nodes") and node(gone) is None, 30,
-             why="forgotten")
+             why="removed")
     put({n: "live" for n in names})
     s.procs[gone].start()
     wait_for(lambda: node(gone) and node(gone)["state"] == "live" and
@@ -432,8 +435,9 @@
 
 
 def frozen_agent_is_found(s):
-    """Guards against callers that wait until their deadline. An agent is
-    frozen with a booking in progress, and its connection stays open."""
+    """Guards against callers that wait until their deadline, as the connection
+    of a frozen agent stays open. The agent is frozen with a booking in
+    progress."""
     call = Async(lambda: book(s, "entry-1", "k-frozen",
                               "/svc/portal-web/book?delay_ms=300"))
     wait_for(lambda: runs(s, "service-1", "k-frozen"), why="it runs")
@@ -442,7 +446,7 @@
     status, _, body = call.result()
     took = time.monotonic() - started
     check(status == 502 and outcome(body) == "unknown",
-          "told %s %s" % (status, body))
+          "answered %s %s" % (status, body))
     print("   found after %.1f s" % took)
     s.procs["agent-service-1"].thaw()
     wait_for(lambda: book(s, "entry-2", "k-thawed")[0] == 200,
@@ -450,7 +454,7 @@
     check(len(runs(s, "service-1", "k-frozen")) == 1, "it ran again")
 
 
-def silent_link_is_asked_after(s):
+def silent_connection_is_replaced(s):
     """Guards against a booking that ran and is lost, or runs twice. The
     connection between entry and agent goes silent for good, as when a firewall
     drops its state, while new ones work."""
@@ -462,7 +466,7 @@
     relay.silent = True
     status, _, body = call.result()
     relay.silent = False
-    check(status == 200, "told %s %s" % (status, body))
+    check(status == 200, "answered %s %s" % (status, body))
     check(relay.connections > before, "no new connection was made")
     check(len(runs(s, "service-1", "k-silent")) == 1, "it ran again")
 
@@ -475,7 +479,7 @@
     wrong_token_changes_nothing, engine_killed, drained_endpoint,
     planned_stop_of_an_entry, planned_stop_of_an_agent,
     vm_list_is_followed, frozen_agent_is_found,
-    silent_link_is_asked_after,
+    silent_connection_is_replaced,
 ]
 
 
--- a/test/proc_input.py
+++ b/test/proc_input.py
@@ -122,9 +122,9 @@
 
 
 def cut_answers_are_closed(s):
-    """Guards against a caller that waits for ever on a partial answer: the
-    deadline passes within a stream, which has no last chunk, and the
-    connection stays open."""
+    """Guards against a caller that waits for ever on a partial answer. The
+    deadline passes within a stream; its last chunk is never sent, so the entry
+    must close the connection."""
     body = json.dumps(dict(HELLO, stream=True, max_tokens=2000))
     got = raw(s.addr["entry-1"], (
         "POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: 700\r\n"
@@ -135,8 +135,9 @@
 
 
 def callers_gone_cancel_work(s):
-    """Guards against an engine that works for callers that are gone: one
-    closes its connection during a stream, and the agent must be notified."""
+    """Guards against an engine that works on for a caller that has
+    disconnected. The caller closes its connection during a stream, and the
+    entry must notify the agent."""
     host, port = s.addr["entry-1"].rsplit(":", 1)
     body = json.dumps(dict(HELLO, stream=True, max_tokens=5000))
     c = socket.create_connection((host, int(port)))
@@ -150,7 +151,9 @@
     assert s.procs["entry-1"].alive(), "it ended the process"
 
 
-def frames_from_strangers(s):
+def invalid_frames_are_refused(s):
+    """Guards against a process that ends, or answers over HTTP, when a peer
+    sends bytes that are no frames to its port for other processes."""
     for name in ("agent-engine-1", "ctl-1"):
         addr = s.addr.get(name) or s.frame[name]
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64,
@@ -212,7 +215,7 @@
 
 TESTS = [typed_answers, broken_requests, pipelined_requests,
          cut_answers_are_closed, callers_gone_cancel_work,
-         frames_from_strangers, operators_bad_input,
+         invalid_frames_are_refused, operators_bad_input,
          daemon_refuses_bad_starts]
 
 
