--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -56,7 +56,7 @@
 	return ss_clock_now(&a->d->clock);
 }
 
-/* Calls: their replies to entries. */
+/* Calls and their replies to entries. */
 
 static void reply(void *arg, void *peer, const struct msg_reply *r)
 {
@@ -76,7 +76,7 @@
 	a->report_due = true;
 }
 
-static void on_reply_part(void *arg, struct msg_reply *m)
+static void on_reply_piece(void *arg, struct msg_reply *m)
 {
 	struct job *j = arg;
 	struct agent_role *a = j->a;
@@ -115,7 +115,7 @@
 	struct agent_role *a = arg;
 	struct job *j = call_data(c);
 	struct endpoint_call_options o = { .m = m,
-					   .piece = on_reply_part,
+					   .piece = on_reply_piece,
 					   .arg = j };
 
 	(*a->n_calls)++;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -17,7 +17,7 @@
 	struct msg_hello hello;
 	uint64_t seed;
 	int exit_code;
-	/* Bytes on connections between processes of the system. */
+	/* Bytes sent and received between processes of the system. */
 	uint64_t *bytes_out, *bytes_in;
 };
 
@@ -43,6 +43,13 @@
  */
 #define DAEMON_LINGER_MS 200
 
+/* Exit codes of the process, beside 0 for success. */
+enum daemon_exit_code {
+	DAEMON_EXIT_SETTINGS = 2, /* the settings are unusable */
+	DAEMON_EXIT_START = 3,	  /* the start failed */
+	DAEMON_EXIT_DISK = 4	  /* the disk failed */
+};
+
 /* Stops the event loop; the process exits with this code. */
 void daemon_exit(struct daemon *d, int code);
 
@@ -64,6 +71,6 @@
 void daemon_metrics_text(struct daemon *d, GString *out);
 
 /* Updates the metrics of this process's CPU time and memory. */
-void daemon_sample_self(struct daemon *d);
+void daemon_update_process_metrics(struct daemon *d);
 
 #endif
--- a/src/daemon/engine_agent.c
+++ b/src/daemon/engine_agent.c
@@ -37,7 +37,7 @@
 	char *addr; /* address of the engine */
 	struct msg_hello hello;
 	struct engine *engine;
-	struct http_client *endpoint;
+	struct http_client *client; /* to the engine */
 	struct link *link;
 	struct routing_service
 		*service; /* service whose models the engine can hold */
@@ -186,7 +186,7 @@
 	g_free(r);
 }
 
-static void take_report(struct engine_agent *a, const struct fleet_report *new)
+static void apply_report(struct engine_agent *a, const struct fleet_report *new)
 {
 	struct fleet_report *old = a->report;
 
@@ -269,7 +269,7 @@
 
 	a->reading = true;
 	a->read_ms = now_ms(a);
-	http_client_send(a->endpoint, &c);
+	http_client_send(a->client, &c);
 }
 
 /*
@@ -330,7 +330,7 @@
 		fleet_report_clear(&report);
 		return;
 	}
-	take_report(a, &report);
+	apply_report(a, &report);
 }
 
 static void read_engine(struct engine_agent *a)
@@ -350,7 +350,7 @@
 	}
 	a->reading = true;
 	a->read_ms = now_ms(a);
-	http_client_send(a->endpoint, &c);
+	http_client_send(a->client, &c);
 }
 
 /* Orders. */
@@ -392,7 +392,7 @@
 		 " fence=%" PRIu64,
 		 a->addr, o->load ? "load" : "unload", o->model,
 		 o->adapter ? o->adapter : "-", o->expect, o->fence);
-	http_client_send(a->endpoint, &c);
+	http_client_send(a->client, &c);
 	g_string_free(body, TRUE);
 }
 
@@ -480,7 +480,7 @@
 	(void)arg;
 }
 
-static void take_load(struct engine_agent *a, const struct msg_load *m)
+static void handle_load(struct engine_agent *a, const struct msg_load *m)
 {
 	const struct name_item *n = m->unload.items;
 	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct ss_str));
@@ -518,7 +518,7 @@
 	routing_service_unref(old);
 }
 
-static void take_term(struct engine_agent *a, const struct msg_term *m)
+static void handle_term(struct engine_agent *a, const struct msg_term *m)
 {
 	log_info("term", "endpoint=%s fence=%" PRIu64 " routing=%" PRIu64,
 		 a->addr, m->fence, m->routing);
@@ -533,10 +533,10 @@
 
 	switch (f->kind) {
 	case MSG_LOAD:
-		take_load(a, &f->u.load);
+		handle_load(a, &f->u.load);
 		break;
 	case MSG_TERM:
-		take_term(a, &f->u.term);
+		handle_term(a, &f->u.term);
 		break;
 	default:
 		break;
@@ -575,7 +575,7 @@
 	if (!a)
 		return;
 	link_free(a->link);
-	http_client_free(a->endpoint);
+	http_client_free(a->client);
 	engine_free(a->engine);
 	report_free(a->report);
 	routing_service_unref(a->service);
@@ -613,7 +613,7 @@
 	a->n_orders = metrics_value(d->metrics, "ss_agent_orders_total", "");
 	a->n_adapters =
 		metrics_value(d->metrics, "ss_agent_adapters_total", "");
-	a->endpoint = http_client_new(d->base, a->addr);
+	a->client = http_client_new(d->base, a->addr);
 	a->link = link_new(&lo);
 	return a;
 }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -462,7 +462,7 @@
 		g_queue_pop_head(&e->listings);
 		entry_refuse(q, SS_ERROR_UNAVAILABLE,
 			     "the leader did not answer", OUTCOME_NOT_RUN,
-			     1000);
+			     ENTRY_RETRY_AFTER_MS);
 	}
 }
 
--- a/src/daemon/entry_int.h
+++ b/src/daemon/entry_int.h
@@ -6,6 +6,11 @@
 #include "../core/router.h"
 #include "daemon.h"
 
+/* Retry-After of a request for the list of models without an answering leader,
+ * in ms. */
+#define ENTRY_RETRY_AFTER_MS 1000
+
+/* An outgoing connection to an agent. */
 struct agent_conn {
 	char *node, *addr;
 	struct conn *conn;
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -6,7 +6,7 @@
 #include <xxhash.h>
 
 /* Upper bound of deadlines in ms: one day. Batch work overnight needs less, so
- * that a longer deadline is a mistake. */
+ * a longer deadline is a mistake. */
 #define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
 /* Maximum length of names (model, customer, request id): longer ones would
  * fill logs and metrics. */
@@ -14,6 +14,8 @@
 /* Length of the body's prefix that is hashed to find the replica which may have
  * the prompt cached. */
 #define PREFIX_BYTES 256
+/* Maximum nesting depth of a request's body. */
+#define JSON_DEPTH_MAX 32
 
 static bool name_is_valid(const char *s)
 {
@@ -71,7 +73,7 @@
  * "model:adapter". */
 static bool read_model(struct request *q, const struct caller_head *h)
 {
-	json_tokener *tok = json_tokener_new_ex(32);
+	json_tokener *tok = json_tokener_new_ex(JSON_DEPTH_MAX);
 	json_object *o = json_tokener_parse_ex(tok, h->body.p,
 					       (int)MIN(h->body.n, INT_MAX));
 	json_object *model;
@@ -253,7 +255,7 @@
 	if (!link_send(e->link, MSG_MODELS, &m)) {
 		entry_refuse(q, SS_ERROR_UNAVAILABLE,
 			     "no leader is known just now", OUTCOME_NOT_RUN,
-			     1000);
+			     ENTRY_RETRY_AFTER_MS);
 		return;
 	}
 	g_queue_push_tail(&e->listings, q);
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -294,7 +294,7 @@
 	log_error("disk_failed", "type=%s why=\"%s\"",
 		  ss_error_name((enum ss_error)error->code), error->message);
 	g->broken = true;
-	daemon_exit(g->d, 4);
+	daemon_exit(g->d, DAEMON_EXIT_DISK);
 }
 
 static void op_failed(void *arg, const GError *error)
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -18,8 +18,8 @@
 /* Interval in ms of checking the settings file, which may change without a
  * signal; a check is cheap. */
 #define SETTINGS_CHECK_MS 1000
-
-enum exit_code { EXIT_SETTINGS = 2, EXIT_START = 3 };
+/* Maximum size of a request's body at the status address; none is used. */
+#define STATUS_MAX_BODY_BYTES 4096
 
 /* Roles of a system whose endpoints are called through agents. */
 static const struct role_ops *const roles[] = {
@@ -101,7 +101,7 @@
 	return addr;
 }
 
-void daemon_sample_self(struct daemon *d)
+void daemon_update_process_metrics(struct daemon *d)
 {
 	struct rusage u;
 	FILE *f = fopen("/proc/self/statm", "r");
@@ -121,7 +121,7 @@
 
 void daemon_metrics_text(struct daemon *d, GString *out)
 {
-	daemon_sample_self(d);
+	daemon_update_process_metrics(d);
 	metrics_print(d->metrics, out);
 }
 
@@ -230,7 +230,7 @@
 	struct daemon *d = &r->d;
 	struct http_server_options status = { .base = d->base,
 					      .addr = d->config.status_listen,
-					      .max_body = 4096,
+					      .max_body = STATUS_MAX_BODY_BYTES,
 					      .handle = on_status,
 					      .arg = r };
 
@@ -284,7 +284,7 @@
 			  error->message);
 		fprintf(stderr, "sapphireshiftd: %s\n", error->message);
 		g_error_free(error);
-		d->exit_code = EXIT_START;
+		d->exit_code = DAEMON_EXIT_START;
 	}
 	if (r->role)
 		r->ops->free(r->role);
@@ -330,12 +330,12 @@
 		fprintf(stderr, "sapphireshiftd: %s; see --help\n",
 			rc < -1 ? poptStrerror(rc) :
 				  "one settings file is needed");
-		return EXIT_SETTINGS;
+		return DAEMON_EXIT_SETTINGS;
 	}
 	if (!config_load(&r.d.config, file, &error)) {
 		fprintf(stderr, "%s\n", error->message);
 		g_error_free(error);
-		return EXIT_SETTINGS;
+		return DAEMON_EXIT_SETTINGS;
 	}
 	/* The arguments are valid as long as the popt context. */
 	r.file = file;
@@ -343,7 +343,8 @@
 	if (check)
 		printf("%s: ok\n", r.d.config.name);
 	else if (bootstrap)
-		rc = bootstrap_group(&r.d.config, &error) ? 0 : EXIT_START;
+		rc = bootstrap_group(&r.d.config, &error) ? 0 :
+							    DAEMON_EXIT_START;
 	if (error) {
 		fprintf(stderr, "sapphireshiftd: %s\n", error->message);
 		g_error_free(error);
