--- a/src/daemon/replica_leader.c
+++ b/src/daemon/replica_leader.c
@@ -1,6 +1,8 @@
 /* The leader of replicas behind agents: connections, configuration, orders. */
 #include "replica_leader_int.h"
 
+#include <sapphireshift/queue.h>
+
 /* Planning interval in ms. A full-size pass takes 1.8 ms, so ten a second use
  * 2 % of a core. */
 #define PLAN_EVERY_MS 100
@@ -217,7 +219,7 @@
 		return;
 	}
 	w->waiting = m->waiting;
-	w->priority = (int)CLAMP(m->priority, 0, 7);
+	w->priority = (int)CLAMP(m->priority, 0, SS_QUEUE_PRIORITIES - 1);
 	w->deadline_ms = now + m->deadline_ms;
 	w->at_ms = now;
 	/* Plan first, so that the reply carries the estimated load time. */
--- a/src/daemon/replica_leader_plan.c
+++ b/src/daemon/replica_leader_plan.c
@@ -298,7 +298,8 @@
 	struct view w = { .l = l, .now = now };
 
 	/* Waits until earlier decisions are applied, so that none is made
-	 * twice from the same view. */
+	 * twice from the same view. A new leader first gives nodes time to
+	 * connect. */
 	if (l->open_decisions || now - l->since_ms < LEADER_NODE_LOST_MS)
 		return;
 	(*l->n_plans)++;
