--- a/src/daemon/group_int.h
+++ b/src/daemon/group_int.h
@@ -14,6 +14,7 @@
 	int64_t sent_ms; /* 0: never */
 };
 
+/* A change that was proposed and not applied yet. */
 struct proposal {
 	uint64_t index, term;
 	struct change_done done;
@@ -35,10 +36,10 @@
 	uint64_t ctx;	   /* number of the latest read */
 	struct event *tick, *flush;
 	char *leader_hint; /* leader's address as another process reported it */
-	int64_t join_ms, repair_ms, announce_ms;
+	int64_t join_ms, repair_ms, announce_ms; /* last time of each */
 	int64_t leader_ms;     /* last time a leader was known */
 	int64_t append_ms;     /* last append to the log */
-	uint64_t leader_first; /* index of the first log entry of its term */
+	uint64_t leader_first; /* first log entry of its leadership */
 	uint64_t *n_applied, *n_term, *n_leads, *n_snapshots;
 	bool broken; /* a write to the disk has failed */
 };
@@ -53,6 +54,7 @@
 void group_flush_soon(struct group *g);
 /* Returns the connection record of an address; connects if necessary. */
 struct member_conn *group_conn_to(struct group *g, const char *addr);
+/* Starts Raft with the state that was loaded from the disk. */
 bool group_start_raft(struct group *g, GError **error);
 /* Stops the process after a failed write: the disk's content is unknown. */
 void group_disk_failed(struct group *g, const GError *error);
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -10,8 +10,9 @@
 /* Time during which a new leader treats unconnected nodes as usable, in ms. */
 #define LEADER_GRACE_MS 4000
 /* Validity of the queue length that an entry reported, in ms. */
-#define LEADER_WATCH_MS 3000
+#define LEADER_WATCH_VALID_MS 3000
 
+/* A replica as its node reported it. */
 struct leader_held {
 	uint64_t replica;
 	int64_t state; /* enum held_state */
@@ -59,6 +60,7 @@
 	bool expected; /* arrival history predicts a request */
 };
 
+/* A connected entry or agent. */
 struct leader_peer {
 	struct conn *conn;
 	bool entry;
--- a/src/daemon/replica_leader_plan.c
+++ b/src/daemon/replica_leader_plan.c
@@ -109,7 +109,7 @@
 	for (guint i = 0; i < m->watches->len; i++) {
 		const struct leader_watch *w = m->watches->pdata[i];
 
-		if (w->waiting == 0 || now - w->at_ms > LEADER_WATCH_MS)
+		if (w->waiting == 0 || now - w->at_ms > LEADER_WATCH_VALID_MS)
 			continue;
 		d->waiting += w->waiting;
 		d->priority = MAX(d->priority, w->priority);
