--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -6,7 +6,7 @@
 #include <xxhash.h>
 
 /* Upper bound of deadlines in ms: one day. Batch work overnight needs less, so
- * that a longer deadline is a mistake. */
+ * a longer deadline is a mistake. */
 #define DEADLINE_MAX_MS (24 * 3600 * 1000LL)
 /* Maximum length of names (model, customer, request id): longer ones would
  * fill logs and metrics. */
@@ -14,6 +14,8 @@
 /* Length of the body's prefix that is hashed to find the replica which may have
  * the prompt cached. */
 #define PREFIX_BYTES 256
+/* Maximum nesting depth of a request's body. */
+#define JSON_DEPTH_MAX 32
 
 static bool name_is_valid(const char *s)
 {
@@ -38,7 +40,8 @@
 	return true;
 }
 
-/* The first matching rule decides; without one a request isn't repeatable. */
+/* Returns true if a request may run twice. The first matching rule decides;
+ * without one a request isn't repeatable. */
 static bool is_repeatable(const struct entry_role *e,
 			  const struct caller_head *h)
 {
@@ -70,7 +73,7 @@
  * "model:adapter". */
 static bool read_model(struct request *q, const struct caller_head *h)
 {
-	json_tokener *tok = json_tokener_new_ex(32);
+	json_tokener *tok = json_tokener_new_ex(JSON_DEPTH_MAX);
 	json_object *o = json_tokener_parse_ex(tok, h->body.p,
 					       (int)MIN(h->body.n, INT_MAX));
 	json_object *model;
@@ -134,11 +137,12 @@
 	return XXH3_64bits_digest(&s);
 }
 
-/* Headers that are forwarded to the endpoint: all but hop-by-hop ones. */
+/* Returns the headers that are forwarded to the endpoint: all but those that
+ * apply to the caller's connection or that the entry sets itself. */
 static GArray *forwarded_headers(const struct request *q,
 				 const struct caller_head *h)
 {
-	static const char *const hop_by_hop[] = {
+	static const char *const not_forwarded[] = {
 		"Connection",	     "Host",   "Content-Length",
 		"Transfer-Encoding", "Expect", "X-Request-Id"
 	};
@@ -148,11 +152,12 @@
 	for (size_t i = 0; i < h->n_headers; i++) {
 		bool skip = false;
 
-		for (size_t k = 0; k < G_N_ELEMENTS(hop_by_hop); k++)
-			skip |= h->headers[i].name.n == strlen(hop_by_hop[k]) &&
+		for (size_t k = 0; k < G_N_ELEMENTS(not_forwarded); k++)
+			skip |= h->headers[i].name.n ==
+					strlen(not_forwarded[k]) &&
 				!g_ascii_strncasecmp(h->headers[i].name.p,
-						     hop_by_hop[k],
-						     strlen(hop_by_hop[k]));
+						     not_forwarded[k],
+						     strlen(not_forwarded[k]));
 		if (!skip)
 			g_array_append_val(out, h->headers[i]);
 	}
@@ -250,7 +255,7 @@
 	if (!link_send(e->link, MSG_MODELS, &m)) {
 		entry_refuse(q, SS_ERROR_UNAVAILABLE,
 			     "no leader is known just now", OUTCOME_NOT_RUN,
-			     1000);
+			     ENTRY_RETRY_AFTER_MS);
 		return;
 	}
 	g_queue_push_tail(&e->listings, q);
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -9,8 +9,9 @@
 #define RECONNECT_MS 100
 /* Interval of membership repair, in ms; a membership change takes two syncs. */
 #define REPAIR_MS 200
-/* A member without a leader for this long, in ms, asks to join again: it may
- * have been removed while it was disconnected. Three election timeouts. */
+/* Time without a leader, in ms, after which a member asks to join again: it may
+ * have been removed while it was disconnected. More than three election
+ * timeouts. */
 #define LEADERLESS_MS 2000
 /*
  * Election timeouts of a fleet, in ms. Its entries wait for a leader after a
@@ -293,7 +294,7 @@
 	log_error("disk_failed", "type=%s why=\"%s\"",
 		  ss_error_name((enum ss_error)error->code), error->message);
 	g->broken = true;
-	daemon_exit(g->d, 4);
+	daemon_exit(g->d, DAEMON_EXIT_DISK);
 }
 
 static void op_failed(void *arg, const GError *error)
--- a/src/daemon/replica_leader.c
+++ b/src/daemon/replica_leader.c
@@ -1,6 +1,8 @@
 /* The leader of replicas behind agents: connections, configuration, orders. */
 #include "replica_leader_int.h"
 
+#include <sapphireshift/queue.h>
+
 /* Planning interval in ms. A full-size pass takes 1.8 ms, so ten a second use
  * 2 % of a core. */
 #define PLAN_EVERY_MS 100
@@ -217,7 +219,7 @@
 		return;
 	}
 	w->waiting = m->waiting;
-	w->priority = (int)CLAMP(m->priority, 0, 7);
+	w->priority = (int)CLAMP(m->priority, 0, SS_QUEUE_PRIORITIES - 1);
 	w->deadline_ms = now + m->deadline_ms;
 	w->at_ms = now;
 	/* Plan first, so that the reply carries the estimated load time. */
@@ -312,11 +314,11 @@
 static void *begin(struct daemon *d, struct group *g, struct routing *r,
 		   struct stream_log *streams)
 {
-	(void)streams;
 	struct replica_leader *l = g_new0(struct replica_leader, 1);
 	struct metrics *m = d->metrics;
 
 	(void)r;
+	(void)streams;
 	l->d = d;
 	l->g = g;
 	l->since_ms = leader_now(l);
