--- a/include/sapphireshift/base.h
+++ b/include/sapphireshift/base.h
@@ -25,7 +25,7 @@
 };
 
 #define SS_LIT(s) ((struct ss_str){ (s), sizeof(s) - 1 })
-/* For printf: "%.*s", SS_FMT(s) */
+/* Arguments of a "%.*s" conversion of printf(). */
 #define SS_FMT(s) (int)(s).n, (s).p ? (s).p : ""
 
 static inline struct ss_str ss_str(const char *s)
@@ -72,6 +72,7 @@
 	int64_t fake_ms;
 };
 
+/* Time in milliseconds that is never reached. */
 #define SS_NEVER INT64_MAX
 
 static inline int64_t ss_clock_now(const struct ss_clock *c)
@@ -83,8 +84,9 @@
 void ss_clock_init(struct ss_clock *c);
 
 /*
- * Wall-clock time in milliseconds since the Unix epoch. Decision code must not
- * call this: it receives the time as an input, so that it stays deterministic.
+ * Returns the wall-clock time in milliseconds since the Unix epoch. Decision
+ * code must not call this: it receives the time as an input, so that it stays
+ * deterministic.
  */
 int64_t ss_wall_ms(void);
 
@@ -95,8 +97,8 @@
 };
 
 /*
- * Current wall-clock time in the time zone of this process. As with
- * ss_wall_ms(), for callers of decision code, not for decision code itself.
+ * Returns the wall-clock time in the time zone of this process. Decision code
+ * must not call this either.
  */
 struct ss_wall ss_wall_now(void);
 
@@ -131,10 +133,13 @@
 #define SS_ERROR ss_error_quark()
 GQuark ss_error_quark(void);
 
-/* Stable name of an error code, as reported to callers and operators. */
+/* Returns the stable name of a code, as reported to callers and operators. */
 const char *ss_error_name(enum ss_error code);
 
-/* SplitMix64 generator; explicit state makes seeded runs reproducible. */
+/*
+ * Returns the next number of a SplitMix64 generator. The explicit state makes
+ * seeded runs reproducible.
+ */
 static inline uint64_t ss_random(uint64_t *state)
 {
 	uint64_t z = (*state += 0x9e3779b97f4a7c15u);
@@ -144,7 +149,7 @@
 	return z ^ (z >> 31);
 }
 
-/* Random nonzero 64-bit id from the kernel, unique across processes. */
+/* Returns a random nonzero id from the kernel, unique across processes. */
 uint64_t ss_unique_id(void);
 
 #ifdef __cplusplus
--- a/src/base/hist.h
+++ b/src/base/hist.h
@@ -7,9 +7,10 @@
 
 #include <sapphireshift/base.h>
 
-/* 16 linear buckets per power of two: relative error of at most 6.25 %. */
+/* 16 linear buckets per power of two: a relative error of at most 6.25 %. */
 #define HIST_SUB_BUCKET_BITS 4
 #define HIST_SUB_BUCKETS (1 << HIST_SUB_BUCKET_BITS)
+/* Values of 2^39 and more count in the last bucket. */
 #define HIST_POWERS 36
 #define HIST_BUCKETS (HIST_POWERS * HIST_SUB_BUCKETS)
 
@@ -22,10 +23,10 @@
 
 void hist_add(struct hist *h, uint64_t value);
 
-/* Value at quantile q (0 to 1); 0 if the histogram is empty. */
+/* Returns the value at quantile q (0 to 1); 0 if the histogram is empty. */
 uint64_t hist_quantile(const struct hist *h, double q);
 
-/* Number of samples <= value, at bucket resolution. */
+/* Returns the number of samples <= value, at bucket resolution. */
 uint64_t hist_count_le(const struct hist *h, uint64_t value);
 
 void hist_merge(struct hist *into, const struct hist *from);
--- a/src/base/pack.c
+++ b/src/base/pack.c
@@ -4,8 +4,9 @@
 #include <zstd.h>
 
 /*
- * Fast enough to compress a frame in each iteration of the event loop: 100 KB
- * of JSON take a third of a millisecond and shrink to a tenth.
+ * This level is fast enough to compress a message in each iteration of the
+ * event loop: 100 KB of JSON take a third of a millisecond and shrink to a
+ * tenth.
  */
 #define COMPRESSION_LEVEL 1
 
@@ -21,7 +22,7 @@
 	ZSTD_CCtx_setParameter(zstd, ZSTD_c_checksumFlag, 1);
 	g_string_set_size(out, start + bound);
 	n = ZSTD_compress2(zstd, out->str + start, bound, bytes.p, bytes.n);
-	/* The bound covers the worst case, so only allocation can fail. */
+	/* The bound covers the worst case, so only an allocation can fail. */
 	if (ZSTD_isError(n))
 		g_error("zstd compression: %s", ZSTD_getErrorName(n));
 	g_string_set_size(out, start + n);
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -1,4 +1,4 @@
-/* Table-driven reader of settings in JSON with comments. */
+/* Table-driven reader for settings in JSON with comments. */
 #include "settings.h"
 
 #include <inttypes.h>
@@ -188,7 +188,7 @@
 static void read_object(struct reader *r, const struct setting_type *t,
 			void *into, json_object *o, int depth);
 
-/* Accepts 250.0 and 2.5e2 as well, which filled-in templates contain. */
+/* Returns true for 250.0 and 2.5e2 as well, as templates may produce them. */
 static bool is_integer(json_object *v)
 {
 	double d = json_object_get_double(v);
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,7 +1,7 @@
 /*
- * Reader for settings and presets: JSON with comments, read into structs that
- * tables of fields describe. One pass reports all errors, each with file, line
- * and field.
+ * Reads settings and presets, which are JSON with comments, into structs that
+ * are described by tables of fields. One pass reports all errors, each with
+ * file, line and field.
  */
 #ifndef SS_SETTINGS_H
 #define SS_SETTINGS_H
@@ -29,7 +29,7 @@
 	enum setting_kind kind;
 	size_t offset;
 	double min, max;	 /* range of a number; max items of a list */
-	int64_t default_int;	 /* default of an int or bool */
+	int64_t default_int;	 /* default of an int, bool or number */
 	const char *default_str; /* default of a string or choice */
 	const char *const *choices;
 	const struct setting_type *type;
@@ -69,6 +69,7 @@
 bool settings_parse(const struct setting_type *t, void *into, const char *file,
 		    struct ss_str text, GError **error);
 
+/* Like settings_parse(); SS_ERROR_IO if the file can't be read. */
 bool settings_load(const struct setting_type *t, void *into, const char *file,
 		   GError **error);
 
--- a/src/base/wire.c
+++ b/src/base/wire.c
@@ -165,7 +165,7 @@
 /* Sizes stated by the header of one msgpack object. */
 struct header {
 	size_t size;	/* bytes of the header and of its scalar payload */
-	uint64_t items; /* number of nested objects that follow */
+	uint64_t items; /* nested objects that follow */
 };
 
 static uint64_t read_be(const uint8_t *p, size_t n)
--- a/src/base/wire.h
+++ b/src/base/wire.h
@@ -42,9 +42,7 @@
 		sizeof(type), (table), G_N_ELEMENTS(table)                     \
 	}
 
-/* Limit on the nesting of lists; our messages use three levels. */
-#define WIRE_DEPTH_MAX 4
-
+/* Appends the encoded struct to the packer's output. */
 void wire_pack(msgpack_packer *pk, const struct wire_type *t, const void *s);
 
 /* Returns the encoded struct, to be freed with g_string_free(). */
@@ -58,13 +56,13 @@
 bool wire_unpack(const msgpack_object *o, const struct wire_type *t, void *s,
 		 msgpack_zone *zone);
 
-/* Memory of a decoded struct: lists are here, strings stay in the input. */
+/* Owns the lists of a decoded struct; its strings stay in the input. */
 struct wire_buf {
 	msgpack_unpacked un;
 };
 
 /*
- * Decodes bytes into a struct; false if they are malformed. Call
+ * Decodes bytes into a struct; returns false if they are malformed. Call
  * wire_buf_clear() in either case.
  */
 bool wire_decode(struct wire_buf *b, struct ss_str bytes,
