--- a/src/ctl/client.c
+++ b/src/ctl/client.c
@@ -9,7 +9,7 @@
  * round trip and a sync, which is slow on a slow disk.
  */
 #define ATTEMPT_TIMEOUT_MS 3000
-/* Delay between attempts: a third of the time that an election takes. */
+/* Delay between attempts, a third of the time that an election takes. */
 #define RETRY_DELAY_MS 100
 
 struct response {
--- a/src/ctl/explain.c
+++ b/src/ctl/explain.c
@@ -6,13 +6,13 @@
 #include <json-c/json.h>
 
 /*
- * How far before the request's arrival related events are included. Their
- * cause may predate the request: a model load from the store takes up to 13 s,
- * and the group may lack a leader for one or two seconds.
+ * How far before the request's arrival related events are included. What
+ * decided its outcome may have begun earlier: a model load from the store takes
+ * up to 13 s, and the group may lack a leader for one or two seconds.
  */
 #define LOOKBACK_MS 5000
 
-/* Criterion by which a line without the request's id is related to it. */
+/* Criterion by which a line without the request's id is relevant to it. */
 enum relation {
 	RELATION_MODEL,
 	RELATION_ENDPOINT,
--- a/src/ctl/logline.h
+++ b/src/ctl/logline.h
@@ -14,12 +14,12 @@
 };
 
 /*
- * Parses a line; NULL if it isn't a log line. A prefix that a log collector
- * added is skipped.
+ * Parses a line, without the prefix that a log collector may have added.
+ * Returns NULL if it isn't a log line.
  */
 struct log_line *log_line_read(const char *text);
 void log_line_free(void *line);
-/* Value of a field, or the empty string if the line lacks it. */
+/* Returns the value of a field, or "" if the line lacks the field. */
 const char *log_line_get(const struct log_line *l, const char *key);
 
 #endif
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -226,7 +226,7 @@
 	return rc;
 }
 
-/* True if every connected process has applied this version or a later one. */
+/* Returns whether all connected processes have this version or a later one. */
 static bool is_in_force(json_object *status, int64_t version)
 {
 	json_object *list = get(status, "processes");
@@ -545,7 +545,7 @@
 	return usage();
 }
 
-/* Returns NULL without a token file; requests then carry no token. */
+/* Reads the token; NULL without a file, and requests then carry no token. */
 static char *read_token(const char *file)
 {
 	char *text = NULL;
--- a/src/ctl/print.c
+++ b/src/ctl/print.c
@@ -1,4 +1,4 @@
-/* Responses of the operator API as human-readable text. */
+/* Prints responses of the operator API as human-readable text. */
 #include "print.h"
 
 #include <glib.h>
--- a/src/ctl/spread.c
+++ b/src/ctl/spread.c
@@ -34,7 +34,7 @@
 
 struct spread {
 	GHashTable *processes;	   /* name -> struct process */
-	GHashTable *first_seen_ms; /* change -> int64_t, Unix time */
+	GHashTable *first_seen_ms; /* "kind id" -> int64_t, Unix time */
 	GArray *samples[DELAYS];   /* struct sample */
 };
 
@@ -68,9 +68,9 @@
 }
 
 /*
- * Name of the process that wrote a line. Processes on one VM log the same node
- * name, so the word that a log collector puts before the line is used if there
- * is one.
+ * Returns the name of the process that wrote a line: the last field of the log
+ * collector's prefix, if there is one, as processes on one VM log the same node
+ * name.
  */
 static char *process_name(const char *line, const struct log_line *l)
 {
@@ -111,7 +111,7 @@
 	g_array_append_val(s->samples[kind], x);
 }
 
-/* Time when a change was first logged; records now if this is the first. */
+/* Returns when a change was first logged; records now for a new change. */
 static int64_t first_seen(struct spread *s, const char *kind, const char *id,
 			  int64_t now)
 {
--- a/src/ctl/summary.c
+++ b/src/ctl/summary.c
@@ -12,7 +12,7 @@
 	REASON_QUOTA,	       /* late: waited for its customer's limit */
 	REASON_NO_LEADER,      /* late: entry just started, no leader known */
 	REASON_MODEL,	       /* late: waited for an engine with its model */
-	REASON_VERSION,	       /* late: as above, for its stream's version */
+	REASON_VERSION,	       /* late: no engine with its stream's version */
 	REASON_ENDPOINT_FULL,  /* late: waited for a slot on a full endpoint */
 	REASON_ENDPOINT_LIMIT, /* late: waited for an endpoint's own limit */
 	REASON_BACKOFF, /* late: waited for the end of an endpoint's backoff */
@@ -131,7 +131,7 @@
 	return strcmp(held_for, "model") ? REASON_NO_LEADER : REASON_MODEL;
 }
 
-/* True if a pause between stream events exceeded its route's limit. */
+/* Returns whether a pause between stream events exceeded the route's limit. */
 static bool pause_exceeded(const struct log_line *l)
 {
 	int64_t limit_ms = number(l, "pause_most_ms");
@@ -139,7 +139,7 @@
 	return limit_ms > 0 && number(l, "pause_ms") > limit_ms;
 }
 
-/* Reason for an answered request: the delay that dominates if it was late. */
+/* Returns the reason of an answered request: the dominant delay if late. */
 static enum reason late_reason(const struct log_line *l)
 {
 	int64_t first = number(l, "first_ms");
@@ -353,8 +353,9 @@
 }
 
 /*
- * The version that began a stream is unknown if its entry was killed, as no
- * line for the first request was written.
+ * Counts the streams that were resumed at another version. The version that
+ * began a stream is unknown if its entry was killed, as no line for the first
+ * request was written.
  */
 static void format_resumed(const struct summary *s, GString *out)
 {
