--- a/src/standin/engine.c
+++ b/src/standin/engine.c
@@ -11,6 +11,9 @@
 #define TOKENS_DEFAULT 8
 #define TOKENS_MAX 100000
 #define UNLOAD_MS 20
+#define STORE_TIMEOUT_MS 3600000
+/* Limit on the part of the request's text that the tokens repeat. */
+#define ECHO_BYTES 60
 #define MB 1000000LL
 
 enum model_state { MODEL_LOADING, MODEL_READY, MODEL_UNLOADING };
@@ -27,7 +30,7 @@
 	struct standin *s;
 	GPtrArray *models; /* struct model */
 	GQueue cached;	   /* checkpoints on the local disk, newest first */
-	long long fence;
+	long long fence;   /* highest fencing token seen */
 };
 
 static struct model *find_model(struct engine *e, const char *name)
@@ -74,15 +77,16 @@
 
 /* Loading and unloading. */
 
-struct load {
+/* A load or unload in progress. */
+struct model_op {
 	struct engine *e;
 	char *name;
 };
 
-static void load_free(struct load *l)
+static void model_op_free(struct model_op *op)
 {
-	g_free(l->name);
-	g_free(l);
+	g_free(op->name);
+	g_free(op);
 }
 
 static void cache_checkpoint(struct engine *e, const char *name)
@@ -101,55 +105,55 @@
 
 static void on_load_ready(evutil_socket_t fd, short what, void *arg)
 {
-	struct load *l = arg;
-	struct model *m = find_model(l->e, l->name);
+	struct model_op *op = arg;
+	struct model *m = find_model(op->e, op->name);
 
 	(void)fd;
 	(void)what;
 	if (m && m->state == MODEL_LOADING) {
 		m->state = MODEL_READY;
-		cache_checkpoint(l->e, l->name);
-		standin_journal(l->e->s, "ready",
-				model_event(l->e, m->name, m->bytes));
+		cache_checkpoint(op->e, op->name);
+		standin_journal(op->e->s, "ready",
+				model_event(op->e, m->name, m->bytes));
 	}
-	load_free(l);
+	model_op_free(op);
 }
 
 static void on_weights(void *arg, int status, struct ss_str body,
 		       const GError *error)
 {
-	struct load *l = arg;
-	struct model *m = find_model(l->e, l->name);
+	struct model_op *op = arg;
+	struct model *m = find_model(op->e, op->name);
 
 	(void)body;
 	(void)error;
 	if (status == 200) {
-		on_load_ready(-1, 0, l);
+		on_load_ready(-1, 0, op);
 		return;
 	}
 	if (m && m->state == MODEL_LOADING)
-		g_ptr_array_remove(l->e->models, m);
-	load_free(l);
+		g_ptr_array_remove(op->e->models, m);
+	model_op_free(op);
 }
 
 static void start_load(struct engine *e, const struct model *m)
 {
-	struct load *l = g_new0(struct load, 1);
+	struct model_op *op = g_new0(struct model_op, 1);
 	bool on_disk = g_queue_find_custom(&e->cached, m->name,
 					   (GCompareFunc)strcmp) != NULL;
 	char *path;
 	struct http_request_options get = { .base = e->s->base,
 					    .addr = e->s->store,
 					    .method = "GET",
-					    .timeout_ms = 3600000,
+					    .timeout_ms = STORE_TIMEOUT_MS,
 					    .done = on_weights,
-					    .arg = l };
+					    .arg = op };
 
-	l->e = e;
-	l->name = g_strdup(m->name);
+	op->e = e;
+	op->name = g_strdup(m->name);
 	if (on_disk || !*e->s->store) {
 		standin_schedule(e->s, m->bytes / MB * 1000 / e->s->load_mbps,
-				 on_load_ready, l);
+				 on_load_ready, op);
 		return;
 	}
 	path = g_strdup_printf("/weights/%s?bytes=%lld", m->name, m->bytes);
@@ -182,8 +186,9 @@
 }
 
 /*
- * Whether to refuse an order because its fencing number is below the highest
- * seen, which it records; only engines that check fencing numbers refuse.
+ * Returns whether to refuse an order because its fencing token is below the
+ * highest seen, and records a higher one. Only an engine with checks_fence
+ * refuses orders.
  */
 static bool is_fenced(struct engine *e, long long fence)
 {
@@ -226,35 +231,35 @@
 
 static void on_unloaded(evutil_socket_t fd, short what, void *arg)
 {
-	struct load *l = arg;
-	struct model *m = find_model(l->e, l->name);
+	struct model_op *op = arg;
+	struct model *m = find_model(op->e, op->name);
 
 	(void)fd;
 	(void)what;
 	if (m && m->state == MODEL_UNLOADING) {
-		standin_journal(l->e->s, "unloaded",
-				model_event(l->e, m->name, m->bytes));
-		g_ptr_array_remove(l->e->models, m);
+		standin_journal(op->e->s, "unloaded",
+				model_event(op->e, m->name, m->bytes));
+		g_ptr_array_remove(op->e->models, m);
 	}
-	load_free(l);
+	model_op_free(op);
 }
 
 static void order_unload(struct engine *e, struct evhttp_request *req,
 			 json_object *o)
 {
 	struct model *m = find_model(e, text_of(o, "model"));
-	struct load *l;
+	struct model_op *op;
 
 	if (is_fenced(e, number_of(o, "fence"))) {
 		reply_text(req, 409, "old fence\n");
 		return;
 	}
 	if (m && m->state != MODEL_UNLOADING) {
-		l = g_new0(struct load, 1);
-		l->e = e;
-		l->name = g_strdup(m->name);
+		op = g_new0(struct model_op, 1);
+		op->e = e;
+		op->name = g_strdup(m->name);
 		m->state = MODEL_UNLOADING;
-		standin_schedule(e->s, UNLOAD_MS, on_unloaded, l);
+		standin_schedule(e->s, UNLOAD_MS, on_unloaded, op);
 	}
 	reply_text(req, 202, "unloading\n");
 }
@@ -298,11 +303,13 @@
 struct run {
 	struct engine *e;
 	struct evhttp_request *req;
-	char *model, *id, *echo; /* echo: the tokens' text */
-	int tokens, done, events;
+	char *model, *id;
+	char *echo;	  /* text that each token repeats */
+	int tokens, done; /* number requested, and generated so far */
+	int events;	  /* number sent */
 	bool stream;
 	bool needs_escape; /* JSON escapes characters of echo */
-	GString *text;
+	GString *text;	   /* tokens so far */
 	/* The bytes before and after the token, the same in each event. */
 	char *prefix, *suffix;
 };
@@ -371,7 +378,7 @@
 	return s;
 }
 
-/* Builds the event once; serializing JSON for each token would dominate. */
+/* Builds the event once; serializing each token would dominate the cost. */
 static void make_event_template(struct run *r)
 {
 	/* Stands for the token; JSON doesn't escape it. */
@@ -432,7 +439,7 @@
 	(void)fd;
 	(void)what;
 	if (!evhttp_request_get_connection(r->req)) {
-		/* The agent closed the connection: the request is cancelled. */
+		/* The client disconnected: the request is cancelled. */
 		standin_journal(r->e->s, "cancelled", run_event(r));
 		evhttp_request_free(r->req);
 		run_free(r);
@@ -450,7 +457,10 @@
 		standin_schedule(r->e->s, r->e->s->token_ms, next_token, r);
 }
 
-/* The last message's text, or the prompt, with underscores for white space. */
+/*
+ * Returns the start of the last message, or of the prompt, with underscores for
+ * white space.
+ */
 static char *echo_text(json_object *o)
 {
 	json_object *list;
@@ -463,11 +473,12 @@
 		s = text_of(json_object_array_get_idx(
 				    list, json_object_array_length(list) - 1),
 			    "content");
-	echo = g_strndup(s ? s : "", 60);
+	echo = g_strndup(s ? s : "", ECHO_BYTES);
 	return g_strdelimit(echo, " \n\t", '_');
 }
 
-static bool is_same_in_json(const char *s)
+/* Returns whether JSON represents the string without escapes. */
+static bool is_unescaped_in_json(const char *s)
 {
 	while (*s && (unsigned char)*s >= ' ' && !strchr("\"\\/", *s))
 		s++;
@@ -521,7 +532,7 @@
 	evhttp_request_own(req);
 	standin_mark(e->s, req);
 	if (r->stream) {
-		r->needs_escape = !is_same_in_json(r->echo);
+		r->needs_escape = !is_unescaped_in_json(r->echo);
 		make_event_template(r);
 		disable_nagle(req);
 		evhttp_add_header(evhttp_request_get_output_headers(req),
--- a/src/standin/others.c
+++ b/src/standin/others.c
@@ -5,17 +5,17 @@
 
 #define MB 1000000LL
 
-/* The plain service: answers each request and journals that it ran. */
+/* The plain service answers each request and journals that it ran. */
 
 struct service {
 	struct standin *s;
-	long long runs;
+	long long runs; /* number so far */
 };
 
 struct service_call {
 	struct service *v;
 	struct evhttp_request *req;
-	long long run;
+	long long run; /* number of the run, from 1 */
 };
 
 static void send_service_reply(evutil_socket_t fd, short what, void *arg)
@@ -81,13 +81,13 @@
 }
 
 /*
- * The weight store: up to store_parallel loads run at full speed, more share
- * the bandwidth.
+ * The weight store: up to store_parallel loads run at full speed; more loads
+ * share the bandwidth of these.
  */
 
 struct store {
 	struct standin *s;
-	int active;
+	int active;	    /* loads */
 	long long slowdown; /* factor on load times, for fault injection */
 };
 
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -17,10 +17,10 @@
 	const char *store;   /* an engine's weight store; empty: none */
 	const char *journal; /* file that gets one line per event */
 	const char *vms;     /* comma-separated names */
-	const char *mark;    /* header that marks its answers; empty: none */
+	const char *mark;    /* header that marks the responses; empty: none */
 	long long bytes;     /* accelerator memory of an engine */
-	int checks_fence;    /* refuse orders with an old fencing number */
-	int token_ms;	     /* between two tokens */
+	int checks_fence;    /* refuse orders with an outdated fencing token */
+	int token_ms;	     /* time between two tokens */
 	int load_mbps;	     /* MB/s of a load from disk, or without a store */
 	int store_mbps;	     /* MB/s of the store for one load */
 	int store_parallel;  /* loads that run at full speed at once */
@@ -42,12 +42,12 @@
 		      void (*fn)(evutil_socket_t fd, short what, void *arg),
 		      void *arg);
 
-/* Marks an answer as this endpoint's own, and repeats the X-Request-Id. */
+/* Adds the mark header, and the request's X-Request-Id, to the response. */
 void standin_mark(const struct standin *s, struct evhttp_request *req);
 
-/* A request header, or "" if it is missing. */
+/* Returns a request header, or "" if it is missing. */
 const char *standin_header(struct evhttp_request *req, const char *name);
-/* A number in the query string, or fallback if it is missing. */
+/* Returns a number in the query string, or fallback if it is missing. */
 long long standin_query(struct evhttp_request *req, const char *key,
 			long long fallback);
 
