--- a/bench/cores.c
+++ b/bench/cores.c
@@ -1,7 +1,8 @@
 /*
  * Benchmark of the I/O-free core modules for large deployments: time, memory
  * and snapshot size of the replicated state, and the time of planning passes
- * for pools and for the fleet. Also measures log appends with their sync.
+ * for pools and for the fleet. The time of log appends with their sync is
+ * measured as well.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -231,7 +232,7 @@
 /* Placement passes of a fleet. */
 
 #define ENGINE_REPLICAS 2     /* models loaded on each engine */
-#define ENGINE_DISK_COPIES 12 /* checkpoints on its disk */
+#define ENGINE_DISK_COPIES 12 /* checkpoints on each engine's disk */
 
 static void count_step(void *arg, const struct fleet_step *s)
 {
--- a/bench/load.c
+++ b/bench/load.c
@@ -1,7 +1,7 @@
 /*
  * Closed-loop load generator: each connection sends its next request as soon as
- * the last one is answered, for a given time. Prints one line of JSON: the
- * number of requests, events and errors, and latencies in us: of whole answers,
+ * the previous one is answered, for a given time. Prints one line of JSON: the
+ * number of requests, events and errors, and latencies in us of whole answers,
  * until the first event (first_), and between two events of a stream (pause_).
  */
 #include <event2/buffer.h>
@@ -22,9 +22,9 @@
 	struct event_base *base;
 	char *ip;
 	uint16_t port;
-	const char *path, *body, *method,
-		*key; /* key: Authorization header or NULL */
-	struct hist latency, first, gap;
+	const char *path, *body, *method;
+	const char *key;		   /* Authorization header, or NULL */
+	struct hist latency, first, pause; /* us */
 	uint64_t requests, events, errors, sent;
 };
 
@@ -54,7 +54,7 @@
 	while (p.pos >= 0) {
 		c->l->events++;
 		if (c->event_us)
-			hist_add(&c->l->gap, (uint64_t)(now - c->event_us));
+			hist_add(&c->l->pause, (uint64_t)(now - c->event_us));
 		else
 			hist_add(&c->l->first, (uint64_t)(now - c->sent_us));
 		c->event_us = now;
@@ -159,7 +159,7 @@
 	       (double)(now_us() - start) / 1e6);
 	print_quantiles("", &l.latency);
 	print_quantiles("first_", &l.first);
-	print_quantiles("pause_", &l.gap);
+	print_quantiles("pause_", &l.pause);
 	printf("}\n");
 	return 0;
 }
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -22,6 +22,8 @@
 #define MEASURED_FROM_MS (3 * DAY_MS) /* earlier days only build up history */
 #define STEP_MS 1000
 #define STORE_MB_S 2000.0
+#define LOAD_OVERHEAD_MS 50
+#define CALL_MS 3000
 #define NODE_CHECKPOINTS 12 /* kept on a node's disk */
 #define MODELS_MAX 128
 #define NODES_MAX 32
@@ -34,8 +36,8 @@
 	double sessions_per_hour;
 	int batch_models, batch_calls, batch_hour;
 	int store_per_minute;
-	int weight;	/* cold_weight of its preset */
-	uint64_t seeds; /* first seed of its traces */
+	int weight;	     /* cold_weight of its preset */
+	uint64_t first_seed; /* of its traces */
 };
 
 static const struct deployment deployments[] = {
@@ -44,7 +46,7 @@
 };
 
 struct arrival {
-	int64_t at;
+	int64_t at; /* ms since the start of the traces */
 	int model;
 };
 
@@ -75,7 +77,7 @@
 struct replica {
 	int model, node; /* node -1: unloaded */
 	int state;
-	int64_t born, ready_at, idle_since, busy_until;
+	int64_t born, ready_at, idle_since, busy_until; /* ms, as arrivals */
 };
 
 struct world {
@@ -87,16 +89,16 @@
 	char model_names[MODELS_MAX][16], node_names[NODES_MAX][16];
 	uint64_t bytes[MODELS_MAX];
 	int64_t last_load[MODELS_MAX];
-	GArray *replicas; /* struct replica */
-	GArray *trace;
-	int cached[NODES_MAX][NODE_CHECKPOINTS];
+	GArray *replicas;			 /* struct replica */
+	GArray *trace;				 /* struct arrival */
+	int cached[NODES_MAX][NODE_CHECKPOINTS]; /* model + 1; 0: none */
 	struct ss_arrivals arrivals[MODELS_MAX], all;
 	GArray *waiting[MODELS_MAX]; /* int64_t: arrival times */
 	bool preloads[MODELS_MAX];
 	int64_t now;
 	/* Results. */
-	struct hist cold;
-	double idle_hours;
+	struct hist cold;  /* waits for a ready replica, ms */
+	double idle_hours; /* of accelerators */
 	uint64_t calls, cold_calls, loads;
 };
 
@@ -145,7 +147,7 @@
 	int64_t night = day * DAY_MS + d->batch_hour * HOUR_MS;
 	double mean = (double)HOUR_MS / d->sessions_per_hour;
 
-	/* The surge at opening asks for the same models each day. */
+	/* The surge at opening requests the same models each day. */
 	for (int m = 0; m < d->models / 4; m++)
 		add_session(w, open + (int64_t)(uniform(w) * 120000), m);
 	for (int64_t t = open; t < close; t += (int64_t)exponential(w, mean))
@@ -202,7 +204,7 @@
 static void start_load(void *arg, const struct plan_demand *d,
 		       const struct plan_node *n, size_t count)
 {
-	static const double factor[] = { 1, 0.4, 0.1 };
+	static const double factor[] = { 1, 0.4, 0.1 }; /* by ss_tier */
 	struct world *w = arg;
 	struct replica r = { .model = name_index(d->model),
 			     .node = name_index(n->name),
@@ -212,7 +214,7 @@
 
 	(void)count;
 	ms *= factor[real_tier(w, r.model, r.node)];
-	r.ready_at = w->now + 50 + (int64_t)ms;
+	r.ready_at = w->now + LOAD_OVERHEAD_MS + (int64_t)ms;
 	keep_checkpoint(w, r.model, r.node);
 	w->loads += w->now >= MEASURED_FROM_MS;
 	g_array_append_val(w->replicas, r);
@@ -316,7 +318,7 @@
 {
 	int64_t waited = MAX(w->now - arrived_ms, 0);
 
-	r->busy_until = MAX(r->busy_until, w->now + 3000);
+	r->busy_until = MAX(r->busy_until, w->now + CALL_MS);
 	r->idle_since = r->busy_until;
 	if (arrived_ms < MEASURED_FROM_MS)
 		return;
@@ -500,7 +502,7 @@
 		guint next = 0;
 
 		world_init(&w, d, p,
-			   d->seeds + (uint64_t)k + (unseen ? 1000 : 0));
+			   d->first_seed + (uint64_t)k + (unseen ? 1000 : 0));
 		for (w.now = 0; w.now < DAYS * DAY_MS; w.now += STEP_MS)
 			step(&w, &next);
 		hist_merge(&cold, &w.cold);
--- a/bench/quota.c
+++ b/bench/quota.c
@@ -183,7 +183,7 @@
 	fflush(stdout);
 }
 
-/* Customers send about three times their limit for half of the time. */
+/* Bursts: customers send about three times their limit half of the time. */
 static const struct world_event bursts[] = {
 	{ 2000, WORLD_HOT, 3000, 0, 4, 6 },
 	{ 8000, WORLD_HOT, 3000, 0, 4, 6 },
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -1,8 +1,8 @@
 /*
  * Benchmark of a routing change: the processor time that the leader, a control
  * VM and an entry spend on adding one route to few or many, or many routes at
- * once. As a baseline in the same run, an entry that parses all routes at each
- * change.
+ * once. The baseline, in the same run, is an entry that parses all routes at
+ * each change.
  */
 #include <popt.h>
 #include <stdio.h>
@@ -68,7 +68,7 @@
 	size_t bytes;
 };
 
-/* The leader compares the operator's text, parses, checks and packs it. */
+/* Does the leader's work: compares, parses, checks and packs the text. */
 static GString *leader_update(struct document *d, struct routing *r,
 			      const GString *text, struct cost *c)
 {
@@ -95,7 +95,7 @@
 	return packed;
 }
 
-/* A control VM applies the change, and serves it as it stands in the log. */
+/* Does a control VM's work; it serves the change as stored in the log. */
 static void member_apply(struct document *d, const GString *packed,
 			 struct cost *c)
 {
@@ -121,7 +121,7 @@
 	}
 }
 
-/* Baseline: unpacks and parses all routes. */
+/* Does the baseline's work: unpacks and parses all routes. */
 static void read_all(const GString *text, struct cost *c)
 {
 	GString *packed = g_string_new(NULL), *opened;
@@ -181,8 +181,8 @@
 }
 
 /*
- * Time until the last process has a change: a notice, a request and its reply
- * cross the network, the control VM serves its processes one after
+ * Returns the time until the last process has a change: a notice, a request and
+ * its reply cross the network, the control VM serves its processes one after
  * another, and the process reads the change.
  */
 static double propagation_ms(size_t bytes, double read_cpu_ms)
--- a/bench/streams.c
+++ b/bench/streams.c
@@ -1,9 +1,9 @@
 /*
  * Benchmark of the stream log, by which any entry can look up the model version
  * that a stream began with: the real leader and a follower receive the reports
- * of simulated entries, in simulated time. For comparison, derives the messages
- * that sending each record to all entries, or querying all entries at each
- * resumption, would take.
+ * of simulated entries, in simulated time. For comparison, the benchmark
+ * derives the messages that sending all records to all entries, as often as to
+ * the follower, or querying all entries at each resumption would take.
  */
 #include <popt.h>
 #include <stdio.h>
@@ -14,8 +14,6 @@
 #define WARMUP_MS 30000
 /* Interval at which an entry reports the streams that it has started. */
 #define REPORT_INTERVAL_MS 10
-/* Interval at which records would be sent to an entry, as to followers. */
-#define FOLLOWER_INTERVAL_MS 50
 #define MODEL_VERSIONS 3
 
 static int measured_ms = 10000;
--- a/docs/example/embed.c
+++ b/docs/example/embed.c
@@ -9,8 +9,7 @@
 #include <stdio.h>
 
 struct call {
-	struct ss_queue_item
-		item; /* first member: the queue returns its address */
+	struct ss_queue_item item; /* first: the queue returns its address */
 	const char *name;
 };
 
