--- a/test/test_explain.c
+++ b/test/test_explain.c
@@ -7,7 +7,7 @@
 #define ENTRY " level=INFO node=entry-1 event="
 #define CONTROL " level=INFO node=control-1 event="
 
-/* Lines out of time order: the timeline must be sorted all the same. */
+/* Not in time order, so that the timeline has to be sorted. */
 static const char *const logs[] = {
 	AT "49.000Z" ENTRY "request request=r1 route=chat model=m endpoint=i-7 "
 	   "outcome=cut ms=3000 why=\"this process ends\"\n",
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -4,13 +4,13 @@
 #include "../src/config/config.h"
 #include "../src/core/preset.h"
 
-struct fault_case {
+struct error_case {
 	const char *label, *text, *want;
 };
 
-static const struct fault_case preset_faults[] = {
+static const struct error_case preset_errors[] = {
 	{ "not JSON", "{\"classes\": {", "p:1: not JSON" },
-	{ "line of a syntax fault", "{\n\n  \"cold_weight\": ]\n}",
+	{ "line of a syntax error", "{\n\n  \"cold_weight\": ]\n}",
 	  "p:3: not JSON" },
 	{ "unknown setting",
 	  "{\"classes\":{\"interactive\":{"
@@ -45,25 +45,25 @@
 	{ "a list where an object belongs", "[]", "expected an object" },
 };
 
-static void preset_faults_are_reported(void **state)
+static void preset_errors_are_reported(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(preset_faults); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(preset_errors); i++) {
 		struct preset p;
 		GError *error = NULL;
 
 		assert_false(preset_parse(
-			&p, "p", ss_str(preset_faults[i].text), &error));
-		if (!strstr(error->message, preset_faults[i].want))
-			fail_msg("%s: %s", preset_faults[i].label,
+			&p, "p", ss_str(preset_errors[i].text), &error));
+		if (!strstr(error->message, preset_errors[i].want))
+			fail_msg("%s: %s", preset_errors[i].label,
 				 error->message);
 		assert_int_equal(error->code, SS_ERROR_SETTINGS);
 		g_error_free(error);
 	}
 }
 
-/* One parse reports all faults of a file, each with its line. */
-static void all_faults_are_reported_at_once(void **state)
+/* One parse reports all errors of a file, each with its line. */
+static void all_errors_are_reported_at_once(void **state)
 {
 	static const char text[] =
 		"{\n\"role\": \"clerk\",\n\"name\": 5,\n\"domian\": \"x\",\n"
@@ -132,8 +132,11 @@
 	"conf/fleet/control.json",     "conf/fleet/entry.json",
 	"conf/fleet/agent.json",
 };
-/* A preset in the log, in an older format, must stay readable after an
- * upgrade. */
+
+/*
+ * Guards against an upgrade that makes presets in the log unreadable because
+ * they use the field names of an older version.
+ */
 static void old_presets_are_readable(void **state)
 {
 	static const char text[] =
@@ -190,9 +193,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(preset_faults_are_reported),
+		cmocka_unit_test(preset_errors_are_reported),
 		cmocka_unit_test(old_presets_are_readable),
-		cmocka_unit_test(all_faults_are_reported_at_once),
+		cmocka_unit_test(all_errors_are_reported_at_once),
 		cmocka_unit_test(defaults_and_comments),
 		cmocka_unit_test(example_files_are_valid),
 	};
--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -50,7 +50,7 @@
 	  "ms until known p50 p99 last by" },
 };
 
-/* Collapses runs of spaces into one. */
+/* Collapses each run of spaces into one space. */
 static char *collapse_spaces(const char *text)
 {
 	GString *out = g_string_new(NULL);
