--- a/tools/demo.py
+++ b/tools/demo.py
@@ -48,7 +48,7 @@
 
 
 def requests(s):
-    """Send the demo's requests; returns the number of failed steps."""
+    """Send the demo's requests; return the number of failed steps."""
     one, two = s.addr["entry-1"], s.addr["entry-2"]
     bad = 0
 
--- a/tools/demo_load.py
+++ b/tools/demo_load.py
@@ -21,10 +21,10 @@
 ROUTES = (("urgent", 0, 10000), ("chat", 1, GOAL_MS), ("patient", 2, 10000))
 CHATS_PER_S, CHATS_S = 40, 2.5
 FAST_S, SLOW_S, STALLED_S = 0.05, 0.25, 0.8     # time to first event
-CRASH_KNOWN_S = 1         # by then entries know of the crashed engine
-# Share of chats at a stalled engine: until it is ejected, and probes.
+CRASH_KNOWN_S = 1         # time until entries know of a crashed engine
+# Share of chats at a stalled engine: those before its ejection, and probes.
 STALL_SHARE = 0.1
-LATE_TOLERATED = 2            # tolerated late chats on a busy machine
+LATE_TOLERATED = 2            # late chats allowed on a busy machine
 WAITING = 24         # waiting callers of each priority
 LOW_PRIORITY_TURN = 4        # one slot in this many goes to the low priority
 
@@ -139,10 +139,10 @@
 
     await until(served, RECOVERY_S, "the models aren't served")
     await sent.slow_engine("an engine five times as slow as the one beside it",
-                       SLOW_S, 1 / 6, LATE_TOLERATED)
+                           SLOW_S, 1 / 6, LATE_TOLERATED)
     await sent.slow_engine("its answers begin after %.1f s" % STALLED_S,
-                       STALLED_S,
-                       STALL_SHARE, STALL_SHARE * CHATS_S * CHATS_PER_S)
+                           STALLED_S, STALL_SHARE,
+                           STALL_SHARE * CHATS_S * CHATS_PER_S)
     await sent.full_engine()
     return sent.bad
 
--- a/tools/demo_signals.py
+++ b/tools/demo_signals.py
@@ -20,8 +20,7 @@
 SEED = 1
 BACKOFF_S = 2
 LIMIT_PER_S, LIMIT_S = 1, 7
-# Time until all entries know a limit.
-LIMIT_KNOWN_S = 3
+LIMIT_KNOWN_S = 3       # time until all entries know a limit
 
 
 class SignalDemo:
@@ -33,7 +32,7 @@
         self.bad = 0
 
     async def ask(self):
-        """One request, to the entries in turn."""
+        """Send one request, to the entries in turn; return its status."""
         self.n += 1
         name = sorted(self.f.entries)[self.n % len(self.f.entries)]
         rid = "demo-%d" % self.n
@@ -91,7 +90,7 @@
 
     async def draining(self):
         one = self.f.webs[0]
-        # The list still has it as ready.
+        # The endpoint list still has it as ready.
         self.f.listing.frozen_body = self.f.listing.body()
         one.start_draining()
 
@@ -124,7 +123,7 @@
 
 
 async def run(play, **size):
-    """Run play(fleet) on a fleet; returns its number of failed steps."""
+    """Run play(fleet) on a new fleet; return its number of failed steps."""
     fleet = Fleet(SEED, os.path.join(ROOT, "build", "sapphireshiftd"), **size)
     try:
         await fleet.start()
--- a/tools/demo_versions.py
+++ b/tools/demo_versions.py
@@ -15,7 +15,7 @@
 
 
 async def play(fleet):
-    """Returns the number of failed steps."""
+    """Play the part on a fleet; return the number of failed steps."""
     fleet.operators = Operators(fleet, SEED)
     await two_versions(fleet)
     callers = await begin(fleet, "demo", ["entry-0"], STREAMS)
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -16,7 +16,7 @@
 
 ROUND_S = 10.0
 WORKERS = 10
-ANSWER_TIMEOUT_S = 25.0  # longer than all deadlines: no answer by then is lost
+ANSWER_TIMEOUT_S = 25.0  # exceeds all deadlines; a later answer is lost
 
 
 def call(s, r, rng):
@@ -99,9 +99,9 @@
 
     def __init__(self, s, rng):
         self.s, self.rng = s, rng
-        self.undo = []  # (time, fn)
-        self.draining = {}
-        self.done = []
+        self.undo = []  # (monotonic time, fn)
+        self.draining = {}  # engine -> [[from, to]] in Unix ms
+        self.done = []  # names of the injected faults
 
     def later(self, seconds, fn):
         self.undo.append((time.monotonic() + seconds, fn))
@@ -200,7 +200,10 @@
 
 
 def undecided(s):
-    """1 if engines hold models without a decision of control, else 0."""
+    """Return 1 if engines keep holding models that no control VM decided on.
+
+    Else 0, as soon as all models that they hold are decided.
+    """
     def settled():
         status = s.status()
         decided = {(r["node"], r["model"]) for r in
@@ -230,7 +233,7 @@
     while time.monotonic() < end:
         if time.monotonic() >= next_fault:
             faults.inject()
-            # Two overlapping faults at times.
+            # Sometimes two faults at once.
             if rng.random() < 0.25:
                 faults.inject()
             next_fault = time.monotonic() + rng.uniform(0.5, 2.0)
@@ -272,7 +275,8 @@
             for name, spans in faults.draining.items():
                 for e in journals[name]:
                     if e["event"] == "run" and any(
-                            a + 3000 < e["at"] < b for a, b in spans):
+                            a + history.DRAIN_GRACE_MS < e["at"] < b
+                            for a, b in spans):
                         print("late work: %s %s in %s" % (name, e, spans))
             bad = [c for c in history.FAULTS if counts[c]]
             print("seed %d: %d requests, %d faults%s" % (
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -27,7 +27,10 @@
 
 
 class Fleet:
-    """addr: the entry's address for callers; status: that of its metrics."""
+    """A control VM and an entry, with the entry's addresses.
+
+    addr is for callers, status for its metrics.
+    """
 
     def __init__(self, folder, build, ports, endpoints, customers=None):
         """endpoints: service -> address of a running stand-in."""
--- a/tools/history.py
+++ b/tools/history.py
@@ -29,10 +29,11 @@
           "work_after_leaving", "config_reverted"]
 # Counts that must be zero.
 FAULTS = COUNTS[5:]
+DRAIN_GRACE_MS = 3000  # work may still start this long after a drain begins
 
 
 def runs_of(journals):
-    """Numbers of runs by idempotency key and by request id."""
+    """Return the numbers of runs by idempotency key and by request id."""
     keys, ids = collections.Counter(), collections.Counter()
     for events in journals.values():
         for e in events:
@@ -102,7 +103,8 @@
         for begin, end in draining.get(name, []):
             counts["work_after_leaving"] += sum(
                 1 for e in events
-                if e["event"] == "run" and begin + 3000 < e["at"] < end)
+                if e["event"] == "run" and
+                begin + DRAIN_GRACE_MS < e["at"] < end)
     for seen in versions.values():
         counts["config_reverted"] += sum(
             1 for a, b in zip(seen, seen[1:]) if b < a)
--- a/tools/path.py
+++ b/tools/path.py
@@ -15,7 +15,7 @@
 from system import PRESETS, ROOT, System, chat, request, wait_for
 
 ROUNDS = 3
-# Number of streams that overloads a single-threaded stand-in; shows the
+# This many streams overload a single-threaded stand-in, and so show the
 # capacity of an entry.
 MAX_STREAMS = 512
 # A stream has TOKENS of 1 ms each. Starts are spread over that time, so that a
@@ -54,15 +54,15 @@
 
 
 def alternate(paths, measure_one):
-    """(path, rows, CPU in us by process) of each path."""
+    """Return (path, rows, CPU in us by process) of each path."""
     rows = [[] for _ in paths]
-    before = [w.cpu_us() for w in paths]
+    before = [p.cpu_us() for p in paths]
     for _ in range(ROUNDS):
-        for w, r in zip(paths, rows):
-            r.append(measure_one(w))
+        for p, r in zip(paths, rows):
+            r.append(measure_one(p))
     used = []
-    for w, b in zip(paths, before):
-        after = w.cpu_us()
+    for p, b in zip(paths, before):
+        after = p.cpu_us()
         used.append({n: after[n] - b[n] for n in after})
     return zip(paths, rows, used)
 
@@ -73,16 +73,16 @@
 
 
 def small(paths, build, conns, seconds):
-    """Latency and rate of small requests to the plain service."""
+    """Print latency and rate of small requests to the plain service."""
     base = None
     print("%d connections, small requests" % conns)
-    for w, rows, used in alternate(paths, lambda w: load(
-            build, *w.web, "-c", conns, "-s", seconds)):
+    for p, rows, used in alternate(paths, lambda p: load(
+            build, *p.web, "-c", conns, "-s", seconds)):
         p50, p99 = median(rows, "p50_us"), median(rows, "p99_us")
         base = base or (p50, p99)
         print("  %-8s %6.0f/s; p50 %5d us (added %d), p99 %5d us (added %d); "
               "errors %d; CPU a request: %s" % (
-                  w.name, rate(rows, "requests"), p50, p50 - base[0], p99,
+                  p.name, rate(rows, "requests"), p50, p50 - base[0], p99,
                   p99 - base[1], sum(r["errors"] for r in rows),
                   cost(used, sum(r["requests"] for r in rows))))
 
@@ -93,15 +93,15 @@
                        "messages": [{"role": "user", "content": "s"}]})
     base = None
     print("%d streams" % conns)
-    for w, rows, used in alternate(paths, lambda w: load(
-            build, *w.lm, "-c", conns, "-s", seconds, "-m", "POST",
+    for p, rows, used in alternate(paths, lambda p: load(
+            build, *p.lm, "-c", conns, "-s", seconds, "-m", "POST",
             "-b", body, "-r", STREAM_MS)):
         first, pause = (median(rows, k + "_p99_us")
                         for k in ("first", "pause"))
         base = base or (first, pause)
         print("  %-8s %6.0f events/s; p99: first event %5d us (added %d), "
               "pause %5d us (added %d); errors %d; CPU an event: %s" % (
-                  w.name, rate(rows, "events"), first, first - base[0], pause,
+                  p.name, rate(rows, "events"), first, first - base[0], pause,
                   pause - base[1], sum(r["errors"] for r in rows),
                   cost(used, sum(r["events"] for r in rows))))
 
@@ -139,8 +139,8 @@
 
 
 def measure(s, f, limited, args):
-    paths = [w for w in paths_of(s, f, limited) if not args.ways or
-            w.name in args.ways.split(",")]
+    paths = [p for p in paths_of(s, f, limited) if not args.ways or
+            p.name in args.ways.split(",")]
     print("each entry is one thread, on one of %d processors; load of the "
           "machine %.1f" % (len(os.sched_getaffinity(0)), os.getloadavg()[0]))
     for conns in (1, 16, 48):
--- a/tools/scale.py
+++ b/tools/scale.py
@@ -45,10 +45,10 @@
 
 
 def rates(s, names):
-    """Means over the processes: CPU in % of a core, MB, bytes per second."""
+    """Return means per process: CPU in % of a core, MB, bytes per second."""
     start = time.monotonic()
     before = {n: sample(s, n) for n in names}
-    time.sleep(MEASUREMENT_S)  # duration of the measurement
+    time.sleep(MEASUREMENT_S)  # measured interval, no wait for a condition
     after = {n: sample(s, n) for n in names}
     took = time.monotonic() - start
     n = len(names)
--- a/tools/system.py
+++ b/tools/system.py
@@ -16,7 +16,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 GB = 1 << 30
-MARK = "X-Signature"  # header that marks answers of an endpoint itself
+MARK = "X-Signature"  # header by which entries know an endpoint's own answer
 
 PRESETS = {
     "ordinary": {
@@ -59,7 +59,7 @@
 
 
 def request(addr, method, path, body=None, headers=None, timeout=60.0):
-    """Send a HTTP request: (status, headers, body). Raises OSError."""
+    """Send an HTTP request: (status, headers, body). Raises OSError."""
     host, port = addr.rsplit(":", 1)
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -106,7 +106,7 @@
             self.proc.send_signal(sig)
 
     def kill(self):
-        """Kill it at once, as when its VM is lost."""
+        """Kill the process at once, as the loss of its VM does."""
         self.signal(signal.SIGKILL)
         if self.proc:
             self.proc.wait(10)
@@ -121,7 +121,7 @@
         self.signal(signal.SIGCONT)
 
     def stop(self, seconds=15.0):
-        """Stop it with SIGTERM; returns the exit code."""
+        """Stop the process with SIGTERM; return the exit code."""
         if not self.alive():
             return self.proc.returncode if self.proc else None
         self.thaw()
@@ -312,7 +312,7 @@
         return body if code == 200 else {}
 
     def leader(self):
-        """Name of the control VM that is confirmed as leader by a majority."""
+        """Return the leader, confirmed as such by a majority, or None."""
         for c in self.controls:
             if not self.procs[c].alive() or self.procs[c].frozen:
                 continue
@@ -333,7 +333,7 @@
         return p.returncode, p.stdout.decode(), p.stderr.decode()
 
     def events(self, name):
-        """Events of a stand-in's journal."""
+        """Return the events of a stand-in's journal."""
         try:
             with open(self.journal(name)) as f:
                 return [json.loads(line) for line in f if line.endswith("\n")]
@@ -341,7 +341,7 @@
             return []
 
     def stop(self):
-        """Stop all with SIGTERM; True if every daemon exited with 0."""
+        """Stop all with SIGTERM; return whether every daemon exited with 0."""
         clean = True
         order = self.entries + ["agent-" + e for e in
                                 self.engines + self.services] + self.controls
