--- a/src/base/hist.c
+++ b/src/base/hist.c
@@ -37,6 +37,7 @@
 uint64_t hist_quantile(const struct hist *h, double q)
 {
 	uint64_t seen = 0;
+	/* Rounded up. */
 	uint64_t rank = (uint64_t)(q * (double)h->count + 0.999999);
 
 	if (h->count == 0)
--- a/src/ctl/spread.c
+++ b/src/ctl/spread.c
@@ -24,7 +24,8 @@
 
 struct process {
 	char *name;
-	int64_t start_ms, lost_ms; /* Unix time; 0 if not seen */
+	/* Unix time of its start, and of the loss of its leader; 0: none. */
+	int64_t start_ms, lost_ms;
 };
 
 struct sample {
@@ -152,12 +153,12 @@
 static void add_endpoint_restarted(struct spread *s, struct process *p,
 				   const struct log_line *l)
 {
-	char *what = g_strdup_printf("%s %s", log_line_get(l, "addr"),
-				     log_line_get(l, "started"));
+	char *id = g_strdup_printf("%s %s", log_line_get(l, "addr"),
+				   log_line_get(l, "started"));
 
 	add_sample(s, DELAY_ENDPOINT_RESTART, p,
-		   l->ts_ms - first_seen(s, "restart", what, l->ts_ms));
-	g_free(what);
+		   l->ts_ms - first_seen(s, "restart", id, l->ts_ms));
+	g_free(id);
 }
 
 static void add_line(struct spread *s, const char *line,
--- a/src/ctl/summary.c
+++ b/src/ctl/summary.c
@@ -140,7 +140,7 @@
 }
 
 /* Returns the reason of an answered request: the dominant delay if late. */
-static enum reason late_reason(const struct log_line *l)
+static enum reason answered_reason(const struct log_line *l)
 {
 	int64_t first = number(l, "first_ms");
 	int64_t waited = number(l, "waited_ms");
@@ -166,7 +166,8 @@
 		return REASON_REFUSED;
 	if (strcmp(outcome, "answered"))
 		return REASON_INTERRUPTED;
-	return number(l, "status") / 100 == 2 ? late_reason(l) : REASON_FAILED;
+	return number(l, "status") / 100 == 2 ? answered_reason(l) :
+						REASON_FAILED;
 }
 
 static struct route_row *find_or_add_route(struct summary *s, const char *name)
@@ -226,17 +227,17 @@
 void summary_add(struct summary *s, const char *line)
 {
 	struct log_line *l;
-	enum reason why;
+	enum reason reason;
 	const char *route;
 
 	if (!strstr(line, "event=request ") || !(l = log_line_read(line)))
 		return;
 	route = log_line_get(l, "route");
-	why = reason_of(l);
-	find_or_add_route(s, *route ? route : "-")->n[why]++;
+	reason = reason_of(l);
+	find_or_add_route(s, *route ? route : "-")->n[reason]++;
 	add_version(s, l);
-	find_or_add_second(s, (l->ts_ms - number(l, "ms")) / 1000)->n[why]++;
-	if (why == REASON_REFUSED) {
+	find_or_add_second(s, (l->ts_ms - number(l, "ms")) / 1000)->n[reason]++;
+	if (reason == REASON_REFUSED) {
 		const char *text = log_line_get(l, "why");
 		guint n =
 			GPOINTER_TO_UINT(g_hash_table_lookup(s->refused, text));
@@ -270,13 +271,13 @@
 		g_string_append_printf(
 			out, " %14s",
 			g_array_index(s->routes, struct route_row, i).name);
-	for (int why = 0; why < REASONS; why++) {
-		g_string_append_printf(out, "\n%-30s", reason_names[why]);
+	for (int reason = 0; reason < REASONS; reason++) {
+		g_string_append_printf(out, "\n%-30s", reason_names[reason]);
 		for (guint i = 0; i < s->routes->len; i++)
 			g_string_append_printf(
 				out, " %14" PRIu64,
 				g_array_index(s->routes, struct route_row, i)
-					.n[why]);
+					.n[reason]);
 	}
 	g_string_append_c(out, '\n');
 }
@@ -314,12 +315,12 @@
 
 static enum reason most_frequent_reason(const uint64_t *n)
 {
-	enum reason worst = REASON_NO_LEADER;
+	enum reason most = REASON_NO_LEADER;
 
 	for (int i = REASON_NO_LEADER; i < REASONS; i++)
-		if (n[i] > n[worst])
-			worst = (enum reason)i;
-	return worst;
+		if (n[i] > n[most])
+			most = (enum reason)i;
+	return most;
 }
 
 static void format_seconds(const struct summary *s, GString *out)
