--- a/bench/cores.c
+++ b/bench/cores.c
@@ -206,7 +206,7 @@
 					      .node = i % nodes,
 					      .model = g_strdup_printf(
 						      "model-%d", i),
-					      .state = 2,
+					      .state = REPLICA_READY,
 					      .bytes = 60 * GB,
 					      .slots = 8,
 					      .age_ms = 60000,
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -56,12 +56,12 @@
 {
 	struct poptOption options[] = {
 		{ "ms", 0, POPT_ARG_INT, &measured_ms, 0,
-		  "measure for so long, in simulated ms", "MS" },
+		  "measured time, in simulated ms", "MS" },
 		{ "models", 0, POPT_ARG_INT, &models, 0, "models", "N" },
 		{ "calls", 0, POPT_ARG_DOUBLE, &calls, 0,
-		  "calls a second of each entry", "N" },
+		  "calls per second and entry", "N" },
 		{ "limited", 0, POPT_ARG_INT, &limited, 0,
-		  "engines that name a limit of one request a second", "N" },
+		  "engines that state a limit of one request per second", "N" },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext(NULL, argc, argv, options, 0);
--- a/bench/load.c
+++ b/bench/load.c
@@ -124,11 +124,11 @@
 		{ "method", 'm', POPT_ARG_STRING, &l.method, 0, "method",
 		  NULL },
 		{ "key", 'k', POPT_ARG_STRING, &l.key, 0,
-		  "of a customer, with its scheme", NULL },
+		  "Authorization header, with its scheme", NULL },
 		{ "connections", 'c', POPT_ARG_INT, &conns, 0, "count", NULL },
-		{ "seconds", 's', POPT_ARG_INT, &seconds, 0, "how long", NULL },
+		{ "seconds", 's', POPT_ARG_INT, &seconds, 0, "duration", NULL },
 		{ "spread", 'r', POPT_ARG_INT, &spread_ms, 0,
-		  "connections begin spread over so many ms", NULL },
+		  "time over which connections start, in ms", NULL },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext("bench-load", argc, argv, options, 0);
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -528,7 +528,7 @@
 	int rounds = 2, unseen = 0;
 	const char *svg = NULL;
 	struct poptOption options[] = {
-		{ "rounds", 'r', POPT_ARG_INT, &rounds, 0, "seeds a policy",
+		{ "rounds", 'r', POPT_ARG_INT, &rounds, 0, "seeds per policy",
 		  NULL },
 		{ "unseen", 'u', POPT_ARG_NONE, &unseen, 0,
 		  "the traces that were kept apart", NULL },
--- a/bench/quota.c
+++ b/bench/quota.c
@@ -280,21 +280,20 @@
 int main(int argc, const char **argv)
 {
 	const struct poptOption table[] = {
-		{ "seeds", 's', POPT_ARG_INT, &seeds, 0, "days of each kind",
-		  "N" },
+		{ "seeds", 's', POPT_ARG_INT, &seeds, 0,
+		  "number of seeds per scenario", "N" },
 		{ "entries", 'e', POPT_ARG_INT, &entries, 0,
 		  "only this size (31, 105, 340)", "N" },
 		{ "customers", 'c', POPT_ARG_INT, &customers, 0,
-		  "only so many (16, 1000, 10000)", "N" },
+		  "only this count (16, 1000, 10000)", "N" },
 		{ "way", 'w', POPT_ARG_STRING, &only_scheme, 0,
-		  "only this way (even, lease, owner)", "NAME" },
+		  "only this scheme (even, lease, owner)", "NAME" },
 		{ "day", 'd', POPT_ARG_STRING, &only_scenario, 0,
-		  "only days that begin so", "NAME" },
+		  "only scenarios whose names begin with NAME", "NAME" },
 		{ "classes", 0, POPT_ARG_NONE, &classes, 0,
-		  "only requests of several classes, by how these share",
-		  NULL },
-		{ "csv", 0, POPT_ARG_NONE, &csv, 0, "as comma-separated values",
-		  NULL },
+		  "compare how classes share a limit instead", NULL },
+		{ "csv", 0, POPT_ARG_NONE, &csv, 0,
+		  "print comma-separated values", NULL },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext("quota", argc, argv, table, 0);
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -64,7 +64,7 @@
 }
 
 struct result {
-	struct cost leader, member, entry, baseline;
+	struct cost leader, control_vm, entry, baseline;
 	size_t bytes;
 };
 
@@ -96,8 +96,8 @@
 }
 
 /* Does a control VM's work; it serves the change as stored in the log. */
-static void member_apply(struct document *d, const GString *packed,
-			 struct cost *c)
+static void control_vm_apply(struct document *d, const GString *packed,
+			     struct cost *c)
 {
 	double from = cpu_ms();
 	struct document_patch *n = document_unpack(ss_str_gs(packed), NULL);
@@ -158,17 +158,17 @@
 
 	whole = leader_update(d, routing_follower_table(leader), before,
 			      &unused);
-	member_apply(d, whole, &unused);
+	control_vm_apply(d, whole, &unused);
 	follower_update(leader, whole, &unused);
 	follower_update(entry, whole, &unused);
 	change = leader_update(d, routing_follower_table(leader), after,
 			       &r.leader);
-	member_apply(d, change, &r.member);
+	control_vm_apply(d, change, &r.control_vm);
 	follower_update(entry, change, &r.entry);
 	read_all(after, &r.baseline);
 	best->bytes = change->len;
 	keep_minimum(&best->leader, &r.leader);
-	keep_minimum(&best->member, &r.member);
+	keep_minimum(&best->control_vm, &r.control_vm);
 	keep_minimum(&best->entry, &r.entry);
 	keep_minimum(&best->baseline, &r.baseline);
 	g_string_free(whole, TRUE);
@@ -208,10 +208,11 @@
 
 int main(int argc, const char **argv)
 {
-	struct poptOption options[] = { { "rounds", 'n', POPT_ARG_INT, &rounds,
-					  0, "of each case; the least counts",
-					  "N" },
-					POPT_AUTOHELP POPT_TABLEEND };
+	struct poptOption options[] = {
+		{ "rounds", 'n', POPT_ARG_INT, &rounds, 0,
+		  "rounds of each case; the fastest counts", "N" },
+		POPT_AUTOHELP POPT_TABLEEND
+	};
 	poptContext ctx = poptGetContext("routing", argc, argv, options, 0);
 	struct result r[G_N_ELEMENTS(cases)] = { 0 };
 
@@ -227,7 +228,7 @@
 		print_row(cases[i].held, cases[i].added,
 			  "leader, operator's call", &r[i].leader);
 		print_row(cases[i].held, cases[i].added, "control VM",
-			  &r[i].member);
+			  &r[i].control_vm);
 		print_row(cases[i].held, cases[i].added, "entry", &r[i].entry);
 		print_row(cases[i].held, cases[i].added, "entry, reading all",
 			  &r[i].baseline);
@@ -241,7 +242,7 @@
 	printf("one route more among 12000, against among 50: leader %.1f, "
 	       "control VM %.1f, entry %.1f, reading all %.1f times\n",
 	       r[2].leader.total / r[0].leader.total,
-	       r[2].member.total / r[0].member.total,
+	       r[2].control_vm.total / r[0].control_vm.total,
 	       r[2].entry.total / r[0].entry.total,
 	       r[2].baseline.total / r[0].baseline.total);
 	poptFreeContext(ctx);
--- a/bench/streams.c
+++ b/bench/streams.c
@@ -76,11 +76,11 @@
 {
 	struct poptOption options[] = {
 		{ "ms", 0, POPT_ARG_INT, &measured_ms, 0,
-		  "measure for so long, in simulated ms", "MS" },
+		  "measured time, in simulated ms", "MS" },
 		{ "streams", 0, POPT_ARG_DOUBLE, &streams, 0,
-		  "streams a second of each entry that may be resumed", "N" },
+		  "resumable streams started per second and entry", "N" },
 		{ "taken-up", 0, POPT_ARG_DOUBLE, &resumed, 0,
-		  "streams a second that are taken up at each entry", "N" },
+		  "streams resumed per second and entry", "N" },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext(NULL, argc, argv, options, 0);
