--- a/tools/faults.py
+++ b/tools/faults.py
@@ -252,7 +252,7 @@
     p.add_argument("--rounds", type=int, default=3)
     p.add_argument("--build", default="build")
     p.add_argument("--ignore-fence", action="store_true",
-                   help="engines ignore the fencing number")
+                   help="engines ignore the fencing token")
     args = p.parse_args()
     s = System(os.path.join(ROOT, args.build, "faults"), build=args.build,
                snapshot_entries=100, checks_fence=not args.ignore_fence,
@@ -278,7 +278,7 @@
                             a + history.DRAIN_GRACE_MS < e["at"] < b
                             for a, b in spans):
                         print("late work: %s %s in %s" % (name, e, spans))
-            bad = [c for c in history.FAULTS if counts[c]]
+            bad = [c for c in history.VIOLATIONS if counts[c]]
             print("seed %d: %d requests, %d faults%s" % (
                 args.seed + i, counts["requests"], len(faults.done),
                 "  BROKEN: " + ", ".join(bad) if bad else ""), flush=True)
@@ -290,7 +290,7 @@
     print("\n%d faults: %s" % (len(injected), ", ".join(
         "%s %d" % (k, injected.count(k)) for k in sorted(set(injected)))))
     print(history.table(total))
-    return 1 if any(total[c] for c in history.FAULTS) else 0
+    return 1 if any(total[c] for c in history.VIOLATIONS) else 0
 
 
 if __name__ == "__main__":
--- a/tools/history.py
+++ b/tools/history.py
@@ -28,7 +28,7 @@
           "cut_but_whole", "memory_over", "undecided_replicas",
           "work_after_leaving", "config_reverted"]
 # Counts that must be zero.
-FAULTS = COUNTS[5:]
+VIOLATIONS = COUNTS[5:]
 DRAIN_GRACE_MS = 3000  # work may still start this long after a drain begins
 
 
@@ -114,6 +114,6 @@
 
 def table(counts):
     lines = ["%-22s %8d%s" % (c, counts[c], "  <- must be 0"
-                              if c in FAULTS and counts[c] else "")
+                              if c in VIOLATIONS and counts[c] else "")
              for c in COUNTS]
     return "\n".join(lines)
