--- a/bench/routing.c
+++ b/bench/routing.c
@@ -124,16 +124,16 @@
 /* Does the baseline's work: unpacks and parses all routes. */
 static void read_all(const GString *text, struct cost *c)
 {
-	GString *packed = g_string_new(NULL), *opened;
+	GString *packed = g_string_new(NULL), *decompressed;
 	double from;
 
 	pack_compress(packed, ss_str_gs(text));
 	from = cpu_ms();
-	opened = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
-	routing_unref(
-		routing_read(users_platform.routing, ss_str_gs(opened), NULL));
+	decompressed = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
+	routing_unref(routing_read(users_platform.routing,
+				   ss_str_gs(decompressed), NULL));
 	add_iteration(c, cpu_ms() - from);
-	g_string_free(opened, TRUE);
+	g_string_free(decompressed, TRUE);
 	g_string_free(packed, TRUE);
 }
 
--- a/tools/demo_load.py
+++ b/tools/demo_load.py
@@ -6,7 +6,7 @@
 import time
 from collections import namedtuple
 
-# Importing it puts the tests' stand-ins on the module path.
+# Importing demo_signals puts the tests' stand-ins on the module path.
 from demo_signals import SEED, run
 from soak import RECOVERY_S, until
 from soak_fleet import engine_parts
@@ -84,7 +84,7 @@
             [title] + lines + ([] if ok else ["^ not as promised"])))
         self.bad += not ok
 
-    async def slow_engine(self, title, slow_s, share, late_most):
+    async def slow_engine(self, title, slow_s, share, late_max):
         """Chats at two engines; the slow one must get less than this share."""
         self.fast.step, self.slow.step = FAST_S, slow_s
         calls = await self.chats(CHATS_S)
@@ -96,7 +96,7 @@
             "%d of %d answered, %d of them after more than %d ms" % (
                 whole, len(calls), late, GOAL_MS),
             "the fast engine got %d, the slow one %d" % (fast, slow)],
-            whole == len(calls) and slow < whole * share and late <= late_most)
+            whole == len(calls) and slow < whole * share and late <= late_max)
 
     async def full_engine(self):
         """Callers of low priority wait first, then as many urgent ones."""
--- a/tools/demo_versions.py
+++ b/tools/demo_versions.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-# Importing it puts the tests' stand-ins on the module path.
+# Importing demo_signals puts the tests' stand-ins on the module path.
 from demo_signals import SEED, run
 from soak_operators import Operators
 from soak_versions import mixed_version_streams
--- a/tools/system.py
+++ b/tools/system.py
@@ -162,7 +162,8 @@
         with open(self.token, "w") as f:
             f.write("demo-token\n")
         self._write_models()
-        # listen_via: name -> function that puts a test's relay in front of it.
+        # listen_via: name of an agent -> function that puts a test's relay in
+        # front of its address and returns that of the relay.
         self.listen_via = listen_via or {}
         self._standin("store", self.store, "store",
                       "--store-mbps", str(store_mbps))
