--- a/bench/load.c
+++ b/bench/load.c
@@ -1,7 +1,7 @@
 /*
  * Closed-loop load generator: each connection sends its next request as soon as
- * the last one is answered, for a given time. Prints one line of JSON: the
- * number of requests, events and errors, and latencies in us: of whole answers,
+ * the previous one is answered, for a given time. Prints one line of JSON: the
+ * number of requests, events and errors, and latencies in us of whole answers,
  * until the first event (first_), and between two events of a stream (pause_).
  */
 #include <event2/buffer.h>
@@ -22,9 +22,9 @@
 	struct event_base *base;
 	char *ip;
 	uint16_t port;
-	const char *path, *body, *method,
-		*key; /* key: Authorization header or NULL */
-	struct hist latency, first, gap;
+	const char *path, *body, *method;
+	const char *key;		   /* Authorization header, or NULL */
+	struct hist latency, first, pause; /* us */
 	uint64_t requests, events, errors, sent;
 };
 
@@ -54,7 +54,7 @@
 	while (p.pos >= 0) {
 		c->l->events++;
 		if (c->event_us)
-			hist_add(&c->l->gap, (uint64_t)(now - c->event_us));
+			hist_add(&c->l->pause, (uint64_t)(now - c->event_us));
 		else
 			hist_add(&c->l->first, (uint64_t)(now - c->sent_us));
 		c->event_us = now;
@@ -124,11 +124,11 @@
 		{ "method", 'm', POPT_ARG_STRING, &l.method, 0, "method",
 		  NULL },
 		{ "key", 'k', POPT_ARG_STRING, &l.key, 0,
-		  "of a customer, with its scheme", NULL },
+		  "Authorization header, with its scheme", NULL },
 		{ "connections", 'c', POPT_ARG_INT, &conns, 0, "count", NULL },
-		{ "seconds", 's', POPT_ARG_INT, &seconds, 0, "how long", NULL },
+		{ "seconds", 's', POPT_ARG_INT, &seconds, 0, "duration", NULL },
 		{ "spread", 'r', POPT_ARG_INT, &spread_ms, 0,
-		  "connections begin spread over so many ms", NULL },
+		  "time over which connections start, in ms", NULL },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext("bench-load", argc, argv, options, 0);
@@ -159,7 +159,7 @@
 	       (double)(now_us() - start) / 1e6);
 	print_quantiles("", &l.latency);
 	print_quantiles("first_", &l.first);
-	print_quantiles("pause_", &l.gap);
+	print_quantiles("pause_", &l.pause);
 	printf("}\n");
 	return 0;
 }
--- a/bench/quota.c
+++ b/bench/quota.c
@@ -183,7 +183,7 @@
 	fflush(stdout);
 }
 
-/* Customers send about three times their limit for half of the time. */
+/* Bursts: customers send about three times their limit half of the time. */
 static const struct world_event bursts[] = {
 	{ 2000, WORLD_HOT, 3000, 0, 4, 6 },
 	{ 8000, WORLD_HOT, 3000, 0, 4, 6 },
@@ -281,19 +281,19 @@
 {
 	const struct poptOption table[] = {
 		{ "seeds", 's', POPT_ARG_INT, &seeds, 0,
-		  "runs of each scenario", "N" },
+		  "number of seeds per scenario", "N" },
 		{ "entries", 'e', POPT_ARG_INT, &entries, 0,
 		  "only this number (31, 105, 340)", "N" },
 		{ "customers", 'c', POPT_ARG_INT, &customers, 0,
-		  "only this number (16, 1000, 10000)", "N" },
+		  "only this count (16, 1000, 10000)", "N" },
 		{ "way", 'w', POPT_ARG_STRING, &only_scheme, 0,
 		  "only this scheme (even, lease, owner)", "NAME" },
 		{ "day", 'd', POPT_ARG_STRING, &only_scenario, 0,
-		  "only scenarios whose names begin with this", "NAME" },
+		  "only scenarios whose names begin with NAME", "NAME" },
 		{ "classes", 0, POPT_ARG_NONE, &classes, 0,
-		  "compare how classes of requests share a limit", NULL },
-		{ "csv", 0, POPT_ARG_NONE, &csv, 0, "as comma-separated values",
-		  NULL },
+		  "compare how classes share a limit instead", NULL },
+		{ "csv", 0, POPT_ARG_NONE, &csv, 0,
+		  "print comma-separated values", NULL },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext ctx = poptGetContext("quota", argc, argv, table, 0);
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -1,8 +1,8 @@
 /*
  * Benchmark of a routing change: the processor time that the leader, a control
  * VM and an entry spend on adding one route to few or many, or many routes at
- * once. As a baseline in the same run, an entry that parses all routes at each
- * change.
+ * once. The baseline, in the same run, is an entry that parses all routes at
+ * each change.
  */
 #include <popt.h>
 #include <stdio.h>
@@ -64,11 +64,11 @@
 }
 
 struct result {
-	struct cost leader, member, entry, baseline;
+	struct cost leader, control_vm, entry, baseline;
 	size_t bytes;
 };
 
-/* The leader compares the operator's text, parses, checks and packs it. */
+/* Does the leader's work: compares, parses, checks and packs the text. */
 static GString *leader_update(struct document *d, struct routing *r,
 			      const GString *text, struct cost *c)
 {
@@ -95,9 +95,9 @@
 	return packed;
 }
 
-/* A control VM applies the change, and serves it as it stands in the log. */
-static void member_apply(struct document *d, const GString *packed,
-			 struct cost *c)
+/* Does a control VM's work; it serves the change as stored in the log. */
+static void control_vm_apply(struct document *d, const GString *packed,
+			     struct cost *c)
 {
 	double from = cpu_ms();
 	struct document_patch *n = document_unpack(ss_str_gs(packed), NULL);
@@ -121,19 +121,19 @@
 	}
 }
 
-/* Baseline: unpacks and parses all routes. */
+/* Does the baseline's work: unpacks and parses all routes. */
 static void read_all(const GString *text, struct cost *c)
 {
-	GString *packed = g_string_new(NULL), *opened;
+	GString *packed = g_string_new(NULL), *decompressed;
 	double from;
 
 	pack_compress(packed, ss_str_gs(text));
 	from = cpu_ms();
-	opened = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
-	routing_unref(
-		routing_read(users_platform.routing, ss_str_gs(opened), NULL));
+	decompressed = pack_decompress(ss_str_gs(packed), 64u << 20, NULL);
+	routing_unref(routing_read(users_platform.routing,
+				   ss_str_gs(decompressed), NULL));
 	add_iteration(c, cpu_ms() - from);
-	g_string_free(opened, TRUE);
+	g_string_free(decompressed, TRUE);
 	g_string_free(packed, TRUE);
 }
 
@@ -158,17 +158,17 @@
 
 	whole = leader_update(d, routing_follower_table(leader), before,
 			      &unused);
-	member_apply(d, whole, &unused);
+	control_vm_apply(d, whole, &unused);
 	follower_update(leader, whole, &unused);
 	follower_update(entry, whole, &unused);
 	change = leader_update(d, routing_follower_table(leader), after,
 			       &r.leader);
-	member_apply(d, change, &r.member);
+	control_vm_apply(d, change, &r.control_vm);
 	follower_update(entry, change, &r.entry);
 	read_all(after, &r.baseline);
 	best->bytes = change->len;
 	keep_minimum(&best->leader, &r.leader);
-	keep_minimum(&best->member, &r.member);
+	keep_minimum(&best->control_vm, &r.control_vm);
 	keep_minimum(&best->entry, &r.entry);
 	keep_minimum(&best->baseline, &r.baseline);
 	g_string_free(whole, TRUE);
@@ -181,8 +181,8 @@
 }
 
 /*
- * Time until the last process has a change: a notice, a request and its reply
- * cross the network, the control VM serves its processes one after
+ * Returns the time until the last process has a change: a notice, a request and
+ * its reply cross the network, the control VM serves its processes one after
  * another, and the process reads the change.
  */
 static double propagation_ms(size_t bytes, double read_cpu_ms)
@@ -208,10 +208,11 @@
 
 int main(int argc, const char **argv)
 {
-	struct poptOption options[] = { { "rounds", 'n', POPT_ARG_INT, &rounds,
-					  0, "of each case; the least counts",
-					  "N" },
-					POPT_AUTOHELP POPT_TABLEEND };
+	struct poptOption options[] = {
+		{ "rounds", 'n', POPT_ARG_INT, &rounds, 0,
+		  "rounds of each case; the fastest counts", "N" },
+		POPT_AUTOHELP POPT_TABLEEND
+	};
 	poptContext ctx = poptGetContext("routing", argc, argv, options, 0);
 	struct result r[G_N_ELEMENTS(cases)] = { 0 };
 
@@ -227,7 +228,7 @@
 		print_row(cases[i].held, cases[i].added,
 			  "leader, operator's call", &r[i].leader);
 		print_row(cases[i].held, cases[i].added, "control VM",
-			  &r[i].member);
+			  &r[i].control_vm);
 		print_row(cases[i].held, cases[i].added, "entry", &r[i].entry);
 		print_row(cases[i].held, cases[i].added, "entry, reading all",
 			  &r[i].baseline);
@@ -241,7 +242,7 @@
 	printf("one route more among 12000, against among 50: leader %.1f, "
 	       "control VM %.1f, entry %.1f, reading all %.1f times\n",
 	       r[2].leader.total / r[0].leader.total,
-	       r[2].member.total / r[0].member.total,
+	       r[2].control_vm.total / r[0].control_vm.total,
 	       r[2].entry.total / r[0].entry.total,
 	       r[2].baseline.total / r[0].baseline.total);
 	poptFreeContext(ctx);
--- a/src/ctl/spread.c
+++ b/src/ctl/spread.c
@@ -24,7 +24,8 @@
 
 struct process {
 	char *name;
-	int64_t start_ms, lost_ms; /* Unix time; 0 if not seen */
+	/* Unix time of its start, and of the loss of its leader; 0: none. */
+	int64_t start_ms, lost_ms;
 };
 
 struct sample {
@@ -34,7 +35,7 @@
 
 struct spread {
 	GHashTable *processes;	   /* name -> struct process */
-	GHashTable *first_seen_ms; /* change -> int64_t, Unix time */
+	GHashTable *first_seen_ms; /* "kind id" -> int64_t, Unix time */
 	GArray *samples[DELAYS];   /* struct sample */
 };
 
@@ -68,9 +69,9 @@
 }
 
 /*
- * Name of the process that wrote a line. Processes on one VM log the same node
- * name, so the word that a log collector puts before the line is used if there
- * is one.
+ * Returns the name of the process that wrote a line: the last field of the log
+ * collector's prefix, if there is one, as processes on one VM log the same node
+ * name.
  */
 static char *process_name(const char *line, const struct log_line *l)
 {
@@ -111,7 +112,7 @@
 	g_array_append_val(s->samples[kind], x);
 }
 
-/* Time when a change was first logged; records now if this is the first. */
+/* Returns when a change was first logged; records now for a new change. */
 static int64_t first_seen(struct spread *s, const char *kind, const char *id,
 			  int64_t now)
 {
@@ -152,12 +153,12 @@
 static void add_endpoint_restarted(struct spread *s, struct process *p,
 				   const struct log_line *l)
 {
-	char *what = g_strdup_printf("%s %s", log_line_get(l, "addr"),
-				     log_line_get(l, "started"));
+	char *id = g_strdup_printf("%s %s", log_line_get(l, "addr"),
+				   log_line_get(l, "started"));
 
 	add_sample(s, DELAY_ENDPOINT_RESTART, p,
-		   l->ts_ms - first_seen(s, "restart", what, l->ts_ms));
-	g_free(what);
+		   l->ts_ms - first_seen(s, "restart", id, l->ts_ms));
+	g_free(id);
 }
 
 static void add_line(struct spread *s, const char *line,
--- a/tools/demo_versions.py
+++ b/tools/demo_versions.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-# Importing it puts the tests' stand-ins on the module path.
+# Importing demo_signals puts the tests' stand-ins on the module path.
 from demo_signals import SEED, run
 from soak_operators import Operators
 from soak_versions import mixed_version_streams
@@ -15,7 +15,7 @@
 
 
 async def play(fleet):
-    """Returns the number of failed steps."""
+    """Play the part on a fleet; return the number of failed steps."""
     fleet.operators = Operators(fleet, SEED)
     await two_versions(fleet)
     callers = await begin(fleet, "demo", ["entry-0"], STREAMS)
