--- a/src/core/calls.c
+++ b/src/core/calls.c
@@ -340,8 +340,8 @@
 	}
 }
 
-void calls_piece(struct calls *t, struct call *c, struct msg_reply *piece,
-		 int64_t now)
+void calls_add_piece(struct calls *t, struct call *c, struct msg_reply *piece,
+		     int64_t now)
 {
 	struct piece *p;
 
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -73,8 +73,8 @@
 void calls_peer_gone(struct calls *t, void *peer, int64_t now);
 
 /* Stores and forwards a piece of the endpoint's reply; the last has end set. */
-void calls_piece(struct calls *t, struct call *c, struct msg_reply *piece,
-		 int64_t now);
+void calls_add_piece(struct calls *t, struct call *c, struct msg_reply *piece,
+		     int64_t now);
 
 /* Evicts expired calls and cancels orphaned ones. */
 void calls_tick(struct calls *t, int64_t now);
--- a/src/core/crash_log.h
+++ b/src/core/crash_log.h
@@ -38,7 +38,8 @@
 /* Appends an outcome. One that isn't a crash replaces the request's crashes. */
 void crash_log_add(struct crash_log *l, const struct run_outcome *e);
 /* Removes the crashes of a request that was cleared. */
-void crash_log_drop(struct crash_log *l, const struct fingerprint *fp);
+void crash_log_remove_crashes(struct crash_log *l,
+			      const struct fingerprint *fp);
 /* Starts over for a new leader, which has received no reports: all crashes are
  * reported again; other outcomes that the last leader has are removed. */
 void crash_log_rewind(struct crash_log *l);
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -104,7 +104,7 @@
 	struct ss_str data;
 };
 
-enum held_state {
+enum held_replica_state {
 	HELD_LOADING = 1,
 	HELD_READY,
 	HELD_UNLOADING,
@@ -117,7 +117,7 @@
 	uint64_t replica; /* 0: loaded without an order */
 	struct ss_str model;
 	uint64_t bytes;
-	int64_t state;	 /* enum held_state */
+	int64_t state;	 /* enum held_replica_state */
 	int64_t load_ms; /* duration of the load */
 	uint64_t active; /* calls in flight */
 	uint64_t served; /* calls since the start of the agent */
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -359,7 +359,7 @@
 	GArray *at = g_array_new(FALSE, FALSE, sizeof(guint));
 	GPtrArray *added = items_of_part(u, DOCUMENT_CUSTOMER, at);
 	const struct customer *other;
-	enum customers_clash clash;
+	enum customers_conflict clash;
 	guint i;
 
 	clash = customers_check(&u->r->customers, added, &i, &other);
--- a/src/customer/customer.c
+++ b/src/customer/customer.c
@@ -119,13 +119,13 @@
 	return c && !c->removing ? c : NULL;
 }
 
-enum customers_clash customers_check(const struct customers *t,
-				     const GPtrArray *added, guint *at,
-				     const struct customer **other)
+enum customers_conflict customers_check(const struct customers *t,
+					const GPtrArray *added, guint *at,
+					const struct customer **other)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *keys = g_hash_table_new(key_hash, key_equal);
-	enum customers_clash conflict = CUSTOMERS_NO_CONFLICT;
+	enum customers_conflict conflict = CUSTOMERS_NO_CONFLICT;
 
 	for (*at = 0; *at < added->len && !conflict; ++*at) {
 		struct customer *c = added->pdata[*at];
--- a/src/customer/customer.h
+++ b/src/customer/customer.h
@@ -60,10 +60,14 @@
  * On a conflict, added[*at] has the same name or a key as *other, which is
  * either in the table and stays, or comes earlier in the list.
  */
-enum customers_clash { CUSTOMERS_NO_CONFLICT, CUSTOMERS_NAME, CUSTOMERS_KEY };
-enum customers_clash customers_check(const struct customers *t,
-				     const GPtrArray *added, guint *at,
-				     const struct customer **other);
+enum customers_conflict {
+	CUSTOMERS_NO_CONFLICT,
+	CUSTOMERS_NAME,
+	CUSTOMERS_KEY
+};
+enum customers_conflict customers_check(const struct customers *t,
+					const GPtrArray *added, guint *at,
+					const struct customer **other);
 
 /* Adds a customer; the table takes over the reference. Customers that are
  * marked as removed must be removed first. */
--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -86,7 +86,7 @@
 	if (m->code == SS_ERROR_UNKNOWN_MODEL)
 		a->read_ms = 0; /* read the endpoint's models at once */
 	if (!m->end) {
-		calls_piece(a->calls, j->call, m, now);
+		calls_add_piece(a->calls, j->call, m, now);
 		return;
 	}
 	log_debug("call_end",
@@ -95,7 +95,7 @@
 		  j->request_id, call_entry(j->call), call_seq(j->call),
 		  now - j->start_ms,
 		  m->code ? ss_error_name((enum ss_error)m->code) : "none");
-	calls_piece(a->calls, j->call, m, now);
+	calls_add_piece(a->calls, j->call, m, now);
 	job_end(j);
 }
 
@@ -139,7 +139,7 @@
 
 	(*a->n_cancelled)++;
 	a->ops->cancel(j->endpoint_call);
-	calls_piece(a->calls, c, &m, now_ms(a));
+	calls_add_piece(a->calls, c, &m, now_ms(a));
 	job_end(j);
 }
 
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -15,7 +15,7 @@
 /* A replica as its node reported it. */
 struct leader_held {
 	uint64_t replica;
-	int64_t state; /* enum held_state */
+	int64_t state; /* enum held_replica_state */
 	uint64_t active, served;
 	int64_t idle_ms;
 };
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -203,7 +203,7 @@
 
 		suspects_apply(g->suspects, &w, now);
 		if (w.cleared)
-			crash_log_drop(&g->crash_log, &w.fingerprint);
+			crash_log_remove_crashes(&g->crash_log, &w.fingerprint);
 	}
 	/* What the leader has sent isn't reported back to it. */
 	if (leader_knows)
--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -25,7 +25,7 @@
 
 /* A model of an engine: it carries out orders late and may restart. */
 struct Engine {
-	std::map<std::string, int> held; /* enum held_state */
+	std::map<std::string, int> held; /* enum held_replica_state */
 	std::map<std::string, uint64_t> bytes;
 	/* Orders that wait: a model, and whether to load it. */
 	std::vector<std::pair<std::string, bool>> orders;
@@ -258,7 +258,7 @@
 	m.end = true;
 	m.code = SS_ERROR_CANCELLED;
 	m.outcome = OUTCOME_UNKNOWN;
-	calls_piece(w->t, c, &m, w->now);
+	calls_add_piece(w->t, c, &m, w->now);
 }
 
 void reply(void *arg, void *, const msg_reply *m)
@@ -335,7 +335,7 @@
 	m.end = (v >> 20) % 3 == 0;
 	if (m.end)
 		w.running.erase(id);
-	calls_piece(w.t, c, &m, w.now);
+	calls_add_piece(w.t, c, &m, w.now);
 }
 
 void calls_step(CallsState &w, uint32_t v)
--- a/test/prop_suspects.cc
+++ b/test/prop_suspects.cc
@@ -176,7 +176,7 @@
 
 			suspects_apply(e.s, st, now);
 			if (st->cleared)
-				crash_log_drop(&e.log, &st->fingerprint);
+				crash_log_remove_crashes(&e.log, &st->fingerprint);
 		}
 		e.merged = suspects_mark(e.s);
 		g_array_unref(states);
--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -370,7 +370,7 @@
 {
 	struct msg_reply m = { .data = ss_str(data), .end = end };
 
-	calls_piece(x->t, x->l.last, &m, 0);
+	calls_add_piece(x->t, x->l.last, &m, 0);
 }
 
 /*
--- a/test/test_customer.c
+++ b/test/test_customer.c
@@ -59,7 +59,7 @@
 static const struct {
 	const char *label;
 	struct row added[2];
-	enum customers_clash conflict;
+	enum customers_conflict conflict;
 	guint at;
 	const char *other;
 } changes[] = {
@@ -123,7 +123,7 @@
 			(GDestroyNotify)customer_unref);
 		struct customer *b = customer("b", KEYS("k2"));
 		const struct customer *other;
-		enum customers_clash conflict;
+		enum customers_conflict conflict;
 		struct customers t;
 		guint at;
 
