--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -285,12 +285,12 @@
 
 	switch (f->kind) {
 	case MSG_TERM:
-		gate_routing_reported(e->gate, f->u.term.routing);
+		gate_routing_version_received(e->gate, f->u.term.routing);
 		routing_fetch_want(e->routing, e->link, f->u.term.routing);
 		break;
 	case MSG_FLEET:
 		e->leader_ms = now_ms(e);
-		gate_take_fleet(e->gate, &f->u.fleet);
+		gate_fleet_received(e->gate, &f->u.fleet);
 		/* The report acknowledges the snapshot or change. The leader
 		 * waits for that before it unloads models, and before it sends
 		 * more snapshots than its send window holds. */
@@ -298,19 +298,19 @@
 			send_demand(e, now_ms(e));
 		break;
 	case MSG_QUARANTINE:
-		gate_take_quarantine(e->gate, &f->u.quarantine);
+		gate_quarantine_received(e->gate, &f->u.quarantine);
 		break;
 	case MSG_TRIAL:
-		gate_take_trial(e->gate, &f->u.trial);
+		gate_trial_received(e->gate, &f->u.trial);
 		break;
 	case MSG_STREAM_REPLY:
-		gate_take_stream(e->gate, &f->u.stream_reply);
+		gate_stream_reply_received(e->gate, &f->u.stream_reply);
 		break;
 	case MSG_QUOTA_REPLY:
-		gate_take_quota(e->gate, &f->u.quota_reply);
+		gate_quota_reply_received(e->gate, &f->u.quota_reply);
 		break;
 	case MSG_LIMIT_REPLY:
-		gate_take_limit(e->gate, &f->u.quota_reply);
+		gate_limit_reply_received(e->gate, &f->u.quota_reply);
 		break;
 	default:
 		break;
@@ -363,7 +363,7 @@
 {
 	struct fleet_entry *e = arg;
 
-	gate_take_list(e->gate, all);
+	gate_list_received(e->gate, all);
 }
 
 /* Readiness and shutdown. */
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -122,7 +122,7 @@
 	return g->routing_version;
 }
 
-void gate_routing_reported(struct gate *g, uint64_t version)
+void gate_routing_version_received(struct gate *g, uint64_t version)
 {
 	freshness_received(&g->freshness, version, gate_now(g));
 }
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -69,16 +69,16 @@
 /* Called when a confirmed leader has reported the version in force, and when
  * the leader was lost. The gate derives from these whether its routing may be
  * out of date. */
-void gate_routing_reported(struct gate *g, uint64_t version);
+void gate_routing_version_received(struct gate *g, uint64_t version);
 void gate_leader_lost(struct gate *g);
 /* Whether its routing is so old that it refuses all requests. */
 bool gate_is_stale(const struct gate *g);
 
 /* Takes the leader's report on endpoints and models. */
-void gate_take_fleet(struct gate *g, const struct msg_fleet *m);
+void gate_fleet_received(struct gate *g, const struct msg_fleet *m);
 /* Takes the list of endpoints itself, while no leader is in contact. May drop
  * entries from the list. */
-void gate_take_list(struct gate *g, struct fleet_list *list);
+void gate_list_received(struct gate *g, struct fleet_list *list);
 bool gate_knows_fleet(const struct gate *g);
 
 void gate_adapter_done(struct gate *g, const struct msg_adapter_done *m);
@@ -104,8 +104,8 @@
 /* Called when a new leader was found, which has no reports of this entry
  * yet. */
 void gate_leader_found(struct gate *g);
-void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m);
-void gate_take_trial(struct gate *g, const struct msg_trial *m);
+void gate_quarantine_received(struct gate *g, const struct msg_quarantine *m);
+void gate_trial_received(struct gate *g, const struct msg_trial *m);
 /*
  * Crash reports that the leader doesn't have yet, a piece at a time; false:
  * there are none. gate_crash_report_done() frees the piece, and marks it as
@@ -124,17 +124,18 @@
  * Free it with gate_stream_report_done(). */
 bool gate_stream_report(struct gate *g, struct stream_wire *w);
 void gate_stream_report_done(struct gate *g, struct stream_wire *w, bool sent);
-void gate_take_stream(struct gate *g, const struct msg_stream_reply *m);
+void gate_stream_reply_received(struct gate *g,
+				const struct msg_stream_reply *m);
 
 /* Customers' limits: adds the requests for grants that are due, as struct
  * quota_request; their strings live until the next call. Takes the reply. */
 void gate_quota_requests(struct gate *g, GArray *out);
-void gate_take_quota(struct gate *g, const struct msg_quota_reply *m);
+void gate_quota_reply_received(struct gate *g, const struct msg_quota_reply *m);
 
 /* Adds the requests for grants of limits that endpoints state, by address;
  * takes the reply. */
 void gate_limit_requests(struct gate *g, GArray *out);
-void gate_take_limit(struct gate *g, const struct msg_quota_reply *m);
+void gate_limit_reply_received(struct gate *g, const struct msg_quota_reply *m);
 
 void gate_tick(struct gate *g);
 
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -296,7 +296,7 @@
 		 g_hash_table_size(g->eps), from, gate_now(g) - g->since_ms);
 }
 
-void gate_take_fleet(struct gate *g, const struct msg_fleet *m)
+void gate_fleet_received(struct gate *g, const struct msg_fleet *m)
 {
 	const struct fleet_endpoint *e = m->endpoints.items;
 
@@ -379,7 +379,7 @@
 	}
 }
 
-void gate_take_list(struct gate *g, struct fleet_list *list)
+void gate_list_received(struct gate *g, struct fleet_list *list)
 {
 	GHashTable *seen = g_hash_table_new(NULL, NULL);
 	GHashTable *by_addr;
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -253,7 +253,7 @@
 	quota_lease.clients_requests(g->quota_client, gate_now(g), out);
 }
 
-void gate_take_quota(struct gate *g, const struct msg_quota_reply *m)
+void gate_quota_reply_received(struct gate *g, const struct msg_quota_reply *m)
 {
 	const struct quota_reply *w = m->replies.items;
 
--- a/src/proxy/gate_signals.c
+++ b/src/proxy/gate_signals.c
@@ -286,7 +286,7 @@
 	quota_lease.clients_requests(g->limit_client, gate_now(g), out);
 }
 
-void gate_take_limit(struct gate *g, const struct msg_quota_reply *m)
+void gate_limit_reply_received(struct gate *g, const struct msg_quota_reply *m)
 {
 	const struct quota_reply *w = m->replies.items;
 
--- a/src/proxy/quarantine.c
+++ b/src/proxy/quarantine.c
@@ -146,7 +146,7 @@
 		refuse(f, TRIAL_RETRY_AFTER_MS);
 }
 
-void gate_take_trial(struct gate *g, const struct msg_trial *m)
+void gate_trial_received(struct gate *g, const struct msg_trial *m)
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 	struct fingerprint fp = { m->fingerprint_hi, m->fingerprint_lo };
@@ -185,7 +185,7 @@
 	quota_lease.clients_link(g->limit_client, NULL, true, gate_now(g));
 }
 
-void gate_take_quarantine(struct gate *g, const struct msg_quarantine *m)
+void gate_quarantine_received(struct gate *g, const struct msg_quarantine *m)
 {
 	const struct suspect_item *x = m->suspects.items;
 	bool leader_knows = g->suspects_mark == suspects_mark(g->suspects);
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -342,7 +342,8 @@
 		       NO_LEADER_RETRY_AFTER_MS);
 }
 
-void gate_take_stream(struct gate *g, const struct msg_stream_reply *m)
+void gate_stream_reply_received(struct gate *g,
+				const struct msg_stream_reply *m)
 {
 	struct forward *f = g_hash_table_lookup(g->tickets, &m->sub);
 	char *service, *version;
--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -270,7 +270,7 @@
 			&held, *model && !f->eps[i].empty ? 1 : 0
 		};
 	}
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 void set_routing(struct fix *f, const char *json)
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -411,7 +411,7 @@
 	script_answer(&f, 1, OK_TEXT, false, false);
 	e.addr = ss_str(f.eps[0].addr);
 	e.id = ss_str(f.eps[0].id);
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	for (int i = 0; i < 5; i++) {
 		struct caller *c = call(&f, GET_SAFE);
 
@@ -422,7 +422,7 @@
 	/* The last endpoint that is left gets none either. */
 	e.addr = ss_str(f.eps[1].addr);
 	e.id = ss_str(f.eps[1].id);
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	call(&f, GET_SAFE);
 	UNTIL(&f, gate_busy(f.gate) > 0);
 	run_loop_once(&f);
--- a/test/test_gate_admission.c
+++ b/test/test_gate_admission.c
@@ -52,7 +52,7 @@
 	set_routing(f, routing_text);
 	e.addr = ss_str(f->eps[0].addr);
 	e.id = ss_str(f->eps[0].id);
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 /* Sends a request; what: route and model, as "Um" for an urgent one for m. */
@@ -171,7 +171,7 @@
 		etas[i].model = ss_str(names[i]);
 		etas[i].eta_ms = -1;
 	}
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	send_request(&f, "Px", 'a');
 	send_request(&f, "Um", 'b');
 	UNTIL(&f, f.eps[0].requests == 1);
--- a/test/test_gate_backoff.c
+++ b/test/test_gate_backoff.c
@@ -65,7 +65,7 @@
 {
 	struct msg_fleet m = { .fence = 1, .full = true };
 
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 static void send_list(struct fix *f, const struct signal_case *x, int64_t at)
--- a/test/test_gate_customers.c
+++ b/test/test_gate_customers.c
@@ -254,7 +254,7 @@
 
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
-	gate_routing_reported(f.gate, 3);
+	gate_routing_version_received(f.gate, 3);
 	c = call(&f, GET_WITH(KEY("key-5")));
 	advance_clock(&f, 300);
 	assert_int_equal(c->got->len, 0);
@@ -275,7 +275,7 @@
 
 	(void)state;
 	open_with_keys(&f, "web", "", OK_TEXT);
-	gate_routing_reported(f.gate, 3);
+	gate_routing_version_received(f.gate, 3);
 	advance_clock(&f, FRESHNESS_APPLY_MS + FRESHNESS_HOLD_MS + 100);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
@@ -296,7 +296,7 @@
 	apply_config(&f, CONFIG("2", TWO_CUSTOMERS));
 	script_answer(&f, 0, OK_TEXT, false, false);
 	script_answer(&f, 1, OK_TEXT, false, false);
-	gate_routing_reported(f.gate, 2);
+	gate_routing_version_received(f.gate, 2);
 	gate_leader_lost(f.gate);
 	advance_clock(&f, 1500);
 	c = call(&f, GET_WITH(KEY("key-1")));
@@ -306,7 +306,7 @@
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	c = call(&f, REQ("GET", "/free/x") "\r\n");
 	UNTIL(&f, received_ends_with(c, "hello"));
-	gate_routing_reported(f.gate, 2);
+	gate_routing_version_received(f.gate, 2);
 	c = call(&f, GET_WITH(KEY("key-1")));
 	UNTIL(&f, received_ends_with(c, "hello"));
 	fix_close(&f);
--- a/test/test_gate_draining.c
+++ b/test/test_gate_draining.c
@@ -574,7 +574,7 @@
 	done.sub = f.asked;
 	e.addr = ss_str(f.eps[0].addr);
 	e.id = ss_str(f.eps[0].id);
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	gate_adapter_done(f.gate, &done);
 	/* The adapter is requested at another endpoint. */
 	UNTIL(&f, f.asked != done.sub);
--- a/test/test_gate_failing.c
+++ b/test/test_gate_failing.c
@@ -15,7 +15,7 @@
 				.failure_rate = permille };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
 
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 /* Takes the gate's next report and reads its call results for an endpoint; -1:
--- a/test/test_gate_lifecycle.c
+++ b/test/test_gate_lifecycle.c
@@ -137,7 +137,7 @@
 					    "X-Not-Executed: "
 					    "1\r\nContent-Length: 0\r\n\r\n");
 	UNTIL(&f, gate_busy(f.gate) > 0);
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_true(has_received(c, "Retry-After: "));
 	assert_true(has_received(c, "not_run"));
@@ -164,7 +164,7 @@
 	fix_open(&f, "lm", "");
 	c = call(&f, POST_BRIEF);
 	UNTIL(&f, gate_busy(f.gate) > 0);
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_true(has_received(c, "Retry-After: 3."));
 	assert_int_equal(f.clock.fake_ms, 100000);
@@ -221,7 +221,7 @@
 	for (int i = 0; i < 4; i++)
 		run_one_stream(&f, 1000, 48);
 	report_fleet(&f, "lm", "");
-	gate_take_fleet(f.gate, &m);
+	gate_fleet_received(f.gate, &m);
 	now = f.clock.fake_ms;
 	c = call(&f, POST_BRIEF);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
--- a/test/test_gate_limit.c
+++ b/test/test_gate_limit.c
@@ -123,7 +123,7 @@
 	c->grant_requests += (int)grant_requests->len;
 	m.replies = (struct wire_list){ replies->data, replies->len };
 	if (replies->len)
-		gate_take_limit(c->gates[i], &m);
+		gate_limit_reply_received(c->gates[i], &m);
 	g_array_unref(grant_requests);
 	g_array_unref(replies);
 }
@@ -364,7 +364,7 @@
 					 .grant = a->want };
 		struct msg_quota_reply m = { .replies = { &w, 1 } };
 
-		gate_take_limit(f->gate, &m);
+		gate_limit_reply_received(f->gate, &m);
 	}
 	g_array_unref(grant_requests);
 }
--- a/test/test_gate_list.c
+++ b/test/test_gate_list.c
@@ -72,7 +72,7 @@
 	fleet_list_init(&l);
 	add_shape(f, &l, i, shape);
 	add_instance(f, &l, !i, "web");
-	gate_take_list(f->gate, &l);
+	gate_list_received(f->gate, &l);
 	fleet_list_clear(&l);
 }
 
--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -66,7 +66,7 @@
 	struct suspect_item x = { p.hi, p.lo, cleared, left_ms, 0 };
 	struct msg_quarantine m = { .fence = fence, .suspects = { &x, 1 } };
 
-	gate_take_quarantine(f->gate, &m);
+	gate_quarantine_received(f->gate, &m);
 }
 
 /* Sends a request that crashes its endpoint, and restarts the endpoint. */
@@ -237,7 +237,7 @@
 
 	m.admission = admission;
 	m.wait_ms = wait_ms;
-	gate_take_trial(f->gate, &m);
+	gate_trial_received(f->gate, &m);
 }
 
 /* After the quarantine period the gate asks the leader for a trial run, and
--- a/test/test_gate_quota.c
+++ b/test/test_gate_quota.c
@@ -98,7 +98,7 @@
 		l->requests++;
 	}
 	m.replies = (struct wire_list){ replies->data, replies->len };
-	gate_take_quota(l->f.gate, &m);
+	gate_quota_reply_received(l->f.gate, &m);
 	g_array_unref(requests);
 	g_array_unref(replies);
 }
--- a/test/test_gate_restart.c
+++ b/test/test_gate_restart.c
@@ -241,7 +241,7 @@
 			add_entry(&f, list.instances, c->entries[k].id,
 				  c->entries[k].started_ms,
 				  c->entries[k].holds);
-		gate_take_list(f.gate, &list);
+		gate_list_received(f.gate, &list);
 		call(&f, POST_CHAT);
 		UNTIL(&f, requests_in_progress(&f) > 0);
 		run_loop(&f, 5);
--- a/test/test_gate_retries.c
+++ b/test/test_gate_retries.c
@@ -37,7 +37,7 @@
 
 	set_default_routing(f);
 	report_fleet(f, "web", "");
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 	for (int i = 0; i < ENDPOINTS; i++)
 		script_answer(f, i, FAILURE, false, false);
 	f->clock.fake_ms += x->age_ms;
--- a/test/test_gate_retry_after.c
+++ b/test/test_gate_retry_after.c
@@ -54,7 +54,7 @@
 
 	take_requests(f, number);
 	w.number = *number;
-	gate_take_quota(f->gate, &m);
+	gate_quota_reply_received(f->gate, &m);
 }
 
 static struct caller *refused(struct fix *f, const char *text)
@@ -153,7 +153,7 @@
 			       .endpoints = { &e, 1 },
 			       .etas = { &eta, 1 } };
 
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 /* Lets n callers wait for a full model until they are refused. */
--- a/test/test_gate_slow_reports.c
+++ b/test/test_gate_slow_reports.c
@@ -15,7 +15,7 @@
 				.slowness = ratio };
 	struct msg_fleet m = { .fence = 1, .loads = { &x, 1 } };
 
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 /* Both endpoints are fast, and endpoint 1 is less loaded. */
--- a/test/test_gate_stale.c
+++ b/test/test_gate_stale.c
@@ -52,7 +52,7 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_reported(f.gate, 9);
+	gate_routing_version_received(f.gate, 9);
 	c = call(&f, NEW_ROUTE);
 	advance_clock(&f, 300);
 	assert_int_equal(c->got->len, 0);
@@ -73,7 +73,7 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_reported(f.gate, 9);
+	gate_routing_version_received(f.gate, 9);
 	old = call(&f, GET_SAFE);
 	UNTIL(&f, received_ends_with(old, "hello"));
 	new = call(&f, NEW_ROUTE);
@@ -100,7 +100,7 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_reported(f.gate, 1);
+	gate_routing_version_received(f.gate, 1);
 	gate_leader_lost(f.gate);
 	advance_clock(&f, FRESHNESS_LEADER_LOST_MS);
 	unknown = call(&f, NEW_ROUTE);
@@ -112,7 +112,7 @@
 	unknown = call(&f, NEW_ROUTE);
 	UNTIL(&f, has_received(unknown, "HTTP/1.1 503 "));
 	/* A new leader confirms that the version is unchanged. */
-	gate_routing_reported(f.gate, 1);
+	gate_routing_version_received(f.gate, 1);
 	unknown = call(&f, NEW_ROUTE);
 	UNTIL(&f, has_received(unknown, "HTTP/1.1 404 "));
 	fix_close(&f);
@@ -127,14 +127,14 @@
 
 	(void)state;
 	open_answering(&f);
-	gate_routing_reported(f.gate, 1);
+	gate_routing_version_received(f.gate, 1);
 	run_loop_once(&f);
 	f.clock.fake_ms += 3000;
 	c = call(&f, NEW_ROUTE);
 	for (int i = 0; i < 20; i++)
 		run_loop_once(&f);
 	assert_int_equal(c->got->len, 0);
-	gate_routing_reported(f.gate, 9);
+	gate_routing_version_received(f.gate, 9);
 	set_newer_routing(&f);
 	advance_clock(&f, FRESHNESS_CATCH_UP_MS);
 	UNTIL(&f, received_ends_with(c, "hello"));
--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -159,7 +159,7 @@
 		UNTIL(&f, f.streams_asked);
 		assert_int_equal(f.stream.key != 0, x->names_stream);
 		m.sub = f.stream.sub;
-		gate_take_stream(f.gate, &m);
+		gate_stream_reply_received(f.gate, &m);
 		if (x->served < 0)
 			UNTIL(&f, has_received(c, "503"));
 		else
@@ -283,12 +283,12 @@
 	c = open_and_resume(&f);
 	for (int k = 0; k < 30; k++) {
 		m.sub = f.stream.sub;
-		gate_take_stream(f.gate, &m);
+		gate_stream_reply_received(f.gate, &m);
 		pass_ms(&f, 100);
 	}
 	assert_false(has_received(c, "503"));
 	m.result = STREAM_KNOWN;
-	gate_take_stream(f.gate, &m);
+	gate_stream_reply_received(f.gate, &m);
 	UNTIL(&f, has_received(c, "event3"));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
@@ -306,7 +306,7 @@
 	c = open_and_resume(&f);
 	for (int k = 0; k < 100 && !has_received(c, "503"); k++) {
 		m.sub = f.stream.sub;
-		gate_take_stream(f.gate, &m);
+		gate_stream_reply_received(f.gate, &m);
 		pass_ms(&f, 100);
 	}
 	assert_true(has_received(c, "503"));
@@ -332,7 +332,7 @@
 			       .full = true,
 			       .endpoints = { &e, 1 } };
 
-	gate_take_fleet(f->gate, &m);
+	gate_fleet_received(f->gate, &m);
 }
 
 /* Failure: on a full model a resumed stream never gets a slot, as new requests
@@ -357,7 +357,7 @@
 	c = call(&f, resumed);
 	UNTIL(&f, f.streams_asked);
 	m.sub = f.stream.sub;
-	gate_take_stream(f.gate, &m);
+	gate_stream_reply_received(f.gate, &m);
 	pass_ms(&f, 100);
 	assert_int_equal(f.eps[0].requests, 0);
 	report_running(&f, 7);
