--- a/src/proxy/answer_times.c
+++ b/src/proxy/answer_times.c
@@ -60,7 +60,7 @@
 	if (f->event_mark.events == 0) {
 		gate_speed_answered(f);
 		note_sample(f, timing_record_first, (double)(now - f->sent_ms));
-		gate_start_first(f, now - f->sent_ms);
+		gate_start_first_event(f, now - f->sent_ms);
 		f->event_mark = (struct timing_mark){ now, f->events.count };
 	} else if (timing_measure_gap(&f->event_mark, f->events.count, now,
 				      &gap_ms)) {
@@ -111,7 +111,7 @@
 
 	if (f->state < FORWARD_SENT)
 		return;
-	gate_speed_left(f);
+	gate_speed_abandoned(f);
 	note_sample(f, timing_raise_first, o.first_ms);
 	note_sample(f, timing_raise_event, o.event_ms);
 }
@@ -130,13 +130,13 @@
 
 	g_hash_table_iter_init(&it, g->model_queues);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		((struct model_queue *)p)->open_timing = none;
+		((struct model_queue *)p)->pending_timing = none;
 	g_hash_table_iter_init(&it, g->eps);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		((struct gate_ep *)p)->open_timing = none;
+		((struct gate_ep *)p)->pending_timing = none;
 }
 
-void times_update_open(struct gate *g, int64_t now)
+void times_update_pending(struct gate *g, int64_t now)
 {
 	GHashTableIter it;
 	void *p;
@@ -150,10 +150,10 @@
 
 		if (f->state < FORWARD_SENT)
 			continue;
-		raise_to(&f->home_queue->open_timing, &o);
+		raise_to(&f->home_queue->pending_timing, &o);
 		ep = gate_ep_of(f);
 		if (ep)
-			raise_to(&ep->open_timing, &o);
+			raise_to(&ep->pending_timing, &o);
 	}
 }
 
@@ -171,12 +171,12 @@
 	struct timing_request a = { .service = f->timing,
 				    .model = &f->home_queue->timing,
 				    .endpoint = ep ? &ep->timing : NULL,
-				    .pending = f->home_queue->open_timing,
+				    .pending = f->home_queue->pending_timing,
 				    .tokens = f->call.tokens_out,
 				    .skip = MAX(f->call.after_event, 0) };
 
 	if (ep)
-		raise_to(&a.pending, &ep->open_timing);
+		raise_to(&a.pending, &ep->pending_timing);
 	return is_stream(f) ? timing_stream_ms(&a) :
 			      timing_plain_ms(f->timing, &a.pending);
 }
--- a/src/proxy/begin.c
+++ b/src/proxy/begin.c
@@ -267,7 +267,7 @@
 		forward_refuse_draining(f);
 		return;
 	}
-	if (quota_limits(f))
+	if (quota_applies(f))
 		quota_begin(f);
 	else
 		forward_queue_or_send(f);
--- a/src/proxy/callers.c
+++ b/src/proxy/callers.c
@@ -560,7 +560,7 @@
 	return n;
 }
 
-size_t callers_held_bytes(const struct callers *s)
+size_t callers_body_bytes(const struct callers *s)
 {
 	return s->body_bytes;
 }
--- a/src/proxy/callers.h
+++ b/src/proxy/callers.h
@@ -66,7 +66,7 @@
 size_t callers_busy(const struct callers *s);
 /* Return the bytes of request bodies, and of responses that callers haven't
  * read yet, over all connections. */
-size_t callers_held_bytes(const struct callers *s);
+size_t callers_body_bytes(const struct callers *s);
 size_t callers_unread_bytes(const struct callers *s);
 /* Recomputes the unread bytes; to be called at each tick. */
 void callers_update_unread(struct callers *s);
--- a/src/proxy/forward.c
+++ b/src/proxy/forward.c
@@ -596,13 +596,13 @@
 static void tick_waiting(struct forward *f, int64_t now)
 {
 	if (f->started) {
-		if (resume_hopeless(f))
+		if (resume_is_impossible(f))
 			forward_end(f, false, "its version is gone");
 		else if (now >= f->deadline_ms)
 			forward_end(f, false, "no endpoint could resume it");
 	} else if (times_stop_would_cut(f, NULL)) {
 		forward_refuse_draining(f);
-	} else if (resume_hopeless(f)) {
+	} else if (resume_is_impossible(f)) {
 		forward_refuse(f, f->may_have_run ? 502 : 503, "unavailable",
 			       "its version is gone",
 			       f->may_have_run ? 0 : model_retry_after_ms(f));
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -86,7 +86,7 @@
 	if (status == 503) {
 		(*g->n_no_room)++;
 		log_warn("no_room", "held=%zu unread=%zu",
-			 callers_held_bytes(g->callers),
+			 callers_body_bytes(g->callers),
 			 callers_unread_bytes(g->callers));
 		return;
 	}
@@ -319,7 +319,7 @@
 	int64_t now = gate_now(g);
 
 	if (g->stop_end_ms)
-		times_update_open(g, now);
+		times_update_pending(g, now);
 	freshness_tick(&g->freshness, now);
 	startup_hold_tick(g);
 	crash_checks_tick(g, now);
@@ -327,7 +327,7 @@
 	quota_tick(g);
 	gate_limits_tick(g, now);
 	callers_update_unread(g->callers);
-	*g->n_held = callers_held_bytes(g->callers);
+	*g->n_held = callers_body_bytes(g->callers);
 	*g->n_unread = callers_unread_bytes(g->callers);
 	tick_forwards(g, now);
 	gate_dispatch(g, NULL);
@@ -441,7 +441,8 @@
 						quota_queues_free);
 	g->streams = stream_log_new(STREAMS_MAX);
 	g->refused_slots = return_slots_new();
-	g->unnamed = g_array_new(FALSE, FALSE, sizeof(struct unnamed_stream));
+	g->unversioned =
+		g_array_new(FALSE, FALSE, sizeof(struct unversioned_stream));
 	g->crash_checks = g_ptr_array_new_with_free_func(crash_check_free);
 	g->suspects = suspects_new(&so, g->since_ms);
 	crash_log_init(&g->crash_log, CRASH_REPORTS_MAX);
@@ -482,7 +483,7 @@
 	g_ptr_array_unref(g->crash_checks);
 	stream_log_free(g->streams);
 	return_slots_free(g->refused_slots);
-	g_array_unref(g->unnamed);
+	g_array_unref(g->unversioned);
 	suspects_free(g->suspects);
 	crash_log_clear(&g->crash_log);
 	g_hash_table_unref(g->forwards);
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -77,7 +77,7 @@
 	/* Prompts of this gate's streams there, until their first event. */
 	int64_t open_prompts;
 	int64_t start_logged_ms; /* last log line of a cut of it; 0: none */
-	struct timing_pending open_timing;
+	struct timing_pending pending_timing;
 	/* When this incarnation was first reported; 0: before the fleet was
 	 * known. */
 	int64_t first_reported_ms;
@@ -212,7 +212,7 @@
 	int64_t start_wait_ms;
 	int64_t start_first_event_ms; /* estimated time to a first event */
 	struct stream_timing timing;  /* of the model's streams */
-	struct timing_pending open_timing;
+	struct timing_pending pending_timing;
 	struct model_queue_group *group;
 	GList link; /* in the group's list, while a request waits here */
 	/* Last dispatch round in which its head couldn't be sent; the same for
@@ -221,7 +221,7 @@
 };
 
 /* A stream sent to an incarnation whose version isn't known yet. */
-struct unnamed_stream {
+struct unversioned_stream {
 	uint64_t key, incarnation_no;
 	int64_t until_ms;
 };
@@ -259,7 +259,7 @@
 	struct crash_log crash_log;
 	uint64_t suspects_mark;	    /* up to which the leader knows them */
 	struct stream_log *streams; /* begun here, and versions seen here */
-	GArray *unnamed;	    /* struct unnamed_stream */
+	GArray *unversioned;	    /* struct unversioned_stream */
 	/* Marks in it: up to which the leader knows the streams, and up to
 	 * which the report in progress has them. */
 	uint64_t streams_reported, streams_sent;
@@ -338,7 +338,7 @@
 void gate_speed_answered(struct forward *f);
 /* Records the age of a request that leaves its endpoint before
  * gate_speed_answered() was called for it. */
-void gate_speed_left(struct forward *f);
+void gate_speed_abandoned(struct forward *f);
 /* Takes a slowness ratio that the leader reported, in thousandths; 0: no
  * information. */
 void gate_speed_received(struct gate *g, struct gate_ep *ep, int64_t ratio);
@@ -383,7 +383,7 @@
  * repeatedly. */
 void gate_start_done(struct forward *f);
 /* Takes the time from sending to the first event. */
-void gate_start_first(struct forward *f, int64_t ms);
+void gate_start_first_event(struct forward *f, int64_t ms);
 /* Takes the time between two events of one send. */
 void gate_start_pause(struct forward *f, int64_t ms);
 /* Whether the engine's start limit allows this prompt. */
@@ -454,7 +454,7 @@
 void quota_queues_free(void *queues);
 struct customer_counts *gate_customer_counts(struct gate *g, const char *name);
 /* Whether the request's customer has a limit. */
-bool quota_limits(const struct forward *f);
+bool quota_applies(const struct forward *f);
 /* Queues the request for a grant, passes it on to its model queue, or refuses
  * and frees it. */
 void quota_begin(struct forward *f);
@@ -508,7 +508,7 @@
 /* Whether the stream may be begun or resumed at the endpoint. */
 bool resume_fits(const struct forward *f, const struct gate_ep *ep);
 /* Whether the request waits and no endpoint is left that could resume it. */
-bool resume_hopeless(struct forward *f);
+bool resume_is_impossible(struct forward *f);
 
 /* answer_times.c: how long requests take, and which may begin before a stop */
 /* Called when events of the answer arrive, when it ends, and when the request
@@ -517,7 +517,7 @@
 void times_note_end(struct forward *f);
 void times_note_aborted(struct forward *f);
 /* In a planned stop: accounts for the time that sent requests have waited. */
-void times_update_open(struct gate *g, int64_t now);
+void times_update_pending(struct gate *g, int64_t now);
 /* Least time from sending until an answer begins. */
 int64_t times_first_ms(const struct forward *f);
 /* Whether the end of a planned stop would cut the answer of a request that
--- a/src/proxy/gate_quota.c
+++ b/src/proxy/gate_quota.c
@@ -61,7 +61,7 @@
 	return n;
 }
 
-bool quota_limits(const struct forward *f)
+bool quota_applies(const struct forward *f)
 {
 	return f->customer && f->customer->limit.per_s > 0;
 }
--- a/src/proxy/gate_speed.c
+++ b/src/proxy/gate_speed.c
@@ -236,7 +236,7 @@
 		begin_ejection(g, ep, median * scale_of(f));
 }
 
-void gate_speed_left(struct forward *f)
+void gate_speed_abandoned(struct forward *f)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 	int64_t now = gate_now(f->g);
--- a/src/proxy/gate_starts.c
+++ b/src/proxy/gate_starts.c
@@ -62,7 +62,7 @@
 		 ep->start_limit.max_in_flight, why);
 }
 
-void gate_start_first(struct forward *f, int64_t ms)
+void gate_start_first_event(struct forward *f, int64_t ms)
 {
 	struct gate_ep *ep = gate_ep_of(f);
 
--- a/src/proxy/resume.c
+++ b/src/proxy/resume.c
@@ -75,7 +75,7 @@
 		(*f->began_version && !*fleet_version(&ep->self)));
 }
 
-bool resume_hopeless(struct forward *f)
+bool resume_is_impossible(struct forward *f)
 {
 	struct gate *g = f->g;
 	GHashTableIter it;
@@ -145,7 +145,7 @@
 void resume_note_stream(struct forward *f, const struct gate_ep *ep)
 {
 	struct gate *g = f->g;
-	struct unnamed_stream u = { .incarnation_no = ep->incarnation_no };
+	struct unversioned_stream u = { .incarnation_no = ep->incarnation_no };
 
 	if (f->route->kind != ROUTE_STREAM || !f->route->resumable ||
 	    f->began_version || f->call.after_event >= 0 || !f->call.id.n)
@@ -156,8 +156,8 @@
 		return;
 	}
 	u.until_ms = gate_now(g) + stream_resumable_ms(f);
-	if (g->unnamed->len < UNVERSIONED_MAX)
-		g_array_append_val(g->unnamed, u);
+	if (g->unversioned->len < UNVERSIONED_MAX)
+		g_array_append_val(g->unversioned, u);
 }
 
 void resume_note_version(struct gate *g, const struct gate_ep *ep)
@@ -168,16 +168,16 @@
 
 void resume_version_known(struct gate *g, const struct gate_ep *ep)
 {
-	if (!g->unnamed->len || !*fleet_version(&ep->self))
+	if (!g->unversioned->len || !*fleet_version(&ep->self))
 		return;
-	for (guint i = g->unnamed->len; i-- > 0;) {
-		const struct unnamed_stream *u =
-			&g_array_index(g->unnamed, struct unnamed_stream, i);
+	for (guint i = g->unversioned->len; i-- > 0;) {
+		const struct unversioned_stream *u = &g_array_index(
+			g->unversioned, struct unversioned_stream, i);
 
 		if (u->incarnation_no != ep->incarnation_no)
 			continue;
 		log_stream(g, u->key, ep, u->until_ms - gate_now(g));
-		g_array_remove_index_fast(g->unnamed, i);
+		g_array_remove_index_fast(g->unversioned, i);
 	}
 }
 
@@ -185,10 +185,10 @@
 {
 	stream_log_expire(g->streams, now);
 	drop_version_queues(g);
-	for (guint i = g->unnamed->len; i-- > 0;)
-		if (g_array_index(g->unnamed, struct unnamed_stream, i)
+	for (guint i = g->unversioned->len; i-- > 0;)
+		if (g_array_index(g->unversioned, struct unversioned_stream, i)
 			    .until_ms <= now)
-			g_array_remove_index_fast(g->unnamed, i);
+			g_array_remove_index_fast(g->unversioned, i);
 }
 
 bool gate_stream_report(struct gate *g, struct stream_wire *w)
