--- a/src/daemon/fleet_entry.c
+++ b/src/daemon/fleet_entry.c
@@ -270,7 +270,7 @@
 		return;
 	e->demand_ms = now;
 	gate_report(e->gate, &r);
-	if (r.news || e->demand_due ||
+	if (r.must_send || e->demand_due ||
 	    now - e->reported_ms >= DEMAND_UNCHANGED_MS) {
 		e->reported_ms = now;
 		link_send(e->link, MSG_DEMAND, &r.m);
--- a/src/daemon/group.c
+++ b/src/daemon/group.c
@@ -626,8 +626,9 @@
 		group_free(g);
 		return NULL;
 	}
-	if (g->loaded.cut_bytes)
-		log_warn("torn_tail", "bytes=%" PRIu64, g->loaded.cut_bytes);
+	if (g->loaded.truncated_bytes)
+		log_warn("torn_tail", "bytes=%" PRIu64,
+			 g->loaded.truncated_bytes);
 	d->hello.group = g->loaded.group;
 	g->tick = daemon_every(d, TICK_MS, on_tick, g);
 	return g;
--- a/src/disk/disk.c
+++ b/src/disk/disk.c
@@ -381,9 +381,9 @@
 		if (e.index > st->snapshot.index && !replaced)
 			g_array_append_val(d->entries, e);
 	}
-	st->cut_bytes = s->len - at;
+	st->truncated_bytes = s->len - at;
 	d->end = at;
-	if (st->cut_bytes && ftruncate(d->log_fd, (off_t)at))
+	if (st->truncated_bytes && ftruncate(d->log_fd, (off_t)at))
 		return io_error(error, "cut", "log");
 	/* The data that was read may be in the page cache only. */
 	if (s->len && d->io.fdatasync(d->log_fd))
--- a/src/disk/disk.h
+++ b/src/disk/disk.h
@@ -33,7 +33,8 @@
 	struct ss_raft_snapshot snapshot;
 	const struct ss_raft_entry *entries;
 	size_t n_entries;
-	uint64_t cut_bytes; /* length of the torn tail that was truncated */
+	uint64_t truncated_bytes; /* length of the torn tail that was truncated
+				   */
 };
 
 struct disk;
--- a/src/proxy/gate.c
+++ b/src/proxy/gate.c
@@ -290,7 +290,7 @@
 	r->m.calls = (struct wire_list){ r->calls->data, r->calls->len };
 	r->m.results = (struct wire_list){ r->results->data, r->results->len };
 	r->m.signals = (struct wire_list){ r->signals->data, r->signals->len };
-	r->news = has_changes(g, r);
+	r->must_send = has_changes(g, r);
 }
 
 void gate_report_done(struct gate_report *r)
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -92,7 +92,7 @@
 	struct msg_demand m;
 	/* The report differs from the last one, or has arrivals, waiting
 	 * requests, call results or signals. */
-	bool news;
+	bool must_send;
 	GArray *models, *calls, *results, *signals;
 	GPtrArray *call_lists;
 };
--- a/test/gate_fix.c
+++ b/test/gate_fix.c
@@ -205,7 +205,7 @@
 	struct fix *f = arg;
 
 	f->stream = *m;
-	f->streams_asked++;
+	f->stream_requests++;
 	return f->leads;
 }
 
@@ -437,7 +437,7 @@
 
 /* Streams with timed events. */
 
-struct caller *ask_endpoint(struct fix *f, const char *model, const char *text)
+struct caller *call_endpoint(struct fix *f, const char *model, const char *text)
 {
 	report_fleet(f, *model ? "lm" : "web", model);
 	return call(f, text);
@@ -468,7 +468,7 @@
 void run_one_stream(struct fix *f, int64_t first_ms, int64_t gap_ms)
 {
 	int before = f->eps[f->at].requests;
-	struct caller *c = ask_endpoint(f, "m", STREAM("/chat/x", "100"));
+	struct caller *c = call_endpoint(f, "m", STREAM("/chat/x", "100"));
 
 	UNTIL(f, f->eps[f->at].requests == before + 1);
 	send_events(f, c, 1, 1, first_ms);
@@ -480,7 +480,7 @@
 		  const int64_t first_ms[ENDPOINTS])
 {
 	int before[ENDPOINTS] = { f->eps[0].requests, f->eps[1].requests };
-	struct caller *c = ask_endpoint(f, "m", text);
+	struct caller *c = call_endpoint(f, "m", text);
 	int at;
 
 	UNTIL(f,
--- a/test/gate_fix.h
+++ b/test/gate_fix.h
@@ -75,7 +75,7 @@
 	bool leads;	/* a leader is known */
 	struct msg_trial trial;		  /* last request for a trial run */
 	struct msg_stream_request stream; /* last query for a version */
-	int streams_asked;
+	int stream_requests;
 };
 
 /* Opens a gate. service: of both endpoints; NULL: the gate doesn't know the
@@ -126,7 +126,8 @@
 bool received_ends_with(const struct caller *c, const char *text);
 
 /* Sends a request after reporting f->at as the endpoint with less load. */
-struct caller *ask_endpoint(struct fix *f, const char *model, const char *text);
+struct caller *call_endpoint(struct fix *f, const char *model,
+			     const char *text);
 /* Sends events of that endpoint's current answer, gap_ms apart. */
 void send_events(struct fix *f, struct caller *c, int from, int to,
 		 int64_t gap_ms);
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -167,7 +167,7 @@
 		d = open_disk(&s, NULL);
 		assert_non_null(d);
 		assert_int_equal(s.n_entries, 3);
-		assert_int_equal(s.cut_bytes, n - three);
+		assert_int_equal(s.truncated_bytes, n - three);
 		disk_close(d);
 	}
 }
@@ -201,7 +201,7 @@
 	d = open_disk(&s, NULL);
 	assert_non_null(d);
 	assert_int_equal(s.n_entries, 2);
-	assert_int_equal(s.cut_bytes, 2 * one);
+	assert_int_equal(s.truncated_bytes, 2 * one);
 	append(d, 3, 3);
 	assert_true(disk_sync(d, NULL));
 	disk_close(d);
--- a/test/test_gate.c
+++ b/test/test_gate.c
@@ -477,12 +477,12 @@
 static bool report_has_news(struct fix *f)
 {
 	struct gate_report r;
-	bool news;
+	bool must_send;
 
 	gate_report(f->gate, &r);
-	news = r.news;
+	must_send = r.must_send;
 	gate_report_done(&r);
-	return news;
+	return must_send;
 }
 
 /* Hundreds of idle entries would send the same report ten times a second. */
--- a/test/test_gate_draining.c
+++ b/test/test_gate_draining.c
@@ -12,7 +12,7 @@
 static void serve_plain(struct fix *f, int64_t ms)
 {
 	int before = f->eps[0].requests;
-	struct caller *c = ask_endpoint(f, "", GET_SAFE);
+	struct caller *c = call_endpoint(f, "", GET_SAFE);
 
 	UNTIL(f, f->eps[0].requests == before + 1);
 	f->clock.fake_ms += ms;
@@ -42,11 +42,11 @@
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	lengthy = ask_endpoint(&f, "m", STREAM("/chat/x", "950"));
+	lengthy = call_endpoint(&f, "m", STREAM("/chat/x", "950"));
 	UNTIL(&f, has_received(lengthy, "HTTP/1.1 503 "));
 	assert_true(has_received(lengthy, "Retry-After: "));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
-	brief = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	brief = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	send_events(&f, brief, 1, EVENTS_FOR(100), FAST_MS);
 	send_stream_end(&f, brief);
@@ -103,14 +103,14 @@
 	fix_open(&f, "lm", "m");
 	script_answer(&f, 0, EVENTS, false, false);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	open = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
+	open = call_endpoint(&f, "m", STREAM("/chat/x", "12"));
 	UNTIL(&f, has_received(open, "HTTP/1.1 503 "));
-	bounded = ask_endpoint(&f, "m",
-			       REQ("POST",
-				   "/chat/x") "X-Model: m\r\n"
-					      "X-Token-Usage: 9,12\r\n"
-					      "X-Deadline-Ms: 3900\r\n"
-					      "Content-Length: 0\r\n\r\n");
+	bounded = call_endpoint(&f, "m",
+				REQ("POST",
+				    "/chat/x") "X-Model: m\r\n"
+					       "X-Token-Usage: 9,12\r\n"
+					       "X-Deadline-Ms: 3900\r\n"
+					       "Content-Length: 0\r\n\r\n");
 	UNTIL(&f, f.eps[0].requests == 1);
 	send_stream_end(&f, bounded);
 	fix_close(&f);
@@ -137,7 +137,7 @@
 		script_answer(&f, 0, EVENTS, false, false);
 		run_one_stream(&f, SLOW_MS, SLOW_MS);
 		gate_drain(f.gate, f.clock.fake_ms + 3000);
-		c = ask_endpoint(&f, "m", requests[i]);
+		c = call_endpoint(&f, "m", requests[i]);
 		UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 		assert_true(has_received(c, "not_run"));
 		assert_true(has_received(c, "Retry-After: "));
@@ -157,13 +157,13 @@
 		struct fix f;
 
 		fix_open(&f, "web", "");
-		c = ask_endpoint(&f, "", requests[i]);
+		c = call_endpoint(&f, "", requests[i]);
 		UNTIL(&f, f.eps[0].requests == 1);
 		f.clock.fake_ms += 1500;
 		endpoint_send(&f, 0, OK_TEXT);
 		UNTIL(&f, received_ends_with(c, "hello"));
 		gate_drain(f.gate, f.clock.fake_ms + 1000);
-		c = ask_endpoint(&f, "", requests[i]);
+		c = call_endpoint(&f, "", requests[i]);
 		UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 		assert_true(has_received(c, "not_run"));
 		assert_true(has_received(c, "Retry-After: "));
@@ -185,7 +185,7 @@
 	for (int i = 0; i < ENOUGH_STREAMS; i++)
 		run_one_stream(&f, SLOW_MS, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "12"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	send_events(&f, c, 1, EVENTS_FOR(12), SLOW_MS);
 	send_stream_end(&f, c);
@@ -207,12 +207,12 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	slow = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	slow = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	send_events(&f, slow, 1, 8, FAST_MS);
 	send_events(&f, slow, 9, 24, SLOW_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
@@ -236,10 +236,10 @@
 	measure_fast_engine(&f);
 	f.agents = true;
 	gate_drain(f.gate, f.clock.fake_ms + 1500);
-	c = ask_endpoint(&f, "m",
-			 REQ("POST", "/chat/x") "X-Model: m/a1\r\n"
-						"X-Token-Usage: 9,100\r\n"
-						"Content-Length: 0\r\n\r\n");
+	c = call_endpoint(&f, "m",
+			  REQ("POST", "/chat/x") "X-Model: m/a1\r\n"
+						 "X-Token-Usage: 9,100\r\n"
+						 "Content-Length: 0\r\n\r\n");
 	UNTIL(&f, f.asked);
 	f.clock.fake_ms += 900;
 	done.sub = f.asked;
@@ -267,10 +267,10 @@
 	for (int i = 0; i < 40; i++)
 		run_one_stream(&f, FAST_MS, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
-	c = ask_endpoint(&f, "n",
-			 REQ("POST",
-			     "/chat/x") "X-Model: n\r\nX-Token-Usage: 9,100\r\n"
-					"Content-Length: 0\r\n\r\n");
+	c = call_endpoint(
+		&f, "n",
+		REQ("POST", "/chat/x") "X-Model: n\r\nX-Token-Usage: 9,100\r\n"
+				       "Content-Length: 0\r\n\r\n");
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 41);
 	fix_close(&f);
@@ -298,11 +298,11 @@
 		run_one_stream(&f, FAST_MS, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 3000);
 	f.at = 1;
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[1].requests, 4);
 	f.at = 0;
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == 41);
 	send_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
 	send_stream_end(&f, c);
@@ -324,16 +324,16 @@
 	fix_open(&f, "lm", "m");
 	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < 3; i++) {
-		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+		c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == i + 1);
 		send_events(&f, c, 1, 10, FAST_MS);
 		send_stream_end(&f, c);
 	}
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 4);
 	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 1000);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 4);
 	fix_close(&f);
@@ -354,11 +354,11 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	script_answer(&f, 0, EVENTS, false, false);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 1);
 	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 2000);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 1);
 	fix_close(&f);
@@ -380,14 +380,14 @@
 
 		fix_open(&f, "lm", "m");
 		script_answer(&f, 0, EVENTS, false, false);
-		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+		c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == 1);
 		send_events(&f, c, 1, events, FAST_MS);
 		f.clock.fake_ms += 20;
 		caller_leave(c);
 		UNTIL(&f, f.eps[0].reset == 1);
 		gate_drain(f.gate, f.clock.fake_ms + 2000);
-		c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+		c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 		UNTIL(&f, has_received(c, REFUSED));
 		assert_int_equal(f.eps[0].requests, 1);
 		fix_close(&f);
@@ -407,13 +407,13 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	silent = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	silent = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	send_events(&f, silent, 1, 8, FAST_MS);
 	f.clock.fake_ms += 1900;
 	gate_drain(f.gate, f.clock.fake_ms + 2000);
 	run_loop_once(&f);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS + 1);
 	fix_close(&f);
@@ -433,7 +433,7 @@
 	(void)state;
 	fix_open(&f, "web", "");
 	for (int i = 0; i < 5; i++) {
-		c = ask_endpoint(&f, "", POST_ONCE);
+		c = call_endpoint(&f, "", POST_ONCE);
 		UNTIL(&f, f.eps[0].requests == i + 1);
 		f.clock.fake_ms += 1500;
 		endpoint_send(&f, 0, OK_TEXT);
@@ -442,7 +442,7 @@
 	for (int i = 0; i < 40; i++)
 		serve_plain(&f, 20);
 	gate_drain(f.gate, f.clock.fake_ms + 600);
-	c = ask_endpoint(&f, "", POST_ONCE);
+	c = call_endpoint(&f, "", POST_ONCE);
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, 45);
 	fix_close(&f);
@@ -459,14 +459,14 @@
 	fix_open(&f, "lm", "m");
 	script_answer(&f, 0, EVENTS, false, false);
 	for (int i = 0; i < ENOUGH_STREAMS - 1; i++) {
-		c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+		c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 		UNTIL(&f, f.eps[0].requests == i + 1);
 		send_events(&f, c, 1, 10, FAST_MS);
 		send_stream_end(&f, c);
 	}
 	/* Enough for three times as many events, but not for all of them. */
 	gate_drain(f.gate, f.clock.fake_ms + 30 * FAST_MS);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS - 1);
 	fix_close(&f);
@@ -482,12 +482,12 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "1"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "1"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 1);
 	send_events(&f, c, 1, 2, FAST_MS);
 	send_stream_end(&f, c);
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[0].requests == ENOUGH_STREAMS + 2);
 	send_events(&f, c, 1, EVENTS_FOR(100), FAST_MS);
 	send_stream_end(&f, c);
@@ -504,11 +504,11 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	script_answer(&f, 0, EVENTS, false, false);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, f.eps[0].requests == 1);
 	send_events(&f, c, 1, 20, FAST_MS);
 	gate_drain(f.gate, f.clock.fake_ms + 7900);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "12"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "12"));
 	UNTIL(&f, f.eps[0].requests == 2);
 	send_events(&f, c, 1, EVENTS_FOR(12), FAST_MS);
 	send_stream_end(&f, c);
@@ -536,7 +536,7 @@
 	f.agents = true;
 	end = f.clock.fake_ms + 1500;
 	gate_drain(f.gate, end);
-	c = ask_endpoint(&f, "m", POST_ADAPTER);
+	c = call_endpoint(&f, "m", POST_ADAPTER);
 	UNTIL(&f, f.asked);
 	while (!has_received(c, "HTTP/1.1 503 ") && f.clock.fake_ms < end) {
 		f.clock.fake_ms += 10;
@@ -569,7 +569,7 @@
 	fix_open(&f, "lm", "m");
 	measure_fast_engine(&f);
 	f.agents = true;
-	ask_endpoint(&f, "m", POST_ADAPTER);
+	call_endpoint(&f, "m", POST_ADAPTER);
 	UNTIL(&f, f.asked);
 	done.sub = f.asked;
 	e.addr = ss_str(f.eps[0].addr);
@@ -596,7 +596,7 @@
 	 * a tenth of its duration before the process does. */
 	gate_drain(f.gate,
 		   f.clock.fake_ms + EVENTS_FOR(300) * FAST_MS * 11 / 10);
-	c = ask_endpoint(&f, "m", STREAM("/chat/x", "300"));
+	c = call_endpoint(&f, "m", STREAM("/chat/x", "300"));
 	UNTIL(&f, has_received(c, REFUSED));
 	assert_true(has_received(c, "not_run"));
 	assert_int_equal(f.eps[0].requests, ENOUGH_STREAMS);
@@ -628,7 +628,7 @@
 		fix_open(&f, "web", "");
 		for (int n = 0; n < 30; n++)
 			serve_plain(&f, 20);
-		c = ask_endpoint(&f, "", k->silent ? "" : GET_SAFE);
+		c = call_endpoint(&f, "", k->silent ? "" : GET_SAFE);
 		if (k->kept) {
 			UNTIL(&f, f.eps[0].requests == 31);
 			endpoint_send(&f, 0, OK_TEXT);
@@ -661,7 +661,7 @@
 
 	(void)state;
 	fix_open(&f, "web", "");
-	c = ask_endpoint(&f, "", "");
+	c = call_endpoint(&f, "", "");
 	gate_drain(f.gate, f.clock.fake_ms + 4000);
 	for (int i = 0; i < 3; i++)
 		run_loop_once(&f);
--- a/test/test_gate_lifecycle.c
+++ b/test/test_gate_lifecycle.c
@@ -283,7 +283,7 @@
 	script_answer(&f, 0, EVENTS, false, false);
 	script_answer(&f, 0, NULL, false, false);
 	run_one_stream(&f, 100, 50);
-	c = ask_endpoint(&f, "m", POST_BRIEF);
+	c = call_endpoint(&f, "m", POST_BRIEF);
 	UNTIL(&f, f.eps[0].requests == 2);
 	f.clock.fake_ms += 2010;
 	endpoint_send(&f, 0,
--- a/test/test_gate_quarantine.c
+++ b/test/test_gate_quarantine.c
@@ -74,7 +74,7 @@
 {
 	uint64_t crashes = metric(f, "ss_gate_endpoints_ended_total");
 	int before = f->eps[f->at].requests;
-	struct caller *c = ask_endpoint(f, "m", text);
+	struct caller *c = call_endpoint(f, "m", text);
 
 	UNTIL(f, f->eps[f->at].requests == before + 1);
 	crash_endpoint(f, f->at);
@@ -109,13 +109,13 @@
 		send_and_crash(&f, POST_CHAT);
 	before = requests(&f);
 	script_answer(&f, 0, COMPLETE_STREAM, false, false);
-	c = ask_endpoint(&f, "m", POST_CHAT);
+	c = call_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	assert_true(has_received(c, "Retry-After: 600.000"));
 	assert_true(has_received(c, "\"not_run\""));
 	assert_int_equal(requests(&f), before);
 	set_answer(&f, 0, COMPLETE_STREAM);
-	other = ask_endpoint(&f, "m", OTHER_CHAT);
+	other = call_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, received_ends_with(other, "0\r\n\r\n"));
 	fix_close(&f);
 }
@@ -144,7 +144,7 @@
 		if (cases[k] == RESET)
 			script_answer(&f, 0, FIRST_EVENT, false, true);
 		for (int i = 0; i < SUSPECT_CRASH_THRESHOLD + 1; i++) {
-			c = ask_endpoint(&f, "m", POST_CHAT);
+			c = call_endpoint(&f, "m", POST_CHAT);
 			UNTIL(&f, f.eps[0].requests == i + 1);
 			if (cases[k] == PLANNED) {
 				f.eps[0].leaving = true;
@@ -182,17 +182,17 @@
 	(void)state;
 	fix_open(&f, "lm", "m");
 	f.at = 1;
-	ask_endpoint(&f, "m",
-		     REQ("POST",
-			 "/chat/elsewhere") "X-Model: m\r\nContent-Length: "
-					    "2\r\n\r\nhi");
+	call_endpoint(&f, "m",
+		      REQ("POST",
+			  "/chat/elsewhere") "X-Model: m\r\nContent-Length: "
+					     "2\r\n\r\nhi");
 	UNTIL(&f, f.eps[1].requests == 1);
 	f.at = 0;
-	ask_endpoint(&f, "m", POST_CHAT);
+	call_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, f.eps[0].requests == 1);
-	ask_endpoint(&f, "m", OTHER_CHAT);
+	call_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, f.eps[0].requests == 2);
-	ask_endpoint(&f, "m", OTHER_CHAT);
+	call_endpoint(&f, "m", OTHER_CHAT);
 	UNTIL(&f, f.eps[0].requests == 3);
 	crash_endpoint(&f, 0);
 	UNTIL(&f, metric(&f, "ss_gate_endpoints_ended_total") == 1);
@@ -225,7 +225,7 @@
 	UNTIL(&f, has_received(c, "HTTP/1.1 503 "));
 	send_suspect(&f, 1, "/chat/x", 0, true);
 	script_answer(&f, 0, COMPLETE_STREAM, false, false);
-	c = ask_endpoint(&f, "m", POST_CHAT);
+	c = call_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
@@ -270,7 +270,7 @@
 		f.leads = cases[i].leads;
 		send_suspect(&f, 1, "/chat/x", 0, false);
 		script_answer(&f, 0, COMPLETE_STREAM, false, false);
-		c = ask_endpoint(&f, "m", POST_CHAT);
+		c = call_endpoint(&f, "m", POST_CHAT);
 		UNTIL(&f, f.trial.sub);
 		run_loop(&f, 3);
 		assert_int_equal(requests(&f), 0);
@@ -305,7 +305,7 @@
 	fix_open(&f, "lm", "m");
 	f.leads = true;
 	send_suspect(&f, 1, "/night/x", 0, false);
-	c = ask_endpoint(&f, "m", POST_NIGHT);
+	c = call_endpoint(&f, "m", POST_NIGHT);
 	UNTIL(&f, f.trial.sub);
 	answer_trial(&f, SUSPECT_TRIAL, 0);
 	UNTIL(&f, f.eps[0].requests == 1);
@@ -332,7 +332,7 @@
 		fix_open(&f, "lm", "m");
 		f.leads = true;
 		send_suspect(&f, 1, "/chat/x", 0, false);
-		c = ask_endpoint(&f, "m", POST_CHAT);
+		c = call_endpoint(&f, "m", POST_CHAT);
 		UNTIL(&f, f.trial.sub);
 		if (runs) {
 			answer_trial(&f, SUSPECT_TRIAL, 0);
@@ -393,7 +393,7 @@
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
 	set_answer(&f, 0, COMPLETE_STREAM);
-	c = ask_endpoint(&f, "m", POST_CHAT);
+	c = call_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	take_reports(&f, &t, true);
 	assert_int_equal(t.answered, 1);
@@ -403,7 +403,7 @@
 	send_and_crash(&f, POST_CHAT);
 	send_and_crash(&f, POST_CHAT);
 	set_answer(&f, 0, COMPLETE_STREAM);
-	c = ask_endpoint(&f, "m", POST_CHAT);
+	c = call_endpoint(&f, "m", POST_CHAT);
 	UNTIL(&f, received_ends_with(c, "0\r\n\r\n"));
 	fix_close(&f);
 }
@@ -415,9 +415,9 @@
 	struct caller *c;
 
 	fix_open(f, "lm", "m");
-	c = ask_endpoint(f, "m", POST_CHAT);
+	c = call_endpoint(f, "m", POST_CHAT);
 	UNTIL(f, f->eps[0].requests == 1);
-	ask_endpoint(f, "m", OTHER_CHAT);
+	call_endpoint(f, "m", OTHER_CHAT);
 	UNTIL(f, f->eps[0].requests == 2);
 	stop_listening(f, 0);
 	reset_oldest(f, 0);
--- a/test/test_gate_slow_reports.c
+++ b/test/test_gate_slow_reports.c
@@ -130,7 +130,7 @@
 	(void)state;
 	open_equal(&f);
 	before = f.eps[1].requests;
-	ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+	call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 	UNTIL(&f, f.eps[1].requests == before + 1);
 	f.at = 0;
 	for (int i = 0; i < 10; i++) {
--- a/test/test_gate_speed.c
+++ b/test/test_gate_speed.c
@@ -119,7 +119,7 @@
 	f.at = 1;
 	before = f.eps[1].requests;
 	for (int i = 0; i < 5; i++) {
-		ask_endpoint(&f, "m", STREAM("/chat/x", "100"));
+		call_endpoint(&f, "m", STREAM("/chat/x", "100"));
 		UNTIL(&f, f.eps[1].requests == before + i + 1);
 	}
 	f.clock.fake_ms += SLOW_MS;
@@ -142,7 +142,7 @@
 	g_strlcpy(f.eps[1].id, "i-next", sizeof(f.eps[1].id));
 	before = f.eps[0].requests + f.eps[1].requests;
 	for (int i = 1; i <= REQUESTS; i++) {
-		ask_endpoint(&f, "m", POST_URGENT);
+		call_endpoint(&f, "m", POST_URGENT);
 		UNTIL(&f, f.eps[0].requests + f.eps[1].requests == before + i);
 	}
 	/* The new incarnation gets about one in twenty, at random. */
--- a/test/test_gate_versions.c
+++ b/test/test_gate_versions.c
@@ -44,7 +44,7 @@
 			f.eps[k].version = x->versions[k];
 		script_all(&f);
 		set_default_routing(&f);
-		c = ask_endpoint(&f, "m", POST_NIGHT);
+		c = call_endpoint(&f, "m", POST_NIGHT);
 		UNTIL(&f, has_received(c, "event2"));
 		if (x->crashes)
 			crash_endpoint(&f, 0);
@@ -104,7 +104,7 @@
 
 	open_two(f);
 	c = call(f, resumed);
-	UNTIL(f, f->streams_asked);
+	UNTIL(f, f->stream_requests);
 	return c;
 }
 
@@ -156,7 +156,7 @@
 
 		open_two(&f);
 		c = call(&f, x->request);
-		UNTIL(&f, f.streams_asked);
+		UNTIL(&f, f.stream_requests);
 		assert_int_equal(f.stream.key != 0, x->names_stream);
 		m.sub = f.stream.sub;
 		gate_stream_reply_received(f.gate, &m);
@@ -258,10 +258,10 @@
 	open_two(&f);
 	f.leads = false;
 	c = call(&f, resumed);
-	UNTIL(&f, f.streams_asked);
+	UNTIL(&f, f.stream_requests);
 	pass_ms(&f, 1000);
 	assert_false(has_received(c, "503"));
-	assert_true(f.streams_asked > 3);
+	assert_true(f.stream_requests > 3);
 	pass_ms(&f, 1000);
 	UNTIL(&f, has_received(c, "503"));
 	assert_true(has_received(c, "Retry-After: "));
@@ -355,7 +355,7 @@
 		call(&f, POST_NIGHT);
 	pass_ms(&f, 100);
 	c = call(&f, resumed);
-	UNTIL(&f, f.streams_asked);
+	UNTIL(&f, f.stream_requests);
 	m.sub = f.stream.sub;
 	gate_stream_reply_received(f.gate, &m);
 	pass_ms(&f, 100);
@@ -386,7 +386,7 @@
 	c = call(&f, resumed);
 	UNTIL(&f, has_received(c, "event3"));
 	assert_int_equal(f.eps[0].requests, 2);
-	assert_int_equal(f.streams_asked, 0);
+	assert_int_equal(f.stream_requests, 0);
 	fix_close(&f);
 }
 
