--- a/include/sapphireshift/queue.h
+++ b/include/sapphireshift/queue.h
@@ -27,7 +27,7 @@
 	unsigned int share;	/* weight in fair shares; 0: from the options */
 	/* Set by the queue. */
 	GSequenceIter *iter;
-	void *lane; /* NULL while the item isn't queued */
+	void *flow; /* NULL while the item isn't queued */
 	uint64_t order;
 };
 
--- a/src/core/router_call.c
+++ b/src/core/router_call.c
@@ -50,7 +50,7 @@
 
 void router_remove_call(struct router *r, struct rcall *c)
 {
-	if (c->state == RCALL_QUEUED && c->item.lane) {
+	if (c->state == RCALL_QUEUED && c->item.flow) {
 		ss_queue_remove(c->route->queue, &c->item);
 		r->waiting--;
 	}
--- a/src/core/routing_update.c
+++ b/src/core/routing_update.c
@@ -359,16 +359,16 @@
 	GArray *at = g_array_new(FALSE, FALSE, sizeof(guint));
 	GPtrArray *added = items_of_part(u, DOCUMENT_CUSTOMER, at);
 	const struct customer *other;
-	enum customers_conflict clash;
+	enum customers_conflict conflict;
 	guint i;
 
-	clash = customers_check(&u->r->customers, added, &i, &other);
-	if (clash) {
+	conflict = customers_check(&u->r->customers, added, &i, &other);
+	if (conflict) {
 		char *here = item_path(u, g_array_index(at, guint, i));
 		char *there = customer_path(u, other);
 
 		g_set_error(error, SS_ERROR, SS_ERROR_BAD_REQUEST,
-			    clash == CUSTOMERS_KEY ?
+			    conflict == CUSTOMERS_KEY ?
 				    "%s: shares a key with %s" :
 				    "%s: has the name of %s",
 			    here, there);
@@ -377,7 +377,7 @@
 	}
 	g_ptr_array_unref(added);
 	g_array_unref(at);
-	return !clash;
+	return !conflict;
 }
 
 static bool check_change(struct routing_update *u, GError **error)
--- a/src/customer/queue.c
+++ b/src/customer/queue.c
@@ -140,7 +140,7 @@
 				      lowest_virtual_time(q->flows[priority]));
 	i->priority = priority;
 	i->order = ++q->order;
-	i->lane = f;
+	i->flow = f;
 	i->iter = g_sequence_insert_sorted(f->items, i, by_deadline, NULL);
 	q->counts[priority]++;
 	q->length++;
@@ -149,13 +149,13 @@
 
 void ss_queue_remove(struct ss_queue *q, struct ss_queue_item *i)
 {
-	struct flow *f = i->lane;
+	struct flow *f = i->flow;
 
 	if (!f)
 		return;
 	g_sequence_remove(i->iter);
 	i->iter = NULL;
-	i->lane = NULL;
+	i->flow = NULL;
 	q->counts[f->priority]--;
 	q->length--;
 	/* Operations scan all flows, including empty ones: remove those once
@@ -194,7 +194,7 @@
 
 static void charge(struct ss_queue *q, const struct ss_queue_item *i)
 {
-	struct flow *f = i->lane;
+	struct flow *f = i->flow;
 	unsigned int share = i->share;
 
 	if (!share)
