--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -159,7 +159,7 @@
 	}
 }
 
-static void apply_order(struct ledger *l, const struct order *o)
+static void apply_order(struct ledger *l, const struct replica_order *o)
 {
 	struct ledger_replica *r = find_replica(l, o->model);
 
@@ -179,7 +179,7 @@
 bool ledger_assign(struct ledger *l, const struct msg_assign *a, int64_t now,
 		   GError **error)
 {
-	const struct order *o = a->orders.items;
+	const struct replica_order *o = a->orders.items;
 
 	if (a->incarnation != l->o.incarnation) {
 		g_set_error(error, SS_ERROR, SS_ERROR_FENCED,
@@ -223,7 +223,8 @@
 }
 
 /* Updates a replica that a read of the endpoint lists. */
-static void apply_held(struct ledger *l, const struct held *h, int64_t now)
+static void apply_held(struct ledger *l, const struct held_replica *h,
+		       int64_t now)
 {
 	static const enum ledger_state states[] = {
 		[HELD_LOADING] = LEDGER_LOADING,
@@ -254,7 +255,8 @@
 	l->o.ops->changed(l->o.arg);
 }
 
-static bool is_listed(const struct held *held, size_t n, const char *model)
+static bool is_listed(const struct held_replica *held, size_t n,
+		      const char *model)
 {
 	for (size_t i = 0; i < n; i++)
 		if (ss_str_eq(held[i].model, ss_str(model)))
@@ -262,8 +264,8 @@
 	return false;
 }
 
-void ledger_read_done(struct ledger *l, uint64_t read, const struct held *held,
-		      size_t n, int64_t now)
+void ledger_read_done(struct ledger *l, uint64_t read,
+		      const struct held_replica *held, size_t n, int64_t now)
 {
 	l->read_done = true;
 	if (l->o.service)
@@ -400,18 +402,18 @@
 
 GArray *ledger_report(const struct ledger *l, int64_t now)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct held));
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct held_replica));
 
 	/* Before the first read it isn't known what the endpoint holds. */
 	for (guint i = 0; l->read_done && i < l->replicas->len; i++) {
 		const struct ledger_replica *r = replica_at(l, i);
-		struct held h = { .replica = r->id,
-				  .model = ss_str(r->model),
-				  .bytes = r->bytes,
-				  .state = reported_state(r),
-				  .load_ms = r->load_ms,
-				  .active = r->active,
-				  .served = r->served };
+		struct held_replica h = { .replica = r->id,
+					  .model = ss_str(r->model),
+					  .bytes = r->bytes,
+					  .state = reported_state(r),
+					  .load_ms = r->load_ms,
+					  .active = r->active,
+					  .served = r->served };
 
 		h.idle_ms = r->active ? 0 : now - r->idle_since_ms;
 		g_array_append_val(out, h);
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -89,8 +89,8 @@
  * Applies the result of a read. For a replica with an order that is pending, or
  * was answered after the read was requested, it is out of date and ignored.
  */
-void ledger_read_done(struct ledger *l, uint64_t read, const struct held *held,
-		      size_t n, int64_t now);
+void ledger_read_done(struct ledger *l, uint64_t read,
+		      const struct held_replica *held, size_t n, int64_t now);
 
 /* Records the endpoint's answer to an order; ok: it accepted the order. */
 void ledger_answered(struct ledger *l, const char *model, bool ok, int64_t now);
@@ -120,8 +120,8 @@
 bool ledger_busy(const struct ledger *l);
 
 /*
- * Returns the replicas as reported to the leader (struct held). The caller
- * frees the array; its strings belong to the ledger.
+ * Returns the replicas as reported to the leader (struct held_replica). The
+ * caller frees the array; its strings belong to the ledger.
  */
 GArray *ledger_report(const struct ledger *l, int64_t now);
 
--- a/src/core/msg.c
+++ b/src/core/msg.c
@@ -64,17 +64,21 @@
 	L(4, msg_leader, members, control_addr_type),
 };
 static const struct wire_field held_fields[] = {
-	F(1, WIRE_UINT, held, replica), F(2, WIRE_STR, held, model),
-	F(3, WIRE_UINT, held, bytes),	F(4, WIRE_INT, held, state),
-	F(5, WIRE_INT, held, load_ms),	F(6, WIRE_UINT, held, active),
-	F(7, WIRE_UINT, held, served),	F(8, WIRE_INT, held, idle_ms),
-};
-static const struct wire_type held_type = T(held, held_fields);
+	F(1, WIRE_UINT, held_replica, replica),
+	F(2, WIRE_STR, held_replica, model),
+	F(3, WIRE_UINT, held_replica, bytes),
+	F(4, WIRE_INT, held_replica, state),
+	F(5, WIRE_INT, held_replica, load_ms),
+	F(6, WIRE_UINT, held_replica, active),
+	F(7, WIRE_UINT, held_replica, served),
+	F(8, WIRE_INT, held_replica, idle_ms),
+};
+static const struct wire_type held_type = T(held_replica, held_fields);
 static const struct wire_field cached_fields[] = {
-	F(1, WIRE_STR, cached, model),
-	F(2, WIRE_INT, cached, tier),
+	F(1, WIRE_STR, cached_checkpoint, model),
+	F(2, WIRE_INT, cached_checkpoint, tier),
 };
-static const struct wire_type cached_type = T(cached, cached_fields);
+static const struct wire_type cached_type = T(cached_checkpoint, cached_fields);
 static const struct wire_field register_fields[] = {
 	F(1, WIRE_STR, msg_register, name),
 	F(2, WIRE_STR, msg_register, pool),
@@ -88,11 +92,14 @@
 	L(10, msg_register, cached, cached_type),
 };
 static const struct wire_field order_fields[] = {
-	F(1, WIRE_UINT, order, replica), F(2, WIRE_STR, order, model),
-	F(3, WIRE_STR, order, base),	 F(4, WIRE_UINT, order, bytes),
-	F(5, WIRE_UINT, order, slots),	 F(6, WIRE_BOOL, order, unload),
-};
-static const struct wire_type order_type = T(order, order_fields);
+	F(1, WIRE_UINT, replica_order, replica),
+	F(2, WIRE_STR, replica_order, model),
+	F(3, WIRE_STR, replica_order, base),
+	F(4, WIRE_UINT, replica_order, bytes),
+	F(5, WIRE_UINT, replica_order, slots),
+	F(6, WIRE_BOOL, replica_order, unload),
+};
+static const struct wire_type order_type = T(replica_order, order_fields);
 static const struct wire_field assign_fields[] = {
 	F(1, WIRE_UINT, msg_assign, fence),
 	F(2, WIRE_UINT, msg_assign, incarnation),
--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -113,7 +113,7 @@
 };
 
 /* A model in an endpoint's memory, or a replica as its agent reports it. */
-struct held {
+struct held_replica {
 	uint64_t replica; /* 0: loaded without an order */
 	struct ss_str model;
 	uint64_t bytes;
@@ -129,18 +129,18 @@
 	int64_t kind; /* enum node_kind */
 	uint64_t incarnation;
 	uint64_t bytes, slots;
-	struct wire_list held;	 /* struct held */
-	struct wire_list cached; /* struct cached */
+	struct wire_list held;	 /* struct held_replica */
+	struct wire_list cached; /* struct cached_checkpoint */
 };
 
 /* A copy of a checkpoint near the endpoint, and the tier that holds it. */
-struct cached {
+struct cached_checkpoint {
 	struct ss_str model;
 	int64_t tier; /* enum ss_tier */
 };
 
 /* Orders an agent to hold a replica, or to unload it. */
-struct order {
+struct replica_order {
 	uint64_t replica;
 	struct ss_str model;
 	struct ss_str base;
@@ -153,7 +153,7 @@
 	uint64_t fence; /* increases for each node; lower ones are refused */
 	uint64_t incarnation;
 	bool draining;
-	struct wire_list orders; /* struct order */
+	struct wire_list orders; /* struct replica_order */
 };
 
 struct msg_report {
@@ -161,8 +161,8 @@
 	uint64_t fence; /* of the newest orders accepted */
 	uint64_t active;
 	bool draining;		 /* accepts no new calls */
-	struct wire_list held;	 /* struct held */
-	struct wire_list cached; /* struct cached; sent on change */
+	struct wire_list held;	 /* struct held_replica */
+	struct wire_list cached; /* struct cached_checkpoint; sent on change */
 };
 
 struct msg_config {
--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -27,7 +27,7 @@
 	GHashTable *conns; /* open connections of entries */
 	char *addr;
 	uint64_t bytes;
-	GArray *cached; /* struct cached; owns the model names */
+	GArray *cached; /* struct cached_checkpoint; owns the model names */
 	bool started;	/* the endpoint has been read once */
 	bool reading;
 	uint64_t read; /* number of the latest read of the endpoint */
@@ -368,7 +368,9 @@
 static void cached_clear(GArray *cached)
 {
 	for (guint i = 0; i < cached->len; i++)
-		g_free((char *)g_array_index(cached, struct cached, i).model.p);
+		g_free((char *)g_array_index(cached, struct cached_checkpoint,
+					     i)
+			       .model.p);
 	g_array_set_size(cached, 0);
 }
 
@@ -377,7 +379,8 @@
 	if (have->len != s->n_cached)
 		return false;
 	for (guint i = 0; i < have->len; i++) {
-		const struct cached *c = &g_array_index(have, struct cached, i);
+		const struct cached_checkpoint *c =
+			&g_array_index(have, struct cached_checkpoint, i);
 
 		if (!ss_str_eq(c->model, s->cached[i].model) ||
 		    c->tier != s->cached[i].tier)
@@ -392,7 +395,7 @@
 		return;
 	cached_clear(a->cached);
 	for (size_t i = 0; i < s->n_cached; i++) {
-		struct cached c = s->cached[i];
+		struct cached_checkpoint c = s->cached[i];
 
 		c.model.p = ss_str_dup(c.model);
 		g_array_append_val(a->cached, c);
@@ -546,7 +549,7 @@
 
 	a->d = d;
 	a->conns = g_hash_table_new(NULL, NULL);
-	a->cached = g_array_new(FALSE, FALSE, sizeof(struct cached));
+	a->cached = g_array_new(FALSE, FALSE, sizeof(struct cached_checkpoint));
 	a->read_ms = INT64_MIN / 2;
 	a->ops = d->config.agent.kind ? &service_http_ops : &engine_http_ops;
 	register_metrics(a);
--- a/src/daemon/replica_leader.c
+++ b/src/daemon/replica_leader.c
@@ -56,19 +56,21 @@
 			const struct node_rec *rec)
 {
 	GPtrArray *list = ss_state_node_replicas(group_state(l->g), n->name);
-	GArray *orders = g_array_new(FALSE, FALSE, sizeof(struct order));
+	GArray *orders =
+		g_array_new(FALSE, FALSE, sizeof(struct replica_order));
 	struct msg_assign m = { .fence = rec->changed,
 				.incarnation = rec->incarnation,
 				.draining = rec->state == NODE_DRAINING };
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct replica_rec *r = list->pdata[i];
-		struct order o = { .replica = r->id,
-				   .model = r->model,
-				   .base = r->base,
-				   .bytes = r->bytes,
-				   .slots = r->slots,
-				   .unload = r->state == REPLICA_UNLOADING };
+		struct replica_order o = { .replica = r->id,
+					   .model = r->model,
+					   .base = r->base,
+					   .bytes = r->bytes,
+					   .slots = r->slots,
+					   .unload = r->state ==
+						     REPLICA_UNLOADING };
 
 		g_array_append_val(orders, o);
 	}
--- a/src/daemon/replica_leader_nodes.c
+++ b/src/daemon/replica_leader_nodes.c
@@ -11,7 +11,7 @@
 
 static void set_cached(struct leader_node *n, const struct wire_list *list)
 {
-	const struct cached *c = list->items;
+	const struct cached_checkpoint *c = list->items;
 
 	if (list->n == 0)
 		return;
@@ -24,7 +24,7 @@
 static void set_held(struct replica_leader *l, struct leader_node *n,
 		     const struct wire_list *list)
 {
-	const struct held *h = list->items;
+	const struct held_replica *h = list->items;
 
 	g_array_set_size(n->held, 0);
 	for (size_t i = 0; i < list->n; i++) {
@@ -145,7 +145,7 @@
 }
 
 /* Proposes a replica's new state if the agent's report is ahead of it. */
-static void compare_held(struct replica_leader *l, const struct held *h)
+static void compare_held(struct replica_leader *l, const struct held_replica *h)
 {
 	const struct replica_rec *r =
 		ss_state_replica(group_state(l->g), h->replica);
@@ -165,7 +165,7 @@
 {
 	char *name = ss_str_dup(conn_peer(c)->name);
 	struct leader_node *n = leader_node_for(l, name);
-	const struct held *h = m->held.items;
+	const struct held_replica *h = m->held.items;
 
 	g_free(name);
 	if (n->conn != c || n->incarnation != m->incarnation)
--- a/src/engine/endpoint.h
+++ b/src/engine/endpoint.h
@@ -21,9 +21,9 @@
 
 struct endpoint_state {
 	uint64_t bytes; /* accelerator memory */
-	const struct held *held;
+	const struct held_replica *held;
 	size_t n_held;
-	const struct cached *cached;
+	const struct cached_checkpoint *cached;
 	size_t n_cached;
 };
 
--- a/src/engine/http.c
+++ b/src/engine/http.c
@@ -122,18 +122,19 @@
 
 	for (size_t i = 0; i < n; i++) {
 		json_object *m = json_object_array_get_idx(models, i);
-		struct held h = { .model = json_text(m, "model"),
-				  .bytes = (uint64_t)json_number(m, "bytes"),
-				  .state = held_state_of(
-					  json_text(m, "state")) };
+		struct held_replica h = {
+			.model = json_text(m, "model"),
+			.bytes = (uint64_t)json_number(m, "bytes"),
+			.state = held_state_of(json_text(m, "state"))
+		};
 
 		g_array_append_val(held, h);
 	}
 	n = cached_models ? json_object_array_length(cached_models) : 0;
 	for (size_t i = 0; i < n; i++) {
 		json_object *m = json_object_array_get_idx(cached_models, i);
-		struct cached c = { .model = json_text(m, "model"),
-				    .tier = json_number(m, "tier") };
+		struct cached_checkpoint c = { .model = json_text(m, "model"),
+					       .tier = json_number(m, "tier") };
 
 		g_array_append_val(cached, c);
 	}
@@ -148,16 +149,17 @@
 
 	(void)error;
 	if (json_object_is_type(o, json_type_object)) {
-		GArray *held = g_array_new(FALSE, FALSE, sizeof(struct held));
-		GArray *cached =
-			g_array_new(FALSE, FALSE, sizeof(struct cached));
+		GArray *held =
+			g_array_new(FALSE, FALSE, sizeof(struct held_replica));
+		GArray *cached = g_array_new(FALSE, FALSE,
+					     sizeof(struct cached_checkpoint));
 		struct endpoint_state s = { 0 };
 
 		parse_state(o, held, cached);
 		s.bytes = (uint64_t)json_number(o, "bytes");
-		s.held = (struct held *)held->data;
+		s.held = (struct held_replica *)held->data;
 		s.n_held = held->len;
-		s.cached = (struct cached *)cached->data;
+		s.cached = (struct cached_checkpoint *)cached->data;
 		s.n_cached = cached->len;
 		d->done(d->arg, &s);
 		g_array_unref(held);
--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -112,11 +112,11 @@
 
 void read_engine(LedgerState &w)
 {
-	std::vector<held> list;
+	std::vector<held_replica> list;
 	uint64_t id = ledger_read_begin(w.l);
 
 	for (auto &h : w.engine.held) {
-		held x = {};
+		held_replica x = {};
 
 		x.model = { h.first.data(), h.first.size() };
 		x.bytes = w.engine.bytes[h.first];
@@ -129,7 +129,7 @@
 /* Sends an assignment of models that fit, with a new or an old number. */
 void assign(LedgerState &w, uint32_t v, bool old)
 {
-	std::vector<order> orders;
+	std::vector<replica_order> orders;
 	std::vector<std::string> names;
 	uint64_t room = kMemory;
 	msg_assign a = {};
@@ -139,7 +139,7 @@
 			names.push_back(name(i));
 	for (size_t i = 0; i < names.size(); i++) {
 		uint64_t size = 2 + (v >> (8 + 2 * i)) % 4;
-		order o = {};
+		replica_order o = {};
 
 		if (w.engine.bytes.count(names[i]))
 			size = w.engine.bytes[names[i]];
--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -68,8 +68,8 @@
 	g_string_free(b->f.orders, TRUE);
 }
 
-static bool assign(struct fixture *b, uint64_t fence, const struct order *o,
-		   size_t n)
+static bool assign(struct fixture *b, uint64_t fence,
+		   const struct replica_order *o, size_t n)
 {
 	struct msg_assign a = { .fence = fence,
 				.incarnation = SELF,
@@ -78,7 +78,8 @@
 	return ledger_assign(b->l, &a, b->now, NULL);
 }
 
-static void read_engine(struct fixture *b, const struct held *h, size_t n)
+static void read_engine(struct fixture *b, const struct held_replica *h,
+			size_t n)
 {
 	ledger_read_done(b->l, ledger_read_begin(b->l), h, n, b->now);
 }
@@ -100,7 +101,7 @@
  */
 static void old_assignments_are_refused(void **state)
 {
-	struct order a = ORDER(5, "a", GB), c = ORDER(9, "c", GB);
+	struct replica_order a = ORDER(5, "a", GB), c = ORDER(9, "c", GB);
 	struct msg_assign other = { .fence = 99, .incarnation = SELF + 1 };
 	struct fixture b = fixture_new();
 
@@ -122,8 +123,8 @@
  */
 static void restarted_agent_reads_before_it_acts(void **state)
 {
-	struct order a = ORDER(5, "a", 6 * GB);
-	struct held big = HELD("old", 8 * GB, HELD_LOADING);
+	struct replica_order a = ORDER(5, "a", 6 * GB);
+	struct held_replica big = HELD("old", 8 * GB, HELD_LOADING);
 	struct fixture b = fixture_new();
 
 	(void)state;
@@ -149,8 +150,9 @@
  */
 static void unanswered_load_stays_counted(void **state)
 {
-	struct order both[] = { ORDER(5, "a", 6 * GB), ORDER(6, "b", 6 * GB) };
-	struct held a = HELD("a", 6 * GB, HELD_LOADING);
+	struct replica_order both[] = { ORDER(5, "a", 6 * GB),
+					ORDER(6, "b", 6 * GB) };
+	struct held_replica a = HELD("a", 6 * GB, HELD_LOADING);
 	struct fixture b = fixture_new();
 	uint64_t before;
 
@@ -179,8 +181,8 @@
  */
 static void suspended_agent_waits_for_leader_before_load(void **state)
 {
-	struct order a = ORDER(5, "a", GB);
-	struct held big = HELD("x", 10 * GB, HELD_READY);
+	struct replica_order a = ORDER(5, "a", GB);
+	struct held_replica big = HELD("x", 10 * GB, HELD_READY);
 	struct fixture b = fixture_new();
 
 	(void)state;
@@ -200,8 +202,8 @@
 /* An unload waits for the model's calls; new calls are refused. */
 static void unload_waits_for_calls(void **state)
 {
-	struct order a = ORDER(5, "a", GB);
-	struct held h = HELD("a", GB, HELD_READY);
+	struct replica_order a = ORDER(5, "a", GB);
+	struct held_replica h = HELD("a", GB, HELD_READY);
 	struct fixture b = fixture_new();
 	struct ledger_replica *r;
 	GError *error = NULL;
@@ -228,8 +230,8 @@
 /* Calls are refused when all slots are taken and while draining. */
 static void calls_beyond_slots_or_draining_are_refused(void **state)
 {
-	struct order a = ORDER(5, "a", GB);
-	struct held h = HELD("a", GB, HELD_READY);
+	struct replica_order a = ORDER(5, "a", GB);
+	struct held_replica h = HELD("a", GB, HELD_READY);
 	struct fixture b = fixture_new();
 	GError *error = NULL;
 
@@ -254,7 +256,7 @@
 /* A load that fails repeatedly is reported and not retried forever. */
 static void failing_load_is_reported(void **state)
 {
-	struct order a = ORDER(5, "a", GB);
+	struct replica_order a = ORDER(5, "a", GB);
 	struct fixture b = fixture_new();
 	GArray *report;
 
@@ -271,7 +273,7 @@
 	}
 	assert_string_equal(b.f.orders->str, "+a+a+a");
 	report = ledger_report(b.l, b.now);
-	assert_int_equal(g_array_index(report, struct held, 0).state,
+	assert_int_equal(g_array_index(report, struct held_replica, 0).state,
 			 HELD_FAILED);
 	g_array_unref(report);
 	fixture_free(&b);
