--- a/test/run.sh
+++ b/test/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs all tests of a build folder, prints the failed cases, and ends with
+# Runs all tests of a build directory, prints the failed cases, and ends with
 # "N passed, N failed". Cases listed in KNOWN-RED.txt ("PROGRAM/CASE: cause;
 # issue", one per line, at most three) are printed but not counted as failed.
 # Other cases of the same program are counted, and a listed case that passes
@@ -27,9 +27,9 @@
 trap 'rm -rf "$logs"' EXIT
 JOBS=${JOBS:-$(nproc)}
 
-# Prints the names of failed cases, without duplicates, as a runner may print
-# one twice. A soak's case is its seed ("seed-7"), a property's is its text with
-# dashes.
+# Prints the names of failed cases without duplicates, since a runner may print
+# a case twice. A soak's case is its seed ("seed-7"), a property's is its text
+# with dashes.
 failed_cases() { # pattern
 	awk -v pattern="$1" '
 	/^- / { property = substr($0, 3); gsub(/[ ,"]+/, "-", property) }
@@ -43,7 +43,7 @@
 
 # True if a program's exit is not explained by its failed cases: a sanitizer's
 # report, a teardown error or an exception.
-ended_otherwise() { # exit status, failed cases
+exit_is_unexplained() { # exit status, failed cases
 	[ "$1" -ge 124 ] && return 0
 	grep -q '^Traceback' "$out" && return 0
 	grep -qE 'ERROR: (Address|Leak)Sanitizer|runtime error:' "$out" &&
@@ -61,7 +61,8 @@
 }
 
 # Programs that share no port, file or timing run in parallel. Their output is
-# evaluated afterwards in a fixed order.
+# evaluated afterwards in a fixed order, so that the report doesn't depend on
+# which of them ends first.
 start() { # name, command...
 	log=$logs/$1
 	shift
@@ -75,7 +76,7 @@
 	) &
 }
 
-judge() { # name, line of a passed case, of a failed one
+report() { # name, pattern of a passed case, of a failed case
 	name=$1
 	out=$logs/$1.out
 	read -r rc seconds <"$logs/$1.end"
@@ -90,7 +91,7 @@
 			fail "$name/$c"
 		fi
 	done <"$cases"
-	if [ "$bad" -eq 0 ] && ended_otherwise "$rc" "$n"; then
+	if [ "$bad" -eq 0 ] && exit_is_unexplained "$rc" "$n"; then
 		fail "$name" "exit status $rc, $n failed cases"
 	fi
 	for k in $(known_but_passed); do
@@ -123,10 +124,10 @@
 	done
 	wait
 	for t in $(programs 'test_*'); do
-		judge "$(basename "$t")" '^\[       OK \]' '^\[  FAILED  \] [a-z]'
+		report "$(basename "$t")" '^\[       OK \]' '^\[  FAILED  \] [a-z]'
 	done
 	for t in $(programs 'prop_*'); do
-		judge "$(basename "$t")" '^OK, passed' '^Falsifiable'
+		report "$(basename "$t")" '^OK, passed' '^Falsifiable'
 	done
 fi
 # Runs a program as several parts in parallel, evaluated as one.
@@ -159,7 +160,7 @@
 	start soak.py $python test/fleet/soak.py --build "$build"
 	wait
 	for t in test/proc_*.py test/fleet/scenarios.py test/fleet/soak.py; do
-		judge "$(basename "$t")" '^ok ' '^FAILED '
+		report "$(basename "$t")" '^ok ' '^FAILED '
 	done
 fi
 if [ "$(printf '%s' "$known" | grep -c .)" -gt "$KNOWN_MAX" ]; then
