--- a/test/fleet/scenarios.py
+++ b/test/fleet/scenarios.py
@@ -677,12 +677,12 @@
         e.streams = 0
         await until(used, MODELS_LOADED_S + RECOVERY_S,
                     "the engine isn't used again")
-        began, seen = (leader_changes(fleet),
-                       control_log_count(fleet, " whole=0"))
+        began, truncated_before = (
+            leader_changes(fleet), control_log_count(fleet, " whole=0"))
         fleet.listing.corrupt_page = truncate_page
 
         async def noticed():
-            return control_log_count(fleet, " whole=0") > seen
+            return control_log_count(fleet, " whole=0") > truncated_before
 
         await until(noticed, RECOVERY_S, "the truncated page isn't logged")
         try:
--- a/test/fleet/shared_failures.py
+++ b/test/fleet/shared_failures.py
@@ -48,8 +48,8 @@
     failing_entry, other = sorted(fleet.entries)[:2]
 
     async def served():
-        seen = [await call_once(fleet, other, i) for i in range(4)]
-        return all(s == 200 for s in seen)
+        statuses = [await call_once(fleet, other, i) for i in range(4)]
+        return all(s == 200 for s in statuses)
 
     await until(served, RECOVERY_S, "plain calls aren't served")
     # The server that calls go to while both are idle.
@@ -57,7 +57,7 @@
     bad = next(w for w in fleet.webs if w.name == last)
     fail_all(bad)
 
-    async def seen():
+    async def failures_seen():
         # Calls are concurrent, since the entry calls another server after the
         # first failure.
         await asyncio.gather(*[
@@ -65,7 +65,7 @@
             for i in range(6)])
         return bad.calls >= 3
 
-    await until(seen, RECOVERY_S, "the server's failures aren't seen")
+    await until(failures_seen, RECOVERY_S, "the server's failures aren't seen")
     fails = re.compile(r"event=endpoint_fails addr=%s .* failing=[3-9]\d\d " %
                        re.escape(bad.listed))
 
--- a/test/fleet/soak_checks.py
+++ b/test/fleet/soak_checks.py
@@ -204,9 +204,9 @@
         around faults and stops of control VMs.
         """
         controls = [p.name for p in self.f.of_role("control")]
-        calm = [t for t in self.world.loads if not any(
+        undisturbed = [t for t in self.world.loads if not any(
             self.journal.touched(c, t - LOADS_WINDOW_S, t) for c in controls)]
-        n, start = most_in_window(calm, LOADS_WINDOW_S)
+        n, start = most_in_window(undisturbed, LOADS_WINDOW_S)
         allowed = self.f.loads_per_s() * LOADS_WINDOW_S + LOADS_BURST
         if n > allowed:
             self.fail("%d loads from the store within %.0f s from %s, %.0f "
@@ -223,13 +223,14 @@
                 continue
             late = [(t, rid) for t, rid in self.world.poison[body]
                     if t > crash_times[CRASH_LIMIT - 1] + POISON_KNOWN_S]
-            calm = [rid for t, rid in late if not any(
+            undisturbed = [rid for t, rid in late if not any(
                 self.journal.touched(
                     name, t - POISON_KNOWN_S - FAULT_TAIL_S, t)
                 for name in [self.world.sent_to[rid], *controls])]
-            if len(calm) > MAX_LATER_RUNS:
+            if len(undisturbed) > MAX_LATER_RUNS:
                 self.fail("%r crashed %d endpoints and was sent on %d times "
-                          "more" % (body, len(crash_times), len(calm)))
+                          "more" % (body, len(crash_times),
+                                    len(undisturbed)))
 
     def signals(self):
         """Entries and agents respect the signals in endpoints' answers."""
--- a/test/fleet/soak_outage.py
+++ b/test/fleet/soak_outage.py
@@ -4,7 +4,7 @@
 import random
 import time
 
-ALL_ANSWERS = 10 ** 9  # more answers than an outage has
+ALL_ANSWERS = 10 ** 9  # more than an outage has
 MAX_OUTAGE_S = 8.0
 
 
--- a/test/fleet/soak_surge.py
+++ b/test/fleet/soak_surge.py
@@ -10,7 +10,7 @@
 
 MAX_EVENTS = 7       # so that costs are similar, and within the burst
 CALLERS = 2          # callers of each class and retry policy
-EAGER_RETRY_S = 0.1  # wait of the callers that ignore Retry-After
+EAGER_RETRY_S = 0.1  # wait of callers that ignore Retry-After
 MAX_WAIT_S = 1.0     # longest Retry-After that a caller follows
 MAX_START_S, SURGE_S = 2.0, 15.0   # latest start, duration
 
