--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -51,7 +51,8 @@
 fleet_incarnation_dup(const struct fleet_incarnation *i);
 void fleet_incarnation_free(void *incarnation);
 
-/* One endpoint as listed in the VM list, which lags behind. */
+/* An endpoint in the platform's list of endpoints, which lags behind the actual
+ * state. */
 struct fleet_instance {
 	char *id;
 	int64_t started_ms; /* as in struct fleet_incarnation */
