--- a/src/core/msg.h
+++ b/src/core/msg.h
@@ -26,9 +26,9 @@
 	MSG_MODELS,   /* entry to leader: asks for the model names */
 	MSG_MODEL_LIST, /* reply to MSG_MODELS */
 	MSG_CALL,	/* entry to agent: runs a request */
-	MSG_REPLY,	/* agent to entry: a piece of the response */
+	MSG_REPLY,	/* agent to entry: a piece of the reply */
 	MSG_CANCEL,	/* entry to agent: the caller has gone */
-	MSG_ATTACH,	/* entry to agent: asks for the rest of a response */
+	MSG_ATTACH,	/* entry to agent: asks for the rest of a reply */
 	/* For a fleet whose endpoints are called directly: */
 	MSG_ENDPOINT,	  /* agent to leader: state of its endpoint */
 	MSG_LOAD,	  /* leader to agent: models to unload and load */
@@ -255,7 +255,7 @@
 	int64_t status; /* HTTP status, on piece 0 */
 	struct wire_list headers;
 	struct ss_str data;
-	bool end;	 /* the response is complete, or failed with code */
+	bool end;	 /* the reply is complete, or failed with code */
 	int64_t code;	 /* enum ss_error */
 	int64_t outcome; /* enum outcome; set with code */
 	struct ss_str text;
--- a/src/core/router.h
+++ b/src/core/router.h
@@ -1,7 +1,7 @@
 /*
  * Router of an entry. It queues calls, sends them to replicas, retries them,
- * recovers attempts after a lost connection, and ends each call with an answer
- * or a typed error that states whether the work was run.
+ * recovers attempts after a lost connection, and ends each call with a reply or
+ * a typed error that states whether the work was run.
  */
 #ifndef SS_ROUTER_H
 #define SS_ROUTER_H
@@ -33,7 +33,7 @@
 
 /* How a call ended. */
 struct router_result {
-	int64_t code; /* 0: the whole answer was delivered */
+	int64_t code; /* 0: the whole reply was delivered */
 	enum outcome outcome;
 	const char *text;
 	int64_t retry_after_ms; /* 0: don't retry */
@@ -52,7 +52,7 @@
 	/* Sends a claim to the leader. Returns false if no leader is known; the
 	 * router sends the claim again later. */
 	bool (*claim)(void *arg, const struct msg_claim *c);
-	/* Passes on the next piece of the answer. */
+	/* Passes on the next piece of the reply. */
 	void (*deliver)(void *arg, struct rcall *c, const struct msg_reply *m);
 	/* Passes on the result of a call; c is freed on return. */
 	void (*finish)(void *arg, struct rcall *c,
--- a/src/core/router_attempt.c
+++ b/src/core/router_attempt.c
@@ -1,7 +1,7 @@
 /* Router: attempts on agents, their replies, retries and recovery. */
 #include "router_int.h"
 
-/* Most attempts of a call: bounds the load that one call can cause. */
+/* Maximum attempts of a call: bounds the load that one call can cause. */
 #define ATTEMPTS_MAX 8
 /* Weight of the newest call in a route's mean duration: about the last ten
  * calls count. */
@@ -182,7 +182,7 @@
 		g_free(text);
 		return;
 	}
-	/* Another attempt holds the key: attach to that one for its answer. */
+	/* Another attempt holds the key: attach to that one for its reply. */
 	router_end_attempt(r, c);
 	node = ss_str_dup(m->node);
 	c->agent = router_get_agent(r, node, m->addr, (struct ss_str){ 0 });
@@ -343,7 +343,7 @@
 	}
 	if (m->seq > c->next) {
 		/* A piece is missing: attach again from there, so that the
-		 * caller gets no answer with a gap. */
+		 * caller gets no reply with a gap. */
 		recover_attempt(r, c, now);
 		return;
 	}
--- a/src/core/router_int.h
+++ b/src/core/router_int.h
@@ -29,7 +29,7 @@
 	uint64_t incarnation; /* of the agent */
 	/* Id of an attempt that is known not to run, for claims. */
 	uint64_t dead_entry, dead_seq;
-	uint64_t next; /* expected piece of the answer */
+	uint64_t next; /* expected piece of the reply */
 	unsigned int attempts;
 	bool claimed;
 	bool counted;	/* in own_calls and sent_since of the replica */
@@ -98,7 +98,7 @@
 /* router_attempt.c */
 /* Requests that the agent stop the attempt. */
 void router_send_cancel(struct router *r, struct rcall *c);
-/* Requests the attempt's outcome and the rest of its answer from the agent. */
+/* Requests the attempt's outcome and the rest of its reply from the agent. */
 void router_send_attach(struct router *r, struct rcall *c);
 /* Requests the leader's permission to run a call with an idempotency key. */
 void router_claim(struct router *r, struct rcall *c, int64_t now);
