--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -36,7 +36,9 @@
  * queue. */
 struct admission_head {
 	bool resumes; /* it resumes a stream; its dispatch isn't counted */
-	int priority; /* 0 (highest) to SS_QUEUE_PRIORITIES - 1 */
+	/* 0 (highest) to SS_QUEUE_PRIORITIES - 1; the reverse of the order in
+	 * struct ss_queue_item. */
+	int priority;
 	uint64_t virtual_time; /* admission_virtual_time() of its customer */
 	int64_t latest_ms;     /* its latest start */
 	/* Rules that may select it: by_order as the next by the shares of its
--- a/src/core/endpoint_limit.c
+++ b/src/core/endpoint_limit.c
@@ -11,7 +11,7 @@
 /* Requests that may be sent at once, as a request can't be granted in parts.
  * They count towards OVERAGE_REQUESTS, with their own overage. */
 #define BURST 1
-/* Least limit that can be shared out, in requests per second. */
+/* Minimum limit that can be shared out, in requests per second. */
 #define PER_S_MIN 0.001
 /* Typical time for which a call holds a slot of an engine, in s. */
 #define SLOT_HOLD_S 2
--- a/src/core/fetch.h
+++ b/src/core/fetch.h
@@ -32,7 +32,7 @@
 	const char *(*leader)(void *arg);
 	/* Sends a request; only the answer to the last one counts. */
 	void (*request)(void *arg, const char *addr, const struct msg_fetch *m);
-	/* Acknowledges the answer to the control VM that was asked last. */
+	/* Sends an acknowledgement to the control VM that answered last. */
 	void (*acknowledge)(void *arg, const struct msg_fetch *m);
 	/* Applies changes up to a newer version; false if they are unusable.
 	 * They may be parsed later: an error then leads to a call of
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -1,7 +1,7 @@
 /* Retry budget of a process. */
 #include "retry_budget.h"
 
-/* Least number of entries that the slack is divided by: the leader doesn't
+/* Minimum number of entries that the slack is divided by: the leader doesn't
  * count disconnected entries, which spend their part all the same. */
 #define ENTRIES_MIN 20
 /* Part of the ratio for the requests of a span; the rest is for those in the
--- a/src/core/return_slots.h
+++ b/src/core/return_slots.h
@@ -25,7 +25,7 @@
 /* Slots are assigned this far ahead, in ms: a third of what the most patient
  * callers have left, some 40 s. */
 #define RETURN_HORIZON_MS 12800
-/* Most causes that are tracked; each takes some 700 bytes. */
+/* Maximum number of tracked causes; each takes some 700 bytes. */
 #define RETURN_CAUSES_MAX 1024
 
 struct return_slots;
@@ -65,7 +65,7 @@
 			 int64_t now);
 /* Drops causes without a refusal within the last RETURN_HORIZON_MS. */
 void return_slots_expire(struct return_slots *t, int64_t now);
-/* Number of tracked causes. */
+/* Returns the number of tracked causes. */
 size_t return_slots_count(const struct return_slots *t);
 
 #ifdef __cplusplus
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,7 +1,7 @@
 /* Router: admission, dispatch from the queues, routes, deadlines and timers. */
 #include "router_int.h"
 
-/* Most retries that the budget may accumulate: bounds the burst of retries if
+/* Maximum balance of the retry budget: bounds the burst of retries if
  * all agents fail at once. */
 #define RETRY_BUDGET_MAX 20
 /* Interval at which an unanswered claim is sent again. */
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -137,7 +137,7 @@
 void routing_service_unref(struct routing_service *s);
 /* Appends a zeroed model. The service owns the strings that are set in it. */
 struct routing_model *routing_add_model(struct routing_service *s);
-/* Does the same for a service. */
+/* Does the same as routing_route_finish() for a service. */
 bool routing_service_finish(struct routing_service *s, GError **error);
 
 /* Returns whether the route sends a share of its requests to the service. */
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -164,9 +164,10 @@
  * decoded, with the state unchanged, or if the routing in them can't. */
 bool ss_state_restore(struct ss_state *s, struct ss_str bytes);
 
-/* The preset in force; NULL before the first switch. */
+/* Returns the preset in force; NULL before the first switch. */
 const struct preset_rec *ss_state_in_force(const struct ss_state *s);
-/* Log index of the last switch, or last change of the preset in force. */
+/* Returns the log index of the last switch, or of the last change of the preset
+ * in force. */
 uint64_t ss_state_config_version(const struct ss_state *s);
 
 const struct preset_rec *ss_state_preset(const struct ss_state *s,
@@ -182,10 +183,11 @@
  * a replica stay reserved until its unload is confirmed. */
 uint64_t ss_state_reserved(const struct ss_state *s, const char *node);
 
-/* The current routing as operators sent it; empty before the first one. */
+/* Returns the current routing as operators sent it; empty before the first
+ * one. */
 const struct document *ss_state_routing(const struct ss_state *s);
-/* The packed change that made the current routing, and the version that it
- * applies to; empty if the routing arrived as a full copy. */
+/* Returns the packed change that made the current routing, and the version that
+ * it applies to; empty if the routing arrived as a full copy. */
 struct ss_str ss_state_routing_change(const struct ss_state *s, uint64_t *base);
 
 /* Read-only tables: name to record; for replicas, id (uint64_t *) to record. */
@@ -193,12 +195,13 @@
 GHashTable *ss_state_models(const struct ss_state *s);
 GHashTable *ss_state_nodes(const struct ss_state *s);
 GHashTable *ss_state_replicas(const struct ss_state *s);
-/* struct change_rec *, oldest first. */
+/* Returns the changes (struct change_rec *), oldest first. */
 GQueue *ss_state_history(const struct ss_state *s);
-/* The replicas on a node or of a model: struct replica_rec *; NULL for none. */
+/* Return the replicas (struct replica_rec *) on a node or of a model; NULL for
+ * none. */
 GPtrArray *ss_state_node_replicas(const struct ss_state *s, const char *node);
 GPtrArray *ss_state_model_replicas(const struct ss_state *s, const char *model);
-/* Number of claims. */
+/* Returns the number of claims. */
 size_t ss_state_claims(const struct ss_state *s);
 
 #endif
--- a/src/core/stream_timing.c
+++ b/src/core/stream_timing.c
@@ -200,9 +200,9 @@
 {
 	if (route->first.n < PREDICTION_SAMPLES)
 		return SS_NEVER;
-	/* The maximum alone leaves no margin while there are few samples: a
-	 * call was started with 1,305 ms left, as the maximum was 1,222 ms, and
-	 * took 1,310 ms. */
+	/* The maximum alone leaves no margin while there are few samples: the
+	 * next call may take longer, such as 1310 ms after a maximum of
+	 * 1222 ms, and miss its deadline. */
 	return (int64_t)ceil(MAX(MAX(timing_max(&route->first_max),
 				     timing_estimate_bound(&route->first)),
 				 pending->first_ms));
--- a/src/core/suspects.c
+++ b/src/core/suspects.c
@@ -29,9 +29,9 @@
 /* Wait before a request asks for a trial run again while others are open, in
  * ms. */
 #define TRIAL_RETRY_MS 1000
-/* Most trial runs at a time. The window starts at one and doubles with each
- * trial run that is answered, so that harmless requests needn't wait for each
- * other. */
+/* Maximum number of trial runs at a time. The window starts at one and doubles
+ * with each trial run that is answered, so that harmless requests needn't wait
+ * for each other. */
 #define TRIAL_WINDOW_MAX 64
 #define EXPIRE_INTERVAL_MS 10000
 
--- a/src/customer/customer.h
+++ b/src/customer/customer.h
@@ -55,16 +55,16 @@
 struct customer *customers_find(const struct customers *t, struct ss_str key);
 struct customer *customers_named(const struct customers *t, const char *name);
 
-/*
- * Checks whether customers can be added once those marked as removed are gone.
- * On a conflict, added[*at] has the same name or a key as *other, which is
- * either in the table and stays, or comes earlier in the list.
- */
 enum customers_conflict {
 	CUSTOMERS_NO_CONFLICT,
 	CUSTOMERS_NAME,
 	CUSTOMERS_KEY
 };
+/*
+ * Checks whether customers can be added once those marked as removed are gone.
+ * On a conflict, added[*at] has the same name or a key as *other, which is
+ * either in the table and stays, or comes earlier in the list.
+ */
 enum customers_conflict customers_check(const struct customers *t,
 					const GPtrArray *added, guint *at,
 					const struct customer **other);
