--- a/src/core/fleet_list.c
+++ b/src/core/fleet_list.c
@@ -1,4 +1,4 @@
-/* The list of endpoints: clean-up of entries, and presence of an endpoint. */
+/* The list of endpoints: clean-up of items, and presence of an endpoint. */
 #include "fleet_list.h"
 
 static void unreadable_clear(void *p)
@@ -54,7 +54,7 @@
 	return &g_array_index(l->instances, struct fleet_instance, i);
 }
 
-/* Returns the ids and addresses of the entries whose service is in the
+/* Returns the ids and addresses of the items whose service is in the
  * routing. */
 static GHashTable *routed_names(const struct fleet_list *l,
 				const struct routing *r)
@@ -91,7 +91,7 @@
 					const char *id, const char *addr,
 					int64_t unread_ms)
 {
-	/* Whether an entry was lost that may be this endpoint's. */
+	/* Whether an item was lost that may be this endpoint's. */
 	bool unattributed = l->torn;
 
 	for (guint i = 0; i < l->unreadable->len; i++) {
--- a/src/proxy/gate.h
+++ b/src/proxy/gate.h
@@ -77,7 +77,7 @@
 /* Takes the leader's report on endpoints and models. */
 void gate_fleet_received(struct gate *g, const struct msg_fleet *m);
 /* Takes the list of endpoints itself, while no leader is in contact. May drop
- * entries from the list. */
+ * items from the list. */
 void gate_list_received(struct gate *g, struct fleet_list *list);
 bool gate_knows_fleet(const struct gate *g);
 
--- a/src/proxy/gate_endpoints.c
+++ b/src/proxy/gate_endpoints.c
@@ -359,7 +359,7 @@
 		add_model(ep, ss_str(x->models->pdata[k]));
 }
 
-/* Suspends or drops an endpoint that no readable entry of the list names. */
+/* Suspends or drops an endpoint that no readable item of the list names. */
 static void update_unlisted(struct gate *g, struct gate_ep *ep,
 			    const struct fleet_list *list)
 {
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -59,7 +59,7 @@
 	bool known; /* listed and not gone */
 	bool draining;
 	bool removing;	       /* drains for removal, not for a restart */
-	int64_t unreadable_ms; /* list entry unreadable since; 0: readable */
+	int64_t unreadable_ms; /* list item unreadable since; 0: readable */
 	bool loading; /* or unloading a model; can't load an adapter then */
 	GHashTable *models; /* model -> struct gate_model */
 	GHashTable *calls;  /* model -> GINT count of this gate's open calls */
--- a/src/proxy/platform_ops.h
+++ b/src/proxy/platform_ops.h
@@ -77,7 +77,7 @@
 	 * first. */
 	char *(*list_path)(const char *page);
 	/*
-	 * Appends a page's entries to out, also those of a truncated page. Sets
+	 * Appends a page's items to out, also those of a truncated page. Sets
 	 * next to the name of the following page, or to NULL on the last one.
 	 * If that name is unreadable, next is NULL and out is marked as
 	 * incomplete. Fails with SS_ERROR_BAD_REQUEST if json is not a page.
