--- a/src/core/delayed_orders.h
+++ b/src/core/delayed_orders.h
@@ -4,11 +4,11 @@
  * An order without an answer may be carried out seconds later. An order states
  * the count of orders that it expects the engine to have accepted, so within
  * one incarnation of the engine it isn't accepted after newer orders. An engine
- * that restarts under the same id counts from 0 again and forgets fences: an
- * order sent before the restart is accepted once the new count reaches the one
- * it expects. If memory was filled in the meantime, the engine is made to load
- * more than fits, and crashes. So the memory that such an order needs is kept
- * free until the order can no longer be carried out.
+ * that restarts under the same id counts from 0 again and forgets fencing
+ * tokens: an order sent before the restart is accepted once the new count
+ * reaches the one it expects. If memory was filled in the meantime, the engine
+ * is made to load more than fits, and crashes. So the memory that such an order
+ * needs is kept free until the order can no longer be carried out.
  */
 #ifndef SS_DELAYED_ORDERS_H
 #define SS_DELAYED_ORDERS_H
--- a/src/core/engine.c
+++ b/src/core/engine.c
@@ -38,7 +38,7 @@
 	uint64_t orders;
 	struct delayed_orders *delayed;
 	uint64_t fence;		/* newest term; 0: none received */
-	uint64_t refused_fence; /* fence that the engine refused; 0: none */
+	uint64_t refused_fence; /* refused by the engine; 0: none */
 	bool order_pending;
 	struct pending_order pending; /* while order_pending */
 	bool report_stale;	      /* report is older than the last order */
@@ -608,7 +608,7 @@
 		e->load_accepted |= model_load && a == FLEET_ORDER_ACCEPTED;
 		break;
 	case FLEET_ORDER_FENCED:
-		/* The engine would refuse any order with this fence. */
+		/* The engine would refuse any order with this fencing token. */
 		e->refused_fence = e->fence;
 		if (e->step_active)
 			end_step(e, SS_ERROR_FENCED,
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -62,10 +62,10 @@
 
 /*
  * Sets a leader's term, which a majority has confirmed since this process
- * started. Orders carry the newest term as their fence. Before the first one
- * nothing is ordered and steps are refused: before a restart, this agent may
- * have ordered with a fence that it no longer knows, and a leader that was cut
- * off since may not know of a newer one.
+ * started. Orders carry the newest term as their fencing token. Before the
+ * first one nothing is ordered and steps are refused: before a restart, this
+ * agent may have ordered with a fencing token that it no longer knows, and a
+ * leader that was cut off since may not know of a newer one.
  */
 void engine_set_term(struct engine *e, uint64_t fence, int64_t now);
 
@@ -73,7 +73,8 @@
  * Handles a report of the engine, requested after the last order was answered.
  * The caller owns it, and keeps it until the next report or engine_free(). A
  * report of an earlier incarnation, or one older than the last, is ignored and
- * isn't referenced. A restart aborts the step and clears the refused fence.
+ * isn't referenced. A restart aborts the step and clears the refused fencing
+ * token.
  */
 void engine_report_received(struct engine *e, const struct fleet_report *r,
 			    int64_t now);
--- a/src/core/fleet_types.h
+++ b/src/core/fleet_types.h
@@ -131,7 +131,7 @@
 	FLEET_ORDER_ACCEPTED,	 /* accepted and being carried out */
 	FLEET_ORDER_UNCHANGED,	 /* nothing to do: already in this state */
 	FLEET_ORDER_BUSY,	 /* another order runs, or expect is outdated */
-	FLEET_ORDER_FENCED,	 /* the engine has seen a higher fence */
+	FLEET_ORDER_FENCED,	 /* its fencing token is outdated */
 	FLEET_ORDER_MISDIRECTED, /* another incarnation answered */
 	FLEET_ORDER_INVALID,
 	FLEET_ORDER_UNKNOWN, /* no clear answer: it may still be accepted */
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -1,7 +1,7 @@
 /*
  * An agent's ledger: the replicas that its endpoint is assigned, those that
  * it holds, and the accelerator memory that they use. The ledger refuses
- * assignments with an old fencing number, starts no load or unload before the
+ * assignments with an old fencing token, starts no load or unload before the
  * endpoint's state has been read, and never loads more than the memory holds.
  */
 #ifndef SS_LEDGER_H
@@ -73,7 +73,7 @@
 
 /*
  * Applies the leader's assignment. Fails with SS_ERROR_FENCED if its fencing
- * number is lower than one applied before, or if it is for another
+ * token is lower than one applied before, or if it is for another
  * incarnation.
  */
 bool ledger_assign(struct ledger *l, const struct msg_assign *a, int64_t now,
--- a/src/core/owner.h
+++ b/src/core/owner.h
@@ -4,11 +4,11 @@
  * agent that a control VM runs instead.
  *
  * Two agents that order one engine would undo each other's loads. Each owner
- * therefore gets a higher fence than the previous one, and a new owner is
- * accepted only after the previous one has been silent for as long as one of
+ * therefore gets a higher fencing token than the previous one, and a new owner
+ * is accepted only after the previous one has been silent for as long as one of
  * its orders may still be in transit. An agent that is disconnected from the
- * leader may continue to order adapters with its lower fence; the engine
- * refuses these orders.
+ * leader may continue to order adapters with its lower fencing token; the
+ * engine refuses these orders.
  */
 #ifndef SS_OWNER_H
 #define SS_OWNER_H
@@ -38,7 +38,7 @@
 
 enum owner_claim {
 	OWNER_SAME,	/* the agent is the owner already */
-	OWNER_ACQUIRED, /* the agent is the new owner, with a new fence */
+	OWNER_ACQUIRED, /* the agent is the new owner; new fencing token */
 	OWNER_DENIED,	/* the lease of another owner hasn't ended */
 };
 
--- a/src/core/state.c
+++ b/src/core/state.c
@@ -10,7 +10,8 @@
 	return n;
 }
 
-/* Orders to a node are numbered by log index, so that their fence increases. */
+/* Orders to a node are numbered by log index, so that their fencing token
+ * increases. */
 static void mark_node_changed(struct ss_state *s, struct ss_str name,
 			      uint64_t index)
 {
--- a/src/daemon/fleet_leader_int.h
+++ b/src/daemon/fleet_leader_int.h
@@ -259,7 +259,7 @@
 /* True while the last report of the endpoint's agent is fresh. */
 bool fleet_ep_reported(const struct fleet_leader *l, const struct fleet_ep *ep);
 void fleet_demand_free(void *demand);
-/* Returns the fence that the owner of an engine puts on its orders. It
+/* Returns the fencing token that the owner of an engine puts on its orders. It
  * increases with each owner and with each leader. */
 uint64_t fleet_ep_fence(const struct fleet_leader *l,
 			const struct fleet_ep *ep);
--- a/src/daemon/fleet_peers.c
+++ b/src/daemon/fleet_peers.c
@@ -18,8 +18,8 @@
 
 /*
  * Sends a peer the routing version in force, which it then fetches from the
- * control VMs, and the owner of an engine its fence. An agent that owns no
- * engine gets no message, since it may give no orders.
+ * control VMs, and the owner of an engine its fencing token. An agent that owns
+ * no engine gets no message, since it may give no orders.
  */
 void fleet_send_term(struct fleet_leader *l, struct fleet_peer *p)
 {
--- a/src/daemon/fleet_reports.c
+++ b/src/daemon/fleet_reports.c
@@ -12,7 +12,8 @@
 
 /* Agents. */
 
-/* Returns true if the agent owns the engine; sends a new owner its fence. */
+/* Returns true if the agent owns the engine; sends a new owner its fencing
+ * token. */
 static bool acquire_engine(struct fleet_leader *l, struct fleet_ep *ep,
 			   struct conn *c, bool remote)
 {
--- a/src/daemon/fleet_table.c
+++ b/src/daemon/fleet_table.c
@@ -2,8 +2,8 @@
  * each peer the rows that refer to it. */
 #include "fleet_leader_int.h"
 
-/* Bits for the owner's generation in a fence. They allow one owner change
- * each 3.5 s for two days under one leader. */
+/* Bits for the owner's generation in a fencing token. They allow one owner
+ * change each 3.5 s for two days under one leader. */
 #define OWNER_BITS 16
 #define OWNER_MASK ((1u << OWNER_BITS) - 1)
 
--- a/src/daemon/replica_leader_int.h
+++ b/src/daemon/replica_leader_int.h
@@ -30,7 +30,7 @@
 	GArray *held;	     /* struct leader_held */
 	GHashTable *cached;  /* model -> tier */
 	bool draining;	     /* reported by the agent: a planned stop */
-	uint64_t fence_sent; /* fence of the orders sent last */
+	uint64_t fence_sent; /* fencing token of the orders sent last */
 	bool registered;     /* committed, for this connection */
 	bool listed;	     /* has been on the VM list */
 	int64_t unlisted_ms; /* when the VM list first lacked it; SS_NEVER if
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -250,7 +250,7 @@
 	GHashTable *latency_hists; /* route name -> struct hist */
 	uint64_t seed;
 	uint64_t ticket; /* last one given out */
-	uint64_t round;	 /* of the latest fleet message with this fence */
+	uint64_t round;	 /* of the newest leader's latest fleet message */
 	uint64_t fence;	 /* of the newest leader that sent one */
 	uint64_t last_incarnation_no;
 	GArray *startup_hold;	 /* until routing and fleet are known */
--- a/test/test_agent.c
+++ b/test/test_agent.c
@@ -97,7 +97,7 @@
 /*
  * Guards against loading a model that is no longer assigned: an old leader's
  * assignment arrives after one of the new leader. The engine ignores fencing
- * numbers, so the agent must refuse it.
+ * tokens, so the agent must refuse it.
  */
 static void old_assignments_are_refused(void **state)
 {
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -273,7 +273,7 @@
 	fix_close(&f);
 }
 
-/* No order is sent with a fence that the engine has refused. */
+/* No order is sent with a fencing token that the engine has refused. */
 static void refused_fence_is_not_used_again(void **state)
 {
 	struct engine_step newer = { .fence = 12, .step = 1 };
@@ -400,8 +400,9 @@
 }
 
 /*
- * An engine that restarts under its id has forgotten fences. If the agent kept
- * the refused fence, it would order nothing until the next change of leader.
+ * An engine that restarts under its id has forgotten fencing tokens. If the
+ * agent kept the refused fencing token, it would order nothing until the next
+ * change of leader.
  */
 static void restart_clears_the_refused_fence(void **state)
 {
@@ -615,10 +616,11 @@
 }
 
 /*
- * An agent that has ordered with fence 3 restarts, and a call needs an adapter
- * before any leader has sent its term. If the agent then orders with fence 1,
- * an engine that checks fences refuses what callers need, and one that doesn't
- * may carry out the steps of two leaders in the wrong order.
+ * An agent that has ordered with fencing token 3 restarts, and a call needs an
+ * adapter before any leader has sent its term. If the agent then orders with
+ * fencing token 1, an engine that checks fencing tokens refuses what callers
+ * need, and one that doesn't may carry out the steps of two leaders in the
+ * wrong order.
  */
 static void fresh_agent_waits_for_a_term(void **state)
 {
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -1,4 +1,4 @@
-/* Ownership of an engine: one owner at a time, each with its own fence. */
+/* Ownership of an engine: one owner at a time, each with a fencing token. */
 #include "unit.h"
 
 #include "../src/core/owner.h"
@@ -58,8 +58,8 @@
 
 /*
  * Guards against two VMs undoing each other's loads, or giving orders with the
- * same fence, when an agent is disconnected, a control VM runs another one
- * instead, and the first one is back.
+ * same fencing token, when an agent is disconnected, a control VM runs another
+ * one instead, and the first one is back.
  */
 static void one_owner_at_a_time(void **state)
 {
