--- a/src/daemon/fleet_steps.c
+++ b/src/daemon/fleet_steps.c
@@ -12,10 +12,10 @@
  * the wait for an agent that never connects. */
 #define PRELOAD_DELAY_MS 1000
 #define PRELOAD_MAX_DELAY_MS 3000
-/* Longest wait for the entries' confirmation, which takes a round trip. An
- * entry that doesn't confirm has lost its connection; the engine then refuses
- * its calls with a specific error. */
-#define CONFIRM_MS 300
+/* Longest wait for the entries' acknowledgement, which takes a round trip. An
+ * entry that doesn't acknowledge has lost its connection; the engine then
+ * refuses its calls with a specific error. */
+#define ACK_WAIT_MS 300
 /* Longest time for which an unload waits for running calls. After that it is
  * sent, and the engine waits for them itself. */
 #define UNLOAD_WAIT_MS 3000
@@ -455,7 +455,7 @@
 
 /* Running steps. */
 
-static bool confirmed_by_all(const struct fleet_leader *l, uint64_t round)
+static bool acknowledged_by_all(const struct fleet_leader *l, uint64_t round)
 {
 	GHashTableIter it;
 	void *p;
@@ -489,8 +489,8 @@
 }
 
 /*
- * A model is unloaded once every entry has confirmed that it sends no new calls
- * to it, and its running calls have ended. Otherwise these calls would be
+ * A model is unloaded once every entry has acknowledged that it sends no new
+ * calls to it, and its running calls have ended. Otherwise these calls would be
  * refused or delay the engine's next order.
  */
 static bool may_send(const struct fleet_leader *l, const struct fleet_ep *ep,
@@ -502,7 +502,7 @@
 		return false;
 	if (ep->step.unload->len == 0 || age > UNLOAD_WAIT_MS)
 		return true;
-	if (!confirmed_by_all(l, ep->step.round) && age < CONFIRM_MS)
+	if (!acknowledged_by_all(l, ep->step.round) && age < ACK_WAIT_MS)
 		return false;
 	return victim_calls(ep) == 0;
 }
