--- a/src/proxy/crash_checks.c
+++ b/src/proxy/crash_checks.c
@@ -50,7 +50,7 @@
 }
 
 /* Reports the crash with the requests that were running. */
-static void confirm(const struct crash_check *c)
+static void report_crash(const struct crash_check *c)
 {
 	log_warn("endpoint_ended", "addr=%s id=%s requests=%u", c->addr, c->id,
 		 c->fingerprints->len);
@@ -72,7 +72,7 @@
 	if (r == PROBE_REFUSED && upstream_is_connected(g->upstream, c->addr))
 		return;
 	if (r == PROBE_REFUSED)
-		confirm(c);
+		report_crash(c);
 	g_ptr_array_remove_fast(g->crash_checks, c);
 }
 
@@ -86,7 +86,7 @@
 		if (c->probe || (!no_connection && now < c->wait_until_ms))
 			continue;
 		if (no_connection)
-			confirm(c);
+			report_crash(c);
 		g_ptr_array_remove_index_fast(g->crash_checks, i);
 	}
 }
