--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -5,7 +5,7 @@
 #include <json-c/json.h>
 #include <math.h>
 
-/* Bounds the parser's recursion; our settings nest four levels deep. */
+/* Bounds the parser's recursion; the settings nest four levels deep. */
 #define DEPTH_MAX 16
 /* 2^53: a double represents every integer up to here exactly. */
 #define EXACT_INT_MAX 9007199254740992.0
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -65,7 +65,7 @@
  * it. */
 char *daemon_advertised_addr(const struct daemon *d, const struct listener *l);
 
-/* Answers /healthz, /readyz and /metrics; returns false for any other path. */
+/* Replies to /healthz, /readyz and /metrics; returns false for other paths. */
 bool daemon_status_request(struct daemon *d, struct evhttp_request *req,
 			   bool ready);
 void daemon_metrics_text(struct daemon *d, GString *out);
