--- a/src/base/log.c
+++ b/src/base/log.c
@@ -38,8 +38,7 @@
 static int64_t tokens_ms;
 static uint64_t dropped_lines;
 
-/* Checked before each write: a stalled reader must not block the process.
- */
+/* Checked before each write, so that a stalled reader blocks nothing. */
 static bool stdout_writable(void)
 {
 	struct pollfd p = { .fd = STDOUT_FILENO, .events = POLLOUT };
