--- a/src/core/fleet_list.h
+++ b/src/core/fleet_list.h
@@ -1,4 +1,4 @@
-/* The platform's list of endpoints, as read in one poll. */
+/* The list of endpoints, as read once from the platform. */
 #ifndef SS_FLEET_LIST_H
 #define SS_FLEET_LIST_H
 
@@ -36,8 +36,8 @@
 			       char *why);
 
 /*
- * Drops items whose service isn't in the routing if another item has the same
- * id or address and a service of the routing: that item is the valid one.
+ * Drops items whose service isn't in the routing if another item has the
+ * same id or address and a service of the routing: that item is the valid one.
  * Without a routing nothing is dropped.
  */
 void fleet_list_drop_conflicts(struct fleet_list *l, const struct routing *r);
--- a/src/proxy/gate_int.h
+++ b/src/proxy/gate_int.h
@@ -59,7 +59,7 @@
 	bool known; /* listed and not gone */
 	bool draining;
 	bool removing;	       /* drains for removal, not for a restart */
-	int64_t unreadable_ms; /* list entry unreadable since; 0: readable */
+	int64_t unreadable_ms; /* list item unreadable since; 0: readable */
 	bool loading; /* or unloading a model; can't load an adapter then */
 	GHashTable *models; /* model -> struct gate_model */
 	GHashTable *calls;  /* model -> GINT count of this gate's open calls */
@@ -250,7 +250,7 @@
 	GHashTable *latency_hists; /* route name -> struct hist */
 	uint64_t seed;
 	uint64_t ticket; /* last one given out */
-	uint64_t round;	 /* of the latest fleet message with this fence */
+	uint64_t round;	 /* of the newest leader's latest fleet message */
 	uint64_t fence;	 /* of the newest leader that sent one */
 	uint64_t last_incarnation_no;
 	GArray *startup_hold;	 /* until routing and fleet are known */
