--- a/test/prop_agent.cc
+++ b/test/prop_agent.cc
@@ -1,6 +1,6 @@
 /*
  * Properties of an agent under random interleavings of events: its endpoint's
- * memory is never overcommitted, orders with an old fencing number never reach
+ * memory is never overcommitted, orders with an old fencing token never reach
  * the engine, no call runs twice, and a call that was answered
  * OUTCOME_NOT_RUN never runs.
  */
@@ -58,7 +58,7 @@
 {
 	LedgerState *w = static_cast<LedgerState *>(arg);
 
-	/* No old fencing number and no unassigned model reaches the engine. */
+	/* No old fencing token and no unassigned model reaches the engine. */
 	RC_ASSERT(fence == w->newest_fence);
 	RC_ASSERT(w->assigned.count(r->model) == 1);
 	w->engine.bytes[r->model] = r->bytes;
